--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -72,7 +72,7 @@
     ("no pre-vote", "src/log/raft/election.rs",
      "let granted = term > self.vote.term\n            && last >= self.log.last()\n            && !self.has_live_leader(now)\n            && !self.may_be_elected(now);", "let granted = true;", "logic", "votes"),
     ("acknowledge before it is durable", "src/log/raft/replication.rs",
-     "        self.effects.late.push(reply(result));", "        self.effects.early.push(reply(result));", "logic", "log_schedules"),
+     "        self.effects.messages_after_persist.push(reply(result));", "        self.effects.immediate_messages.push(reply(result));", "logic", "log_schedules"),
     ("a leader counts what it has not synced", "src/log/raft/replication.rs",
      "let own = self.persisted;", "let own = self.log.last_index();", "logic", "leading"),
     ("commit entries of earlier terms by counting", "src/log/raft/replication.rs",
--- a/src/log/driver.rs
+++ b/src/log/driver.rs
@@ -32,7 +32,7 @@
 struct Save {
     begun: BootTime,
     /// Messages that promise what it makes durable.
-    late: Vec<(NodeId, Message)>,
+    messages_after_persist: Vec<(NodeId, Message)>,
     ended: oneshot::Receiver<(Disk, io::Result<()>)>,
 }
 
@@ -70,12 +70,19 @@
             if effects.is_empty() {
                 return outputs;
             }
-            let Effects { early, persist, late, restore, committed, reads } = effects;
-            early.into_iter().for_each(|(to, message)| send(to, message));
+            let Effects {
+                immediate_messages,
+                persist,
+                messages_after_persist,
+                restore,
+                committed,
+                reads,
+            } = effects;
+            immediate_messages.into_iter().for_each(|(to, message)| send(to, message));
             if persist.is_empty() {
-                late.into_iter().for_each(|(to, message)| send(to, message));
+                messages_after_persist.into_iter().for_each(|(to, message)| send(to, message));
             } else {
-                self.begin_save(persist, late);
+                self.begin_save(persist, messages_after_persist);
             }
             outputs.extend(restore.map(Output::Restore));
             outputs.extend(committed.into_iter().map(Output::Apply));
@@ -90,12 +97,12 @@
         }
     }
 
-    fn begin_save(&mut self, persist: Persist, late: Vec<(NodeId, Message)>) {
+    fn begin_save(&mut self, persist: Persist, messages_after_persist: Vec<(NodeId, Message)>) {
         let Some(mut disk) = self.disk.take() else { return };
         let kept = if persist.snapshot.is_some() { self.raft.kept_entries() } else { Vec::new() };
         let (sender, ended) = oneshot::channel();
         let rings = self.save_ended.clone();
-        self.save = Some(Save { begun: boot_now(), late, ended });
+        self.save = Some(Save { begun: boot_now(), messages_after_persist, ended });
         tokio::task::spawn_blocking(move || {
             let result = disk.save(&persist, &kept);
             // The replica may have ended meanwhile.
@@ -115,7 +122,7 @@
             Ok((disk, Ok(()))) => {
                 self.disk = Some(disk);
                 self.saved(save.begun);
-                return save.late;
+                return save.messages_after_persist;
             }
             Ok((_, Err(error))) => error.to_string(),
             Err(error @ TryRecvError::Closed) => error.to_string(),
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -34,7 +34,7 @@
         let term = self.vote.term + 1;
         // Early: nothing is promised by asking.
         let asked = self.ask_voters(Message::PreVote { term, last_index, last_term });
-        self.effects.early.extend(asked);
+        self.effects.immediate_messages.extend(asked);
         self.count_pre_votes(now);
     }
 
@@ -51,7 +51,7 @@
             && !self.may_be_elected(now);
         let reply_term = if granted { term } else { self.vote.term };
         let reply = Message::PreVoteReply { term: reply_term, granted };
-        self.effects.early.push((from, reply));
+        self.effects.immediate_messages.push((from, reply));
     }
 
     pub(super) fn on_pre_vote_reply(
@@ -104,7 +104,9 @@
             self.awaits_election = true;
             self.reset_election(now);
         }
-        self.effects.late.push((from, Message::VoteReply { term: self.vote.term, granted }));
+        self.effects
+            .messages_after_persist
+            .push((from, Message::VoteReply { term: self.vote.term, granted }));
     }
 
     pub(super) fn on_vote_reply(&mut self, from: NodeId, term: Term, granted: bool, now: BootTime) {
@@ -146,7 +148,7 @@
         let term = self.vote.term;
         // Late: the candidate's own vote must be durable before others count on it.
         let asked = self.ask_voters(Message::RequestVote { term, last_index, last_term });
-        self.effects.late.extend(asked);
+        self.effects.messages_after_persist.extend(asked);
         self.count_votes(now);
     }
 
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -62,11 +62,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
     /// Messages that may leave before `persist` is durable.
-    pub early: Vec<(NodeId, Message)>,
+    pub immediate_messages: Vec<(NodeId, Message)>,
     /// What must be durable first.
     pub persist: Persist,
     /// Messages that may leave only then.
-    pub late: Vec<(NodeId, Message)>,
+    pub messages_after_persist: Vec<(NodeId, Message)>,
     /// A snapshot that replaces the state machine's state.
     pub restore: Option<Snapshot>,
     /// Entries to apply, in order.
@@ -261,7 +261,7 @@
             return;
         }
         if let Some((leader, nonce)) = self.restart.asks(now) {
-            self.effects.early.push((leader, Message::Started { nonce }));
+            self.effects.immediate_messages.push((leader, Message::Started { nonce }));
         }
         match &self.role {
             Role::Leader(leader) => {
@@ -345,7 +345,8 @@
         let mut effects = std::mem::take(&mut self.effects);
         if self.save.is_some() {
             self.effects.persist = std::mem::take(&mut effects.persist);
-            self.effects.late = std::mem::take(&mut effects.late);
+            self.effects.messages_after_persist =
+                std::mem::take(&mut effects.messages_after_persist);
         } else if !effects.persist.is_empty() {
             self.begin_save(now);
         }
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -72,7 +72,7 @@
             (None, None) => return,
         };
         // Early: a leader's own copy counts only once it is durable here too.
-        self.effects.early.push((id, message));
+        self.effects.immediate_messages.push((id, message));
     }
 
     pub(super) fn on_append(&mut self, from: NodeId, message: Message, now: BootTime) {
@@ -215,12 +215,12 @@
         let reply = |result| (to, Message::AppendReply { term, result, answered });
         if self.has_unsaved() && self.is_vote_durable() {
             let durable = result.map(|index| index.min(self.persisted));
-            self.effects.early.push(reply(durable));
+            self.effects.immediate_messages.push(reply(durable));
             if durable == result {
                 return;
             }
         }
-        self.effects.late.push(reply(result));
+        self.effects.messages_after_persist.push(reply(result));
     }
 
     pub(super) fn on_append_reply(
--- a/src/log/raft/restart.rs
+++ b/src/log/raft/restart.rs
@@ -90,7 +90,7 @@
 impl Raft {
     pub(super) fn on_started(&mut self, from: NodeId, nonce: u64) {
         if !self.has_led {
-            self.effects.early.push((from, Message::NotLed { nonce }));
+            self.effects.immediate_messages.push((from, Message::NotLed { nonce }));
         }
     }
 
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -360,8 +360,8 @@
             if effects.is_empty() {
                 return;
             }
-            self.send(id, std::mem::take(&mut effects.early));
-            let late = std::mem::take(&mut effects.late);
+            self.send(id, std::mem::take(&mut effects.immediate_messages));
+            let late = std::mem::take(&mut effects.messages_after_persist);
             if effects.persist.is_empty() {
                 self.send(id, late);
             } else if !self.save(id, std::mem::take(&mut effects.persist), late) {
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -19,7 +19,7 @@
 
 fn sent(raft: &mut Raft, now: Duration) -> Vec<(u64, Message)> {
     let effects = raft.take_effects(now);
-    effects.early.into_iter().chain(effects.late).collect()
+    effects.immediate_messages.into_iter().chain(effects.messages_after_persist).collect()
 }
 
 /// The number that it draws at its start, which it asks replica 2 with.
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -26,11 +26,11 @@
     raft.receive(2, message, now);
     let effects = raft.take_effects(now);
     // Nothing is promised by the answer to a pre-vote.
-    let pre_vote = effects.early.first().map(|(_, message)| match message {
+    let pre_vote = effects.immediate_messages.first().map(|(_, message)| match message {
         Message::PreVoteReply { granted, .. } => *granted,
         message => panic!("{message:?} leaves before anything is durable"),
     });
-    let vote = effects.late.iter().find_map(|(_, message)| match message {
+    let vote = effects.messages_after_persist.iter().find_map(|(_, message)| match message {
         Message::VoteReply { granted, .. } => Some(*granted),
         _ => None,
     });
@@ -65,7 +65,10 @@
     assert_eq!(answer(&mut raft, request(6, 5, 4), LATER).0, Some(true), "resent by the same");
     raft.receive(3, request(6, 5, 9), LATER);
     let effects = raft.take_effects(LATER);
-    assert_eq!(effects.late, vec![(3, Message::VoteReply { term: 6, granted: false })]);
+    assert_eq!(
+        effects.messages_after_persist,
+        vec![(3, Message::VoteReply { term: 6, granted: false })]
+    );
 }
 
 #[test]
@@ -110,7 +113,7 @@
     };
     raft.receive(3, earlier, LATER);
     let effects = raft.take_effects(LATER);
-    let (to, reply) = effects.late.first().expect("it is told of the later term");
+    let (to, reply) = effects.messages_after_persist.first().expect("it is told of the later term");
     let Message::AppendReply { term, answered, .. } = reply else { panic!("{reply:?}") };
     assert_eq!((*to, *term, answered.round), (3, 5, 0));
 }
@@ -162,7 +165,7 @@
     let pre_vote = || Message::PreVote { term: 7, last_index: 9, last_term: 6 };
     let is_granted = |raft: &mut Raft, now: Duration| {
         raft.receive(3, pre_vote(), now);
-        let early = raft.take_effects(now).early;
+        let early = raft.take_effects(now).immediate_messages;
         let reply = |(_, message): &(u64, Message)| match message {
             Message::PreVoteReply { granted, .. } => Some(*granted),
             _ => None,
