--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -31,7 +31,7 @@
 use save::Save;
 
 /// What of an election timeout is given up for clocks that run at different rates.
-const DRIFT_PART: u32 = 10;
+const CLOCK_DRIFT_DIVISOR: u32 = 10;
 
 /// Periods of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -373,16 +373,16 @@
     }
 
     /// Whether this replica surely leads at `now`: nobody else can have been elected yet.
-    pub fn holds_leadership(&self, now: BootTime) -> bool {
+    pub fn holds_leader_lease(&self, now: BootTime) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
-        let safe = self.timing.election - self.timing.election / DRIFT_PART;
+        let safe = self.timing.election - self.timing.election / CLOCK_DRIFT_DIVISOR;
         self.commit >= leader.first_index && now < leader.confirmed_at + safe
     }
 
     /// When this replica last had all that was committed: a later read here may be older.
     pub fn caught_up_at(&self, now: BootTime) -> Option<BootTime> {
         match &self.role {
-            Role::Leader(_) => self.holds_leadership(now).then_some(now),
+            Role::Leader(_) => self.holds_leader_lease(now).then_some(now),
             _ => self.caught_up_at,
         }
     }
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -40,7 +40,7 @@
 
     fn send_to(&mut self, id: NodeId, now: BootTime) {
         let last_index = self.log.last_index();
-        let is_sure = self.holds_leadership(now);
+        let holds_lease = self.holds_leader_lease(now);
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.progress.get_mut(&id) else { return };
         let (term, commit, round) = (self.vote.term, self.commit, leader.round);
@@ -49,7 +49,7 @@
             (Some(prev_term), _) => {
                 let entries = self.log.batch(progress.next);
                 progress.next += entries.len() as Index;
-                let answered = progress.answered.filter(|_| is_sure);
+                let answered = progress.answered.filter(|_| holds_lease);
                 Message::Append {
                     term,
                     prev_index,
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -231,7 +231,7 @@
 
     /// The grantor, if this replica surely leads at `now`.
     fn leading_grantor(&mut self, now: BootTime) -> Option<&mut Grantor> {
-        if !self.driver.raft.holds_leadership(now) {
+        if !self.driver.raft.holds_leader_lease(now) {
             return None;
         }
         if self.grantor.is_none() || self.grantor_term != self.driver.raft.term() {
@@ -374,7 +374,7 @@
     type Return = Option<Term>;
 
     async fn handle(&mut self, _leads: Leads, _context: &mut Context<Self>) -> Self::Return {
-        self.driver.raft.holds_leadership(boot_now()).then(|| self.driver.raft.term())
+        self.driver.raft.holds_leader_lease(boot_now()).then(|| self.driver.raft.term())
     }
 }
 
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -444,7 +444,7 @@
             let Some(raft) = self.raft(id) else { continue };
             let status = raft.status();
             let now = self.clock(id);
-            if raft.holds_leadership(now) {
+            if raft.holds_leader_lease(now) {
                 sure_leaders.push(id);
             }
             if let Some(at) = raft.caught_up_at(now) {
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -93,7 +93,7 @@
         world.run(Duration::from_millis(100));
         let leader = world.leader().expect("there is a leader");
         let now = world.clock(leader);
-        assert!(world.raft(leader).expect("it runs").holds_leadership(now), "seed {seed}");
+        assert!(world.raft(leader).expect("it runs").holds_leader_lease(now), "seed {seed}");
     }
 }
 
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -24,7 +24,7 @@
 
 fn sure_leader(world: &World) -> Option<NodeId> {
     let is_sure =
-        |id: &NodeId| world.raft(*id).is_some_and(|raft| raft.holds_leadership(world.clock(*id)));
+        |id: &NodeId| world.raft(*id).is_some_and(|raft| raft.holds_leader_lease(world.clock(*id)));
     world.ids().into_iter().find(is_sure)
 }
 
