--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -50,7 +50,7 @@
     ("after a restart, words of others count", "src/log/raft/restart.rs",
      "restart.lease_holder == Some(from)", "restart.lease_holder.is_some()", "logic", "restarting"),
     ("after a restart, a former leader waits like others", "src/log/raft/restart.rs",
-     "self.was_leader && now < self.ends_at", "false", "logic", "restarting"),
+     "self.was_leader && now < self.lease_ends_at", "false", "logic", "restarting"),
     ("a removed leader that is needed does not stand", "src/log/raft/election.rs",
      "(is_voter || may_be_needed) && ", "is_voter && ", "logic", "replicas::a_leader_that_starts"),
     ("parts that are not read yet are fetched", "src/scheduler/source.rs",
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::answered::AnsweredRounds;
-use super::restart::EAGER_AGAIN;
+use super::restart::EARLY_CAMPAIGN_RETRY;
 use super::{Leader, Progress, Raft, Role};
 use crate::clock::BootTime;
 use crate::ids::NodeId;
@@ -27,8 +27,8 @@
         self.awaits_election = false;
         self.role = Role::PreCandidate { granted: BTreeSet::from([self.id]) };
         self.reset_election(now);
-        if self.restart.is_eager(now) {
-            self.election_at = now + EAGER_AGAIN;
+        if self.restart.may_campaign_early(now) {
+            self.election_at = now + EARLY_CAMPAIGN_RETRY;
         }
         let (last_term, last_index) = self.log.last();
         let term = self.vote.term + 1;
@@ -126,7 +126,7 @@
     /// Whether a leader was heard so recently that nobody else may be elected.
     fn has_live_leader(&self, now: BootTime) -> bool {
         let is_live = |heard_at: BootTime| now < heard_at + self.timing.election;
-        matches!(self.role, Role::Leader(_)) || self.heard_leader.is_some_and(is_live)
+        matches!(self.role, Role::Leader(_)) || self.last_leader_contact.is_some_and(is_live)
     }
 
     fn count_pre_votes(&mut self, now: BootTime) {
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -104,7 +104,7 @@
     leader: Option<NodeId>,
     /// When a leader was heard last; `None` while none counts on this replica. Starts at the start where
     /// one may, so that a replica that forgot what it heard does not vote too early.
-    heard_leader: Option<BootTime>,
+    last_leader_contact: Option<BootTime>,
     restart: Restart,
     /// Whether this process has led.
     has_led: bool,
@@ -229,7 +229,7 @@
             members: log.members(),
             role: Role::Follower,
             leader: None,
-            heard_leader: restart.heard_leader(now),
+            last_leader_contact: restart.initial_leader_contact(now),
             restart,
             has_led: false,
             caught_up_at: None,
@@ -249,7 +249,7 @@
             effects: Effects { restore, ..Effects::default() },
         };
         raft.reset_election(now);
-        if raft.restart.is_eager(now) {
+        if raft.restart.may_campaign_early(now) {
             raft.election_at = now;
         }
         raft
@@ -260,8 +260,8 @@
         if self.stopped {
             return;
         }
-        if let Some((leader, nonce)) = self.restart.asks(now) {
-            self.effects.immediate_messages.push((leader, Message::Started { nonce }));
+        if let Some((leader, nonce)) = self.restart.next_lease_query(now) {
+            self.effects.immediate_messages.push((leader, Message::LeaseQuery { nonce }));
         }
         match &self.role {
             Role::Leader(leader) => {
@@ -294,8 +294,8 @@
                 self.on_request_vote(from, term, (last_term, last_index), now);
             }
             Message::VoteReply { term, granted } => self.on_vote_reply(from, term, granted, now),
-            Message::Started { nonce } => self.on_started(from, nonce),
-            Message::NotLed { nonce } => self.on_not_led(from, nonce),
+            Message::LeaseQuery { nonce } => self.on_lease_query(from, nonce),
+            Message::NoLease { nonce } => self.on_no_lease(from, nonce),
             Message::Append { .. } => self.on_append(from, message, now),
             Message::AppendReply { term, result, answered } => {
                 self.on_append_reply(from, term, result, answered, now);
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -188,8 +188,8 @@
         self.follow(term, Some(from), now);
         self.answered_rounds.answer(round, now);
         self.failed_candidacies = 0;
-        self.heard_leader = Some(now);
-        self.restart.heard_leader_since();
+        self.last_leader_contact = Some(now);
+        self.restart.on_leader_contact();
         self.acknowledge(from);
         if let Some(Recovering { until: until @ None }) = &mut self.recovering {
             *until = Some(last_index);
--- a/src/log/raft/restart.rs
+++ b/src/log/raft/restart.rs
@@ -17,10 +17,10 @@
 use crate::log::types::Message;
 
 /// How often a replica that has just started asks the leader that it acknowledged: some round trips.
-const ASK_EVERY: Duration = Duration::from_millis(20);
+const LEASE_QUERY_INTERVAL: Duration = Duration::from_millis(20);
 /// How soon a replica that led before its start asks for votes again: others start within some hundred
 /// milliseconds, and each must first hear that it has started.
-pub(super) const EAGER_AGAIN: Duration = Duration::from_millis(20);
+pub(super) const EARLY_CAMPAIGN_RETRY: Duration = Duration::from_millis(20);
 
 /// A replica's first moments.
 #[derive(Clone, Copy, Debug)]
@@ -29,11 +29,11 @@
     lease_holder: Option<NodeId>,
     /// Tells answers to this start from answers to earlier ones.
     nonce: u64,
-    asked_at: Option<BootTime>,
+    queried_at: Option<BootTime>,
     /// Whether this replica was itself the last leader that it knows of, and has heard no other since.
     was_leader: bool,
     /// When nobody can count any more on what was acknowledged before the start.
-    ends_at: BootTime,
+    lease_ends_at: BootTime,
 }
 
 impl Restart {
@@ -41,16 +41,16 @@
         id: NodeId,
         recovered: &Recovered,
         random: &mut SmallRng,
-        ends_at: BootTime,
+        lease_ends_at: BootTime,
     ) -> Restart {
         let acknowledged = recovered.vote.acknowledged;
         Restart {
             // What a disk has lost may have been acknowledged to somebody else.
             lease_holder: acknowledged.filter(|leader| *leader != id && !recovered.lost),
             nonce: random.random(),
-            asked_at: None,
+            queried_at: None,
             was_leader: acknowledged == Some(id) && !recovered.lost,
-            ends_at,
+            lease_ends_at,
         }
     }
 
@@ -60,46 +60,46 @@
     }
 
     /// When a leader must be taken to have been heard by an earlier process.
-    pub(super) fn heard_leader(&self, now: BootTime) -> Option<BootTime> {
+    pub(super) fn initial_leader_contact(&self, now: BootTime) -> Option<BootTime> {
         (!self.was_leader).then_some(now)
     }
 
     /// Whether this replica stands at once: it led last, so it most likely has the newest log, and others
     /// wait for the regular time, so that votes don't split.
-    pub(super) fn is_eager(&self, now: BootTime) -> bool {
-        self.was_leader && now < self.ends_at
+    pub(super) fn may_campaign_early(&self, now: BootTime) -> bool {
+        self.was_leader && now < self.lease_ends_at
     }
 
     /// Whom to ask now whether a process that led still runs.
-    pub(super) fn asks(&mut self, now: BootTime) -> Option<(NodeId, u64)> {
-        let leader = self.lease_holder.filter(|_| now < self.ends_at)?;
-        if self.asked_at.is_some_and(|asked_at| now < asked_at + ASK_EVERY) {
+    pub(super) fn next_lease_query(&mut self, now: BootTime) -> Option<(NodeId, u64)> {
+        let leader = self.lease_holder.filter(|_| now < self.lease_ends_at)?;
+        if self.queried_at.is_some_and(|queried_at| now < queried_at + LEASE_QUERY_INTERVAL) {
             return None;
         }
-        self.asked_at = Some(now);
+        self.queried_at = Some(now);
         Some((leader, self.nonce))
     }
 
     /// A leader was heard by this process: what was before does not matter any more.
-    pub(super) fn heard_leader_since(&mut self) {
+    pub(super) fn on_leader_contact(&mut self) {
         self.lease_holder = None;
         self.was_leader = false;
     }
 }
 
 impl Raft {
-    pub(super) fn on_started(&mut self, from: NodeId, nonce: u64) {
+    pub(super) fn on_lease_query(&mut self, from: NodeId, nonce: u64) {
         if !self.has_led {
-            self.effects.immediate_messages.push((from, Message::NotLed { nonce }));
+            self.effects.immediate_messages.push((from, Message::NoLease { nonce }));
         }
     }
 
-    pub(super) fn on_not_led(&mut self, from: NodeId, nonce: u64) {
+    pub(super) fn on_no_lease(&mut self, from: NodeId, nonce: u64) {
         let restart = &mut self.restart;
         // Later than this start, and so than all that was acknowledged before it.
         if restart.nonce == nonce && restart.lease_holder == Some(from) {
             restart.lease_holder = None;
-            self.heard_leader = None;
+            self.last_leader_contact = None;
         }
     }
 }
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -181,13 +181,13 @@
     },
     /// The sender has started, and before that acknowledged the receiver as the leader. Does a process
     /// that led still run?
-    Started {
+    LeaseQuery {
         /// Drawn at the start.
         nonce: u64,
     },
     /// Answer to `Started`: the sender has not led since its own start, so that the process that led is
     /// gone, and nobody counts on what was acknowledged to it.
-    NotLed {
+    NoLease {
         /// That of `Started`: the answer is later than the start.
         nonce: u64,
     },
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -26,7 +26,7 @@
 fn nonce(raft: &mut Raft, now: Duration) -> u64 {
     raft.tick(now);
     let asked = sent(raft, now).into_iter().find_map(|(to, message)| match message {
-        Message::Started { nonce } => Some((to, nonce)),
+        Message::LeaseQuery { nonce } => Some((to, nonce)),
         _ => None,
     });
     let (to, nonce) = asked.expect("it asks");
@@ -45,7 +45,7 @@
 fn it_votes_at_once_after_the_leader_has_said_that_it_started_again() {
     let mut raft = after_2();
     let nonce = nonce(&mut raft, START);
-    raft.receive(2, Message::NotLed { nonce }, START + Duration::from_millis(5));
+    raft.receive(2, Message::NoLease { nonce }, START + Duration::from_millis(5));
     assert!(votes(&mut raft, START + Duration::from_millis(6)));
 }
 
@@ -60,8 +60,8 @@
 fn words_of_others_and_answers_to_earlier_starts_do_not_count() {
     let mut raft = after_2();
     let nonce = nonce(&mut raft, START);
-    raft.receive(3, Message::NotLed { nonce }, START);
-    raft.receive(2, Message::NotLed { nonce: nonce ^ 1 }, START);
+    raft.receive(3, Message::NoLease { nonce }, START);
+    raft.receive(2, Message::NoLease { nonce: nonce ^ 1 }, START);
     assert!(!votes(&mut raft, START + Duration::from_millis(10)));
 }
 
@@ -69,8 +69,8 @@
 fn who_has_led_since_its_start_does_not_say_that_it_has_not() {
     let mut raft = Raft::new(1, Members::of([1]), TIMING, Recovered::default(), 1, START);
     let is_denied = |raft: &mut Raft, now| {
-        raft.receive(2, Message::Started { nonce: 7 }, now);
-        !sent(raft, now).contains(&(2, Message::NotLed { nonce: 7 }))
+        raft.receive(2, Message::LeaseQuery { nonce: 7 }, now);
+        !sent(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
     };
     assert!(!is_denied(&mut raft, START));
     let later = START + TIMING.election * 3;
