--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -12,7 +12,7 @@
 impl Raft {
     /// A voter may stand, and so may one whose removal is not known to be committed: its log may be the
     /// only one that the others must not do without.
-    pub(super) fn may_stand(&self) -> bool {
+    pub(super) fn may_campaign(&self) -> bool {
         let is_voter = self.members.voters.contains(&self.id);
         let may_be_needed =
             !self.members.learners.contains(&self.id) && self.log.members_index() > self.commit;
@@ -21,20 +21,20 @@
 
     pub(super) fn start_pre_vote(&mut self, now: BootTime) {
         if matches!(self.role, Role::Candidate { .. }) {
-            self.failed_candidacies += 1;
+            self.failed_elections += 1;
         }
         self.leader = None;
-        self.awaits_election = false;
+        self.awaits_vote_outcome = false;
         self.role = Role::PreCandidate { granted: BTreeSet::from([self.id]) };
-        self.reset_election(now);
+        self.reset_election_deadline(now);
         if self.restart.may_campaign_early(now) {
-            self.election_at = now + EARLY_CAMPAIGN_RETRY;
+            self.election_deadline = now + EARLY_CAMPAIGN_RETRY;
         }
         let (last_term, last_index) = self.log.last();
         let term = self.vote.term + 1;
         // Early: nothing is promised by asking.
-        let asked = self.ask_voters(Message::PreVote { term, last_index, last_term });
-        self.effects.immediate_messages.extend(asked);
+        let requests = self.messages_to_voters(Message::PreVote { term, last_index, last_term });
+        self.effects.immediate_messages.extend(requests);
         self.count_pre_votes(now);
     }
 
@@ -48,7 +48,7 @@
         let granted = term > self.vote.term
             && last >= self.log.last()
             && !self.has_live_leader(now)
-            && !self.may_be_elected(now);
+            && !self.candidate_may_win(now);
         let reply_term = if granted { term } else { self.vote.term };
         let reply = Message::PreVoteReply { term: reply_term, granted };
         self.effects.immediate_messages.push((from, reply));
@@ -63,7 +63,7 @@
     ) {
         if !granted {
             if term > self.vote.term {
-                self.follow(term, None, now);
+                self.become_follower(term, None, now);
             }
             return;
         }
@@ -88,11 +88,11 @@
             return;
         }
         if term > self.vote.term {
-            self.follow(term, None, now);
+            self.become_follower(term, None, now);
         }
-        let free = self.vote.voted_for.is_none_or(|voted_for| voted_for == from);
+        let vote_available = self.vote.voted_for.is_none_or(|voted_for| voted_for == from);
         let granted = term == self.vote.term
-            && free
+            && vote_available
             && last >= self.log.last()
             && self.recovering.is_none()
             && matches!(self.role, Role::Follower);
@@ -101,8 +101,8 @@
             // Nobody else counts on this replica by now, and so the first answer to it needs no write more.
             self.vote.acknowledged = Some(from);
             self.effects.persist.vote = Some(self.vote);
-            self.awaits_election = true;
-            self.reset_election(now);
+            self.awaits_vote_outcome = true;
+            self.reset_election_deadline(now);
         }
         self.effects
             .messages_after_persist
@@ -111,7 +111,7 @@
 
     pub(super) fn on_vote_reply(&mut self, from: NodeId, term: Term, granted: bool, now: BootTime) {
         if term > self.vote.term {
-            self.follow(term, None, now);
+            self.become_follower(term, None, now);
             return;
         }
         if term < self.vote.term || !granted {
@@ -132,34 +132,35 @@
     fn count_pre_votes(&mut self, now: BootTime) {
         let Role::PreCandidate { granted } = &self.role else { return };
         if self.is_quorum(granted) {
-            self.stand(now);
+            self.start_election(now);
         }
     }
 
-    fn stand(&mut self, now: BootTime) {
+    fn start_election(&mut self, now: BootTime) {
         let (own, term) = (Some(self.id), self.vote.term + 1);
         self.vote = Vote { term, voted_for: own, acknowledged: own };
         self.answered_rounds = AnsweredRounds::default();
         self.effects.persist.vote = Some(self.vote);
         self.role = Role::Candidate { granted: BTreeSet::from([self.id]) };
-        self.awaits_election = true;
-        self.reset_election(now);
+        self.awaits_vote_outcome = true;
+        self.reset_election_deadline(now);
         let (last_term, last_index) = self.log.last();
         let term = self.vote.term;
         // Late: the candidate's own vote must be durable before others count on it.
-        let asked = self.ask_voters(Message::RequestVote { term, last_index, last_term });
-        self.effects.messages_after_persist.extend(asked);
+        let requests =
+            self.messages_to_voters(Message::RequestVote { term, last_index, last_term });
+        self.effects.messages_after_persist.extend(requests);
         self.count_votes(now);
     }
 
     fn count_votes(&mut self, now: BootTime) {
         let Role::Candidate { granted } = &self.role else { return };
         if self.is_quorum(granted) {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
-    fn lead(&mut self, now: BootTime) {
+    fn become_leader(&mut self, now: BootTime) {
         let next = self.log.last_index() + 1;
         let progress: BTreeMap<NodeId, Progress> = self
             .members
@@ -180,8 +181,8 @@
         });
         self.leader = Some(self.id);
         self.has_led = true;
-        self.awaits_election = false;
-        self.failed_candidacies = 0;
+        self.awaits_vote_outcome = false;
+        self.failed_elections = 0;
         let appended = self.append_own(Payload::Noop);
         debug_assert!(appended.is_ok(), "this replica has just become the leader");
     }
@@ -198,7 +199,7 @@
         granted.intersection(&self.members.voters).count() >= self.members.quorum()
     }
 
-    fn ask_voters(&self, message: Message) -> Vec<(NodeId, Message)> {
+    fn messages_to_voters(&self, message: Message) -> Vec<(NodeId, Message)> {
         let others = self.members.voters.iter().filter(|id| **id != self.id);
         others.map(|id| (*id, message.clone())).collect()
     }
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -111,7 +111,7 @@
     /// When this replica last had all that its leader had committed by then.
     caught_up_at: Option<BootTime>,
     answered_rounds: AnsweredRounds,
-    election_at: BootTime,
+    election_deadline: BootTime,
     /// Never falls, and never passes the last index.
     commit: Index,
     /// Entries up to here were handed out. Never passes `commit`.
@@ -125,9 +125,9 @@
     /// How long the last save took.
     save_took: Duration,
     /// Set while this replica waits for what comes of a vote that it gave, its own candidacy included.
-    awaits_election: bool,
+    awaits_vote_outcome: bool,
     /// Candidacies without a winner since a leader was heard.
-    failed_candidacies: u32,
+    failed_elections: u32,
     /// Set while synced bytes are known to be lost: no vote until caught up.
     recovering: Option<Recovering>,
     /// Set for good once the disk has failed.
@@ -234,23 +234,23 @@
             has_led: false,
             caught_up_at: None,
             answered_rounds: AnsweredRounds::default(),
-            election_at: now,
+            election_deadline: now,
             commit: snapshot_index,
             applied: snapshot_index,
             persisted: log.last_index(),
             save: None,
             durable_vote: recovered.vote,
             save_took: Duration::ZERO,
-            awaits_election: false,
-            failed_candidacies: 0,
+            awaits_vote_outcome: false,
+            failed_elections: 0,
             log,
             recovering,
             stopped: false,
             effects: Effects { restore, ..Effects::default() },
         };
-        raft.reset_election(now);
+        raft.reset_election_deadline(now);
         if raft.restart.may_campaign_early(now) {
-            raft.election_at = now;
+            raft.election_deadline = now;
         }
         raft
     }
@@ -266,12 +266,12 @@
         match &self.role {
             Role::Leader(leader) => {
                 if now >= leader.confirmed_at + self.timing.election * 2 {
-                    self.follow(self.vote.term, None, now);
+                    self.become_follower(self.vote.term, None, now);
                 } else if now >= leader.heartbeat_at {
                     self.broadcast(now);
                 }
             }
-            _ if now >= self.election_at && self.may_stand() && self.is_vote_durable() => {
+            _ if now >= self.election_deadline && self.may_campaign() && self.is_vote_durable() => {
                 self.start_pre_vote(now);
             }
             _ => {}
@@ -450,13 +450,13 @@
         self.applied = self.commit;
     }
 
-    fn reset_election(&mut self, now: BootTime) {
+    fn reset_election_deadline(&mut self, now: BootTime) {
         let spread: f64 = self.random.random();
-        self.election_at = now + self.timing.election + self.timing.election.mul_f64(spread);
+        self.election_deadline = now + self.timing.election + self.timing.election.mul_f64(spread);
     }
 
     /// Becomes a follower in `term`, of `leader` if one is known.
-    fn follow(&mut self, term: Term, leader: Option<NodeId>, now: BootTime) {
+    fn become_follower(&mut self, term: Term, leader: Option<NodeId>, now: BootTime) {
         if term > self.vote.term {
             self.vote = Vote { term, voted_for: None, ..self.vote };
             self.answered_rounds = AnsweredRounds::default();
@@ -464,7 +464,7 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.awaits_election = false;
-        self.reset_election(now);
+        self.awaits_vote_outcome = false;
+        self.reset_election_deadline(now);
     }
 }
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -185,9 +185,9 @@
             self.answer(from, Err(Mismatch { hint }), NO_ROUND);
             return false;
         }
-        self.follow(term, Some(from), now);
+        self.become_follower(term, Some(from), now);
         self.answered_rounds.answer(round, now);
-        self.failed_candidacies = 0;
+        self.failed_elections = 0;
         self.last_leader_contact = Some(now);
         self.restart.on_leader_contact();
         self.acknowledge(from);
@@ -232,7 +232,7 @@
         now: BootTime,
     ) {
         if term > self.vote.term {
-            self.follow(term, None, now);
+            self.become_follower(term, None, now);
             return;
         }
         let last = self.log.last_index();
--- a/src/log/raft/save.rs
+++ b/src/log/raft/save.rs
@@ -7,7 +7,7 @@
 use crate::log::types::{Index, Vote};
 
 /// Saves of others that a vote waits for: the one that is under way there, and that of the vote.
-const SAVES_AWAITED: u32 = 2;
+const SAVES_PER_VOTE: u32 = 2;
 /// Candidacies without a winner after which the time for the next one doubles no more.
 const MAX_DOUBLINGS: u32 = 4;
 
@@ -32,10 +32,10 @@
         self.persisted = self.persisted.max(save.until);
         let has_new_vote = self.durable_vote != save.vote;
         self.durable_vote = save.vote;
-        if has_new_vote && self.awaits_election {
+        if has_new_vote && self.awaits_vote_outcome {
             // Others hear of it only now.
-            self.reset_election(now);
-            self.election_at += self.election_patience();
+            self.reset_election_deadline(now);
+            self.election_deadline += self.election_deadline_extension();
         }
         if self.recovering.is_some_and(|r| r.until.is_some_and(|until| self.persisted >= until)) {
             self.recovering = None;
@@ -63,14 +63,14 @@
 
     /// What an election takes beyond its regular time: others save their votes on disks that may be as slow as
     /// this one, or slower.
-    fn election_patience(&self) -> Duration {
-        let doublings = self.failed_candidacies.min(MAX_DOUBLINGS);
-        self.save_took * SAVES_AWAITED + self.timing.election * ((1 << doublings) - 1)
+    fn election_deadline_extension(&self) -> Duration {
+        let doublings = self.failed_elections.min(MAX_DOUBLINGS);
+        self.save_took * SAVES_PER_VOTE + self.timing.election * ((1 << doublings) - 1)
     }
 
     /// Whether a candidate that this replica has voted for may still win.
-    pub(super) fn may_be_elected(&self, now: BootTime) -> bool {
-        let waits = !matches!(self.role, Role::PreCandidate { .. }) && self.awaits_election;
-        waits && (now < self.election_at || !self.is_vote_durable())
+    pub(super) fn candidate_may_win(&self, now: BootTime) -> bool {
+        let waits = !matches!(self.role, Role::PreCandidate { .. }) && self.awaits_vote_outcome;
+        waits && (now < self.election_deadline || !self.is_vote_durable())
     }
 }
