--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -99,7 +99,7 @@
         if granted {
             self.vote.voted_for = Some(from);
             // Nobody else counts on this replica by now, and so the first answer to it needs no write more.
-            self.vote.acknowledged = Some(from);
+            self.vote.acknowledged_leader = Some(from);
             self.effects.persist.vote = Some(self.vote);
             self.awaits_vote_outcome = true;
             self.reset_election_deadline(now);
@@ -138,7 +138,7 @@
 
     fn start_election(&mut self, now: BootTime) {
         let (own, term) = (Some(self.id), self.vote.term + 1);
-        self.vote = Vote { term, voted_for: own, acknowledged: own };
+        self.vote = Vote { term, voted_for: own, acknowledged_leader: own };
         self.answered_rounds = AnsweredRounds::default();
         self.effects.persist.vote = Some(self.vote);
         self.role = Role::Candidate { granted: BTreeSet::from([self.id]) };
@@ -188,9 +188,9 @@
     }
 
     /// Records, durably before any answer leaves, on whom this replica's acknowledgements are counted.
-    pub(super) fn acknowledge(&mut self, leader: NodeId) {
-        if self.vote.acknowledged != Some(leader) {
-            self.vote.acknowledged = Some(leader);
+    pub(super) fn record_acknowledged_leader(&mut self, leader: NodeId) {
+        if self.vote.acknowledged_leader != Some(leader) {
+            self.vote.acknowledged_leader = Some(leader);
             self.effects.persist.vote = Some(self.vote);
         }
     }
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -190,7 +190,7 @@
         self.failed_elections = 0;
         self.last_leader_contact = Some(now);
         self.restart.on_leader_contact();
-        self.acknowledge(from);
+        self.record_acknowledged_leader(from);
         if let Some(Recovering { until: until @ None }) = &mut self.recovering {
             *until = Some(last_index);
         }
--- a/src/log/raft/restart.rs
+++ b/src/log/raft/restart.rs
@@ -43,7 +43,7 @@
         random: &mut SmallRng,
         lease_ends_at: BootTime,
     ) -> Restart {
-        let acknowledged = recovered.vote.acknowledged;
+        let acknowledged = recovered.vote.acknowledged_leader;
         Restart {
             // What a disk has lost may have been acknowledged to somebody else.
             lease_holder: acknowledged.filter(|leader| *leader != id && !recovered.lost),
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -82,7 +82,7 @@
     pub voted_for: Option<NodeId>,
     /// The last leader that this replica acknowledged, or whom it voted for since, itself included: it alone
     /// may still count on that, since votes are given only once nobody counts on an earlier leader.
-    pub acknowledged: Option<NodeId>,
+    pub acknowledged_leader: Option<NodeId>,
 }
 
 /// What must be durable before late messages leave. Parts are written in the order of the fields.
--- a/tests/logic/disk.rs
+++ b/tests/logic/disk.rs
@@ -15,7 +15,7 @@
     Persist { append: entries, ..Persist::default() }
 }
 
-const VOTE: Vote = Vote { term: 3, voted_for: Some(2), acknowledged: Some(4) };
+const VOTE: Vote = Vote { term: 3, voted_for: Some(2), acknowledged_leader: Some(4) };
 
 /// Opens a folder, writes a vote and entries 1 to `count`, and closes it.
 fn written(folder: &Path, count: u64) {
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -12,7 +12,7 @@
 /// Replica 1 of three, which acknowledged replica 2 as the leader of term 5.
 fn after_2() -> Raft {
     let entries = vec![Entry { index: 1, term: 5, payload: Payload::Noop }];
-    let vote = Vote { term: 5, acknowledged: Some(2), ..Vote::default() };
+    let vote = Vote { term: 5, acknowledged_leader: Some(2), ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
     Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START)
 }
