--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -30,7 +30,7 @@
     ("fresh: a follower is current as of its reading", "src/log/raft/replication.rs",
      "self.caught_up_at = self.caught_up_at.max(sent_after);", "self.caught_up_at = sent_after.and(Some(now));", "logic", "log_schedules"),
     ("fresh: a leader confirms that is not sure to lead", "src/log/raft/replication.rs",
-     "progress.answered.filter(|_| holds_lease)", "progress.answered.filter(|_| true | holds_lease)", "logic", "who_follows"),
+     "progress.round_ack.filter(|_| holds_lease)", "progress.round_ack.filter(|_| true | holds_lease)", "logic", "who_follows"),
     ("fresh: a refused message answers its round", "src/log/raft/replication.rs",
      "Err(Mismatch { hint }), NO_ROUND)", "Err(Mismatch { hint }), NO_ROUND.max(round))", "logic", "a_message_of_an_earlier_term"),
     ("fresh: refused for good without a confirmation", "src/gateway/request.rs",
--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -19,7 +19,7 @@
 use crate::limits::shares::{Demand, Share, Shares};
 use crate::log::disk::Disk;
 use crate::log::state::{Command, State};
-use crate::log::{Answered, Entry, Message, Payload, Persist};
+use crate::log::{Entry, Message, Payload, Persist, RoundAck};
 use crate::membership::{Member, Packet, Status, Swim, SwimTiming};
 use crate::orders::{EngineState, Planner};
 use crate::peer::auth::CODE_BYTES;
@@ -493,7 +493,7 @@
         commit: 1_000_000,
         last_index: 1_000_001,
         round: 1_000_000,
-        answered: Some(Answered { start: u64::MAX, round: 1_000_000 }),
+        round_ack: Some(RoundAck { start_nonce: u64::MAX, round: 1_000_000 }),
     };
     wire_bytes(&Frame::Log(message)) as f64
 }
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -6,4 +6,4 @@
 pub mod state;
 pub mod types;
 
-pub use types::{Answered, Entry, Index, Members, Message, Payload, Persist, Snapshot, Term, Vote};
+pub use types::{Entry, Index, Members, Message, Payload, Persist, RoundAck, Snapshot, Term, Vote};
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::answered::AnsweredRounds;
 use super::restart::EARLY_CAMPAIGN_RETRY;
+use super::round_times::RoundTimes;
 use super::{Leader, Progress, Raft, Role};
 use crate::clock::BootTime;
 use crate::ids::NodeId;
@@ -139,7 +139,7 @@
     fn start_election(&mut self, now: BootTime) {
         let (own, term) = (Some(self.id), self.vote.term + 1);
         self.vote = Vote { term, voted_for: own, acknowledged_leader: own };
-        self.answered_rounds = AnsweredRounds::default();
+        self.round_times = RoundTimes::default();
         self.effects.persist.vote = Some(self.vote);
         self.role = Role::Candidate { granted: BTreeSet::from([self.id]) };
         self.awaits_vote_outcome = true;
@@ -207,6 +207,6 @@
 
 impl Progress {
     pub(super) fn new(next: Index) -> Progress {
-        Progress { next, matched: 0, acked_round: 0, answered: None, snapshot_sent: None }
+        Progress { next, matched: 0, acked_round: 0, round_ack: None, snapshot_sent: None }
     }
 }
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -4,12 +4,12 @@
 //! committed. It makes `persist` durable, calls `saved`, and then sends `late`. Inputs go on meanwhile: what they
 //! need durable is handed out after that save.
 
-mod answered;
 mod change;
 mod election;
 mod entries;
 mod replication;
 mod restart;
+mod round_times;
 mod save;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,14 +20,14 @@
 use rand::{RngExt, SeedableRng};
 
 use super::types::{
-    Answered, Entry, Index, Members, Message, Payload, Persist, Snapshot, Term, Vote,
+    Entry, Index, Members, Message, Payload, Persist, RoundAck, Snapshot, Term, Vote,
 };
 use crate::clock::BootTime;
 use crate::ids::NodeId;
-use answered::AnsweredRounds;
 pub use change::{Change, ChangeError};
 use entries::Entries;
 use restart::Restart;
+use round_times::RoundTimes;
 use save::Save;
 
 /// What of an election timeout is given up for clocks that run at different rates.
@@ -110,7 +110,7 @@
     has_led: bool,
     /// When this replica last had all that its leader had committed by then.
     caught_up_at: Option<BootTime>,
-    answered_rounds: AnsweredRounds,
+    round_times: RoundTimes,
     election_deadline: BootTime,
     /// Never falls, and never passes the last index.
     commit: Index,
@@ -180,7 +180,7 @@
     matched: Index,
     acked_round: u64,
     /// The last answer that was read.
-    answered: Option<Answered>,
+    round_ack: Option<RoundAck>,
     snapshot_sent: Option<BootTime>,
 }
 
@@ -233,7 +233,7 @@
             restart,
             has_led: false,
             caught_up_at: None,
-            answered_rounds: AnsweredRounds::default(),
+            round_times: RoundTimes::default(),
             election_deadline: now,
             commit: snapshot_index,
             applied: snapshot_index,
@@ -297,8 +297,8 @@
             Message::LeaseQuery { nonce } => self.on_lease_query(from, nonce),
             Message::NoLease { nonce } => self.on_no_lease(from, nonce),
             Message::Append { .. } => self.on_append(from, message, now),
-            Message::AppendReply { term, result, answered } => {
-                self.on_append_reply(from, term, result, answered, now);
+            Message::AppendReply { term, result, round_ack } => {
+                self.on_append_reply(from, term, result, round_ack, now);
             }
             Message::InstallSnapshot { term, snapshot, last_index, round } => {
                 self.on_snapshot(from, term, snapshot, last_index, round, now);
@@ -459,7 +459,7 @@
     fn become_follower(&mut self, term: Term, leader: Option<NodeId>, now: BootTime) {
         if term > self.vote.term {
             self.vote = Vote { term, voted_for: None, ..self.vote };
-            self.answered_rounds = AnsweredRounds::default();
+            self.round_times = RoundTimes::default();
             self.effects.persist.vote = Some(self.vote);
         }
         self.role = Role::Follower;
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -5,7 +5,7 @@
 use super::{Leader, Progress, Raft, Recovering, Role};
 use crate::clock::BootTime;
 use crate::ids::NodeId;
-use crate::log::types::{Answered, Index, Message, Mismatch, Payload, Snapshot, Term};
+use crate::log::types::{Index, Message, Mismatch, Payload, RoundAck, Snapshot, Term};
 
 /// A snapshot is sent again if it was not acknowledged within this time.
 const SNAPSHOT_RESEND: Duration = Duration::from_secs(2);
@@ -49,7 +49,7 @@
             (Some(prev_term), _) => {
                 let entries = self.log.batch(progress.next);
                 progress.next += entries.len() as Index;
-                let answered = progress.answered.filter(|_| holds_lease);
+                let round_ack = progress.round_ack.filter(|_| holds_lease);
                 Message::Append {
                     term,
                     prev_index,
@@ -58,7 +58,7 @@
                     commit,
                     last_index,
                     round,
-                    answered,
+                    round_ack,
                 }
             }
             (None, Some(snapshot)) => {
@@ -84,7 +84,7 @@
             commit,
             last_index,
             round,
-            answered,
+            round_ack,
         } = message
         else {
             return;
@@ -129,9 +129,10 @@
         // Until it has committed in its own term a leader may not know of all that was committed before.
         let knows_all = self.log.term_at(commit) == Some(term);
         if knows_all && self.commit >= commit {
-            let answered = answered.filter(|answered| answered.start == self.restart.nonce());
+            let round_ack =
+                round_ack.filter(|round_ack| round_ack.start_nonce == self.restart.nonce());
             let sent_after =
-                answered.and_then(|answered| self.answered_rounds.sent_after(answered.round));
+                round_ack.and_then(|round_ack| self.round_times.sent_after(round_ack.round));
             self.caught_up_at = self.caught_up_at.max(sent_after);
         }
         self.answer(from, Ok(equal_until.max(self.log.snapshot_index())), round);
@@ -186,7 +187,7 @@
             return false;
         }
         self.become_follower(term, Some(from), now);
-        self.answered_rounds.answer(round, now);
+        self.round_times.record(round, now);
         self.failed_elections = 0;
         self.last_leader_contact = Some(now);
         self.restart.on_leader_contact();
@@ -211,8 +212,8 @@
     /// at once, so that no leader is lost while disks are slow.
     fn answer(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
         let term = self.vote.term;
-        let answered = Answered { start: self.restart.nonce(), round };
-        let reply = |result| (to, Message::AppendReply { term, result, answered });
+        let round_ack = RoundAck { start_nonce: self.restart.nonce(), round };
+        let reply = |result| (to, Message::AppendReply { term, result, round_ack });
         if self.has_unsaved() && self.is_vote_durable() {
             let durable = result.map(|index| index.min(self.persisted));
             self.effects.immediate_messages.push(reply(durable));
@@ -228,7 +229,7 @@
         from: NodeId,
         term: Term,
         result: Result<Index, Mismatch>,
-        answered: Answered,
+        round_ack: RoundAck,
         now: BootTime,
     ) {
         if term > self.vote.term {
@@ -241,10 +242,12 @@
         if term < self.vote.term {
             return;
         }
-        progress.acked_round = progress.acked_round.max(answered.round);
-        let is_late = |last: Answered| last.start == answered.start && last.round > answered.round;
-        if !progress.answered.is_some_and(is_late) {
-            progress.answered = Some(answered);
+        progress.acked_round = progress.acked_round.max(round_ack.round);
+        let is_late = |last: RoundAck| {
+            last.start_nonce == round_ack.start_nonce && last.round > round_ack.round
+        };
+        if !progress.round_ack.is_some_and(is_late) {
+            progress.round_ack = Some(round_ack);
         }
         let behind = match result {
             Ok(index) => {
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -157,7 +157,7 @@
         /// Counts the leader's broadcasts, to confirm that it still leads.
         round: u64,
         /// The receiver's last answer that the leader had read, if it was sure to lead.
-        answered: Option<Answered>,
+        round_ack: Option<RoundAck>,
     },
     /// Answer to `Append`.
     AppendReply {
@@ -166,7 +166,7 @@
         /// The last index that is durable and equal to the leader's, or why not.
         result: Result<Index, Mismatch>,
         /// The round that is answered, and by which start of the sender.
-        answered: Answered,
+        round_ack: RoundAck,
     },
     /// A snapshot, for a replica that is behind the leader's first entry.
     InstallSnapshot {
@@ -202,9 +202,9 @@
 
 /// A round of a leader's broadcasts that was answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answered {
+pub struct RoundAck {
     /// Drawn by the replica that answered when it started: what it answered before is void.
-    pub start: u64,
+    pub start_nonce: u64,
     /// The round.
     pub round: u64,
 }
--- a/tests/logic/leading.rs
+++ b/tests/logic/leading.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kumquatpost::log::raft::Raft;
-use kumquatpost::log::{Answered, Message};
+use kumquatpost::log::{Message, RoundAck};
 
 use crate::log_world::replica_in_term_5;
 
@@ -27,7 +27,7 @@
     let reply = Message::AppendReply {
         term: 6,
         result: Ok(index),
-        answered: Answered { start: 1, round: 1 },
+        round_ack: RoundAck { start_nonce: 1, round: 1 },
     };
     raft.receive(from, reply, LATER);
 }
@@ -70,7 +70,11 @@
     let mut raft = leader();
     raft.receive(
         2,
-        Message::AppendReply { term: 7, result: Ok(5), answered: Answered { start: 1, round: 1 } },
+        Message::AppendReply {
+            term: 7,
+            result: Ok(5),
+            round_ack: RoundAck { start_nonce: 1, round: 1 },
+        },
         LATER,
     );
     assert!(!raft.status().is_leader);
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -119,7 +119,7 @@
 #[test]
 fn a_follower_has_caught_up_only_once_its_leader_has_committed_in_its_term() {
     let mut raft = after_2();
-    let append = |entries: Vec<Entry>, commit, answered| Message::Append {
+    let append = |entries: Vec<Entry>, commit, round_ack| Message::Append {
         term: 6,
         prev_index: 1,
         prev_term: 5,
@@ -127,23 +127,23 @@
         commit,
         last_index: 2,
         round: 1,
-        answered,
+        round_ack,
     };
     let noop = Entry { index: 2, term: 6, payload: Payload::Noop };
     let now = START + TIMING.election * 2;
     raft.receive(2, append(vec![noop], 0, None), now);
     let answers = sent(&mut raft, now).into_iter().map(|(_, message)| message);
-    let answered = answers
+    let round_ack = answers
         .filter_map(|message| match message {
-            Message::AppendReply { answered, .. } => Some(answered),
+            Message::AppendReply { round_ack, .. } => Some(round_ack),
             _ => None,
         })
         .next_back();
-    assert!(answered.is_some());
+    assert!(round_ack.is_some());
     assert_eq!(raft.caught_up_at(now), None, "entry 1 may have been committed long ago");
-    raft.receive(2, append(Vec::new(), 1, answered), now);
+    raft.receive(2, append(Vec::new(), 1, round_ack), now);
     assert_eq!(raft.caught_up_at(now), None, "and so may others that this leader has");
-    raft.receive(2, append(Vec::new(), 2, answered), now);
+    raft.receive(2, append(Vec::new(), 2, round_ack), now);
     assert_eq!(
         raft.caught_up_at(now),
         None,
@@ -157,7 +157,7 @@
         commit: 2,
         last_index: 2,
         round: 2,
-        answered,
+        round_ack,
     };
     raft.receive(2, ends_with, now);
     assert_eq!(raft.caught_up_at(now), Some(now));
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -81,7 +81,7 @@
         commit: 4,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
     let soon = LATER + TIMING.election - Duration::from_millis(1);
     let mut raft = replica();
@@ -109,13 +109,13 @@
         commit: 4,
         last_index: 4,
         round: 28,
-        answered: None,
+        round_ack: None,
     };
     raft.receive(3, earlier, LATER);
     let effects = raft.take_effects(LATER);
     let (to, reply) = effects.messages_after_persist.first().expect("it is told of the later term");
-    let Message::AppendReply { term, answered, .. } = reply else { panic!("{reply:?}") };
-    assert_eq!((*to, *term, answered.round), (3, 5, 0));
+    let Message::AppendReply { term, round_ack, .. } = reply else { panic!("{reply:?}") };
+    assert_eq!((*to, *term, round_ack.round), (3, 5, 0));
 }
 
 #[test]
@@ -143,7 +143,7 @@
         commit: 0,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
     for (prev_index, count, recovering) in [(0, 3, true), (3, 1, false)] {
         raft.receive(3, append(prev_index, count), LATER);
@@ -194,7 +194,7 @@
         commit: 0,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
     raft.receive(2, append(6, 4), LATER);
     raft.take_effects(LATER);
