--- a/src/log/disk.rs
+++ b/src/log/disk.rs
@@ -43,7 +43,7 @@
     mark: File,
     log_bytes: u64,
     /// Whether synced bytes were lost and the replica has not caught up since.
-    lost: bool,
+    has_lost_data: bool,
     // Held for as long as the process lives: two processes must not share a folder.
     _lock: File,
 }
@@ -95,15 +95,15 @@
         if is_new {
             sync_folder(folder).map_err(failed)?;
         }
-        let lost = marked_lost || marked_bytes > valid_bytes;
+        let has_lost_data = marked_lost || marked_bytes > valid_bytes;
         let recovered = Recovered {
             vote: vote.unwrap_or_default(),
-            lost,
+            has_lost_data,
             entries: entries_after(&snapshot, records),
             snapshot,
         };
         let folder = folder.to_path_buf();
-        let disk = Disk { folder, log, mark, log_bytes: valid_bytes, lost, _lock: lock };
+        let disk = Disk { folder, log, mark, log_bytes: valid_bytes, has_lost_data, _lock: lock };
         disk.write_mark().and_then(|()| disk.mark.sync_data()).map_err(failed)?;
         Ok((disk, recovered))
     }
@@ -143,15 +143,15 @@
     ///
     /// # Errors
     /// Those of the operating system.
-    pub fn caught_up(&mut self) -> io::Result<()> {
-        self.lost = false;
+    pub fn clear_lost_data(&mut self) -> io::Result<()> {
+        self.has_lost_data = false;
         self.write_mark()?;
         self.mark.sync_data()
     }
 
     /// Whether synced bytes were lost and the replica has not caught up since.
-    pub fn has_lost(&self) -> bool {
-        self.lost
+    pub fn has_lost_data(&self) -> bool {
+        self.has_lost_data
     }
 
     /// Length of the log file.
@@ -183,7 +183,7 @@
     fn write_mark(&self) -> io::Result<()> {
         let mut bytes = [0; MARK_BYTES];
         bytes[..8].copy_from_slice(&self.log_bytes.to_le_bytes());
-        bytes[8] = self.lost.into();
+        bytes[8] = self.has_lost_data.into();
         self.mark.write_all_at(&bytes, 0)
     }
 
--- a/src/log/driver.rs
+++ b/src/log/driver.rs
@@ -142,13 +142,13 @@
             log::warn!("event=disk_slow took_ms={}", took.as_millis());
         }
         self.raft.saved(now);
-        self.note_recovery();
+        self.clear_lost_data_once_recovered();
     }
 
-    fn note_recovery(&mut self) {
+    fn clear_lost_data_once_recovered(&mut self) {
         let recovering = self.raft.status().recovering;
-        if let Some(disk) = self.disk.as_mut().filter(|disk| disk.has_lost() && !recovering) {
-            match disk.caught_up() {
+        if let Some(disk) = self.disk.as_mut().filter(|disk| disk.has_lost_data() && !recovering) {
+            match disk.clear_lost_data() {
                 Ok(()) => log::info!("event=replica_caught_up"),
                 Err(error) => log::warn!("event=mark_failed reason={:?}", error.to_string()),
             }
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -52,7 +52,7 @@
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
     /// Whether synced bytes were lost, so that what this replica acknowledged may be missing.
-    pub lost: bool,
+    pub has_lost_data: bool,
 }
 
 /// Names a read that waits for confirmation.
@@ -217,7 +217,7 @@
     ) -> Raft {
         let mut random = SmallRng::seed_from_u64(seed);
         let restart = Restart::new(id, &recovered, &mut random, now + timing.election);
-        let recovering = recovered.lost.then_some(Recovering { until: None });
+        let recovering = recovered.has_lost_data.then_some(Recovering { until: None });
         let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let restore = recovered.snapshot.clone();
         let log = Entries::new(recovered.snapshot, recovered.entries, members);
--- a/src/log/raft/restart.rs
+++ b/src/log/raft/restart.rs
@@ -46,10 +46,10 @@
         let acknowledged = recovered.vote.acknowledged_leader;
         Restart {
             // What a disk has lost may have been acknowledged to somebody else.
-            lease_holder: acknowledged.filter(|leader| *leader != id && !recovered.lost),
+            lease_holder: acknowledged.filter(|leader| *leader != id && !recovered.has_lost_data),
             nonce: random.random(),
             queried_at: None,
-            was_leader: acknowledged == Some(id) && !recovered.lost,
+            was_leader: acknowledged == Some(id) && !recovered.has_lost_data,
             lease_ends_at,
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -305,7 +305,7 @@
 ) -> Result<Option<ReplicaHandle>> {
     let Some(folder) = &settings.data_folder else { return Ok(None) };
     let (disk, recovered) = Disk::open(folder)?;
-    if recovered.lost {
+    if recovered.has_lost_data {
         log::warn!("event=replica_lost_bytes effect=\"does not vote until it has caught up\"");
     }
     let timing =
--- a/tests/logic/disk.rs
+++ b/tests/logic/disk.rs
@@ -40,7 +40,7 @@
     let (mut disk, recovered) = Disk::open(folder.path()).expect("it opens");
     assert_eq!(recovered.vote, VOTE);
     assert_eq!(recovered.entries, (1..=5).map(|i| entry(i, 3)).collect::<Vec<_>>());
-    assert!(!recovered.lost);
+    assert!(!recovered.has_lost_data);
     let change =
         Persist { truncate_from: Some(4), append: vec![entry(4, 9)], ..Persist::default() };
     disk.save(&change, &[]).expect("saved");
@@ -60,10 +60,10 @@
         written(folder.path(), 4);
         std::fs::write(folder.path().join("log"), &bytes[..length]).expect("cut");
         let recovered = found(folder.path());
-        assert!(recovered.lost, "cut to {length} of {}", bytes.len());
+        assert!(recovered.has_lost_data, "cut to {length} of {}", bytes.len());
         let kept = recovered.entries.len();
         assert_eq!(recovered.entries, (1..=kept as u64).map(|i| entry(i, 3)).collect::<Vec<_>>());
-        assert!(found(folder.path()).lost, "still so after another start");
+        assert!(found(folder.path()).has_lost_data, "still so after another start");
     }
 }
 
@@ -80,14 +80,14 @@
         .set_len(length - 1)
         .expect("cut");
     let (mut disk, recovered) = Disk::open(folder.path()).expect("it opens");
-    assert!(recovered.lost);
+    assert!(recovered.has_lost_data);
     disk.save(&persist(vec![entry(4, 4), entry(5, 4)]), &[]).expect("saved");
     disk.close();
     let (mut disk, recovered) = Disk::open(folder.path()).expect("it opens");
-    assert!(recovered.lost, "more was written, but it has not caught up");
-    disk.caught_up().expect("recorded");
+    assert!(recovered.has_lost_data, "more was written, but it has not caught up");
+    disk.clear_lost_data().expect("recorded");
     disk.close();
-    assert!(!found(folder.path()).lost);
+    assert!(!found(folder.path()).has_lost_data);
 }
 
 #[test]
@@ -99,7 +99,7 @@
     bytes.extend_from_slice(&[40, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&log, bytes).expect("torn");
     let recovered = found(folder.path());
-    assert!(!recovered.lost);
+    assert!(!recovered.has_lost_data);
     assert_eq!(recovered.entries.len(), 2);
 }
 
@@ -113,7 +113,7 @@
     bytes[middle] ^= 1;
     std::fs::write(&log, bytes).expect("damaged");
     let recovered = found(folder.path());
-    assert!(recovered.lost);
+    assert!(recovered.has_lost_data);
     assert!(recovered.entries.len() < 3);
 }
 
@@ -156,5 +156,5 @@
     let recovered = found(folder.path());
     assert_eq!(recovered.snapshot, Some(snapshot));
     assert_eq!(recovered.entries, vec![entry(5, 3), entry(6, 3), entry(7, 3)]);
-    assert!(!recovered.lost);
+    assert!(!recovered.has_lost_data);
 }
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -213,7 +213,7 @@
         self.crash(id);
         let recovered = &mut self.replicas.get_mut(&id).expect("a replica").disk.recovered;
         let kept = recovered.entries.len().saturating_sub(entries);
-        recovered.lost |= kept < recovered.entries.len();
+        recovered.has_lost_data |= kept < recovered.entries.len();
         recovered.entries.truncate(kept);
     }
 
@@ -398,7 +398,7 @@
         replica.disk.write(&persist, usize::MAX);
         if let Some(raft) = &mut replica.raft {
             raft.saved(clock);
-            replica.disk.recovered.lost &= raft.status().recovering;
+            replica.disk.recovered.has_lost_data &= raft.status().recovering;
         }
         self.send(id, late);
     }
