--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -24,7 +24,7 @@
     ("slow disks: votes are waited for as on quick disks", "src/log/raft/save.rs",
      "            self.election_deadline += self.election_deadline_extension();\n", "", "logic", "slow_disks"),
     ("slow disks: void entries count as saved", "src/log/raft/save.rs",
-     "save.until = save.until.min(index.saturating_sub(1));", "let _ = save;", "logic", "votes"),
+     "save.last_index = save.last_index.min(index.saturating_sub(1));", "let _ = save;", "logic", "votes"),
     ("slow disks: a snapshot leaves the entries that wait", "src/log/raft/mod.rs",
      "        self.effects.persist.append.retain(|entry| entry.index > index);\n", "", "logic", "a_snapshot_that_waits"),
     ("fresh: a follower is current as of its reading", "src/log/raft/replication.rs",
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -333,7 +333,7 @@
                 links.send(*ip, encode(&ToReplica::Log { to, message }));
             }
         };
-        for output in self.driver.settle(send) {
+        for output in self.driver.process_effects(send) {
             match output {
                 Output::Restore(snapshot) => match ControlState::restored(&snapshot.data) {
                     Ok(state) => {
--- a/src/log/disk.rs
+++ b/src/log/disk.rs
@@ -114,13 +114,13 @@
     ///
     /// # Errors
     /// Those of the operating system.
-    pub fn save(&mut self, persist: &Persist, kept: &[Entry]) -> io::Result<()> {
+    pub fn save(&mut self, persist: &Persist, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         if let Some(vote) = &persist.vote {
             self.replace(VOTE_FILE, vote)?;
         }
         if let Some(snapshot) = &persist.snapshot {
             self.replace(SNAPSHOT_FILE, snapshot)?;
-            return self.rewrite_log(kept);
+            return self.rewrite_log(entries_after_snapshot);
         }
         let mut bytes = Vec::new();
         if let Some(index) = persist.truncate_from {
@@ -163,9 +163,9 @@
     pub fn close(self) {}
 
     /// Replaces the log file by one that holds only `kept`.
-    fn rewrite_log(&mut self, kept: &[Entry]) -> io::Result<()> {
+    fn rewrite_log(&mut self, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         let mut bytes = Vec::new();
-        for entry in kept {
+        for entry in entries_after_snapshot {
             push_record(&mut bytes, &Record::Append(entry.clone()))?;
         }
         // The mark first: a shorter log under the old mark would look like a loss.
--- a/src/log/driver.rs
+++ b/src/log/driver.rs
@@ -14,7 +14,7 @@
 use crate::ids::NodeId;
 
 /// A save that took this long is logged: about a heartbeat of the log.
-const SLOW_SAVE: Duration = Duration::from_millis(100);
+const SLOW_SAVE_THRESHOLD: Duration = Duration::from_millis(100);
 
 /// A replica's state machine with its disk.
 pub struct Driver {
@@ -25,15 +25,15 @@
     save: Option<Save>,
     save_ended: Arc<Notify>,
     /// Entries after which a snapshot replaces them.
-    snapshot_every: Index,
+    snapshot_interval: Index,
 }
 
 /// A save that is under way, on a thread of its own.
 struct Save {
-    begun: BootTime,
+    started_at: BootTime,
     /// Messages that promise what it makes durable.
     messages_after_persist: Vec<(NodeId, Message)>,
-    ended: oneshot::Receiver<(Disk, io::Result<()>)>,
+    completion: oneshot::Receiver<(Disk, io::Result<()>)>,
 }
 
 /// What is to be done with the state that the log carries, in this order.
@@ -49,9 +49,9 @@
 
 impl Driver {
     /// A replica as it starts.
-    pub fn new(raft: Raft, disk: Disk, snapshot_every: Index) -> Driver {
+    pub fn new(raft: Raft, disk: Disk, snapshot_interval: Index) -> Driver {
         let save_ended = Arc::default();
-        Driver { raft, disk: Some(disk), save: None, save_ended, snapshot_every }
+        Driver { raft, disk: Some(disk), save: None, save_ended, snapshot_interval }
     }
 
     /// Rings when a save has ended: call `settle` then.
@@ -62,8 +62,8 @@
     /// Makes all that is due happen, without waiting for the disk: a leader that falls silent while it writes is
     /// replaced, and a follower that does is of no use to entries. Messages leave through `send`; those that promise
     /// something leave only once it is durable.
-    pub fn settle(&mut self, send: impl Fn(NodeId, Message)) -> Vec<Output> {
-        self.end_save().into_iter().for_each(|(to, message)| send(to, message));
+    pub fn process_effects(&mut self, send: impl Fn(NodeId, Message)) -> Vec<Output> {
+        self.poll_save().into_iter().for_each(|(to, message)| send(to, message));
         let mut outputs = Vec::new();
         loop {
             let effects = self.raft.take_effects(boot_now());
@@ -92,36 +92,40 @@
 
     /// Replaces applied entries by the state at their end, once there are many.
     pub fn compact(&mut self, state: impl FnOnce() -> Vec<u8>) {
-        if self.raft.applied() >= self.raft.snapshot_index() + self.snapshot_every {
+        if self.raft.applied() >= self.raft.snapshot_index() + self.snapshot_interval {
             self.raft.compact(self.raft.applied(), state());
         }
     }
 
     fn begin_save(&mut self, persist: Persist, messages_after_persist: Vec<(NodeId, Message)>) {
         let Some(mut disk) = self.disk.take() else { return };
-        let kept = if persist.snapshot.is_some() { self.raft.kept_entries() } else { Vec::new() };
-        let (sender, ended) = oneshot::channel();
-        let rings = self.save_ended.clone();
-        self.save = Some(Save { begun: boot_now(), messages_after_persist, ended });
+        let entries_after_snapshot = if persist.snapshot.is_some() {
+            self.raft.entries_after_snapshot()
+        } else {
+            Vec::new()
+        };
+        let (sender, completion) = oneshot::channel();
+        let save_ended = self.save_ended.clone();
+        self.save = Some(Save { started_at: boot_now(), messages_after_persist, completion });
         tokio::task::spawn_blocking(move || {
-            let result = disk.save(&persist, &kept);
+            let result = disk.save(&persist, &entries_after_snapshot);
             // The replica may have ended meanwhile.
             let _ = sender.send((disk, result));
-            rings.notify_one();
+            save_ended.notify_one();
         });
     }
 
     /// Takes note of a save that has ended, and returns the messages that waited for it.
-    fn end_save(&mut self) -> Vec<(NodeId, Message)> {
+    fn poll_save(&mut self) -> Vec<(NodeId, Message)> {
         let Some(mut save) = self.save.take() else { return Vec::new() };
-        let failure = match save.ended.try_recv() {
+        let failure = match save.completion.try_recv() {
             Err(TryRecvError::Empty) => {
                 self.save = Some(save);
                 return Vec::new();
             }
             Ok((disk, Ok(()))) => {
                 self.disk = Some(disk);
-                self.saved(save.begun);
+                self.finish_save(save.started_at);
                 return save.messages_after_persist;
             }
             Ok((_, Err(error))) => error.to_string(),
@@ -135,10 +139,10 @@
         Vec::new()
     }
 
-    fn saved(&mut self, begun: BootTime) {
+    fn finish_save(&mut self, started_at: BootTime) {
         let now = boot_now();
-        let took = now.saturating_sub(begun);
-        if took >= SLOW_SAVE {
+        let took = now.saturating_sub(started_at);
+        if took >= SLOW_SAVE_THRESHOLD {
             log::warn!("event=disk_slow took_ms={}", took.as_millis());
         }
         self.raft.saved(now);
--- a/src/log/raft/change.rs
+++ b/src/log/raft/change.rs
@@ -74,6 +74,6 @@
                 }
             }
         }
-        self.append_own(Payload::Members(members)).map_err(ChangeError::NotLeader)
+        self.append_as_leader(Payload::Members(members)).map_err(ChangeError::NotLeader)
     }
 }
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -183,7 +183,7 @@
         self.has_led = true;
         self.awaits_vote_outcome = false;
         self.failed_elections = 0;
-        let appended = self.append_own(Payload::Noop);
+        let appended = self.append_as_leader(Payload::Noop);
         debug_assert!(appended.is_ok(), "this replica has just become the leader");
     }
 
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -123,7 +123,7 @@
     /// The vote that is durable here.
     durable_vote: Vote,
     /// How long the last save took.
-    save_took: Duration,
+    last_save_duration: Duration,
     /// Set while this replica waits for what comes of a vote that it gave, its own candidacy included.
     awaits_vote_outcome: bool,
     /// Candidacies without a winner since a leader was heard.
@@ -138,7 +138,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Recovering {
     /// The leader's last index at the first contact.
-    until: Option<Index>,
+    target_index: Option<Index>,
 }
 
 #[derive(Clone, Debug)]
@@ -217,7 +217,7 @@
     ) -> Raft {
         let mut random = SmallRng::seed_from_u64(seed);
         let restart = Restart::new(id, &recovered, &mut random, now + timing.election);
-        let recovering = recovered.has_lost_data.then_some(Recovering { until: None });
+        let recovering = recovered.has_lost_data.then_some(Recovering { target_index: None });
         let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let restore = recovered.snapshot.clone();
         let log = Entries::new(recovered.snapshot, recovered.entries, members);
@@ -240,7 +240,7 @@
             persisted: log.last_index(),
             save: None,
             durable_vote: recovered.vote,
-            save_took: Duration::ZERO,
+            last_save_duration: Duration::ZERO,
             awaits_vote_outcome: false,
             failed_elections: 0,
             log,
@@ -312,7 +312,7 @@
     /// If this replica does not lead.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), NotLeader> {
         let payload = Payload::Command(Arc::new(command));
-        self.append_own(payload)
+        self.append_as_leader(payload)
     }
 
     /// Starts a read of the newest state; `Effects::reads` tells when it may be answered.
@@ -341,7 +341,7 @@
         {
             self.broadcast(now);
         }
-        self.hand_out_committed();
+        self.emit_committed();
         let mut effects = std::mem::take(&mut self.effects);
         if self.save.is_some() {
             self.effects.persist = std::mem::take(&mut effects.persist);
@@ -398,7 +398,7 @@
     }
 
     /// All entries after the snapshot.
-    pub fn kept_entries(&self) -> Vec<Entry> {
+    pub fn entries_after_snapshot(&self) -> Vec<Entry> {
         self.log.range(self.log.snapshot_index() + 1, self.log.last_index())
     }
 
@@ -426,7 +426,7 @@
         }
     }
 
-    fn append_own(&mut self, payload: Payload) -> Result<(Term, Index), NotLeader> {
+    fn append_as_leader(&mut self, payload: Payload) -> Result<(Term, Index), NotLeader> {
         let not_leader = NotLeader { leader: self.leader };
         let term = self.vote.term;
         let index = self.log.last_index() + 1;
@@ -441,7 +441,7 @@
         Ok((term, index))
     }
 
-    fn hand_out_committed(&mut self) {
+    fn emit_committed(&mut self) {
         let from = self.applied.max(self.log.snapshot_index()) + 1;
         if from > self.commit {
             return;
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -163,7 +163,7 @@
             persist.append.retain(|entry| follows_on && entry.index > index);
             if !follows_on {
                 persist.truncate_from = Some(persist.truncate_from.unwrap_or(0).max(index + 1));
-                self.void_saved_from(1);
+                self.discard_saved_from(1);
             }
             self.effects.persist.snapshot = Some(snapshot.clone());
             self.effects.restore = Some(snapshot);
@@ -192,8 +192,8 @@
         self.last_leader_contact = Some(now);
         self.restart.on_leader_contact();
         self.record_acknowledged_leader(from);
-        if let Some(Recovering { until: until @ None }) = &mut self.recovering {
-            *until = Some(last_index);
+        if let Some(Recovering { target_index: target_index @ None }) = &mut self.recovering {
+            *target_index = Some(last_index);
         }
         true
     }
@@ -201,7 +201,7 @@
     fn truncate_from(&mut self, index: Index) {
         debug_assert!(index > self.commit, "a committed entry must never be void");
         self.log.truncate_from(index);
-        self.void_saved_from(index);
+        self.discard_saved_from(index);
         let persist = &mut self.effects.persist;
         persist.append.retain(|entry| entry.index < index);
         let earlier = persist.truncate_from.unwrap_or(index);
--- a/src/log/raft/save.rs
+++ b/src/log/raft/save.rs
@@ -15,21 +15,22 @@
 #[derive(Clone, Debug)]
 pub(super) struct Save {
     /// Entries up to here are durable with it. Lowered when entries that it holds become void.
-    pub(super) until: Index,
+    pub(super) last_index: Index,
     vote: Vote,
-    begun: BootTime,
+    started_at: BootTime,
 }
 
 impl Raft {
     pub(super) fn begin_save(&mut self, now: BootTime) {
-        self.save = Some(Save { until: self.log.last_index(), vote: self.vote, begun: now });
+        self.save =
+            Some(Save { last_index: self.log.last_index(), vote: self.vote, started_at: now });
     }
 
     /// The effects that were handed out to be persisted are durable.
     pub fn saved(&mut self, now: BootTime) {
         let Some(save) = self.save.take() else { return };
-        self.save_took = now.saturating_sub(save.begun);
-        self.persisted = self.persisted.max(save.until);
+        self.last_save_duration = now.saturating_sub(save.started_at);
+        self.persisted = self.persisted.max(save.last_index);
         let has_new_vote = self.durable_vote != save.vote;
         self.durable_vote = save.vote;
         if has_new_vote && self.awaits_vote_outcome {
@@ -37,7 +38,10 @@
             self.reset_election_deadline(now);
             self.election_deadline += self.election_deadline_extension();
         }
-        if self.recovering.is_some_and(|r| r.until.is_some_and(|until| self.persisted >= until)) {
+        if self
+            .recovering
+            .is_some_and(|r| r.target_index.is_some_and(|index| self.persisted >= index))
+        {
             self.recovering = None;
         }
         self.advance_commit();
@@ -54,10 +58,10 @@
     }
 
     /// Entries from `index` on have become void.
-    pub(super) fn void_saved_from(&mut self, index: Index) {
+    pub(super) fn discard_saved_from(&mut self, index: Index) {
         self.persisted = self.persisted.min(index.saturating_sub(1));
         if let Some(save) = &mut self.save {
-            save.until = save.until.min(index.saturating_sub(1));
+            save.last_index = save.last_index.min(index.saturating_sub(1));
         }
     }
 
@@ -65,7 +69,7 @@
     /// this one, or slower.
     fn election_deadline_extension(&self) -> Duration {
         let doublings = self.failed_elections.min(MAX_DOUBLINGS);
-        self.save_took * SAVES_PER_VOTE + self.timing.election * ((1 << doublings) - 1)
+        self.last_save_duration * SAVES_PER_VOTE + self.timing.election * ((1 << doublings) - 1)
     }
 
     /// Whether a candidate that this replica has voted for may still win.
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -156,7 +156,7 @@
         }
         self.batched = 0;
         let links = self.links.clone();
-        for output in self.driver.settle(|to, message| links.send(to, message)) {
+        for output in self.driver.process_effects(|to, message| links.send(to, message)) {
             self.carry_out(output);
         }
         if self.driver.raft.status().stopped {
