--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -43,8 +43,10 @@
 
 /// Replicas are a millisecond apart; a slow sync takes tens of them. A leader is missed after 0.3 s,
 /// and a new one leads 0.6 s later at the latest: callers of hosts that start anew wait for it.
-const TIMING: RaftTiming =
-    RaftTiming { heartbeat: Duration::from_millis(75), election: Duration::from_millis(300) };
+const TIMING: RaftTiming = RaftTiming {
+    heartbeat_interval: Duration::from_millis(75),
+    election_timeout: Duration::from_millis(300),
+};
 /// Entries after which a snapshot replaces them: each may hold a whole deployment of some hundred
 /// kilobytes, and a disk some hundred megabytes.
 const SNAPSHOT_EVERY: Index = 256;
--- a/src/log/raft/change.rs
+++ b/src/log/raft/change.rs
@@ -6,7 +6,7 @@
 use crate::log::types::{Index, Payload, Term};
 
 /// A learner that lacks at most this many entries has caught up.
-const CAUGHT_UP_WITHIN: Index = 8;
+const MAX_LEARNER_LAG: Index = 8;
 
 /// One change of the replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -29,7 +29,7 @@
     /// The learner has not caught up yet: try again.
     NotCaughtUp,
     /// It is a replica already, or none.
-    NoSuchChange,
+    NotApplicable,
     /// It is the last voter.
     LastVoter,
 }
@@ -52,22 +52,23 @@
         match change {
             Change::AddLearner(id) => {
                 if members.voters.contains(&id) || !members.learners.insert(id) {
-                    return Err(ChangeError::NoSuchChange);
+                    return Err(ChangeError::NotApplicable);
                 }
             }
             Change::Promote(id) => {
                 if !members.learners.remove(&id) {
-                    return Err(ChangeError::NoSuchChange);
+                    return Err(ChangeError::NotApplicable);
                 }
-                let matched = leader.progress.get(&id).map_or(0, |progress| progress.matched);
-                if matched + CAUGHT_UP_WITHIN < self.log.last_index() || matched == 0 {
+                let match_index =
+                    leader.progress.get(&id).map_or(0, |progress| progress.match_index);
+                if match_index + MAX_LEARNER_LAG < self.log.last_index() || match_index == 0 {
                     return Err(ChangeError::NotCaughtUp);
                 }
                 members.voters.insert(id);
             }
             Change::Remove(id) => {
                 if !members.learners.remove(&id) && !members.voters.remove(&id) {
-                    return Err(ChangeError::NoSuchChange);
+                    return Err(ChangeError::NotApplicable);
                 }
                 if members.voters.is_empty() {
                     return Err(ChangeError::LastVoter);
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -125,7 +125,7 @@
 
     /// Whether a leader was heard so recently that nobody else may be elected.
     fn has_live_leader(&self, now: BootTime) -> bool {
-        let is_live = |heard_at: BootTime| now < heard_at + self.timing.election;
+        let is_live = |heard_at: BootTime| now < heard_at + self.timing.election_timeout;
         matches!(self.role, Role::Leader(_)) || self.last_leader_contact.is_some_and(is_live)
     }
 
@@ -176,7 +176,7 @@
             rounds: VecDeque::new(),
             confirmed_at: now,
             reads: Vec::new(),
-            next_read: 1,
+            next_read_id: 1,
             broadcast_due: true,
         });
         self.leader = Some(self.id);
@@ -206,7 +206,13 @@
 }
 
 impl Progress {
-    pub(super) fn new(next: Index) -> Progress {
-        Progress { next, matched: 0, acked_round: 0, round_ack: None, snapshot_sent: None }
+    pub(super) fn new(next_index: Index) -> Progress {
+        Progress {
+            next_index,
+            match_index: 0,
+            acked_round: 0,
+            round_ack: None,
+            snapshot_sent_at: None,
+        }
     }
 }
--- a/src/log/raft/entries.rs
+++ b/src/log/raft/entries.rs
@@ -16,16 +16,16 @@
     snapshot: Option<Snapshot>,
     entries: VecDeque<Entry>,
     /// The replicas before any `Members` entry and snapshot.
-    first_members: Members,
+    initial_members: Members,
 }
 
 impl Entries {
     pub(super) fn new(
         snapshot: Option<Snapshot>,
         entries: Vec<Entry>,
-        first_members: Members,
+        initial_members: Members,
     ) -> Entries {
-        Entries { snapshot, entries: entries.into(), first_members }
+        Entries { snapshot, entries: entries.into(), initial_members }
     }
 
     pub(super) fn snapshot(&self) -> Option<&Snapshot> {
@@ -80,7 +80,7 @@
             .skip(skipped)
             .take_while(|entry| {
                 let fits = bytes < BATCH_BYTES;
-                bytes += size(entry);
+                bytes += payload_bytes(entry);
                 fits
             })
             .cloned()
@@ -89,7 +89,7 @@
 
     /// The last index before `index` whose term differs from the one at it: where a leader that
     /// disagrees at `index` should try next.
-    pub(super) fn before_term_of(&self, index: Index) -> Index {
+    pub(super) fn last_index_before_term_of(&self, index: Index) -> Index {
         let term = self.term_at(index);
         let mut hint = index;
         while hint > self.snapshot_index() && self.term_at(hint) == term {
@@ -138,11 +138,11 @@
     }
 
     fn members_before_entries(&self) -> Members {
-        self.snapshot.as_ref().map_or(&self.first_members, |snapshot| &snapshot.members).clone()
+        self.snapshot.as_ref().map_or(&self.initial_members, |snapshot| &snapshot.members).clone()
     }
 }
 
-fn size(entry: &Entry) -> usize {
+fn payload_bytes(entry: &Entry) -> usize {
     match &entry.payload {
         Payload::Command(command) => command.len(),
         Payload::Noop | Payload::Members(_) => 64,
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftTiming {
     /// How often a leader sends heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long a replica waits for a leader before it stands; drawn between this and twice this.
-    pub election: Duration,
+    pub election_timeout: Duration,
 }
 
 /// What a replica finds on its disk.
@@ -161,7 +161,7 @@
     /// When the last round that a quorum answered was sent.
     confirmed_at: BootTime,
     reads: Vec<PendingRead>,
-    next_read: ReadId,
+    next_read_id: ReadId,
     /// Whether entries or reads wait for a broadcast.
     broadcast_due: bool,
 }
@@ -176,12 +176,12 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Progress {
-    next: Index,
-    matched: Index,
+    next_index: Index,
+    match_index: Index,
     acked_round: u64,
     /// The last answer that was read.
     round_ack: Option<RoundAck>,
-    snapshot_sent: Option<BootTime>,
+    snapshot_sent_at: Option<BootTime>,
 }
 
 /// What operators see of a replica.
@@ -216,7 +216,7 @@
         now: BootTime,
     ) -> Raft {
         let mut random = SmallRng::seed_from_u64(seed);
-        let restart = Restart::new(id, &recovered, &mut random, now + timing.election);
+        let restart = Restart::new(id, &recovered, &mut random, now + timing.election_timeout);
         let recovering = recovered.has_lost_data.then_some(Recovering { target_index: None });
         let snapshot_index = recovered.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         let restore = recovered.snapshot.clone();
@@ -265,7 +265,7 @@
         }
         match &self.role {
             Role::Leader(leader) => {
-                if now >= leader.confirmed_at + self.timing.election * 2 {
+                if now >= leader.confirmed_at + self.timing.election_timeout * 2 {
                     self.become_follower(self.vote.term, None, now);
                 } else if now >= leader.heartbeat_at {
                     self.broadcast(now);
@@ -326,8 +326,8 @@
         if commit < leader.first_index {
             return Err(not_leader);
         }
-        let id = leader.next_read;
-        leader.next_read += 1;
+        let id = leader.next_read_id;
+        leader.next_read_id += 1;
         leader.reads.push(PendingRead { id, index: commit, round: None });
         leader.broadcast_due = true;
         Ok(id)
@@ -375,7 +375,8 @@
     /// Whether this replica surely leads at `now`: nobody else can have been elected yet.
     pub fn holds_leader_lease(&self, now: BootTime) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
-        let safe = self.timing.election - self.timing.election / CLOCK_DRIFT_DIVISOR;
+        let safe =
+            self.timing.election_timeout - self.timing.election_timeout / CLOCK_DRIFT_DIVISOR;
         self.commit >= leader.first_index && now < leader.confirmed_at + safe
     }
 
@@ -452,7 +453,8 @@
 
     fn reset_election_deadline(&mut self, now: BootTime) {
         let spread: f64 = self.random.random();
-        self.election_deadline = now + self.timing.election + self.timing.election.mul_f64(spread);
+        self.election_deadline =
+            now + self.timing.election_timeout + self.timing.election_timeout.mul_f64(spread);
     }
 
     /// Becomes a follower in `term`, of `leader` if one is known.
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -19,7 +19,7 @@
         let members = self.members.clone();
         let Role::Leader(leader) = &mut self.role else { return };
         leader.broadcast_due = false;
-        leader.heartbeat_at = now + self.timing.heartbeat;
+        leader.heartbeat_at = now + self.timing.heartbeat_interval;
         leader.round += 1;
         leader.rounds.push_back((leader.round, now));
         for read in leader.reads.iter_mut().filter(|read| read.round.is_none()) {
@@ -44,11 +44,11 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.progress.get_mut(&id) else { return };
         let (term, commit, round) = (self.vote.term, self.commit, leader.round);
-        let prev_index = progress.next - 1;
+        let prev_index = progress.next_index - 1;
         let message = match (self.log.term_at(prev_index), self.log.snapshot()) {
             (Some(prev_term), _) => {
-                let entries = self.log.batch(progress.next);
-                progress.next += entries.len() as Index;
+                let entries = self.log.batch(progress.next_index);
+                progress.next_index += entries.len() as Index;
                 let round_ack = progress.round_ack.filter(|_| holds_lease);
                 Message::Append {
                     term,
@@ -62,11 +62,11 @@
                 }
             }
             (None, Some(snapshot)) => {
-                let waits = progress.snapshot_sent.is_some_and(|at| now < at + SNAPSHOT_RESEND);
+                let waits = progress.snapshot_sent_at.is_some_and(|at| now < at + SNAPSHOT_RESEND);
                 if waits {
                     return;
                 }
-                progress.snapshot_sent = Some(now);
+                progress.snapshot_sent_at = Some(now);
                 Message::InstallSnapshot { term, snapshot: snapshot.clone(), last_index, round }
             }
             (None, None) => return,
@@ -100,7 +100,7 @@
         if prev_index >= self.log.snapshot_index()
             && self.log.term_at(prev_index) != Some(prev_term)
         {
-            let hint = self.log.before_term_of(prev_index);
+            let hint = self.log.last_index_before_term_of(prev_index);
             self.answer(from, Err(Mismatch { hint }), round);
             return;
         }
@@ -251,13 +251,13 @@
         }
         let behind = match result {
             Ok(index) => {
-                progress.snapshot_sent = None;
-                progress.matched = progress.matched.max(index.min(last));
-                progress.next = progress.next.max(progress.matched + 1);
-                progress.next <= last
+                progress.snapshot_sent_at = None;
+                progress.match_index = progress.match_index.max(index.min(last));
+                progress.next_index = progress.next_index.max(progress.match_index + 1);
+                progress.next_index <= last
             }
             Err(Mismatch { hint }) => {
-                progress.next = (hint + 1).min(progress.next).max(1);
+                progress.next_index = (hint + 1).min(progress.next_index).max(1);
                 true
             }
         };
@@ -273,7 +273,7 @@
         let Role::Leader(leader) = &self.role else { return };
         let own = self.persisted;
         let candidate = quorum_value(&self.members.voters, self.members.quorum(), |id| {
-            if id == self.id { own } else { leader.progress.get(&id).map_or(0, |p| p.matched) }
+            if id == self.id { own } else { leader.progress.get(&id).map_or(0, |p| p.match_index) }
         });
         if candidate > self.commit && self.log.term_at(candidate) == Some(self.vote.term) {
             self.commit = candidate;
--- a/src/log/raft/save.rs
+++ b/src/log/raft/save.rs
@@ -69,7 +69,8 @@
     /// this one, or slower.
     fn election_deadline_extension(&self) -> Duration {
         let doublings = self.failed_elections.min(MAX_DOUBLINGS);
-        self.last_save_duration * SAVES_PER_VOTE + self.timing.election * ((1 << doublings) - 1)
+        self.last_save_duration * SAVES_PER_VOTE
+            + self.timing.election_timeout * ((1 << doublings) - 1)
     }
 
     /// Whether a candidate that this replica has voted for may still win.
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -138,7 +138,7 @@
         ChangeError::NotLeader(_) => "another node leads; ask again",
         ChangeError::InProgress => "another change is not committed yet; ask again in a moment",
         ChangeError::NotCaughtUp => "the learner has not caught up yet; ask again in a moment",
-        ChangeError::NoSuchChange => "the node is one already, or is none; see the status",
+        ChangeError::NotApplicable => "the node is one already, or is none; see the status",
         ChangeError::LastVoter => "the last voter can't be removed; add another one first",
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -308,8 +308,10 @@
     if recovered.has_lost_data {
         log::warn!("event=replica_lost_bytes effect=\"does not vote until it has caught up\"");
     }
-    let timing =
-        RaftTiming { heartbeat: settings.timing.heartbeat, election: settings.timing.election };
+    let timing = RaftTiming {
+        heartbeat_interval: settings.timing.heartbeat,
+        election_timeout: settings.timing.election,
+    };
     let members = Members::of(settings.replicas());
     let seed = rand::rng().random();
     let raft = Raft::new(settings.node_id, members, timing, recovered, seed, boot_now());
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -13,8 +13,10 @@
 
 use crate::log_disk::Disk;
 
-pub const TIMING: RaftTiming =
-    RaftTiming { heartbeat: Duration::from_millis(50), election: Duration::from_millis(300) };
+pub const TIMING: RaftTiming = RaftTiming {
+    heartbeat_interval: Duration::from_millis(50),
+    election_timeout: Duration::from_millis(300),
+};
 const STEP: Duration = Duration::from_millis(5);
 /// Clocks run at most this much faster or slower: well within what leases allow for.
 const DRIFT: f64 = 0.02;
--- a/tests/logic/replicas.rs
+++ b/tests/logic/replicas.rs
@@ -9,7 +9,7 @@
 fn with_leader(voters: u64, seed: u64) -> (World, u64) {
     let mut world = World::new(voters, seed);
     world.run_until("there is a leader", |world| world.leader().is_some());
-    world.run(TIMING.election);
+    world.run(TIMING.election_timeout);
     let leader = world.leader().expect("a leader");
     (world, leader)
 }
@@ -24,7 +24,7 @@
     world.cut_off([old]);
     world.propose(old);
     world.read(old);
-    world.run(TIMING.election * 8);
+    world.run(TIMING.election_timeout * 8);
     assert!(!world.raft(old).expect("it runs").status().is_leader);
     assert_eq!(world.reads_answered, 0, "a read needs a quorum");
     assert_eq!(world.acknowledged.len(), 0, "a proposal needs a quorum");
@@ -33,7 +33,7 @@
     world.run(Duration::from_secs(60));
     let term = world.raft(world.leader().expect("a leader")).expect("it runs").term();
     world.heal();
-    world.run(TIMING.election * 4);
+    world.run(TIMING.election_timeout * 4);
     let after = world.raft(world.leader().expect("a leader")).expect("it runs").term();
     assert_eq!(term, after, "pre-vote: the returned one does not disturb the leader");
     world.recover();
@@ -124,7 +124,7 @@
     let (mut world, leader) = with_leader(1, 6);
     let raft = world.replicas.get_mut(&leader).and_then(|r| r.raft.as_mut()).expect("it runs");
     assert_eq!(raft.propose_change(Change::Remove(leader)), Err(ChangeError::LastVoter));
-    assert_eq!(raft.propose_change(Change::Promote(7)), Err(ChangeError::NoSuchChange));
+    assert_eq!(raft.propose_change(Change::Promote(7)), Err(ChangeError::NotApplicable));
 }
 
 #[test]
@@ -142,10 +142,10 @@
 #[test]
 fn a_frozen_leader_that_wakes_is_not_sure_to_lead() {
     let (mut world, old) = with_leader(3, 8);
-    world.freeze(old, TIMING.election * 6);
+    world.freeze(old, TIMING.election_timeout * 6);
     world.run_until("another one leads", |world| world.leader().is_some_and(|id| id != old));
     // The world checks at each step that no two are sure to lead.
-    world.run(TIMING.election * 10);
+    world.run(TIMING.election_timeout * 10);
     world.recover();
 }
 
@@ -156,7 +156,7 @@
         let (mut world, old) = with_leader(5, seed);
         let follower = others(&world, old)[0];
         world.cut_off([old, follower]);
-        let end = world.now + TIMING.election * 4;
+        let end = world.now + TIMING.election_timeout * 4;
         while world.now < end {
             // The world checks after each step who holds itself for caught up.
             if let Some(new) = world.leader().filter(|new| *new != old) {
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -52,8 +52,8 @@
 #[test]
 fn without_that_word_it_keeps_from_voting_for_as_long_as_a_leader_may_count_on_it() {
     let mut raft = after_2();
-    assert!(!votes(&mut raft, START + TIMING.election - Duration::from_millis(1)));
-    assert!(votes(&mut raft, START + TIMING.election));
+    assert!(!votes(&mut raft, START + TIMING.election_timeout - Duration::from_millis(1)));
+    assert!(votes(&mut raft, START + TIMING.election_timeout));
 }
 
 #[test]
@@ -73,7 +73,7 @@
         !sent(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
     };
     assert!(!is_denied(&mut raft, START));
-    let later = START + TIMING.election * 3;
+    let later = START + TIMING.election_timeout * 3;
     raft.tick(later);
     assert!(raft.status().is_leader);
     assert!(is_denied(&mut raft, later));
@@ -85,7 +85,7 @@
     for seed in 0..50 {
         let mut world = World::new(5, seed);
         world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election);
+        world.run(TIMING.election_timeout);
         world.ids().into_iter().for_each(|id| world.crash(id));
         // What is still under way arrives nowhere.
         world.run(Duration::from_millis(10));
@@ -103,11 +103,11 @@
     for seed in 0..20 {
         let mut world = World::new(5, seed);
         world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election);
+        world.run(TIMING.election_timeout);
         let lost = world.leader().expect("a leader");
         world.ids().into_iter().for_each(|id| world.crash(id));
         world.ids().into_iter().filter(|id| *id != lost).for_each(|id| world.start(id));
-        world.run(TIMING.election * 4);
+        world.run(TIMING.election_timeout * 4);
         assert!(world.leader().is_some_and(|leader| leader != lost), "seed {seed}");
     }
 }
@@ -130,7 +130,7 @@
         round_ack,
     };
     let noop = Entry { index: 2, term: 6, payload: Payload::Noop };
-    let now = START + TIMING.election * 2;
+    let now = START + TIMING.election_timeout * 2;
     raft.receive(2, append(vec![noop], 0, None), now);
     let answers = sent(&mut raft, now).into_iter().map(|(_, message)| message);
     let round_ack = answers
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -17,7 +17,7 @@
 fn with_leader(seed: u64) -> (World, NodeId) {
     let mut world = World::new(5, seed);
     world.run_until("there is a leader", |world| world.leader().is_some());
-    world.run(TIMING.election * 2);
+    world.run(TIMING.election_timeout * 2);
     let leader = world.leader().expect("a leader");
     (world, leader)
 }
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -83,16 +83,16 @@
         round: 1,
         round_ack: None,
     };
-    let soon = LATER + TIMING.election - Duration::from_millis(1);
+    let soon = LATER + TIMING.election_timeout - Duration::from_millis(1);
     let mut raft = replica();
     raft.receive(3, heartbeat, LATER);
     assert_eq!(answer(&mut raft, request(9, 9, 9), soon), (None, 5), "not even its term is taken");
     let pre_vote = Message::PreVote { term: 6, last_index: 9, last_term: 9 };
     assert_eq!(answer(&mut raft, pre_vote, soon).0, Some(false));
-    let late = LATER + TIMING.election;
+    let late = LATER + TIMING.election_timeout;
     assert_eq!(answer(&mut raft, request(9, 9, 9), late), (Some(true), 9));
     // After a start it may have forgotten a leader that it heard.
-    let early = START + TIMING.election - Duration::from_millis(1);
+    let early = START + TIMING.election_timeout - Duration::from_millis(1);
     assert_eq!(answer(&mut replica(), request(9, 9, 9), early), (None, 5));
 }
 
@@ -152,7 +152,7 @@
         raft.saved(LATER);
         assert_eq!(raft.status().recovering, recovering);
     }
-    let late = LATER + TIMING.election;
+    let late = LATER + TIMING.election_timeout;
     assert_eq!(answer(&mut raft, request(7, 6, 4), late).0, Some(true));
 }
 
@@ -176,7 +176,7 @@
     assert!(!is_granted(&mut raft, saved_at), "its vote is still being written");
     raft.saved(saved_at);
     assert!(!is_granted(&mut raft, saved_at + Duration::from_secs(4)), "others write as long");
-    let over = saved_at + Duration::from_secs(4) + TIMING.election * 2;
+    let over = saved_at + Duration::from_secs(4) + TIMING.election_timeout * 2;
     assert!(is_granted(&mut raft, over), "the candidate has had its time");
 }
 
