--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -186,7 +186,7 @@
             }
         };
         is_first = false;
-        let members = Members::of(identity.founders.keys().copied());
+        let members = Members::from_voters(identity.founders.keys().copied());
         let seed = rand::rng().random();
         let raft = Raft::new(identity.node, members, TIMING, recovered, seed, boot_now());
         let start = Start {
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -13,7 +13,7 @@
 use crate::ids::ConfigNumber;
 
 /// Answers to patches that are remembered for operators who resend one.
-const ANSWERS_KEPT: usize = 65_536;
+const MAX_PATCH_ANSWERS: usize = 65_536;
 
 /// A command, as an entry carries it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     /// It is this number, for ever.
     Accepted(ConfigNumber),
     /// Another patch was accepted first; this is the current number.
-    Raced(ConfigNumber),
+    StaleBase(ConfigNumber),
     /// The result would not be valid.
     Invalid(Vec<String>),
     /// The patch id was used for another patch.
@@ -97,22 +97,22 @@
     answer_order: VecDeque<String>,
     claims: Claims,
     /// The highest fencing number taken. Never falls.
-    fencing: u64,
+    last_fencing_number: u64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Image {
+struct SnapshotContents {
     config: Update,
     patches: Vec<(ConfigNumber, String)>,
     answers: Vec<(Patch, PatchAnswer)>,
     claims: Vec<(ClaimKey, Claim)>,
     now_ms: u64,
-    fencing: u64,
+    last_fencing_number: u64,
 }
 
 /// A snapshot can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Damaged;
+pub struct InvalidSnapshot;
 
 impl State {
     /// An empty state that forgets claims `claim_retention_ms` after they were made.
@@ -147,8 +147,8 @@
                 Reply::Done(self.claims.record(key, *token, outcome.clone()))
             }
             Command::Fence => {
-                self.fencing += 1;
-                Reply::Fence(self.fencing)
+                self.last_fencing_number += 1;
+                Reply::Fence(self.last_fencing_number)
             }
         }
     }
@@ -156,36 +156,38 @@
     /// The state as bytes.
     pub fn snapshot(&self) -> Vec<u8> {
         let answers = self.answer_order.iter().filter_map(|id| self.answers.get(id)).cloned();
-        let image = Image {
+        let contents = SnapshotContents {
             config: self.book.whole(),
             patches: self.book.patches().cloned().collect(),
             answers: answers.collect(),
             claims: self.claims.iter().map(|(key, claim)| (key.clone(), claim.clone())).collect(),
             now_ms: self.claims.now_ms(),
-            fencing: self.fencing,
+            last_fencing_number: self.last_fencing_number,
         };
         // Cannot fail: the image holds only types that the codec writes.
-        postcard::to_stdvec(&image).unwrap_or_default()
+        postcard::to_stdvec(&contents).unwrap_or_default()
     }
 
     /// Replaces the state by a snapshot's.
     ///
     /// # Errors
     /// If the bytes are not a snapshot.
-    pub fn restore(&mut self, bytes: &[u8]) -> Result<(), Damaged> {
-        let image: Image = postcard::from_bytes(bytes).map_err(|_| Damaged)?;
+    pub fn restore(&mut self, bytes: &[u8]) -> Result<(), InvalidSnapshot> {
+        let contents: SnapshotContents =
+            postcard::from_bytes(bytes).map_err(|_| InvalidSnapshot)?;
         let mut book = Book::default();
-        book.take(&image.config).map_err(|_| Damaged)?;
-        book.remember(image.patches);
+        book.take(&contents.config).map_err(|_| InvalidSnapshot)?;
+        book.remember(contents.patches);
         self.book = book;
-        self.answer_order = image.answers.iter().map(|(patch, _)| patch.patch_id.clone()).collect();
-        self.answers = image
+        self.answer_order =
+            contents.answers.iter().map(|(patch, _)| patch.patch_id.clone()).collect();
+        self.answers = contents
             .answers
             .into_iter()
             .map(|(patch, answer)| (patch.patch_id.clone(), (patch, answer)))
             .collect();
-        self.claims.restore(image.claims, image.now_ms);
-        self.fencing = image.fencing;
+        self.claims.restore(contents.claims, contents.now_ms);
+        self.last_fencing_number = contents.last_fencing_number;
         Ok(())
     }
 
@@ -197,7 +199,7 @@
         let answer = self.try_patch(patch);
         self.answer_order.push_back(patch.patch_id.clone());
         self.answers.insert(patch.patch_id.clone(), (patch.clone(), answer.clone()));
-        while self.answer_order.len() > ANSWERS_KEPT {
+        while self.answer_order.len() > MAX_PATCH_ANSWERS {
             if let Some(oldest) = self.answer_order.pop_front() {
                 self.answers.remove(&oldest);
             }
@@ -207,7 +209,7 @@
 
     fn try_patch(&mut self, patch: &Patch) -> PatchAnswer {
         if patch.base != self.book.number() {
-            return PatchAnswer::Raced(self.book.number());
+            return PatchAnswer::StaleBase(self.book.number());
         }
         let Ok(change) = serde_json::from_str::<Value>(&patch.text) else {
             return PatchAnswer::Invalid(vec!["patch: not JSON; mend it".into()]);
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -45,7 +45,7 @@
 
 impl Members {
     /// Voters only.
-    pub fn of(voters: impl IntoIterator<Item = NodeId>) -> Members {
+    pub fn from_voters(voters: impl IntoIterator<Item = NodeId>) -> Members {
         Members { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -312,7 +312,7 @@
         heartbeat_interval: settings.timing.heartbeat,
         election_timeout: settings.timing.election,
     };
-    let members = Members::of(settings.replicas());
+    let members = Members::from_voters(settings.replicas());
     let seed = rand::rng().random();
     let raft = Raft::new(settings.node_id, members, timing, recovered, seed, boot_now());
     let state = State::new(settings.timing.claim_retention.as_millis() as u64);
--- a/tests/deployment/forming.rs
+++ b/tests/deployment/forming.rs
@@ -20,7 +20,7 @@
 }
 
 fn members(voters: &[u64], learners: &[u64]) -> Members {
-    let mut members = Members::of(voters.iter().copied());
+    let mut members = Members::from_voters(voters.iter().copied());
     members.learners.extend(learners);
     members
 }
--- a/tests/logic/disk.rs
+++ b/tests/logic/disk.rs
@@ -148,7 +148,8 @@
     let folder = TempDir::new().expect("a folder");
     written(folder.path(), 6);
     let (mut disk, _) = Disk::open(folder.path()).expect("it opens");
-    let snapshot = Snapshot { index: 4, term: 3, members: Members::of([1]), data: vec![7].into() };
+    let snapshot =
+        Snapshot { index: 4, term: 3, members: Members::from_voters([1]), data: vec![7].into() };
     let change = Persist { snapshot: Some(snapshot.clone()), ..Persist::default() };
     disk.save(&change, &[entry(5, 3), entry(6, 3)]).expect("saved");
     disk.save(&persist(vec![entry(7, 3)]), &[]).expect("saved");
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -29,7 +29,7 @@
     let entries = (1..=4).map(|index| Entry { index, term: 5, payload: Payload::Noop }).collect();
     let vote = Vote { term: 5, ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
-    Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, now)
+    Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, now)
 }
 
 /// One replica: its disk always, its process only while it runs.
@@ -122,7 +122,7 @@
             reads_answered: 0,
         };
         for id in 1..=voters {
-            world.add_with(id, Members::of(1..=voters));
+            world.add_with(id, Members::from_voters(1..=voters));
         }
         world
     }
@@ -135,7 +135,7 @@
 
     /// Adds a replica with an empty disk that knows nobody.
     pub fn join(&mut self, id: NodeId) {
-        self.add_with(id, Members::of([]));
+        self.add_with(id, Members::from_voters([]));
     }
 
     /// Takes a replica away together with its disk.
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -14,7 +14,7 @@
     let entries = vec![Entry { index: 1, term: 5, payload: Payload::Noop }];
     let vote = Vote { term: 5, acknowledged_leader: Some(2), ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
-    Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START)
+    Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START)
 }
 
 fn sent(raft: &mut Raft, now: Duration) -> Vec<(u64, Message)> {
@@ -67,7 +67,7 @@
 
 #[test]
 fn who_has_led_since_its_start_does_not_say_that_it_has_not() {
-    let mut raft = Raft::new(1, Members::of([1]), TIMING, Recovered::default(), 1, START);
+    let mut raft = Raft::new(1, Members::from_voters([1]), TIMING, Recovered::default(), 1, START);
     let is_denied = |raft: &mut Raft, now| {
         raft.receive(2, Message::LeaseQuery { nonce: 7 }, now);
         !sent(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -131,7 +131,7 @@
 fn a_replica_that_lost_bytes_votes_only_after_it_has_what_its_leader_had() {
     let vote = Vote { term: 5, ..Vote::default() };
     let recovered = Recovered { vote, has_lost_data: true, ..Recovered::default() };
-    let mut raft = Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START);
+    let mut raft = Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START);
     assert_eq!(answer(&mut raft, request(6, 9, 9), LATER).0, Some(false));
     let append = |prev_index: u64, count: u64| Message::Append {
         term: 6,
@@ -185,7 +185,7 @@
 fn a_recovering_replica_does_not_count_entries_that_became_void_while_they_were_written() {
     let vote = Vote { term: 5, ..Vote::default() };
     let recovered = Recovered { vote, has_lost_data: true, ..Recovered::default() };
-    let mut raft = Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START);
+    let mut raft = Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START);
     let append = |term: u64, count: u64| Message::Append {
         term,
         prev_index: 0,
