--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -100,7 +100,7 @@
     ("records without a checksum", "src/log/disk.rs",
      "if crc32fast::hash(body) != checksum {", "if false && checksum == 0 {", "logic", "disk"),
     ("a log without its vote is used", "src/log/disk.rs",
-     "let without_vote = vote.is_none() && was_used;", "let without_vote = false && was_used;", "logic", "disk"),
+     "let is_vote_missing = vote.is_none() && was_used;", "let is_vote_missing = false && was_used;", "logic", "disk"),
     ("two processes share a folder", "src/log/disk.rs",
      "        lock.try_lock().map_err", "        Ok::<(), ()>(()).map_err", "logic", "disk"),
     ("a patch against an old number wins", "src/log/state.rs",
--- a/src/log/disk.rs
+++ b/src/log/disk.rs
@@ -63,8 +63,8 @@
             let reason = format!("{} is in use", folder.display());
             Error::start("data_folder", reason, "stop the other process or name another folder")
         })?;
-        let vote = read_whole::<Vote>(&folder.join(VOTE_FILE)).map_err(failed)?;
-        let snapshot = read_whole::<Snapshot>(&folder.join(SNAPSHOT_FILE)).map_err(failed)?;
+        let vote = read_record_file::<Vote>(&folder.join(VOTE_FILE)).map_err(failed)?;
+        let snapshot = read_record_file::<Snapshot>(&folder.join(SNAPSHOT_FILE)).map_err(failed)?;
         let log_path = folder.join(LOG_FILE);
         let is_new = !log_path.exists();
         let mut log = OpenOptions::new()
@@ -84,8 +84,8 @@
         let (records, valid_bytes) = read_records(&mut log).map_err(failed)?;
         let (marked_bytes, marked_lost) = read_mark(&mark);
         let was_used = snapshot.is_some() || !records.is_empty() || marked_bytes > 0;
-        let without_vote = vote.is_none() && was_used;
-        if without_vote {
+        let is_vote_missing = vote.is_none() && was_used;
+        if is_vote_missing {
             let reason = format!("{} holds a log but no valid vote", folder.display());
             let remedy = "replace this replica by one with a new node_id and an empty folder";
             return Err(Error::start("data_folder", reason, remedy));
@@ -99,7 +99,7 @@
         let recovered = Recovered {
             vote: vote.unwrap_or_default(),
             has_lost_data,
-            entries: entries_after(&snapshot, records),
+            entries: replay_entries(&snapshot, records),
             snapshot,
         };
         let folder = folder.to_path_buf();
@@ -116,18 +116,18 @@
     /// Those of the operating system.
     pub fn save(&mut self, persist: &Persist, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         if let Some(vote) = &persist.vote {
-            self.replace(VOTE_FILE, vote)?;
+            self.write_record_file(VOTE_FILE, vote)?;
         }
         if let Some(snapshot) = &persist.snapshot {
-            self.replace(SNAPSHOT_FILE, snapshot)?;
+            self.write_record_file(SNAPSHOT_FILE, snapshot)?;
             return self.rewrite_log(entries_after_snapshot);
         }
         let mut bytes = Vec::new();
         if let Some(index) = persist.truncate_from {
-            push_record(&mut bytes, &Record::TruncateFrom(index))?;
+            encode_record(&mut bytes, &Record::TruncateFrom(index))?;
         }
         for entry in &persist.append {
-            push_record(&mut bytes, &Record::Append(entry.clone()))?;
+            encode_record(&mut bytes, &Record::Append(entry.clone()))?;
         }
         if bytes.is_empty() {
             return Ok(());
@@ -166,7 +166,7 @@
     fn rewrite_log(&mut self, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         let mut bytes = Vec::new();
         for entry in entries_after_snapshot {
-            push_record(&mut bytes, &Record::Append(entry.clone()))?;
+            encode_record(&mut bytes, &Record::Append(entry.clone()))?;
         }
         // The mark first: a shorter log under the old mark would look like a loss.
         self.log_bytes = 0;
@@ -187,19 +187,19 @@
         self.mark.write_all_at(&bytes, 0)
     }
 
-    fn replace<T: Serialize>(&self, name: &str, value: &T) -> io::Result<()> {
+    fn write_record_file<T: Serialize>(&self, name: &str, value: &T) -> io::Result<()> {
         let mut bytes = Vec::new();
-        push_record(&mut bytes, value)?;
+        encode_record(&mut bytes, value)?;
         replace_file(&self.folder, name, &bytes)
     }
 }
 
 fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
-    let draft = folder.join(format!("{name}.draft"));
-    let mut file = File::create(&draft)?;
+    let temporary = folder.join(format!("{name}.draft"));
+    let mut file = File::create(&temporary)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(&draft, folder.join(name))?;
+    std::fs::rename(&temporary, folder.join(name))?;
     sync_folder(folder)
 }
 
@@ -207,7 +207,7 @@
     File::open(folder)?.sync_all()
 }
 
-fn push_record<T: Serialize>(bytes: &mut Vec<u8>, record: &T) -> io::Result<()> {
+fn encode_record<T: Serialize>(bytes: &mut Vec<u8>, record: &T) -> io::Result<()> {
     let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
@@ -216,7 +216,7 @@
 }
 
 /// The first record in `bytes` and its length; `None` if it is not whole.
-fn first_record<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
+fn decode_record<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..HEADER_BYTES)?.try_into().ok()?);
     if length > MAX_RECORD_BYTES {
@@ -229,9 +229,9 @@
     Some((postcard::from_bytes(body).ok()?, HEADER_BYTES + length))
 }
 
-fn read_whole<T: DeserializeOwned>(path: &Path) -> io::Result<Option<T>> {
+fn read_record_file<T: DeserializeOwned>(path: &Path) -> io::Result<Option<T>> {
     match std::fs::read(path) {
-        Ok(bytes) => Ok(first_record(&bytes).map(|(value, _)| value)),
+        Ok(bytes) => Ok(decode_record(&bytes).map(|(value, _)| value)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
         Err(error) => Err(error),
     }
@@ -242,7 +242,7 @@
     log.read_to_end(&mut bytes)?;
     let mut records = Vec::new();
     let mut valid = 0;
-    while let Some((record, length)) = first_record(&bytes[valid..]) {
+    while let Some((record, length)) = decode_record(&bytes[valid..]) {
         records.push(record);
         valid += length;
     }
@@ -261,7 +261,7 @@
 }
 
 /// The entries that follow on a snapshot without a gap.
-fn entries_after(snapshot: &Option<Snapshot>, records: Vec<Record>) -> Vec<Entry> {
+fn replay_entries(snapshot: &Option<Snapshot>, records: Vec<Record>) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for record in records {
         match record {
