--- a/src/membership/shell.rs
+++ b/src/membership/actor.rs
@@ -19,11 +19,11 @@
 
 /// What the rest of the node sees of membership.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct MembershipView {
     /// Nodes that are not taken for dead, this one first.
     pub live: Vec<Member>,
     /// Targets that other nodes saw leaving; whoever takes them empties the list.
-    pub heard_leaving: Vec<Leaving>,
+    pub leaving_targets: Vec<Leaving>,
 }
 
 /// The actor.
@@ -34,7 +34,7 @@
     sealer: DatagramSealer,
     opener: DatagramOpener,
     links: Arc<Links>,
-    known: Arc<Mutex<Known>>,
+    view: Arc<Mutex<MembershipView>>,
 }
 
 /// Time passes.
@@ -44,7 +44,7 @@
 pub struct Datagram(pub Vec<u8>);
 
 /// This node saw a target leaving.
-pub struct TellLeaving(pub Leaving);
+pub struct AnnounceLeaving(pub Leaving);
 
 impl Membership {
     /// The actor, not started yet.
@@ -54,9 +54,9 @@
         sealer: DatagramSealer,
         opener: DatagramOpener,
         links: Arc<Links>,
-        known: Arc<Mutex<Known>>,
+        view: Arc<Mutex<MembershipView>>,
     ) -> Membership {
-        Membership { swim, socket, sealer, opener, links, known }
+        Membership { swim, socket, sealer, opener, links, view }
     }
 
     async fn send_all(&mut self, packets: Vec<(NodeId, Packet)>) {
@@ -77,12 +77,12 @@
         for member in &live[1..] {
             self.links.set_address(member.node, member.address);
         }
-        let mut known = self.known.lock();
-        for change in changes(&known.live, &live) {
+        let mut view = self.view.lock();
+        for change in membership_changes(&view.live, &live) {
             log::info!("event=membership_changed {change} live={}", live.len());
         }
-        known.live = live;
-        known.heard_leaving.extend(self.swim.take_heard_leaving());
+        view.live = live;
+        view.leaving_targets.extend(self.swim.take_leaving_targets());
     }
 }
 
@@ -111,11 +111,11 @@
     }
 }
 
-impl Handler<TellLeaving> for Membership {
+impl Handler<AnnounceLeaving> for Membership {
     type Return = ();
 
-    async fn handle(&mut self, leaving: TellLeaving, _context: &mut Context<Self>) {
-        self.swim.tell_leaving(leaving.0);
+    async fn handle(&mut self, leaving: AnnounceLeaving, _context: &mut Context<Self>) {
+        self.swim.announce_leaving(leaving.0);
     }
 }
 
@@ -131,7 +131,7 @@
     }
 }
 
-fn changes(before: &[Member], after: &[Member]) -> Vec<String> {
+fn membership_changes(before: &[Member], after: &[Member]) -> Vec<String> {
     let ids = |members: &[Member]| -> Vec<NodeId> { members.iter().map(|m| m.node).collect() };
     let (before, after) = (ids(before), ids(after));
     let came = after.iter().filter(|node| !before.contains(node));
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,6 @@
 //! Membership: which nodes live, found by probing each other over UDP.
 
-pub mod shell;
+pub mod actor;
 pub mod swim;
 
 pub use swim::{Item, Member, Packet, Status, Swim, SwimTiming};
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -117,7 +117,7 @@
     relayed: Vec<(u64, NodeId, u64)>,
     /// News with the number of packets that still carry each.
     spreading: Vec<(Item, u32)>,
-    heard_leaving: Vec<Leaving>,
+    leaving_targets: Vec<Leaving>,
 }
 
 #[derive(Clone, Debug)]
@@ -161,7 +161,7 @@
             period_ends: now,
             relayed: Vec::new(),
             spreading: Vec::new(),
-            heard_leaving: Vec::new(),
+            leaving_targets: Vec::new(),
         };
         swim.spread(Item::Member(me));
         swim
@@ -188,13 +188,13 @@
     }
 
     /// Spreads the news that a target leaves.
-    pub fn tell_leaving(&mut self, leaving: Leaving) {
+    pub fn announce_leaving(&mut self, leaving: Leaving) {
         self.spread(Item::Leaving(leaving));
     }
 
     /// Targets that other nodes saw leaving, since the last call.
-    pub fn take_heard_leaving(&mut self) -> Vec<Leaving> {
-        std::mem::take(&mut self.heard_leaving)
+    pub fn take_leaving_targets(&mut self) -> Vec<Leaving> {
+        std::mem::take(&mut self.leaving_targets)
     }
 
     /// Lets time pass. Returns packets to send.
@@ -378,7 +378,7 @@
     fn learn_leaving(&mut self, leaving: Leaving) {
         let known = self.spreading.iter().any(|(item, _)| *item == Item::Leaving(leaving.clone()));
         if !known {
-            self.heard_leaving.push(leaving);
+            self.leaving_targets.push(leaving);
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -34,8 +34,8 @@
 use crate::log::disk::Disk;
 use crate::log::raft::{Raft, RaftTiming};
 use crate::log::state::State;
-use crate::membership::shell::{Known, Membership};
-use crate::membership::{Member, Status, Swim, SwimTiming, shell};
+use crate::membership::actor::{Membership, MembershipView};
+use crate::membership::{Member, Status, Swim, SwimTiming, actor};
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
 use crate::peer::{Links, PeerKey};
 use crate::replica::{self, Replica, ReplicaStatus};
@@ -75,7 +75,7 @@
     sharing: Mutex<Sharing>,
     quarantining: Mutex<Quarantining>,
     fresh: Mutex<Fresh>,
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<MembershipView>>,
     membership: Address<Membership>,
     replica: Option<ReplicaHandle>,
     /// The replica that led when last heard of; 0 for none.
@@ -117,7 +117,7 @@
             settings.nodes.iter().map(|node| (node.node_id, node.peer_address)).collect();
         let links = Links::new(settings.node_id, key.clone(), addresses);
         let metrics = Arc::new(Metrics::new()?);
-        let known = Arc::new(Mutex::new(Known::default()));
+        let known = Arc::new(Mutex::new(MembershipView::default()));
         let membership = start_membership(&settings, key, boot, &links, &known).await?;
         let replica = start_replica(&settings, &links, &metrics)?;
         let node = Arc::new(Node {
@@ -262,7 +262,7 @@
     key: PeerKey,
     boot: u64,
     links: &Arc<Links>,
-    known: &Arc<Mutex<Known>>,
+    known: &Arc<Mutex<MembershipView>>,
 ) -> Result<Address<Membership>> {
     let remedy = "name a free address of this host";
     let socket = UdpSocket::bind(settings.peer_address)
@@ -289,11 +289,11 @@
     let opener = DatagramOpener::new(key, settings.node_id);
     let actor = Membership::new(swim, socket.clone(), sealer, opener, links.clone(), known.clone());
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-    tokio::spawn(shell::read_datagrams(socket, address.clone()));
+    tokio::spawn(actor::read_datagrams(socket, address.clone()));
     let ticking = address.clone();
     tokio::spawn(every(TICK, move || {
         let address = ticking.clone();
-        async move { address.send(shell::Tick).await.is_ok() }
+        async move { address.send(actor::Tick).await.is_ok() }
     }));
     Ok(address)
 }
--- a/src/node/watching.rs
+++ b/src/node/watching.rs
@@ -7,7 +7,7 @@
 
 use super::{Node, every};
 use crate::clock::boot_now;
-use crate::membership::shell::TellLeaving;
+use crate::membership::actor::AnnounceLeaving;
 use crate::route::targets::Leaving;
 
 impl Node {
@@ -32,7 +32,7 @@
     }
 
     async fn read_platform(self: &Arc<Node>, etag: &mut String) {
-        let heard = std::mem::take(&mut self.known.lock().heard_leaving);
+        let heard = std::mem::take(&mut self.known.lock().leaving_targets);
         let mut news = self.router.lock().take_leaving(&heard);
         match self.client.targets(&self.settings.platform_url, etag).await {
             Ok(Some((list, new_etag))) => {
@@ -54,7 +54,7 @@
             leaving.target,
             leaving.incarnation
         );
-        drop(self.membership.send(TellLeaving(leaving)).detach().await);
+        drop(self.membership.send(AnnounceLeaving(leaving)).detach().await);
     }
 
     async fn read_targets(self: &Arc<Node>) {
--- a/tests/logic/swim.rs
+++ b/tests/logic/swim.rs
@@ -125,13 +125,13 @@
     net.run(Duration::from_secs(5));
     let leaving = Leaving { target: "engine-1".into(), incarnation: 1 };
     let mut heard = BTreeSet::from([4]);
-    net.nodes.get_mut(&4).expect("a node").tell_leaving(leaving.clone());
+    net.nodes.get_mut(&4).expect("a node").announce_leaving(leaving.clone());
     for _ in 0..60 {
         net.run(STEP);
         for (id, node) in &mut net.nodes {
             // As the node around it does: what is news goes on.
-            if node.take_heard_leaving().contains(&leaving) && heard.insert(*id) {
-                node.tell_leaving(leaving.clone());
+            if node.take_leaving_targets().contains(&leaving) && heard.insert(*id) {
+                node.announce_leaving(leaving.clone());
             }
         }
     }
