--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -358,7 +358,7 @@
 pub(super) fn swim(nodes: usize) -> (f64, f64) {
     const SECONDS: u64 = 30;
     const STEP: Duration = Duration::from_millis(100);
-    let timing = SwimTiming { probe: Duration::from_millis(500) };
+    let timing = SwimTiming { probe_interval: Duration::from_millis(500) };
     let seeds: Vec<Member> = (1..=nodes as NodeId).map(member).collect();
     let mut all: HashMap<NodeId, Swim> = (1..=nodes as NodeId)
         .map(|node| (node, Swim::new(member(node), seeds.clone(), timing, node, NOW)))
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -3,4 +3,4 @@
 pub mod actor;
 pub mod swim;
 
-pub use swim::{Item, Member, Packet, Status, Swim, SwimTiming};
+pub use swim::{GossipItem, Member, Packet, Status, Swim, SwimTiming};
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -16,13 +16,13 @@
 /// Nodes asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
 /// Items that travel in one packet.
-const ITEMS_PER_PACKET: usize = 8;
+const MAX_ITEMS_PER_PACKET: usize = 8;
 /// An item travels this often, times the logarithm of the number of nodes.
-const SPREAD_FACTOR: u32 = 3;
+const RETRANSMIT_FACTOR: u32 = 3;
 /// A suspect that does not refute within this many probe periods is dead, at the least.
-const SUSPECT_PERIODS: u32 = 4;
+const SUSPICION_FACTOR: u32 = 4;
 /// Every so many periods a dead node is probed too, so that a healed cut is noticed.
-const DEAD_PROBE_EVERY: u64 = 4;
+const DEAD_PROBE_INTERVAL_PERIODS: u64 = 4;
 
 /// Counts a node's starts and refutations; a higher number is newer.
 pub type NodeIncarnation = u64;
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwimTiming {
     /// How often a node probes another one.
-    pub probe: Duration,
+    pub probe_interval: Duration,
 }
 
 /// What is thought of a node.
@@ -62,7 +62,7 @@
 
 /// News that travel with probes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Item {
+pub enum GossipItem {
     /// Of a node.
     Member(Member),
     /// Of a target that leaves.
@@ -75,7 +75,7 @@
     /// What it asks or answers.
     pub body: Body,
     /// News.
-    pub items: Vec<Item>,
+    pub items: Vec<GossipItem>,
 }
 
 /// What a packet asks or answers.
@@ -92,7 +92,7 @@
         probe: u64,
     },
     /// Please ask that node for me.
-    PingFor {
+    PingRequest {
         /// Names the probe.
         probe: u64,
         /// The node to ask.
@@ -103,28 +103,28 @@
 /// What one node knows of all others.
 #[derive(Clone, Debug)]
 pub struct Swim {
-    me: Member,
+    local: Member,
     timing: SwimTiming,
     random: SmallRng,
-    members: BTreeMap<NodeId, Known>,
+    members: BTreeMap<NodeId, MemberState>,
     /// Nodes still to be probed in this round, in random order.
-    round: Vec<NodeId>,
+    probe_order: Vec<NodeId>,
     probe: Option<Probe>,
-    next_probe: u64,
-    periods: u64,
-    period_ends: BootTime,
+    last_probe_number: u64,
+    period_count: u64,
+    period_ends_at: BootTime,
     /// Probes made for others: our number, who asked, and its number.
-    relayed: Vec<(u64, NodeId, u64)>,
+    relayed_probes: Vec<(u64, NodeId, u64)>,
     /// News with the number of packets that still carry each.
-    spreading: Vec<(Item, u32)>,
+    gossip_queue: Vec<(GossipItem, u32)>,
     leaving_targets: Vec<Leaving>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberState {
     member: Member,
     /// When a suspect is taken for dead.
-    dead_at: BootTime,
+    suspicion_ends_at: BootTime,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -133,37 +133,39 @@
     target: NodeId,
     /// When others are asked to probe it.
     indirect_at: BootTime,
-    asked_others: bool,
+    sent_indirect: bool,
 }
 
 impl Swim {
     /// A node that has just started and knows `seeds`, which count as alive until they don't
     /// answer. `me.incarnation` must be greater than at any earlier start.
     pub fn new(
-        me: Member,
+        local: Member,
         seeds: Vec<Member>,
         timing: SwimTiming,
         seed: u64,
         now: BootTime,
     ) -> Swim {
-        let me_id = me.node;
-        let known = |member: Member| (member.node, Known { member, dead_at: BootTime::ZERO });
-        let members = seeds.into_iter().filter(|seed| seed.node != me_id).map(known).collect();
+        let local_id = local.node;
+        let known = |member: Member| {
+            (member.node, MemberState { member, suspicion_ends_at: BootTime::ZERO })
+        };
+        let members = seeds.into_iter().filter(|seed| seed.node != local_id).map(known).collect();
         let mut swim = Swim {
-            me: me.clone(),
+            local: local.clone(),
             timing,
             random: SmallRng::seed_from_u64(seed),
             members,
-            round: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            next_probe: 1,
-            periods: 0,
-            period_ends: now,
-            relayed: Vec::new(),
-            spreading: Vec::new(),
+            last_probe_number: 1,
+            period_count: 0,
+            period_ends_at: now,
+            relayed_probes: Vec::new(),
+            gossip_queue: Vec::new(),
             leaving_targets: Vec::new(),
         };
-        swim.spread(Item::Member(me));
+        swim.enqueue_gossip(GossipItem::Member(local));
         swim
     }
 
@@ -171,7 +173,7 @@
     pub fn live(&self) -> Vec<Member> {
         let others = self.members.values().map(|known| &known.member);
         let live = others.filter(|member| member.status != Status::Dead);
-        std::iter::once(&self.me).chain(live).cloned().collect()
+        std::iter::once(&self.local).chain(live).cloned().collect()
     }
 
     /// All other nodes that are known, dead ones too.
@@ -181,7 +183,7 @@
 
     /// What is thought of a node.
     pub fn status(&self, node: NodeId) -> Option<Status> {
-        if node == self.me.node {
+        if node == self.local.node {
             return Some(Status::Alive);
         }
         self.members.get(&node).map(|known| known.member.status)
@@ -189,7 +191,7 @@
 
     /// Spreads the news that a target leaves.
     pub fn announce_leaving(&mut self, leaving: Leaving) {
-        self.spread(Item::Leaving(leaving));
+        self.enqueue_gossip(GossipItem::Leaving(leaving));
     }
 
     /// Targets that other nodes saw leaving, since the last call.
@@ -200,23 +202,23 @@
     /// Lets time pass. Returns packets to send.
     pub fn tick(&mut self, now: BootTime) -> Vec<(NodeId, Packet)> {
         let mut out = Vec::new();
-        self.bury_suspects(now);
+        self.expire_suspects(now);
         if let Some(probe) = self.probe
             && now >= probe.indirect_at
-            && !probe.asked_others
+            && !probe.sent_indirect
         {
-            self.probe = Some(Probe { asked_others: true, ..probe });
-            let body = Body::PingFor { probe: probe.number, target: probe.target };
-            for helper in self.helpers(probe.target) {
-                out.push((helper, self.packet(body)));
+            self.probe = Some(Probe { sent_indirect: true, ..probe });
+            let body = Body::PingRequest { probe: probe.number, target: probe.target };
+            for prober in self.pick_indirect_probers(probe.target) {
+                out.push((prober, self.packet(body)));
             }
         }
-        if now >= self.period_ends {
+        if now >= self.period_ends_at {
             if let Some(probe) = self.probe.take() {
                 self.suspect(probe.target, now);
             }
-            self.period_ends = now + self.timing.probe;
-            self.periods += 1;
+            self.period_ends_at = now + self.timing.probe_interval;
+            self.period_count += 1;
             out.extend(self.start_probe(now));
         }
         out
@@ -231,23 +233,23 @@
     ) -> Vec<(NodeId, Packet)> {
         for item in packet.items {
             match item {
-                Item::Member(member) => self.learn(member, now),
-                Item::Leaving(leaving) => self.learn_leaving(leaving),
+                GossipItem::Member(member) => self.apply_member_update(member, now),
+                GossipItem::Leaving(leaving) => self.apply_leaving(leaving),
             }
         }
         match packet.body {
             Body::Ping { probe } => {
                 let mut out = vec![(from, self.packet(Body::Ack { probe }))];
-                out.extend(self.tell_if_suspected(from));
+                out.extend(self.notify_if_suspected(from));
                 out
             }
             Body::Ack { probe } => self.on_ack(from, probe),
-            Body::PingFor { probe, target } => {
-                let number = self.take_number();
-                self.relayed.push((number, from, probe));
+            Body::PingRequest { probe, target } => {
+                let number = self.take_probe_number();
+                self.relayed_probes.push((number, from, probe));
                 // Requests of which no answer came are forgotten, oldest first.
-                if self.relayed.len() > 64 {
-                    self.relayed.remove(0);
+                if self.relayed_probes.len() > 64 {
+                    self.relayed_probes.remove(0);
                 }
                 vec![(target, self.packet(Body::Ping { probe: number }))]
             }
@@ -259,24 +261,25 @@
             self.probe = None;
             return Vec::new();
         }
-        let Some(position) = self.relayed.iter().position(|(number, ..)| *number == probe) else {
+        let Some(position) = self.relayed_probes.iter().position(|(number, ..)| *number == probe)
+        else {
             return Vec::new();
         };
-        let (_, asker, number) = self.relayed.remove(position);
-        if asker == from {
+        let (_, requester, number) = self.relayed_probes.remove(position);
+        if requester == from {
             return Vec::new();
         }
-        vec![(asker, self.packet(Body::Ack { probe: number }))]
+        vec![(requester, self.packet(Body::Ack { probe: number }))]
     }
 
     /// A node that others suspect must hear of it soon, so that it can refute.
-    fn tell_if_suspected(&mut self, node: NodeId) -> Option<(NodeId, Packet)> {
+    fn notify_if_suspected(&mut self, node: NodeId) -> Option<(NodeId, Packet)> {
         let member = &self.members.get(&node)?.member;
         if member.status == Status::Alive {
             return None;
         }
-        let item = Item::Member(member.clone());
-        let probe = self.take_number();
+        let item = GossipItem::Member(member.clone());
+        let probe = self.take_probe_number();
         let mut packet = self.packet(Body::Ping { probe });
         packet.items.insert(0, item);
         Some((node, packet))
@@ -284,45 +287,45 @@
 
     fn start_probe(&mut self, now: BootTime) -> Option<(NodeId, Packet)> {
         let target = self.next_target()?;
-        let number = self.take_number();
-        let indirect_at = now + self.timing.probe / 3;
+        let number = self.take_probe_number();
+        let indirect_at = now + self.timing.probe_interval / 3;
         let is_dead = self.status(target) == Some(Status::Dead);
         self.probe =
-            (!is_dead).then_some(Probe { number, target, indirect_at, asked_others: false });
+            (!is_dead).then_some(Probe { number, target, indirect_at, sent_indirect: false });
         let mut packet = self.packet(Body::Ping { probe: number });
         if is_dead && let Some(known) = self.members.get(&target) {
             // It learns that it is taken for dead, and refutes.
-            packet.items.insert(0, Item::Member(known.member.clone()));
+            packet.items.insert(0, GossipItem::Member(known.member.clone()));
         }
         Some((target, packet))
     }
 
     fn next_target(&mut self) -> Option<NodeId> {
-        if self.periods.is_multiple_of(DEAD_PROBE_EVERY) {
-            let dead = self.ids(|status| status == Status::Dead);
+        if self.period_count.is_multiple_of(DEAD_PROBE_INTERVAL_PERIODS) {
+            let dead = self.nodes_with_status(|status| status == Status::Dead);
             if !dead.is_empty() {
                 return dead.get(self.random.random_range(0..dead.len())).copied();
             }
         }
-        while let Some(target) = self.round.pop() {
+        while let Some(target) = self.probe_order.pop() {
             if self.status(target).is_some_and(|status| status != Status::Dead) {
                 return Some(target);
             }
         }
-        self.round = self.ids(|status| status != Status::Dead);
-        self.round.shuffle(&mut self.random);
-        self.round.pop()
+        self.probe_order = self.nodes_with_status(|status| status != Status::Dead);
+        self.probe_order.shuffle(&mut self.random);
+        self.probe_order.pop()
     }
 
-    fn helpers(&mut self, except: NodeId) -> Vec<NodeId> {
-        let mut alive = self.ids(|status| status == Status::Alive);
+    fn pick_indirect_probers(&mut self, except: NodeId) -> Vec<NodeId> {
+        let mut alive = self.nodes_with_status(|status| status == Status::Alive);
         alive.retain(|node| *node != except);
         alive.shuffle(&mut self.random);
         alive.truncate(INDIRECT_PROBES);
         alive
     }
 
-    fn ids(&self, wanted: impl Fn(Status) -> bool) -> Vec<NodeId> {
+    fn nodes_with_status(&self, wanted: impl Fn(Status) -> bool) -> Vec<NodeId> {
         let known = self.members.values().filter(|known| wanted(known.member.status));
         known.map(|known| known.member.node).collect()
     }
@@ -331,90 +334,94 @@
         let Some(known) = self.members.get(&node) else { return };
         if known.member.status == Status::Alive {
             let member = Member { status: Status::Suspect, ..known.member.clone() };
-            self.learn(member, now);
+            self.apply_member_update(member, now);
         }
     }
 
-    fn bury_suspects(&mut self, now: BootTime) {
-        let late: Vec<Member> = self
+    fn expire_suspects(&mut self, now: BootTime) {
+        let expired: Vec<Member> = self
             .members
             .values()
-            .filter(|known| known.member.status == Status::Suspect && known.dead_at <= now)
+            .filter(|known| {
+                known.member.status == Status::Suspect && known.suspicion_ends_at <= now
+            })
             .map(|known| Member { status: Status::Dead, ..known.member.clone() })
             .collect();
-        for member in late {
-            self.learn(member, now);
+        for member in expired {
+            self.apply_member_update(member, now);
         }
     }
 
-    fn learn(&mut self, news: Member, now: BootTime) {
-        if news.node == self.me.node {
-            self.refute(&news);
+    fn apply_member_update(&mut self, update: Member, now: BootTime) {
+        if update.node == self.local.node {
+            self.refute(&update);
             return;
         }
-        let suspicion = self.timing.probe * SUSPECT_PERIODS * self.logarithm();
-        let is_new = match self.members.get(&news.node) {
+        let suspicion = self.timing.probe_interval * SUSPICION_FACTOR * self.log2_node_count();
+        let is_new = match self.members.get(&update.node) {
             None => true,
             Some(known) => {
                 let old = (known.member.incarnation, known.member.status);
-                (news.incarnation, news.status) > old
+                (update.incarnation, update.status) > old
             }
         };
         if is_new {
-            let known = Known { member: news.clone(), dead_at: now + suspicion };
-            self.members.insert(news.node, known);
-            self.spread(Item::Member(news));
+            let known = MemberState { member: update.clone(), suspicion_ends_at: now + suspicion };
+            self.members.insert(update.node, known);
+            self.enqueue_gossip(GossipItem::Member(update));
         }
     }
 
-    fn refute(&mut self, news: &Member) {
-        let outdated = news.status != Status::Alive && news.incarnation >= self.me.incarnation;
-        if outdated {
-            self.me.incarnation = news.incarnation + 1;
-            self.spread(Item::Member(self.me.clone()));
+    fn refute(&mut self, update: &Member) {
+        let must_refute =
+            update.status != Status::Alive && update.incarnation >= self.local.incarnation;
+        if must_refute {
+            self.local.incarnation = update.incarnation + 1;
+            self.enqueue_gossip(GossipItem::Member(self.local.clone()));
         }
     }
 
-    fn learn_leaving(&mut self, leaving: Leaving) {
-        let known = self.spreading.iter().any(|(item, _)| *item == Item::Leaving(leaving.clone()));
+    fn apply_leaving(&mut self, leaving: Leaving) {
+        let known =
+            self.gossip_queue.iter().any(|(item, _)| *item == GossipItem::Leaving(leaving.clone()));
         if !known {
             self.leaving_targets.push(leaving);
         }
     }
 
-    fn spread(&mut self, item: Item) {
-        let about = |item: &Item| match item {
-            Item::Member(member) => Some(member.node),
-            Item::Leaving(_) => None,
+    fn enqueue_gossip(&mut self, item: GossipItem) {
+        let about = |item: &GossipItem| match item {
+            GossipItem::Member(member) => Some(member.node),
+            GossipItem::Leaving(_) => None,
         };
         let node = about(&item);
-        self.spreading.retain(|(other, _)| node.is_none() || about(other) != node);
-        let times = SPREAD_FACTOR * self.logarithm();
-        self.spreading.push((item, times));
+        self.gossip_queue.retain(|(other, _)| node.is_none() || about(other) != node);
+        let transmissions = RETRANSMIT_FACTOR * self.log2_node_count();
+        self.gossip_queue.push((item, transmissions));
     }
 
     /// A packet with the news that travelled least.
     fn packet(&mut self, body: Body) -> Packet {
-        self.spreading.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
+        self.gossip_queue.sort_by_key(|(_, remaining)| std::cmp::Reverse(*remaining));
         let mut items = Vec::new();
-        for (item, left) in self.spreading.iter_mut().take(ITEMS_PER_PACKET) {
+        for (item, remaining) in self.gossip_queue.iter_mut().take(MAX_ITEMS_PER_PACKET) {
             items.push(item.clone());
-            *left -= 1;
+            *remaining -= 1;
         }
-        self.spreading.retain(|(_, left)| *left > 0);
+        self.gossip_queue.retain(|(_, remaining)| *remaining > 0);
         // This node's own existence always travels: a node that restarted learns of it so.
         if items.is_empty() {
-            items.push(Item::Member(self.me.clone()));
+            items.push(GossipItem::Member(self.local.clone()));
         }
         Packet { body, items }
     }
 
-    fn take_number(&mut self) -> u64 {
-        self.next_probe += 1;
-        self.next_probe
+    fn take_probe_number(&mut self) -> u64 {
+        self.last_probe_number += 1;
+        self.last_probe_number
     }
 
-    fn logarithm(&self) -> u32 {
+    fn log2_node_count(&self) -> u32 {
         (self.members.len() as u32 + 2).ilog2().max(1)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -282,7 +282,7 @@
         .iter()
         .map(|node| member(node.node_id, node.peer_address, &node.failure_domain, 0))
         .collect();
-    let timing = SwimTiming { probe: settings.timing.probe };
+    let timing = SwimTiming { probe_interval: settings.timing.probe };
     let swim = Swim::new(me, seeds, timing, rand::rng().random(), boot_now());
     known.lock().live = swim.live();
     let sealer = DatagramSealer::new(key.clone(), settings.node_id, boot);
--- a/tests/logic/swim.rs
+++ b/tests/logic/swim.rs
@@ -8,7 +8,7 @@
 use kumquatpost::membership::{Member, Packet, Status, Swim, SwimTiming};
 use kumquatpost::route::targets::Leaving;
 
-const TIMING: SwimTiming = SwimTiming { probe: Duration::from_millis(500) };
+const TIMING: SwimTiming = SwimTiming { probe_interval: Duration::from_millis(500) };
 const STEP: Duration = Duration::from_millis(50);
 
 struct Net {
