--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -113,7 +113,7 @@
     });
     tasks.spawn("operators", operators.accept(listen(operators_address).await?));
     if let Some(address) = host.target_list {
-        let list = ListAddress { address, rate_per_s: host.target_list_rate };
+        let list = ListAddress { address, rate_per_s: host.target_list_reads_per_s };
         tasks.spawn(
             "target_list",
             roster_reader::run(shared.clone(), host.ip, list, metrics.clone()),
@@ -125,7 +125,7 @@
     let recording =
         age_recorder::keep_recording(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
-    let apart = host.periods.order_lease;
+    let apart = host.periods.min_order_interval;
     let ordering = Rc::new(Ordering {
         shared: shared.clone(),
         scheduling: scheduling.clone(),
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -87,7 +87,7 @@
     gateway.stopping.set(true);
     tokio::time::sleep(ANNOUNCED).await;
     closing.send_replace(true);
-    let grace = gateway.host.periods.grace.saturating_sub(LAST_PART).max(ANNOUNCED);
+    let grace = gateway.host.periods.shutdown_grace.saturating_sub(LAST_PART).max(ANNOUNCED);
     while open.get() > 0 && asked.elapsed() < grace {
         tokio::time::sleep(SHUTDOWN_CHECK).await;
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -138,7 +138,7 @@
         };
         let replicas = host.seeds.iter().map(|seed| seed.ip()).collect();
         let subscriptions = RefCell::new(Subscriptions::new(host.failure_domain.clone()));
-        let freshness = RefCell::new(Freshness::new(host.periods.in_force));
+        let freshness = RefCell::new(Freshness::new(host.periods.config_apply_limit));
         Gateway {
             host,
             table: RefCell::default(),
--- a/src/host.rs
+++ b/src/host.rs
@@ -31,15 +31,15 @@
     /// Whether the whole system starts for the first time, with empty disks.
     pub is_first_start: bool,
     /// Memory that the process may use.
-    pub memory_bytes: u64,
+    pub memory_limit_bytes: u64,
     /// Descriptors that the process may use.
-    pub descriptors: u64,
+    pub file_descriptor_limit: u64,
     /// Folder for durable state, where the host has a disk.
     pub data_folder: Option<PathBuf>,
     /// Where the platform lists targets.
     pub target_list: Option<SocketAddr>,
     /// Reads of that list a second that are allowed, for all hosts together.
-    pub target_list_rate: f64,
+    pub target_list_reads_per_s: f64,
     /// Periods that hold on all hosts.
     pub periods: Periods,
     /// Hosts with a disk that may be lost at once.
@@ -54,13 +54,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Periods {
     /// Time between the request to stop and the kill.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Orders of two hosts to one engine must be at least this far apart.
-    pub order_lease: Duration,
+    pub min_order_interval: Duration,
     /// How long prompts may begin on older weights.
     pub old_weights: OldWeights,
     /// The window in which retries are counted.
     pub retry_window: Duration,
     /// How long after its acknowledgement a deployment may take to be in force; `None` if nothing is promised.
-    pub in_force: Option<Duration>,
+    pub config_apply_limit: Option<Duration>,
 }
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -41,7 +41,7 @@
     let _ = settings::decode(bytes).map(|host| {
         let list = ListAddress {
             address: host.target_list.unwrap_or(crate::fixtures::address(1)),
-            rate_per_s: host.target_list_rate,
+            rate_per_s: host.target_list_reads_per_s,
         };
         list.read_every(1_000)
     });
--- a/tests/deployment/settings.rs
+++ b/tests/deployment/settings.rs
@@ -29,7 +29,11 @@
     assert_eq!(deploy.matches(&named).count(), 2, "each role serves them where they are fetched");
     assert_eq!(host.seeds.len(), 2);
     assert_eq!(host.tolerated_losses, 2);
-    assert_eq!(host.periods.order_lease, ms(3_300), "lease and thaw together keep holders apart");
+    assert_eq!(
+        host.periods.min_order_interval,
+        ms(3_300),
+        "lease and thaw together keep holders apart"
+    );
     assert_eq!(host.callers_address, None);
     assert!(host.is_first_start);
 }
