--- a/src/control/memory_reader.rs
+++ b/src/control/memory_reader.rs
@@ -65,7 +65,7 @@
     match answer.status {
         StatusCode::OK => {
             let page = stores::decode_events(&answer.body)?;
-            match engine.may_be_born(page.start.born_ms) {
+            match engine.may_match_birth(page.start.born_ms) {
                 true => Ok(page),
                 false => {
                     Err(format!("another start answers, born {:?}", page.start.born_ms).into())
--- a/src/control/report.rs
+++ b/src/control/report.rs
@@ -29,7 +29,7 @@
 
 /// What another start says of itself is not believed of this one.
 fn of_start(engine: &TargetStart, report: EngineReport) -> Result<EngineReport, CallError> {
-    if engine.may_be_born(report.born_ms) {
+    if engine.may_match_birth(report.born_ms) {
         return Ok(report);
     }
     Err(format!("another start answers, born {:?}", report.born_ms).into())
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -35,7 +35,7 @@
 
 impl TargetStart {
     /// Whether what tells this birth, or none, may be of this start.
-    pub fn may_be_born(&self, born_ms: Option<BirthMs>) -> bool {
+    pub fn may_match_birth(&self, born_ms: Option<BirthMs>) -> bool {
         may_be_same_birth(self.born_ms, born_ms)
     }
 }
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -132,8 +132,15 @@
         assert!(report(&format!(r#","born":{born}"#)).is_err(), "{born}");
     }
     let start = crate::fixtures::born("i-1", 7);
-    assert!(start.may_be_born(Some(7)) && start.may_be_born(None) && !start.may_be_born(Some(8)));
-    assert!(crate::fixtures::start("i-1").may_be_born(Some(8)), "births may be told here alone");
+    assert!(
+        start.may_match_birth(Some(7))
+            && start.may_match_birth(None)
+            && !start.may_match_birth(Some(8))
+    );
+    assert!(
+        crate::fixtures::start("i-1").may_match_birth(Some(8)),
+        "births may be told here alone"
+    );
 }
 
 #[test]
