--- a/src/log/raft/change.rs
+++ b/src/log/raft/change.rs
@@ -43,8 +43,7 @@
         let Role::Leader(leader) = &self.role else {
             return Err(ChangeError::NotLeader(NotLeader { leader: self.leader }));
         };
-        let in_progress =
-            self.log.members_index() > self.commit || self.commit < leader.first_index;
+        let in_progress = self.log.members_index() > self.commit || self.commit < leader.noop_index;
         if in_progress {
             return Err(ChangeError::InProgress);
         }
--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -169,7 +169,7 @@
             .map(|id| (id, Progress::new(next)))
             .collect();
         self.role = Role::Leader(Leader {
-            first_index: next,
+            noop_index: next,
             progress,
             heartbeat_at: now,
             round: 0,
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug)]
 struct Leader {
     /// The entry written on election; once it is committed, so is all before it.
-    first_index: Index,
+    noop_index: Index,
     progress: BTreeMap<NodeId, Progress>,
     heartbeat_at: BootTime,
     round: u64,
@@ -323,7 +323,7 @@
         let not_leader = NotLeader { leader: self.leader };
         let commit = self.commit;
         let Role::Leader(leader) = &mut self.role else { return Err(not_leader) };
-        if commit < leader.first_index {
+        if commit < leader.noop_index {
             return Err(not_leader);
         }
         let id = leader.next_read_id;
@@ -377,7 +377,7 @@
         let Role::Leader(leader) = &self.role else { return false };
         let safe =
             self.timing.election_timeout - self.timing.election_timeout / CLOCK_DRIFT_DIVISOR;
-        self.commit >= leader.first_index && now < leader.confirmed_at + safe
+        self.commit >= leader.noop_index && now < leader.confirmed_at + safe
     }
 
     /// When this replica last had all that was committed: a later read here may be older.
