--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -76,7 +76,7 @@
     ("a leader counts what it has not synced", "src/log/raft/replication.rs",
      "let own = self.persisted;", "let own = self.log.last_index();", "logic", "leading"),
     ("commit entries of earlier terms by counting", "src/log/raft/replication.rs",
-     "&& self.log.term_at(candidate) == Some(self.vote.term)", "", "logic", "leading"),
+     "&& self.log.term_at(quorum_index) == Some(self.vote.term)", "", "logic", "leading"),
     ("a minority commits", "src/log/raft/replication.rs",
      "values.get(quorum - 1)", "values.get(quorum.saturating_sub(2))", "logic", "log_schedules"),
     ("append without a matching entry before", "src/log/raft/replication.rs",
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -94,14 +94,14 @@
         }
         if prev_index > self.log.last_index() {
             let hint = self.log.last_index();
-            self.answer(from, Err(Mismatch { hint }), round);
+            self.send_append_reply(from, Err(Mismatch { hint }), round);
             return;
         }
         if prev_index >= self.log.snapshot_index()
             && self.log.term_at(prev_index) != Some(prev_term)
         {
             let hint = self.log.last_index_before_term_of(prev_index);
-            self.answer(from, Err(Mismatch { hint }), round);
+            self.send_append_reply(from, Err(Mismatch { hint }), round);
             return;
         }
         let equal_until = prev_index + entries.len() as Index;
@@ -135,7 +135,7 @@
                 round_ack.and_then(|round_ack| self.round_times.sent_after(round_ack.round));
             self.caught_up_at = self.caught_up_at.max(sent_after);
         }
-        self.answer(from, Ok(equal_until.max(self.log.snapshot_index())), round);
+        self.send_append_reply(from, Ok(equal_until.max(self.log.snapshot_index())), round);
     }
 
     pub(super) fn on_snapshot(
@@ -168,7 +168,7 @@
             self.effects.persist.snapshot = Some(snapshot.clone());
             self.effects.restore = Some(snapshot);
         }
-        self.answer(from, Ok(index), round);
+        self.send_append_reply(from, Ok(index), round);
     }
 
     /// Whether `from` leads in this term; answers it if not.
@@ -183,7 +183,7 @@
         if term < self.vote.term {
             let hint = self.log.last_index();
             // Its sender may lead again by now, and count rounds anew.
-            self.answer(from, Err(Mismatch { hint }), NO_ROUND);
+            self.send_append_reply(from, Err(Mismatch { hint }), NO_ROUND);
             return false;
         }
         self.become_follower(term, Some(from), now);
@@ -210,7 +210,7 @@
 
     /// Answers a leader. What is acknowledged must be durable; that this replica still counts on the leader is said
     /// at once, so that no leader is lost while disks are slow.
-    fn answer(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
+    fn send_append_reply(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
         let term = self.vote.term;
         let round_ack = RoundAck { start_nonce: self.restart.nonce(), round };
         let reply = |result| (to, Message::AppendReply { term, result, round_ack });
@@ -272,11 +272,11 @@
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let own = self.persisted;
-        let candidate = quorum_value(&self.members.voters, self.members.quorum(), |id| {
+        let quorum_index = quorum_value(&self.members.voters, self.members.quorum(), |id| {
             if id == self.id { own } else { leader.progress.get(&id).map_or(0, |p| p.match_index) }
         });
-        if candidate > self.commit && self.log.term_at(candidate) == Some(self.vote.term) {
-            self.commit = candidate;
+        if quorum_index > self.commit && self.log.term_at(quorum_index) == Some(self.vote.term) {
+            self.commit = quorum_index;
             self.step_down_if_removed();
         }
     }
