--- a/src/log/disk.rs
+++ b/src/log/disk.rs
@@ -1,9 +1,9 @@
 //! Durable storage of one replica: a vote file, a snapshot file, and an append-only log file of
 //! checksummed records.
 //!
-//! Only synced bytes count. A record whose end never became durable is cut off at the start. A
-//! mark file tells how long the log file was after the last sync; if the valid part is shorter,
-//! synced bytes were lost, and the replica must not vote until it has caught up.
+//! Incomplete or corrupt records at the end of the log file are truncated when it is opened. A
+//! mark file holds the length of the log file at the last sync. If the valid part of the log file
+//! is shorter than that, synced data was lost, and the replica must not vote until it has caught up.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -22,38 +22,38 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const MARK_FILE: &str = "mark";
 const LOCK_FILE: &str = "lock";
-/// Length and checksum before each record.
+/// Size of a record's header: body length and CRC-32, 4 bytes each.
 const HEADER_BYTES: usize = 8;
-/// Length of the mark file: a length and a flag.
+/// Size of the mark file: the log length in 8 bytes and the lost-data flag in one.
 const MARK_BYTES: usize = 9;
-/// A longer record is taken for damage.
+/// A header with a greater length is treated as corrupt.
 const MAX_RECORD_BYTES: usize = 256 << 20;
 
 #[derive(Serialize, Deserialize)]
 enum Record {
     Append(Entry),
-    /// Entries from this index on are void.
+    /// Discards the entries from this index on.
     TruncateFrom(Index),
 }
 
-/// The files of one replica.
+/// The open files of one replica.
 pub struct Disk {
     folder: PathBuf,
     log: File,
     mark: File,
     log_bytes: u64,
-    /// Whether synced bytes were lost and the replica has not caught up since.
+    /// Whether synced data was lost and the replica has not caught up since.
     has_lost_data: bool,
-    // Held for as long as the process lives: two processes must not share a folder.
+    // Keeps other processes from opening the same folder.
     _lock: File,
 }
 
 impl Disk {
-    /// Opens or creates the files in a folder.
+    /// Opens or creates the files in a folder, and reads what they hold.
     ///
     /// # Errors
-    /// `Error::Start` if the folder can't be used, is used by another process, or holds a log
-    /// without its vote.
+    /// `Error::Start` if the folder can't be used, is in use by another process, or holds a log
+    /// without a valid vote file.
     pub fn open(folder: &Path) -> Result<(Disk, Recovered)> {
         let remedy = "check the folder's owner, mount and free space";
         let failed = |source: io::Error| Error::start("data_folder", source, remedy);
@@ -108,12 +108,14 @@
         Ok((disk, recovered))
     }
 
-    /// Makes changes durable. `kept` are all entries after the snapshot, those of `persist` among
-    /// them; they are needed only with a snapshot. After an error nothing more may be written: what
-    /// is durable is not known then.
+    /// Makes `persist` durable.
+    ///
+    /// If it contains a snapshot, `entries_after_snapshot` must hold all entries that follow the snapshot,
+    /// including those of `persist`; otherwise it is ignored. After an error the disk must not be written
+    /// again, because it is unknown which changes are durable.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// I/O errors.
     pub fn save(&mut self, persist: &Persist, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         if let Some(vote) = &persist.vote {
             self.write_record_file(VOTE_FILE, vote)?;
@@ -139,36 +141,36 @@
         self.write_mark()
     }
 
-    /// Records that the replica has caught up after a loss.
+    /// Records that the replica has caught up after a loss of data.
     ///
     /// # Errors
-    /// Those of the operating system.
+    /// I/O errors.
     pub fn clear_lost_data(&mut self) -> io::Result<()> {
         self.has_lost_data = false;
         self.write_mark()?;
         self.mark.sync_data()
     }
 
-    /// Whether synced bytes were lost and the replica has not caught up since.
+    /// Whether synced data was lost and the replica has not caught up since.
     pub fn has_lost_data(&self) -> bool {
         self.has_lost_data
     }
 
-    /// Length of the log file.
+    /// Length of the log file in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Closes the files. Everything saved is durable already.
+    /// Closes the files and releases the lock on the folder.
     pub fn close(self) {}
 
-    /// Replaces the log file by one that holds only `kept`.
+    /// Replaces the log file by one that holds only `entries_after_snapshot`.
     fn rewrite_log(&mut self, entries_after_snapshot: &[Entry]) -> io::Result<()> {
         let mut bytes = Vec::new();
         for entry in entries_after_snapshot {
             encode_record(&mut bytes, &Record::Append(entry.clone()))?;
         }
-        // The mark first: a shorter log under the old mark would look like a loss.
+        // The mark must be reset first: with the old mark, the shorter log would be taken for a loss of data.
         self.log_bytes = 0;
         self.write_mark()?;
         self.mark.sync_data()?;
@@ -179,7 +181,7 @@
         self.write_mark()
     }
 
-    /// Not synced: it survives the death of the process, and tells of lost bytes then.
+    /// Writes the mark file without syncing it; after a power failure, an older mark may remain.
     fn write_mark(&self) -> io::Result<()> {
         let mut bytes = [0; MARK_BYTES];
         bytes[..8].copy_from_slice(&self.log_bytes.to_le_bytes());
@@ -194,6 +196,7 @@
     }
 }
 
+/// Replaces a file atomically and durably.
 fn replace_file(folder: &Path, name: &str, bytes: &[u8]) -> io::Result<()> {
     let temporary = folder.join(format!("{name}.draft"));
     let mut file = File::create(&temporary)?;
@@ -207,6 +210,7 @@
     File::open(folder)?.sync_all()
 }
 
+/// Appends a record with its header to `bytes`.
 fn encode_record<T: Serialize>(bytes: &mut Vec<u8>, record: &T) -> io::Result<()> {
     let body = postcard::to_stdvec(record).map_err(io::Error::other)?;
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
@@ -215,7 +219,7 @@
     Ok(())
 }
 
-/// The first record in `bytes` and its length; `None` if it is not whole.
+/// The first record in `bytes` and its encoded length; `None` if it is incomplete or corrupt.
 fn decode_record<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, usize)> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let checksum = u32::from_le_bytes(bytes.get(4..HEADER_BYTES)?.try_into().ok()?);
@@ -229,6 +233,7 @@
     Some((postcard::from_bytes(body).ok()?, HEADER_BYTES + length))
 }
 
+/// Reads a file that holds one record; `None` if it is missing or invalid.
 fn read_record_file<T: DeserializeOwned>(path: &Path) -> io::Result<Option<T>> {
     match std::fs::read(path) {
         Ok(bytes) => Ok(decode_record(&bytes).map(|(value, _)| value)),
@@ -237,6 +242,7 @@
     }
 }
 
+/// Reads the records up to the first invalid one, and returns them with their total length in bytes.
 fn read_records(log: &mut File) -> io::Result<(Vec<Record>, u64)> {
     let mut bytes = Vec::new();
     log.read_to_end(&mut bytes)?;
@@ -249,7 +255,7 @@
     Ok((records, valid as u64))
 }
 
-/// The length of the log file after the last sync, and whether synced bytes were lost.
+/// The length of the log file at the last sync, and whether synced data was lost.
 fn read_mark(mark: &File) -> (u64, bool) {
     let mut bytes = [0; MARK_BYTES];
     if mark.read_exact_at(&mut bytes, 0).is_err() {
@@ -260,7 +266,7 @@
     (u64::from_le_bytes(length), bytes[8] != 0)
 }
 
-/// The entries that follow on a snapshot without a gap.
+/// Replays the records, and returns the entries that follow the snapshot without a gap.
 fn replay_entries(snapshot: &Option<Snapshot>, records: Vec<Record>) -> Vec<Entry> {
     let mut entries: Vec<Entry> = Vec::new();
     for record in records {
--- a/src/log/driver.rs
+++ b/src/log/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what a replica's state machine asks for: sends, makes durable, hands out.
+//! Executes the effects of the Raft state machine: sends messages, writes to disk, and returns the entries to apply.
 
 use std::io;
 use std::sync::Arc;
@@ -13,55 +13,56 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::NodeId;
 
-/// A save that took this long is logged: about a heartbeat of the log.
+/// Saves that take at least this long are logged.
 const SLOW_SAVE_THRESHOLD: Duration = Duration::from_millis(100);
 
-/// A replica's state machine with its disk.
+/// The Raft state machine of one replica together with its disk.
 pub struct Driver {
-    /// The state machine. Call `settle` after feeding it.
+    /// The Raft state machine. Call `process_effects` after each input.
     pub raft: Raft,
-    /// `None` only while a save is under way, or after the disk has failed.
+    /// `None` while a save is running, and after the disk has failed.
     disk: Option<Disk>,
     save: Option<Save>,
     save_ended: Arc<Notify>,
-    /// Entries after which a snapshot replaces them.
+    /// Number of applied entries after which the log is compacted into a snapshot.
     snapshot_interval: Index,
 }
 
-/// A save that is under way, on a thread of its own.
+/// A save that is running on a blocking thread.
 struct Save {
     started_at: BootTime,
-    /// Messages that promise what it makes durable.
+    /// Messages that must not be sent before the save has completed.
     messages_after_persist: Vec<(NodeId, Message)>,
     completion: oneshot::Receiver<(Disk, io::Result<()>)>,
 }
 
-/// What is to be done with the state that the log carries, in this order.
+/// An operation on the replicated state. Outputs must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Replace it by this.
+    /// Replace the state by this snapshot.
     Restore(Snapshot),
-    /// Apply this.
+    /// Apply this committed entry.
     Apply(Entry),
-    /// Answer this read from it.
+    /// Answer this read from the state.
     Read(ReadId),
 }
 
 impl Driver {
-    /// A replica as it starts.
+    /// Creates the driver of a replica that is starting. The log is compacted every `snapshot_interval` entries.
     pub fn new(raft: Raft, disk: Disk, snapshot_interval: Index) -> Driver {
         let save_ended = Arc::default();
         Driver { raft, disk: Some(disk), save: None, save_ended, snapshot_interval }
     }
 
-    /// Rings when a save has ended: call `settle` then.
+    /// Notified when a save has completed; call `process_effects` then.
     pub fn save_ended(&self) -> Arc<Notify> {
         self.save_ended.clone()
     }
 
-    /// Makes all that is due happen, without waiting for the disk: a leader that falls silent while it writes is
-    /// replaced, and a follower that does is of no use to entries. Messages leave through `send`; those that promise
-    /// something leave only once it is durable.
+    /// Executes all pending effects and returns the operations on the replicated state.
+    ///
+    /// Saves run in the background: a leader that stopped sending heartbeats during a write would be replaced, and a
+    /// follower would stop serving. Messages that depend on a save are sent once it has completed.
     pub fn process_effects(&mut self, send: impl Fn(NodeId, Message)) -> Vec<Output> {
         self.poll_save().into_iter().for_each(|(to, message)| send(to, message));
         let mut outputs = Vec::new();
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Replaces applied entries by the state at their end, once there are many.
+    /// Compacts the log into a snapshot of `state` if enough entries were applied since the last one.
     pub fn compact(&mut self, state: impl FnOnce() -> Vec<u8>) {
         if self.raft.applied() >= self.raft.snapshot_index() + self.snapshot_interval {
             self.raft.compact(self.raft.applied(), state());
@@ -109,13 +110,13 @@
         self.save = Some(Save { started_at: boot_now(), messages_after_persist, completion });
         tokio::task::spawn_blocking(move || {
             let result = disk.save(&persist, &entries_after_snapshot);
-            // The replica may have ended meanwhile.
+            // The receiver is gone if the replica has been dropped.
             let _ = sender.send((disk, result));
             save_ended.notify_one();
         });
     }
 
-    /// Takes note of a save that has ended, and returns the messages that waited for it.
+    /// Processes the result of a completed save, and returns the messages that may be sent now.
     fn poll_save(&mut self) -> Vec<(NodeId, Message)> {
         let Some(mut save) = self.save.take() else { return Vec::new() };
         let failure = match save.completion.try_recv() {
@@ -132,8 +133,9 @@
             Err(error @ TryRecvError::Closed) => error.to_string(),
         };
         log::error!(
-            "event=disk_failed reason={failure:?} effect=\"votes and acknowledges no more\" \
-             remedy=\"mend or replace the disk, then restart\""
+            "event=disk_failed reason={failure:?} \
+             effect=\"no longer votes or acknowledges entries\" \
+             remedy=\"repair or replace the disk, then restart\""
         );
         self.raft.disk_failed();
         Vec::new()
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated log: our own consensus, its storage, and the final state that it carries.
+//! The replicated log: Raft consensus, its durable storage, and the replicated state machine.
 
 pub mod disk;
 pub mod driver;
