--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -1,6 +1,6 @@
-//! The final state that the log carries: the numbered configuration, claims, fencing numbers.
+//! The replicated state machine: the numbered configuration, claims and fencing numbers.
 //!
-//! Deterministic: every replica that applies the same commands has the same state.
+//! It is deterministic: replicas that apply the same commands have the same state.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,91 +12,91 @@
 use crate::config::{Book, Numbered, Update};
 use crate::ids::ConfigNumber;
 
-/// Answers to patches that are remembered for operators who resend one.
+/// Number of patches whose answers are kept, so that a resent patch gets its first answer.
 const MAX_PATCH_ANSWERS: usize = 65_536;
 
-/// A command, as an entry carries it.
+/// A command to the state machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Changes the configuration.
     Patch(Patch),
-    /// Claims a request marked not repeatable.
+    /// Claims a request that must not be run more than once.
     Claim {
         /// The request.
         key: ClaimKey,
-        /// Digest of its content.
+        /// Digest of the request's content.
         digest: Digest,
-        /// Who claims it.
+        /// Identifies the claimant.
         token: ClaimToken,
-        /// The leader's wall clock, in milliseconds since the Unix epoch.
+        /// The leader's wall-clock time, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
-    /// Gives a claim back: nothing was run under it.
+    /// Releases a claim under which nothing was run.
     Release {
         /// The request.
         key: ClaimKey,
-        /// Who claimed it.
+        /// Identifies the claimant.
         token: ClaimToken,
     },
-    /// Records what came of a claimed request.
+    /// Records the outcome of a claimed request.
     Record {
         /// The request.
         key: ClaimKey,
-        /// Who claimed it.
+        /// Identifies the claimant.
         token: ClaimToken,
-        /// What came of it.
+        /// The outcome.
         outcome: Outcome,
     },
-    /// Takes the next fencing number for orders to engines.
+    /// Allocates the next fencing number for orders to engines.
     Fence,
 }
 
 /// A patch to the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Patch {
-    /// The operator's id for it.
+    /// The operator's id for the patch.
     pub patch_id: String,
-    /// The number that it was made against.
+    /// The configuration number that the patch was made against.
     pub base: ConfigNumber,
-    /// JSON merge patch, as text.
+    /// The JSON merge patch.
     pub text: String,
 }
 
-/// What became of a patch. The first answer to a patch id is the only one.
+/// The result of a patch. A patch that is sent again under its id gets the first result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PatchAnswer {
-    /// It is this number, for ever.
+    /// The patch was accepted as this configuration number.
     Accepted(ConfigNumber),
-    /// Another patch was accepted first; this is the current number.
+    /// The patch was made against an older configuration; this is the current number.
     StaleBase(ConfigNumber),
-    /// The result would not be valid.
+    /// The patched configuration would be invalid, for these reasons.
     Invalid(Vec<String>),
-    /// The patch id was used for another patch.
+    /// The patch id was already used for a different patch.
     IdReused,
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// Of a patch.
+    /// The result of `Command::Patch`.
     Patch(PatchAnswer),
-    /// Of a claim.
+    /// The result of `Command::Claim`.
     Claim(ClaimAnswer),
-    /// Of a release or record: whether the claim was the sender's.
+    /// The result of `Command::Release` or `Command::Record`: whether the sender held the claim.
     Done(bool),
-    /// Of a fence.
+    /// The result of `Command::Fence`: the allocated fencing number.
     Fence(u64),
 }
 
-/// The final state.
+/// The replicated state.
 #[derive(Clone, Debug, Default)]
 pub struct State {
     book: Book,
     answers: BTreeMap<String, (Patch, PatchAnswer)>,
-    /// Patch ids in the order of their answers. Invariant: the keys of `answers`.
+    /// Patch ids, oldest answer first. Invariant: the same ids as the keys of `answers`.
     answer_order: VecDeque<String>,
     claims: Claims,
-    /// The highest fencing number taken. Never falls.
+    /// The last fencing number that was allocated.
     last_fencing_number: u64,
 }
 
@@ -110,12 +110,12 @@
     last_fencing_number: u64,
 }
 
-/// A snapshot can't be read.
+/// The bytes of a snapshot can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidSnapshot;
 
 impl State {
-    /// An empty state that forgets claims `claim_retention_ms` after they were made.
+    /// Creates an empty state that drops claims `claim_retention_ms` after they were made.
     pub fn new(claim_retention_ms: u64) -> State {
         State { claims: Claims::new(claim_retention_ms), ..State::default() }
     }
@@ -135,7 +135,7 @@
         &self.claims
     }
 
-    /// Applies a command.
+    /// Applies a committed command.
     pub fn apply(&mut self, command: &Command) -> Reply {
         match command {
             Command::Patch(patch) => Reply::Patch(self.patch(patch)),
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The state as bytes.
+    /// Encodes the state.
     pub fn snapshot(&self) -> Vec<u8> {
         let answers = self.answer_order.iter().filter_map(|id| self.answers.get(id)).cloned();
         let contents = SnapshotContents {
@@ -164,14 +164,14 @@
             now_ms: self.claims.now_ms(),
             last_fencing_number: self.last_fencing_number,
         };
-        // Cannot fail: the image holds only types that the codec writes.
+        // Serializing these types to a vector cannot fail.
         postcard::to_stdvec(&contents).unwrap_or_default()
     }
 
-    /// Replaces the state by a snapshot's.
+    /// Replaces the state by that of a snapshot.
     ///
     /// # Errors
-    /// If the bytes are not a snapshot.
+    /// If the bytes can't be decoded.
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), InvalidSnapshot> {
         let contents: SnapshotContents =
             postcard::from_bytes(bytes).map_err(|_| InvalidSnapshot)?;
@@ -212,7 +212,9 @@
             return PatchAnswer::StaleBase(self.book.number());
         }
         let Ok(change) = serde_json::from_str::<Value>(&patch.text) else {
-            return PatchAnswer::Invalid(vec!["patch: not JSON; mend it".into()]);
+            return PatchAnswer::Invalid(vec![
+                "patch: not valid JSON; send a JSON merge patch".into(),
+            ]);
         };
         match self.book.patched(&change) {
             Ok(next) => {
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -1,4 +1,4 @@
-//! Entries, messages and durable records of the replicated log.
+//! Log entries, messages between replicas, and the state that a replica keeps on disk.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -7,92 +7,93 @@
 
 use crate::ids::NodeId;
 
-/// Counts elections. There is at most one leader in a term.
+/// Number of an election. Each term has at most one leader.
 pub type Term = u64;
-/// Position in the log, from 1.
+/// Position in the log, starting at 1.
 pub type Index = u64;
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position.
+    /// The entry's position in the log.
     pub index: Index,
-    /// The term of the leader that wrote it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// What it says.
+    /// The content.
     pub payload: Payload,
 }
 
-/// What an entry says.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a new leader's first entry, which commits those of earlier terms.
+    /// No operation. A new leader appends it in order to commit the entries of earlier terms.
     Noop,
-    /// Who the replicas are from here on.
+    /// A new set of replicas, in effect from this entry on.
     Members(Members),
     /// A command for the state machine.
     Command(Arc<Vec<u8>>),
 }
 
-/// The replicas.
+/// The set of replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
-    /// Replicas that vote and count for a quorum.
+    /// Replicas that vote and count towards a quorum.
     pub voters: BTreeSet<NodeId>,
-    /// Replicas that catch up before they count.
+    /// Replicas that receive the log but neither vote nor count towards a quorum.
     pub learners: BTreeSet<NodeId>,
 }
 
 impl Members {
-    /// Voters only.
+    /// A set of voters without learners.
     pub fn from_voters(voters: impl IntoIterator<Item = NodeId>) -> Members {
         Members { voters: voters.into_iter().collect(), learners: BTreeSet::new() }
     }
 
-    /// Voters needed for a decision.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Voters and learners.
+    /// All voters and learners.
     pub fn all(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 }
 
-/// The state at an index, in place of all entries up to it.
+/// The state machine's state at an index. It replaces all entries up to that index.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last entry that it contains.
+    /// The index of the last entry included.
     pub index: Index,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: Term,
-    /// The replicas at that index.
+    /// The set of replicas at that index.
     pub members: Members,
-    /// The state machine's state.
+    /// The encoded state.
     pub data: Arc<Vec<u8>>,
 }
 
-/// What must survive of elections.
+/// The election state that a replica keeps on disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
     /// The highest term seen.
     pub term: Term,
-    /// Whom this replica voted for in it.
+    /// The candidate that this replica voted for in that term.
     pub voted_for: Option<NodeId>,
-    /// The last leader that this replica acknowledged, or whom it voted for since, itself included: it alone
-    /// may still count on that, since votes are given only once nobody counts on an earlier leader.
+    /// The leader that this replica last acknowledged, or the candidate that it has voted for since; may be the
+    /// replica itself. No other replica can hold a lease that rests on an acknowledgement by this one, because it
+    /// votes only after the lease of the previous leader has expired.
     pub acknowledged_leader: Option<NodeId>,
 }
 
-/// What must be durable before late messages leave. Parts are written in the order of the fields.
+/// Changes to write to disk, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Persist {
-    /// The new vote.
+    /// The new election state.
     pub vote: Option<Vote>,
     /// A snapshot that replaces all entries up to its index.
     pub snapshot: Option<Snapshot>,
-    /// The first index whose entries are void.
+    /// Discards the entries from this index on.
     pub truncate_from: Option<Index>,
     /// Entries to append.
     pub append: Vec<Entry>,
@@ -108,110 +109,111 @@
 /// Messages between replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me in this term? Nothing changes by asking.
+    /// Asks whether the receiver would grant a vote. Does not change the receiver's state.
     PreVote {
-        /// The term that would be stood in.
+        /// The term that the candidate would start.
         term: Term,
-        /// The candidate's last index.
+        /// The index of the candidate's last entry.
         last_index: Index,
-        /// That entry's term.
+        /// The term of that entry.
         last_term: Term,
     },
-    /// Answer to `PreVote`.
+    /// Reply to `PreVote`.
     PreVoteReply {
-        /// The asked term if granted, else the sender's.
+        /// The requested term if granted, else the sender's term.
         term: Term,
-        /// Whether it would.
+        /// Whether the sender would grant its vote.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     RequestVote {
-        /// The term stood in.
+        /// The candidate's term.
         term: Term,
-        /// The candidate's last index.
+        /// The index of the candidate's last entry.
         last_index: Index,
-        /// That entry's term.
+        /// The term of that entry.
         last_term: Term,
     },
-    /// Answer to `RequestVote`.
+    /// Reply to `RequestVote`.
     VoteReply {
         /// The sender's term.
         term: Term,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries, or a heartbeat without any.
+    /// Replicates entries. Without entries it is a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
-        /// Index before the first entry.
+        /// The index of the entry before the first one sent.
         prev_index: Index,
-        /// Its term.
+        /// The term of that entry.
         prev_term: Term,
         /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
-        /// The leader's last index.
+        /// The index of the leader's last entry.
         last_index: Index,
-        /// Counts the leader's broadcasts, to confirm that it still leads.
+        /// The number of the leader's broadcast; replies to it confirm the leadership.
         round: u64,
-        /// The receiver's last answer that the leader had read, if it was sure to lead.
+        /// The last acknowledgement that the leader received from the receiver; `None` if the leader did not hold
+        /// its lease when it sent the message.
         round_ack: Option<RoundAck>,
     },
-    /// Answer to `Append`.
+    /// Reply to `Append` and `InstallSnapshot`.
     AppendReply {
         /// The sender's term.
         term: Term,
-        /// The last index that is durable and equal to the leader's, or why not.
+        /// The last index up to which the sender's durable log matches the leader's, or where the logs diverge.
         result: Result<Index, Mismatch>,
-        /// The round that is answered, and by which start of the sender.
+        /// The acknowledged round.
         round_ack: RoundAck,
     },
-    /// A snapshot, for a replica that is behind the leader's first entry.
+    /// Sends a snapshot to a replica that needs entries which the leader has already compacted.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
         /// The snapshot.
         snapshot: Snapshot,
-        /// The leader's last index.
+        /// The index of the leader's last entry.
         last_index: Index,
-        /// Counts the leader's broadcasts.
+        /// The number of the leader's broadcast.
         round: u64,
     },
-    /// The sender has started, and before that acknowledged the receiver as the leader. Does a process
-    /// that led still run?
+    /// Sent by a replica that has restarted to the leader that it acknowledged before: asks whether the
+    /// receiver may still hold a lease that rests on that acknowledgement.
     LeaseQuery {
-        /// Drawn at the start.
+        /// Random number of the sender's start.
         nonce: u64,
     },
-    /// Answer to `Started`: the sender has not led since its own start, so that the process that led is
-    /// gone, and nobody counts on what was acknowledged to it.
+    /// Reply to `LeaseQuery`: the sender's process has never been the leader, so any lease of an earlier
+    /// process on that node is gone.
     NoLease {
-        /// That of `Started`: the answer is later than the start.
+        /// The nonce of the `LeaseQuery`.
         nonce: u64,
     },
 }
 
 impl Message {
-    /// Whether only a leader sends it.
+    /// Whether only a leader sends this kind of message.
     pub fn is_from_leader(&self) -> bool {
         matches!(self, Message::Append { .. } | Message::InstallSnapshot { .. })
     }
 }
 
-/// A round of a leader's broadcasts that was answered.
+/// The acknowledgement of one round of a leader's broadcasts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoundAck {
-    /// Drawn by the replica that answered when it started: what it answered before is void.
+    /// Random number of the acknowledging replica's start. Acknowledgements from earlier starts are ignored.
     pub start_nonce: u64,
-    /// The round.
+    /// The acknowledged round; 0 if no round is acknowledged.
     pub round: u64,
 }
 
-/// The entry before the first one sent is missing or different.
+/// The receiver's entry before the first one sent is missing or has a different term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mismatch {
-    /// The last index at which the logs may still be equal.
+    /// The last index at which the logs may still match.
     pub hint: Index,
 }
