--- a/src/log/raft/entries.rs
+++ b/src/log/raft/entries.rs
@@ -5,17 +5,17 @@
 
 use crate::log::types::{Entry, Index, Members, Payload, Snapshot, Term};
 
-/// Most bytes of entries in one message.
+/// Payload bytes after which no further entry is added to a message.
 const BATCH_BYTES: usize = 1 << 20;
 
 /// A snapshot and the entries after it.
 ///
-/// Invariant: indexes are consecutive, from the snapshot's index + 1.
+/// Invariant: the entries' indexes are consecutive and start at the snapshot's index + 1.
 #[derive(Clone, Debug)]
 pub(super) struct Entries {
     snapshot: Option<Snapshot>,
     entries: VecDeque<Entry>,
-    /// The replicas before any `Members` entry and snapshot.
+    /// The set of replicas if there is neither a snapshot nor a `Members` entry.
     initial_members: Members,
 }
 
@@ -40,13 +40,13 @@
         self.snapshot_index() + self.entries.len() as Index
     }
 
-    /// Term and index of the last entry: the greater pair is the more up-to-date log.
+    /// Term and index of the last entry. Of two logs, the one with the greater pair is more up to date.
     pub(super) fn last(&self) -> (Term, Index) {
         let index = self.last_index();
         (self.term_at(index).unwrap_or(0), index)
     }
 
-    /// The term at an index; `None` if it is before the snapshot or after the end.
+    /// The term of the entry at an index; `None` if the index is before the snapshot or after the last entry.
     pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         let first = self.snapshot_index();
         if index == first {
@@ -71,7 +71,7 @@
         self.entries.iter().skip(skipped).take(count).cloned().collect()
     }
 
-    /// Entries from an index on that fit in one message.
+    /// The entries to send in one message, from an index on.
     pub(super) fn batch(&self, from: Index) -> Vec<Entry> {
         let skipped = from.saturating_sub(self.snapshot_index() + 1) as usize;
         let mut bytes = 0;
@@ -87,8 +87,8 @@
             .collect()
     }
 
-    /// The last index before `index` whose term differs from the one at it: where a leader that
-    /// disagrees at `index` should try next.
+    /// The last index before `index` with a different term: the follower's hint to a leader whose entry at `index`
+    /// has another term.
     pub(super) fn last_index_before_term_of(&self, index: Index) -> Index {
         let term = self.term_at(index);
         let mut hint = index;
@@ -98,7 +98,7 @@
         hint
     }
 
-    /// The replicas by the last `Members` entry.
+    /// The set of replicas according to the last `Members` entry.
     pub(super) fn members(&self) -> Members {
         let changed = self.entries.iter().rev().find_map(|entry| match &entry.payload {
             Payload::Members(members) => Some(members.clone()),
@@ -107,12 +107,13 @@
         changed.unwrap_or_else(|| self.members_before_entries())
     }
 
-    /// Index of the last `Members` entry; 0 if there is none after the snapshot.
+    /// The index of the last `Members` entry; 0 if there is none after the snapshot.
     pub(super) fn members_index(&self) -> Index {
         let changes = |entry: &&Entry| matches!(entry.payload, Payload::Members(_));
         self.entries.iter().rev().find(changes).map_or(0, |entry| entry.index)
     }
 
+    /// Replaces the entries up to `index` by a snapshot with `data`; `None` if there is no entry at `index`.
     pub(super) fn compact(&mut self, index: Index, data: Vec<u8>) -> Option<&Snapshot> {
         let term = self.term_at(index)?;
         let dropped = (index - self.snapshot_index()) as usize;
@@ -126,7 +127,7 @@
         self.snapshot.as_ref()
     }
 
-    /// Takes a leader's snapshot; entries after it stay if they follow on it.
+    /// Installs a leader's snapshot. Later entries are kept only if the log matches the snapshot at its index.
     pub(super) fn install(&mut self, snapshot: Snapshot) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             let dropped = snapshot.index - self.snapshot_index();
@@ -142,6 +143,7 @@
     }
 }
 
+/// The approximate size of an entry in a message.
 fn payload_bytes(entry: &Entry) -> usize {
     match &entry.payload {
         Payload::Command(command) => command.len(),
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -1,8 +1,8 @@
-//! Raft as a state machine without I/O: fed messages and time, it returns effects.
+//! Raft as a state machine without I/O: its inputs are messages and time, its outputs are effects.
 //!
-//! The caller takes the effects after each input or a few of them, sends `early` and applies what is
-//! committed. It makes `persist` durable, calls `saved`, and then sends `late`. Inputs go on meanwhile: what they
-//! need durable is handed out after that save.
+//! After one or more inputs the caller takes the effects. It sends `immediate_messages` and applies `committed` at
+//! once. It makes `persist` durable, calls `saved`, and then sends `messages_after_persist`. Inputs may continue
+//! during a save; the changes that they need to persist are returned after it.
 
 mod change;
 mod election;
@@ -30,48 +30,50 @@
 use round_times::RoundTimes;
 use save::Save;
 
-/// What of an election timeout is given up for clocks that run at different rates.
+/// The leader lease is shorter than the election timeout by one part in this many, because the clocks of the
+/// replicas may run at different rates.
 const CLOCK_DRIFT_DIVISOR: u32 = 10;
 
-/// Periods of the log.
+/// Timing of Raft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftTiming {
-    /// How often a leader sends heartbeats.
+    /// Interval between a leader's heartbeats.
     pub heartbeat_interval: Duration,
-    /// How long a replica waits for a leader before it stands; drawn between this and twice this.
+    /// Minimum time without contact to a leader after which a replica starts an election. The actual time is
+    /// random, between this and twice this.
     pub election_timeout: Duration,
 }
 
-/// What a replica finds on its disk.
+/// The state that a replica reads from its disk when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The vote.
+    /// The election state.
     pub vote: Vote,
     /// The snapshot.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// Whether synced bytes were lost, so that what this replica acknowledged may be missing.
+    /// Whether synced data was lost, so that entries which this replica acknowledged may be missing.
     pub has_lost_data: bool,
 }
 
-/// Names a read that waits for confirmation.
+/// Identifies a linearizable read.
 pub type ReadId = u64;
 
-/// What the caller must do.
+/// What the caller must do, in the order described at the top of this module.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effects {
-    /// Messages that may leave before `persist` is durable.
+    /// Messages that may be sent before `persist` is durable.
     pub immediate_messages: Vec<(NodeId, Message)>,
-    /// What must be durable first.
+    /// Changes to write to disk.
     pub persist: Persist,
-    /// Messages that may leave only then.
+    /// Messages that may be sent only once `persist` is durable.
     pub messages_after_persist: Vec<(NodeId, Message)>,
-    /// A snapshot that replaces the state machine's state.
+    /// A snapshot to replace the state machine's state with.
     pub restore: Option<Snapshot>,
-    /// Entries to apply, in order.
+    /// Committed entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be answered once the entry at the index is applied.
+    /// Confirmed reads. Each may be answered once the entry at its index is applied.
     pub reads: Vec<(ReadId, Index)>,
 }
 
@@ -82,62 +84,63 @@
     }
 }
 
-/// This replica does not lead.
+/// This replica is not the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotLeader {
-    /// Who does, as far as is known.
+    /// The current leader, if known.
     pub leader: Option<NodeId>,
 }
 
-/// One replica.
+/// The Raft state machine of one replica.
 #[derive(Clone, Debug)]
 pub struct Raft {
     id: NodeId,
     timing: RaftTiming,
     random: SmallRng,
-    /// Durable before any late message that depends on it leaves. The term never falls.
+    /// The newest election state, which may not be durable yet. The term never decreases.
     vote: Vote,
     log: Entries,
-    /// The replicas by the last `Members` entry in the log, committed or not.
+    /// The set of replicas according to the last `Members` entry in the log, committed or not.
     members: Members,
     role: Role,
     leader: Option<NodeId>,
-    /// When a leader was heard last; `None` while none counts on this replica. Starts at the start where
-    /// one may, so that a replica that forgot what it heard does not vote too early.
+    /// When a leader last contacted this replica; `None` if no leader can hold a lease that rests on this replica.
+    /// Initially the start time if a leader may hold such a lease, because contacts are not kept on disk.
     last_leader_contact: Option<BootTime>,
     restart: Restart,
-    /// Whether this process has led.
+    /// Whether this process has ever been the leader.
     has_led: bool,
-    /// When this replica last had all that its leader had committed by then.
+    /// Latest time as of which this replica is known to have all entries that were committed by then.
     caught_up_at: Option<BootTime>,
     round_times: RoundTimes,
     election_deadline: BootTime,
-    /// Never falls, and never passes the last index.
+    /// Never decreases, and never exceeds the last index.
     commit: Index,
-    /// Entries up to here were handed out. Never passes `commit`.
+    /// The last index that was returned in `Effects::committed`. Never exceeds `commit`.
     applied: Index,
-    /// Entries up to here are durable here, and the same as the log's.
+    /// Entries up to this index are durable on this replica's disk and unchanged in `log` since.
     persisted: Index,
-    /// The save that is under way.
+    /// The save that is running.
     save: Option<Save>,
-    /// The vote that is durable here.
+    /// The election state that is on disk.
     durable_vote: Vote,
-    /// How long the last save took.
+    /// Duration of the last save.
     last_save_duration: Duration,
-    /// Set while this replica waits for what comes of a vote that it gave, its own candidacy included.
+    /// Whether this replica has voted, for itself or another candidate, and does not know the outcome yet.
     awaits_vote_outcome: bool,
-    /// Candidacies without a winner since a leader was heard.
+    /// Elections that this replica has started, all without a winner, since it last led or heard from a leader.
     failed_elections: u32,
-    /// Set while synced bytes are known to be lost: no vote until caught up.
+    /// Set after a loss of synced data: the replica does not vote until it has caught up.
     recovering: Option<Recovering>,
-    /// Set for good once the disk has failed.
+    /// Whether the disk has failed. Never reset.
     stopped: bool,
     effects: Effects,
 }
 
+/// The state of a replica that catches up after a loss of synced data.
 #[derive(Clone, Copy, Debug)]
 struct Recovering {
-    /// The leader's last index at the first contact.
+    /// The leader's last index at the first contact: the replica has caught up once it is durable here.
     target_index: Option<Index>,
 }
 
@@ -151,62 +154,68 @@
 
 #[derive(Clone, Debug)]
 struct Leader {
-    /// The entry written on election; once it is committed, so is all before it.
+    /// The index of the no-op entry appended on election. Once it is committed, so are all earlier entries.
     noop_index: Index,
     progress: BTreeMap<NodeId, Progress>,
     heartbeat_at: BootTime,
     round: u64,
-    /// Rounds that no quorum has answered yet, with the time they were sent.
+    /// Rounds that no quorum has acknowledged yet, with the times at which they were sent.
     rounds: VecDeque<(u64, BootTime)>,
-    /// When the last round that a quorum answered was sent.
+    /// When the last round that a quorum acknowledged was sent.
     confirmed_at: BootTime,
     reads: Vec<PendingRead>,
     next_read_id: ReadId,
-    /// Whether entries or reads wait for a broadcast.
+    /// Whether entries or reads are waiting for the next broadcast.
     broadcast_due: bool,
 }
 
+/// A read that waits until a quorum has confirmed the leadership.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     id: ReadId,
+    /// The commit index when the read was requested.
     index: Index,
-    /// The round that confirms it; `None` until it is sent.
+    /// The round whose acknowledgement confirms the read; `None` until the next broadcast.
     round: Option<u64>,
 }
 
+/// A leader's view of another replica.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
+    /// The next index to send.
     next_index: Index,
+    /// The last index that is known to be durable on the replica and to match the leader's log.
     match_index: Index,
     acked_round: u64,
-    /// The last answer that was read.
+    /// The newest acknowledgement received.
     round_ack: Option<RoundAck>,
     snapshot_sent_at: Option<BootTime>,
 }
 
-/// What operators see of a replica.
+/// The status of a replica, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RaftStatus {
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// Whether it leads.
+    /// Whether it is the leader.
     pub is_leader: bool,
-    /// Who leads, as far as is known.
+    /// The current leader, if known.
     pub leader: Option<NodeId>,
     /// The commit index.
     pub commit: Index,
-    /// The last index.
+    /// The index of the last entry.
     pub last: Index,
-    /// The replicas.
+    /// The set of replicas.
     pub members: Members,
-    /// Whether it withholds votes until it has caught up.
+    /// Whether it does not vote because it is catching up after a loss of data.
     pub recovering: bool,
     /// Whether its disk has failed.
     pub stopped: bool,
 }
 
 impl Raft {
-    /// A replica as it starts. `members` counts only while nothing was ever written.
+    /// Creates the state machine of a replica that is starting. `members` is used only if neither the snapshot
+    /// nor the log specifies the set of replicas.
     pub fn new(
         id: NodeId,
         members: Members,
@@ -255,7 +264,7 @@
         raft
     }
 
-    /// Lets time pass.
+    /// Advances time: sends heartbeats and starts elections that are due.
     pub fn tick(&mut self, now: BootTime) {
         if self.stopped {
             return;
@@ -278,7 +287,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Processes a message from another replica.
     pub fn receive(&mut self, from: NodeId, message: Message, now: BootTime) {
         if self.stopped {
             return;
@@ -306,19 +315,19 @@
         }
     }
 
-    /// Appends a command. It is decided once its index is committed in the returned term.
+    /// Appends a command. It is committed once the entry at the returned index is committed with the returned term.
     ///
     /// # Errors
-    /// If this replica does not lead.
+    /// If this replica is not the leader.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), NotLeader> {
         let payload = Payload::Command(Arc::new(command));
         self.append_as_leader(payload)
     }
 
-    /// Starts a read of the newest state; `Effects::reads` tells when it may be answered.
+    /// Starts a linearizable read. `Effects::reads` contains it once it may be answered.
     ///
     /// # Errors
-    /// If this replica does not lead, or has committed nothing in its term yet.
+    /// If this replica is not the leader, or has not committed an entry of its term yet.
     pub fn read(&mut self) -> Result<ReadId, NotLeader> {
         let not_leader = NotLeader { leader: self.leader };
         let commit = self.commit;
@@ -333,8 +342,7 @@
         Ok(id)
     }
 
-    /// Takes everything that must be done now. While a save is under way nothing is to be saved, and
-    /// nothing sent late.
+    /// Takes the pending effects. While a save is running, `persist` and `messages_after_persist` are empty.
     pub fn take_effects(&mut self, now: BootTime) -> Effects {
         if let Role::Leader(leader) = &self.role
             && leader.broadcast_due
@@ -353,7 +361,7 @@
         effects
     }
 
-    /// Records that the disk has failed: this replica votes and acknowledges no more.
+    /// Records that the disk has failed: this replica no longer votes or acknowledges entries.
     pub fn disk_failed(&mut self) {
         self.stopped = true;
         self.save = None;
@@ -362,17 +370,17 @@
         self.effects = Effects::default();
     }
 
-    /// Replaces the entries up to `index`, which must be applied, by the state at it.
+    /// Replaces the entries up to `index`, which must be applied, by a snapshot of the state at that index.
     pub fn compact(&mut self, index: Index, data: Vec<u8>) {
         if index > self.applied || index <= self.log.snapshot_index() {
             return;
         }
         self.effects.persist.snapshot = self.log.compact(index, data).cloned();
-        // Entries that wait for the save before are in the snapshot.
+        // Unsaved entries up to the index are part of the snapshot.
         self.effects.persist.append.retain(|entry| entry.index > index);
     }
 
-    /// Whether this replica surely leads at `now`: nobody else can have been elected yet.
+    /// Whether this replica holds the leader lease at `now`: no other replica can have been elected yet.
     pub fn holds_leader_lease(&self, now: BootTime) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         let safe =
@@ -380,7 +388,8 @@
         self.commit >= leader.noop_index && now < leader.confirmed_at + safe
     }
 
-    /// When this replica last had all that was committed: a later read here may be older.
+    /// The latest time as of which this replica is known to have all entries that were committed by then;
+    /// `None` if there is none.
     pub fn caught_up_at(&self, now: BootTime) -> Option<BootTime> {
         match &self.role {
             Role::Leader(_) => self.holds_leader_lease(now).then_some(now),
@@ -388,7 +397,7 @@
         }
     }
 
-    /// The last index that was handed out to be applied.
+    /// The last index that was returned in `Effects::committed` or restored from a snapshot.
     pub fn applied(&self) -> Index {
         self.applied
     }
@@ -403,17 +412,17 @@
         self.log.range(self.log.snapshot_index() + 1, self.log.last_index())
     }
 
-    /// Index of the last snapshot.
+    /// The index of the last snapshot; 0 if there is none.
     pub fn snapshot_index(&self) -> Index {
         self.log.snapshot_index()
     }
 
-    /// The term.
+    /// The current term.
     pub fn term(&self) -> Term {
         self.vote.term
     }
 
-    /// What operators see.
+    /// The status, for operators.
     pub fn status(&self) -> RaftStatus {
         RaftStatus {
             term: self.vote.term,
@@ -427,6 +436,7 @@
         }
     }
 
+    /// Appends an entry if this replica is the leader.
     fn append_as_leader(&mut self, payload: Payload) -> Result<(Term, Index), NotLeader> {
         let not_leader = NotLeader { leader: self.leader };
         let term = self.vote.term;
@@ -457,7 +467,7 @@
             now + self.timing.election_timeout + self.timing.election_timeout.mul_f64(spread);
     }
 
-    /// Becomes a follower in `term`, of `leader` if one is known.
+    /// Becomes a follower in `term`, of `leader` if it is known.
     fn become_follower(&mut self, term: Term, leader: Option<NodeId>, now: BootTime) {
         if term > self.vote.term {
             self.vote = Vote { term, voted_for: None, ..self.vote };
