--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: the leader's broadcasts, the followers' answers, commits and reads.
+//! Replication: the leader's broadcasts, the followers' replies, commits and reads.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use crate::ids::NodeId;
 use crate::log::types::{Index, Message, Mismatch, Payload, RoundAck, Snapshot, Term};
 
-/// A snapshot is sent again if it was not acknowledged within this time.
+/// A snapshot is resent if it is not acknowledged within this time.
 const SNAPSHOT_RESEND: Duration = Duration::from_secs(2);
 
-/// Before the first round of any leader.
+/// The round in replies that acknowledge no round; a leader's first round is 1.
 const NO_ROUND: u64 = 0;
 
 impl Raft {
@@ -34,7 +34,7 @@
         for id in others {
             self.send_to(id, now);
         }
-        // A lone voter confirms itself.
+        // A single voter is its own quorum.
         self.confirm_rounds();
     }
 
@@ -71,7 +71,7 @@
             }
             (None, None) => return,
         };
-        // Early: a leader's own copy counts only once it is durable here too.
+        // May be sent before the entries are durable here: the leader counts its own copy only once it is.
         self.effects.immediate_messages.push((id, message));
     }
 
@@ -126,7 +126,7 @@
             self.members = self.log.members();
         }
         self.commit = self.commit.max(commit.min(equal_until));
-        // Until it has committed in its own term a leader may not know of all that was committed before.
+        // A leader that has not committed an entry of its own term may not know all committed entries.
         let knows_all = self.log.term_at(commit) == Some(term);
         if knows_all && self.commit >= commit {
             let round_ack =
@@ -159,7 +159,7 @@
             self.applied = index;
             self.effects.committed.clear();
             let persist = &mut self.effects.persist;
-            // Entries that were to be appended before are in the snapshot or void.
+            // Unsaved entries up to the index are part of the snapshot or discarded.
             persist.append.retain(|entry| follows_on && entry.index > index);
             if !follows_on {
                 persist.truncate_from = Some(persist.truncate_from.unwrap_or(0).max(index + 1));
@@ -171,7 +171,7 @@
         self.send_append_reply(from, Ok(index), round);
     }
 
-    /// Whether `from` leads in this term; answers it if not.
+    /// Follows `from` as the leader of `term` and returns true, or rejects its message if the term is outdated.
     fn accept_leader(
         &mut self,
         from: NodeId,
@@ -182,7 +182,7 @@
     ) -> bool {
         if term < self.vote.term {
             let hint = self.log.last_index();
-            // Its sender may lead again by now, and count rounds anew.
+            // The sender may be the leader of a later term by now, with a new count of rounds.
             self.send_append_reply(from, Err(Mismatch { hint }), NO_ROUND);
             return false;
         }
@@ -199,7 +199,7 @@
     }
 
     fn truncate_from(&mut self, index: Index) {
-        debug_assert!(index > self.commit, "a committed entry must never be void");
+        debug_assert!(index > self.commit, "a committed entry must never be discarded");
         self.log.truncate_from(index);
         self.discard_saved_from(index);
         let persist = &mut self.effects.persist;
@@ -208,8 +208,8 @@
         persist.truncate_from = Some(earlier.min(index));
     }
 
-    /// Answers a leader. What is acknowledged must be durable; that this replica still counts on the leader is said
-    /// at once, so that no leader is lost while disks are slow.
+    /// Replies to a leader. Entries are acknowledged only once they are durable. While others are unsaved, a reply for
+    /// those that are durable is sent at once, so that the leader keeps its lease while disks are slow.
     fn send_append_reply(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
         let term = self.vote.term;
         let round_ack = RoundAck { start_nonce: self.restart.nonce(), round };
@@ -268,7 +268,7 @@
         }
     }
 
-    /// Commits what a quorum has made durable, if it is of this term.
+    /// Commits the entries that are durable on a quorum, if the last of them is of this term.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let own = self.persisted;
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Finds the last round that a quorum answered, and releases the reads it confirms.
+    /// Finds the last round that a quorum has acknowledged, and adds the reads that it confirms to the effects.
     fn confirm_rounds(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round;
@@ -298,6 +298,7 @@
         leader.reads.retain(|read| !read.is_confirmed(confirmed));
     }
 
+    /// Steps down once this replica's removal from the voters is committed.
     fn step_down_if_removed(&mut self) {
         let removed = !self.members.voters.contains(&self.id);
         if removed && self.log.members_index() <= self.commit {
@@ -314,6 +315,7 @@
 }
 
 impl Leader {
+    /// Records that a quorum has acknowledged all rounds up to `confirmed`.
     fn confirm(&mut self, confirmed: u64) {
         while let Some((round, sent_at)) = self.rounds.front().copied()
             && round <= confirmed
@@ -324,7 +326,7 @@
     }
 }
 
-/// The highest value that at least a quorum of voters has reached.
+/// The highest value that at least a quorum of the voters has reached.
 fn quorum_value(
     voters: &std::collections::BTreeSet<NodeId>,
     quorum: usize,
--- a/src/log/raft/round_times.rs
+++ b/src/log/raft/round_times.rs
@@ -1,24 +1,25 @@
-//! Which of a leader's rounds a follower has answered, and when: a message that was sent after an answer was read
-//! is news as of that answer, however long it has been under way itself.
+//! When a follower received each round of its leader. A message that the leader sent after it received the
+//! acknowledgement of a round was sent after that time, however long the message itself was delayed.
 
 use std::collections::VecDeque;
 
 use crate::clock::BootTime;
 
-/// Rounds that are remembered: some seconds of heartbeats.
+/// Number of rounds that are kept: enough for several seconds of heartbeats.
 const MAX_ROUNDS: usize = 64;
 
-/// Rounds of the leader of one term that this process has answered, the last ones.
+/// The last rounds of the current term's leader that this process has acknowledged.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RoundTimes {
-    /// Each round with the time at which it first came, which is before any answer left. Rounds and times rise.
+    /// Each round with the time at which it was first received, which is before any acknowledgement of it was sent.
+    /// Rounds and times are ascending.
     rounds: VecDeque<(u64, BootTime)>,
-    /// The highest round that ever came.
+    /// The highest round received so far.
     highest: u64,
 }
 
 impl RoundTimes {
-    /// A round has come at `now`, and is answered. One that comes again, or late, counts no more.
+    /// Records that a round was received at `now`. Duplicate and reordered rounds are ignored.
     pub(super) fn record(&mut self, round: u64, now: BootTime) {
         if round <= self.highest {
             return;
@@ -30,7 +31,8 @@
         }
     }
 
-    /// A time before which a message was surely not sent, if its sender had read the answer to `answered`.
+    /// A lower bound on when a message was sent whose sender had received the acknowledgement of `acked_round`.
+    /// Drops the rounds up to it.
     pub(super) fn sent_after(&mut self, acked_round: u64) -> Option<BootTime> {
         let known = self.rounds.partition_point(|(round, _)| *round <= acked_round);
         self.rounds.drain(..known).next_back().map(|(_, at)| at)
