--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, and a fresh leader's first steps.
+//! Elections: pre-votes, votes, and the initial state of a leader.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,8 +10,8 @@
 use crate::log::types::{Index, Message, Payload, Term, Vote};
 
 impl Raft {
-    /// A voter may stand, and so may one whose removal is not known to be committed: its log may be the
-    /// only one that the others must not do without.
+    /// Whether this replica may start an election: as a voter, or as one whose removal is not known to be committed,
+    /// because its log may be the only complete one.
     pub(super) fn may_campaign(&self) -> bool {
         let is_voter = self.members.voters.contains(&self.id);
         let may_be_needed =
@@ -19,6 +19,7 @@
         (is_voter || may_be_needed) && self.recovering.is_none()
     }
 
+    /// Asks the other voters whether they would vote for this replica in the next term.
     pub(super) fn start_pre_vote(&mut self, now: BootTime) {
         if matches!(self.role, Role::Candidate { .. }) {
             self.failed_elections += 1;
@@ -32,7 +33,7 @@
         }
         let (last_term, last_index) = self.log.last();
         let term = self.vote.term + 1;
-        // Early: nothing is promised by asking.
+        // A pre-vote does not depend on durable state.
         let requests = self.messages_to_voters(Message::PreVote { term, last_index, last_term });
         self.effects.immediate_messages.extend(requests);
         self.count_pre_votes(now);
@@ -83,7 +84,7 @@
         last: (Term, Index),
         now: BootTime,
     ) {
-        // Leases rest on this: no other leader while the last one may still count on us.
+        // Leader leases depend on this: no vote while a leader may hold a lease that rests on this replica.
         if self.has_live_leader(now) {
             return;
         }
@@ -98,7 +99,7 @@
             && matches!(self.role, Role::Follower);
         if granted {
             self.vote.voted_for = Some(from);
-            // Nobody else counts on this replica by now, and so the first answer to it needs no write more.
+            // Every earlier lease has expired. With the vote, so that the first reply to the leader needs no write.
             self.vote.acknowledged_leader = Some(from);
             self.effects.persist.vote = Some(self.vote);
             self.awaits_vote_outcome = true;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Whether a leader was heard so recently that nobody else may be elected.
+    /// Whether a leader was in contact so recently that it may hold a lease.
     fn has_live_leader(&self, now: BootTime) -> bool {
         let is_live = |heard_at: BootTime| now < heard_at + self.timing.election_timeout;
         matches!(self.role, Role::Leader(_)) || self.last_leader_contact.is_some_and(is_live)
@@ -136,6 +137,7 @@
         }
     }
 
+    /// Becomes a candidate in the next term.
     fn start_election(&mut self, now: BootTime) {
         let (own, term) = (Some(self.id), self.vote.term + 1);
         self.vote = Vote { term, voted_for: own, acknowledged_leader: own };
@@ -146,7 +148,7 @@
         self.reset_election_deadline(now);
         let (last_term, last_index) = self.log.last();
         let term = self.vote.term;
-        // Late: the candidate's own vote must be durable before others count on it.
+        // The candidate's own vote must be durable before it requests others.
         let requests =
             self.messages_to_voters(Message::RequestVote { term, last_index, last_term });
         self.effects.messages_after_persist.extend(requests);
@@ -187,7 +189,7 @@
         debug_assert!(appended.is_ok(), "this replica has just become the leader");
     }
 
-    /// Records, durably before any answer leaves, on whom this replica's acknowledgements are counted.
+    /// Records the leader that this replica acknowledges, to be made durable before a reply is sent.
     pub(super) fn record_acknowledged_leader(&mut self, leader: NodeId) {
         if self.vote.acknowledged_leader != Some(leader) {
             self.vote.acknowledged_leader = Some(leader);
--- a/src/log/raft/restart.rs
+++ b/src/log/raft/restart.rs
@@ -1,10 +1,9 @@
-//! What a replica that starts again knows of the leader that it acknowledged before.
+//! Voting after a restart.
 //!
-//! A leader is sure to lead, and answers from its own state, for almost an election timeout after a quorum
-//! has acknowledged it. So a replica that has just started, and does not know when it acknowledged whom,
-//! must keep from voting for that long. Where all replicas were killed at once that would be the longest
-//! part of the outage (0.3 to 0.6 s of 0.5 s and more, measured). It ends as soon as the leader itself is
-//! known to have started again: a process that has ended holds no lease.
+//! A leader holds a lease, and answers reads from its own state, for almost an election timeout after a quorum
+//! has acknowledged it. The times of acknowledgements are not kept on disk, so a replica that has just started
+//! must not vote for an election timeout. The wait ends early once the acknowledged leader is known to have
+//! restarted as well, because a lease does not outlive its process.
 
 use std::time::Duration;
 
@@ -16,23 +15,24 @@
 use crate::ids::NodeId;
 use crate::log::types::Message;
 
-/// How often a replica that has just started asks the leader that it acknowledged: some round trips.
+/// Interval at which a restarted replica asks the leader that it acknowledged whether it may still hold a lease.
 const LEASE_QUERY_INTERVAL: Duration = Duration::from_millis(20);
-/// How soon a replica that led before its start asks for votes again: others start within some hundred
-/// milliseconds, and each must first hear that it has started.
+/// Interval at which a restarted leader repeats its pre-vote: the other replicas refuse it until they have
+/// started and received its `NoLease`.
 pub(super) const EARLY_CAMPAIGN_RETRY: Duration = Duration::from_millis(20);
 
-/// A replica's first moments.
+/// What a replica knows, after its start, of the leader before its start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Restart {
-    /// The leader that may count on what an earlier process of this replica acknowledged.
+    /// The leader that may hold a lease resting on an acknowledgement by an earlier process of this replica.
     lease_holder: Option<NodeId>,
-    /// Tells answers to this start from answers to earlier ones.
+    /// Random number of this start. Distinguishes replies to this process from replies to earlier ones.
     nonce: u64,
     queried_at: Option<BootTime>,
-    /// Whether this replica was itself the last leader that it knows of, and has heard no other since.
+    /// Whether this replica itself was the last leader or candidate that it acknowledged, and no leader has
+    /// contacted it since the start.
     was_leader: bool,
-    /// When nobody can count any more on what was acknowledged before the start.
+    /// When every lease that rests on an acknowledgement before the start has expired.
     lease_ends_at: BootTime,
 }
 
@@ -45,7 +45,7 @@
     ) -> Restart {
         let acknowledged = recovered.vote.acknowledged_leader;
         Restart {
-            // What a disk has lost may have been acknowledged to somebody else.
+            // After a loss of data, the recorded leader may not be the last one that was acknowledged.
             lease_holder: acknowledged.filter(|leader| *leader != id && !recovered.has_lost_data),
             nonce: random.random(),
             queried_at: None,
@@ -54,23 +54,24 @@
         }
     }
 
-    /// Drawn at this start.
+    /// Random number of this start.
     pub(super) fn nonce(&self) -> u64 {
         self.nonce
     }
 
-    /// When a leader must be taken to have been heard by an earlier process.
+    /// The time of the last contact to a leader to assume at the start; `None` if only this replica itself can have
+    /// held a lease that rests on its acknowledgements.
     pub(super) fn initial_leader_contact(&self, now: BootTime) -> Option<BootTime> {
         (!self.was_leader).then_some(now)
     }
 
-    /// Whether this replica stands at once: it led last, so it most likely has the newest log, and others
-    /// wait for the regular time, so that votes don't split.
+    /// Whether this replica may start an election without waiting for the election timeout. It was the last leader,
+    /// so its log is most likely up to date, and the other replicas do wait, so votes are unlikely to split.
     pub(super) fn may_campaign_early(&self, now: BootTime) -> bool {
         self.was_leader && now < self.lease_ends_at
     }
 
-    /// Whom to ask now whether a process that led still runs.
+    /// The leader to send a `LeaseQuery` to now, and the nonce to send; `None` if no query is due.
     pub(super) fn next_lease_query(&mut self, now: BootTime) -> Option<(NodeId, u64)> {
         let leader = self.lease_holder.filter(|_| now < self.lease_ends_at)?;
         if self.queried_at.is_some_and(|queried_at| now < queried_at + LEASE_QUERY_INTERVAL) {
@@ -80,7 +81,7 @@
         Some((leader, self.nonce))
     }
 
-    /// A leader was heard by this process: what was before does not matter any more.
+    /// Records that a leader has contacted this process, which makes the state before the start irrelevant.
     pub(super) fn on_leader_contact(&mut self) {
         self.lease_holder = None;
         self.was_leader = false;
@@ -96,7 +97,7 @@
 
     pub(super) fn on_no_lease(&mut self, from: NodeId, nonce: u64) {
         let restart = &mut self.restart;
-        // Later than this start, and so than all that was acknowledged before it.
+        // The nonce shows that the reply was sent after this start, and so after all earlier acknowledgements.
         if restart.nonce == nonce && restart.lease_holder == Some(from) {
             restart.lease_holder = None;
             self.last_leader_contact = None;
