--- a/src/log/raft/change.rs
+++ b/src/log/raft/change.rs
@@ -1,44 +1,44 @@
-//! Changes of the replicas, one at a time; a new replica learns first and counts only when it has
-//! caught up.
+//! Membership changes, one replica at a time. A new replica is a learner until it has caught up.
 
 use super::{NotLeader, Raft, Role};
 use crate::ids::NodeId;
 use crate::log::types::{Index, Payload, Term};
 
-/// A learner that lacks at most this many entries has caught up.
+/// A learner that is at most this many entries behind has caught up.
 const MAX_LEARNER_LAG: Index = 8;
 
-/// One change of the replicas.
+/// A change to the set of replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Change {
-    /// Adds a replica that does not count yet.
+    /// Adds a replica as a learner.
     AddLearner(NodeId),
-    /// Lets a learner that has caught up count.
+    /// Makes a learner that has caught up a voter.
     Promote(NodeId),
-    /// Takes a replica out.
+    /// Removes a voter or learner.
     Remove(NodeId),
 }
 
-/// Why a change is not accepted.
+/// Why a change was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader(NotLeader),
-    /// Another change is not committed yet, or the leader is new: try again.
+    /// Another change, or the leader's first entry, is not committed yet. The change may be retried.
     InProgress,
-    /// The learner has not caught up yet: try again.
+    /// The learner has not caught up yet. The change may be retried.
     NotCaughtUp,
-    /// It is a replica already, or none.
+    /// The node to add is already a replica, the node to promote is not a learner, or the node to remove is not a
+    /// replica.
     NotApplicable,
-    /// It is the last voter.
+    /// The last voter can't be removed.
     LastVoter,
 }
 
 impl Raft {
-    /// Proposes a change of the replicas.
+    /// Proposes a change to the set of replicas.
     ///
     /// # Errors
-    /// Why it is not accepted.
+    /// If the change is not accepted.
     pub fn propose_change(&mut self, change: Change) -> Result<(Term, Index), ChangeError> {
         let Role::Leader(leader) = &self.role else {
             return Err(ChangeError::NotLeader(NotLeader { leader: self.leader }));
