--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -1,4 +1,4 @@
-//! The actor around `Swim`: a UDP socket and a timer.
+//! The actor that runs `Swim` on a UDP socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
 use crate::route::targets::Leaving;
 
-/// Largest datagram that is read.
+/// Size of the receive buffer; longer datagrams are truncated, and then fail to open.
 const DATAGRAM_BYTES: usize = 60_000;
 
-/// What the rest of the node sees of membership.
+/// The state of membership that is shared with the rest of the node.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipView {
-    /// Nodes that are not taken for dead, this one first.
+    /// Nodes that are not considered dead, this one first.
     pub live: Vec<Member>,
-    /// Targets that other nodes saw leaving; whoever takes them empties the list.
+    /// Targets that other nodes reported as leaving, until the reader takes them.
     pub leaving_targets: Vec<Leaving>,
 }
 
-/// The actor.
+/// The membership actor.
 #[derive(xtra::Actor)]
 pub struct Membership {
     swim: Swim,
@@ -37,17 +37,17 @@
     view: Arc<Mutex<MembershipView>>,
 }
 
-/// Time passes.
+/// Advances time.
 pub struct Tick;
 
-/// A datagram came.
+/// A datagram was received.
 pub struct Datagram(pub Vec<u8>);
 
-/// This node saw a target leaving.
+/// This node has noticed that a target is leaving; the other nodes are told.
 pub struct AnnounceLeaving(pub Leaving);
 
 impl Membership {
-    /// The actor, not started yet.
+    /// Creates the actor without starting it.
     pub fn new(
         swim: Swim,
         socket: Arc<UdpSocket>,
@@ -67,11 +67,12 @@
             let Some(address) = address.filter(|_| !self.links.is_cut(to)) else { continue };
             let Ok(body) = postcard::to_stdvec(&packet) else { continue };
             let datagram = self.sealer.seal(to, &body);
-            // A lost datagram is what the probes are for.
+            // A send error is treated like a lost datagram.
             drop(self.socket.send_to(&datagram, address).await);
         }
     }
 
+    /// Updates the shared view and the addresses of the links.
     fn publish(&mut self) {
         let live = self.swim.live();
         for member in &live[1..] {
@@ -119,11 +120,11 @@
     }
 }
 
-/// Reads datagrams for as long as the actor lives.
+/// Passes received datagrams to the actor until it has stopped.
 pub async fn read_datagrams(socket: Arc<UdpSocket>, membership: Address<Membership>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
-        // An error here is an answer to an earlier datagram, for example a closed port.
+        // Errors here report on an earlier send, for example to a closed port.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         if membership.send(Datagram(buffer[..length].to_vec())).detach().await.is_err() {
             return;
@@ -131,6 +132,7 @@
     }
 }
 
+/// The nodes that were added or removed, as fields of the log line.
 fn membership_changes(before: &[Member], after: &[Member]) -> Vec<String> {
     let ids = |members: &[Member]| -> Vec<NodeId> { members.iter().map(|m| m.node).collect() };
     let (before, after) = (ids(before), ids(after));
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Membership: which nodes live, found by probing each other over UDP.
+//! Membership: which nodes are alive, detected by SWIM-like probes over UDP.
 
 pub mod actor;
 pub mod swim;
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -1,4 +1,4 @@
-//! SWIM-like membership as a state machine: probes, indirect probes, suspicion, refutation.
+//! SWIM-like membership as a state machine without I/O: probes, indirect probes, suspicion, refutation and gossip.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,109 +13,110 @@
 use crate::ids::{DomainId, NodeId};
 use crate::route::targets::Leaving;
 
-/// Nodes asked to probe one that did not answer.
+/// Number of nodes that are asked to probe a node that did not acknowledge a ping.
 const INDIRECT_PROBES: usize = 3;
-/// Items that travel in one packet.
+/// Maximum number of queued gossip items in one packet.
 const MAX_ITEMS_PER_PACKET: usize = 8;
-/// An item travels this often, times the logarithm of the number of nodes.
+/// An item is sent this many times, multiplied by log2 of the number of nodes.
 const RETRANSMIT_FACTOR: u32 = 3;
-/// A suspect that does not refute within this many probe periods is dead, at the least.
+/// A suspect that does not refute within this many probe intervals, multiplied by log2 of the number of nodes, is
+/// considered dead.
 const SUSPICION_FACTOR: u32 = 4;
-/// Every so many periods a dead node is probed too, so that a healed cut is noticed.
+/// Every so many probe periods a dead node is probed, so that the end of a network partition is noticed.
 const DEAD_PROBE_INTERVAL_PERIODS: u64 = 4;
 
-/// Counts a node's starts and refutations; a higher number is newer.
+/// Increases with each start and refutation of a node; reports with a higher number are newer.
 pub type NodeIncarnation = u64;
 
-/// Periods of membership.
+/// Timing of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SwimTiming {
-    /// How often a node probes another one.
+    /// Interval between a node's probes.
     pub probe_interval: Duration,
 }
 
-/// What is thought of a node.
+/// The status of a node. Of two reports with the same incarnation, the one with the greater status wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Status {
-    /// It answers.
+    /// It acknowledges pings.
     Alive,
-    /// It did not answer; it may still refute that.
+    /// It did not acknowledge a ping, and may still refute the suspicion.
     Suspect,
-    /// It is taken for dead.
+    /// It did not refute the suspicion in time.
     Dead,
 }
 
-/// A node as others know it.
+/// What nodes tell each other about a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The node.
     pub node: NodeId,
-    /// Where it is reached over TCP and UDP.
+    /// Its address for TCP and UDP.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// What `status` is about.
+    /// The incarnation that `status` refers to.
     pub incarnation: NodeIncarnation,
-    /// What is thought of it.
+    /// Its status.
     pub status: Status,
 }
 
-/// News that travel with probes.
+/// Information that is spread in the packets of probes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipItem {
-    /// Of a node.
+    /// The status of a node.
     Member(Member),
-    /// Of a target that leaves.
+    /// A target that is leaving.
     Leaving(Leaving),
 }
 
-/// A packet.
+/// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packet {
-    /// What it asks or answers.
+    /// The request or reply.
     pub body: Body,
-    /// News.
+    /// The gossip items that are sent along.
     pub items: Vec<GossipItem>,
 }
 
-/// What a packet asks or answers.
+/// The request or reply in a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Do you live?
+    /// Asks for an `Ack`.
     Ping {
-        /// Names the probe.
+        /// The sender's number for the probe.
         probe: u64,
     },
-    /// I do.
+    /// Reply to `Ping`, also passed on to the sender of a `PingRequest`.
     Ack {
-        /// The probe.
+        /// The number from the `Ping` or `PingRequest`.
         probe: u64,
     },
-    /// Please ask that node for me.
+    /// Asks the receiver to ping another node and to pass on its `Ack`.
     PingRequest {
-        /// Names the probe.
+        /// The sender's number for the probe.
         probe: u64,
-        /// The node to ask.
+        /// The node to ping.
         target: NodeId,
     },
 }
 
-/// What one node knows of all others.
+/// The membership state machine of one node.
 #[derive(Clone, Debug)]
 pub struct Swim {
     local: Member,
     timing: SwimTiming,
     random: SmallRng,
     members: BTreeMap<NodeId, MemberState>,
-    /// Nodes still to be probed in this round, in random order.
+    /// Nodes that are still to be probed in this round, in random order.
     probe_order: Vec<NodeId>,
     probe: Option<Probe>,
     last_probe_number: u64,
     period_count: u64,
     period_ends_at: BootTime,
-    /// Probes made for others: our number, who asked, and its number.
+    /// Probes on behalf of other nodes: this node's number, the requesting node, and its number.
     relayed_probes: Vec<(u64, NodeId, u64)>,
-    /// News with the number of packets that still carry each.
+    /// Gossip items, each with the number of times that it is still to be sent.
     gossip_queue: Vec<(GossipItem, u32)>,
     leaving_targets: Vec<Leaving>,
 }
@@ -123,7 +124,7 @@
 #[derive(Clone, Debug)]
 struct MemberState {
     member: Member,
-    /// When a suspect is taken for dead.
+    /// When the node is considered dead if it is still a suspect.
     suspicion_ends_at: BootTime,
 }
 
@@ -131,14 +132,14 @@
 struct Probe {
     number: u64,
     target: NodeId,
-    /// When others are asked to probe it.
+    /// When other nodes are asked to probe the target.
     indirect_at: BootTime,
     sent_indirect: bool,
 }
 
 impl Swim {
-    /// A node that has just started and knows `seeds`, which count as alive until they don't
-    /// answer. `me.incarnation` must be greater than at any earlier start.
+    /// Creates the state of a node that is starting. The `seeds` are considered alive until a probe of them fails.
+    /// `local.incarnation` must be greater than at any earlier start.
     pub fn new(
         local: Member,
         seeds: Vec<Member>,
@@ -169,19 +170,19 @@
         swim
     }
 
-    /// All nodes that are not taken for dead, this one first.
+    /// All nodes that are not considered dead, this one first.
     pub fn live(&self) -> Vec<Member> {
         let others = self.members.values().map(|known| &known.member);
         let live = others.filter(|member| member.status != Status::Dead);
         std::iter::once(&self.local).chain(live).cloned().collect()
     }
 
-    /// All other nodes that are known, dead ones too.
+    /// All other known nodes, including dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|known| &known.member)
     }
 
-    /// What is thought of a node.
+    /// The status of a node; `None` if it is unknown.
     pub fn status(&self, node: NodeId) -> Option<Status> {
         if node == self.local.node {
             return Some(Status::Alive);
@@ -189,17 +190,17 @@
         self.members.get(&node).map(|known| known.member.status)
     }
 
-    /// Spreads the news that a target leaves.
+    /// Tells the other nodes that a target is leaving.
     pub fn announce_leaving(&mut self, leaving: Leaving) {
         self.enqueue_gossip(GossipItem::Leaving(leaving));
     }
 
-    /// Targets that other nodes saw leaving, since the last call.
+    /// Takes the targets that other nodes have reported as leaving since the last call.
     pub fn take_leaving_targets(&mut self) -> Vec<Leaving> {
         std::mem::take(&mut self.leaving_targets)
     }
 
-    /// Lets time pass. Returns packets to send.
+    /// Advances time. Returns packets to send.
     pub fn tick(&mut self, now: BootTime) -> Vec<(NodeId, Packet)> {
         let mut out = Vec::new();
         self.expire_suspects(now);
@@ -224,7 +225,7 @@
         out
     }
 
-    /// Takes a packet. Returns packets to send.
+    /// Processes a packet. Returns packets to send.
     pub fn receive(
         &mut self,
         from: NodeId,
@@ -247,7 +248,7 @@
             Body::PingRequest { probe, target } => {
                 let number = self.take_probe_number();
                 self.relayed_probes.push((number, from, probe));
-                // Requests of which no answer came are forgotten, oldest first.
+                // The oldest requests are dropped; their targets have most likely not replied.
                 if self.relayed_probes.len() > 64 {
                     self.relayed_probes.remove(0);
                 }
@@ -272,7 +273,7 @@
         vec![(requester, self.packet(Body::Ack { probe: number }))]
     }
 
-    /// A node that others suspect must hear of it soon, so that it can refute.
+    /// A packet that tells a node that it is considered suspect or dead, so that it can refute that.
     fn notify_if_suspected(&mut self, node: NodeId) -> Option<(NodeId, Packet)> {
         let member = &self.members.get(&node)?.member;
         if member.status == Status::Alive {
@@ -294,12 +295,13 @@
             (!is_dead).then_some(Probe { number, target, indirect_at, sent_indirect: false });
         let mut packet = self.packet(Body::Ping { probe: number });
         if is_dead && let Some(known) = self.members.get(&target) {
-            // It learns that it is taken for dead, and refutes.
+            // Tells the node that it is considered dead, so that it can refute that.
             packet.items.insert(0, GossipItem::Member(known.member.clone()));
         }
         Some((target, packet))
     }
 
+    /// The next node to probe; `None` if there is no other node.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.period_count.is_multiple_of(DEAD_PROBE_INTERVAL_PERIODS) {
             let dead = self.nodes_with_status(|status| status == Status::Dead);
@@ -317,6 +319,7 @@
         self.probe_order.pop()
     }
 
+    /// Random live nodes to send a `PingRequest` to.
     fn pick_indirect_probers(&mut self, except: NodeId) -> Vec<NodeId> {
         let mut alive = self.nodes_with_status(|status| status == Status::Alive);
         alive.retain(|node| *node != except);
@@ -352,6 +355,7 @@
         }
     }
 
+    /// Applies a report about a node if it is newer than what is known, and spreads it.
     fn apply_member_update(&mut self, update: Member, now: BootTime) {
         if update.node == self.local.node {
             self.refute(&update);
@@ -372,6 +376,7 @@
         }
     }
 
+    /// Refutes a report that this node is suspect or dead, with a higher incarnation.
     fn refute(&mut self, update: &Member) {
         let must_refute =
             update.status != Status::Alive && update.incarnation >= self.local.incarnation;
@@ -389,6 +394,7 @@
         }
     }
 
+    /// Queues an item; an item about a node replaces a queued one about the same node.
     fn enqueue_gossip(&mut self, item: GossipItem) {
         let about = |item: &GossipItem| match item {
             GossipItem::Member(member) => Some(member.node),
@@ -400,7 +406,7 @@
         self.gossip_queue.push((item, transmissions));
     }
 
-    /// A packet with the news that travelled least.
+    /// Creates a packet with the queued items that are still to be sent most often.
     fn packet(&mut self, body: Body) -> Packet {
         self.gossip_queue.sort_by_key(|(_, remaining)| std::cmp::Reverse(*remaining));
         let mut items = Vec::new();
@@ -409,7 +415,7 @@
             *remaining -= 1;
         }
         self.gossip_queue.retain(|(_, remaining)| *remaining > 0);
-        // This node's own existence always travels: a node that restarted learns of it so.
+        // With nothing queued, the packet still announces this node, so that restarted nodes learn of it.
         if items.is_empty() {
             items.push(GossipItem::Member(self.local.clone()));
         }
@@ -421,6 +427,7 @@
         self.last_probe_number
     }
 
+    /// The logarithm of the number of nodes, at least 1.
     fn log2_node_count(&self) -> u32 {
         (self.members.len() as u32 + 2).ilog2().max(1)
     }
