--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,18 +1,18 @@
-//! Time sources. Decisions never read a clock; they are fed `now`.
+//! Clocks. Decision logic does not read them; it gets the time as a parameter.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Time since this host booted. It runs on through a freeze or suspend of the process or host,
-/// which `Instant` does not promise, so leases are measured on it.
+/// Time since this host booted. Leases are measured with it because, unlike `Instant`, it is guaranteed to
+/// include the time during which the host is suspended.
 pub type BootTime = Duration;
 
-/// Reads the boot clock.
+/// The current boot time.
 pub fn boot_now() -> BootTime {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Wall-clock time as milliseconds since the Unix epoch; 0 if the clock is set before it.
+/// The wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set to an earlier time.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,4 +1,4 @@
-//! What a process is told about its host when it starts.
+//! Settings of a process that depend on its host, read at the start.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -7,60 +7,60 @@
 use crate::ids::DomainId;
 use crate::scheduler::weights::OldWeights;
 
-/// Settings of one process, whatever wrote them.
+/// Settings of one process, independent of the format that they are read from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostSettings {
-    /// The host's name, for logs.
+    /// The host's name, used in logs.
     pub name: String,
     /// The host's address.
     pub ip: IpAddr,
     /// The host's failure domain.
     pub failure_domain: DomainId,
-    /// Where callers are served, on an entry.
+    /// Address of the server for callers, on an entry.
     pub callers_address: Option<SocketAddr>,
-    /// Where an entry tells whether it takes new callers.
+    /// Address of the readiness check, on an entry.
     pub readiness_address: Option<SocketAddr>,
-    /// Where operators are served, on a replica.
+    /// Address of the server for operators, on a replica.
     pub operators_address: Option<SocketAddr>,
-    /// Where the system's own processes reach each other; the same on all hosts.
+    /// Port for connections between processes of the system; the same on all hosts.
     pub peer_port: u16,
-    /// Where metrics are served; the same on all hosts.
+    /// Port of the metrics server; the same on all hosts.
     pub metrics_port: u16,
-    /// Operators' addresses of some replicas; they may be stale.
+    /// Operator addresses of some replicas, which may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, with empty disks.
+    /// Whether the whole system is started for the first time, with empty disks.
     pub is_first_start: bool,
-    /// Memory that the process may use.
+    /// Maximum memory use of the process.
     pub memory_limit_bytes: u64,
-    /// Descriptors that the process may use.
+    /// Maximum number of open file descriptors.
     pub file_descriptor_limit: u64,
-    /// Folder for durable state, where the host has a disk.
+    /// Folder for durable state; `None` on a host without a disk.
     pub data_folder: Option<PathBuf>,
-    /// Where the platform lists targets.
+    /// Address of the platform's list of targets.
     pub target_list: Option<SocketAddr>,
-    /// Reads of that list a second that are allowed, for all hosts together.
+    /// Maximum rate of reads of that list, summed over all hosts.
     pub target_list_reads_per_s: f64,
-    /// Periods that hold on all hosts.
+    /// Durations that apply to all hosts.
     pub periods: Periods,
-    /// Hosts with a disk that may be lost at once.
+    /// Number of hosts with a disk that may fail at the same time.
     pub tolerated_losses: usize,
-    /// Retries allowed for each request to a service, over all hosts.
+    /// Maximum ratio of retries to requests of a service, over all hosts.
     pub retry_ratio: f64,
-    /// Retries of a service allowed beyond that in each window, over all hosts.
+    /// Retries of a service allowed in each window in addition to that ratio, over all hosts.
     pub retry_slack: f64,
 }
 
-/// Periods that hold on all hosts.
+/// Durations that apply to all hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Periods {
-    /// Time between the request to stop and the kill.
+    /// Time between the request to stop a process and its forced termination.
     pub shutdown_grace: Duration,
-    /// Orders of two hosts to one engine must be at least this far apart.
+    /// Minimum time between the orders of two different hosts to the same engine.
     pub min_order_interval: Duration,
-    /// How long prompts may begin on older weights.
+    /// How long prompts may still start on older weights.
     pub old_weights: OldWeights,
-    /// The window in which retries are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// How long after its acknowledgement a deployment may take to be in force; `None` if nothing is promised.
+    /// Maximum time from the acknowledgement of a deployment until it is in force; `None` if there is no limit.
     pub config_apply_limit: Option<Duration>,
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,46 +1,46 @@
-//! Aliases for the identifiers used across modules.
+//! Types of the identifiers that are used across modules.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A node of this system; chosen by the operator, never used again for another host.
+/// Identifies a node. Chosen by the operator, and never reused for another host.
 pub type NodeId = u64;
-/// A client account.
+/// Identifies a client account.
 pub type AccountId = String;
-/// A kind of request, for example `diagnosis`.
+/// Name of a kind of request, for example `diagnosis`.
 pub type KindId = String;
-/// A model as callers name it.
+/// Name of a model, as used by callers.
 pub type ModelId = String;
-/// A version of a model's weights.
+/// Identifies a version of a model's weights.
 pub type WeightVersion = String;
-/// A plain service as callers name it.
+/// Name of a plain service, as used by callers.
 pub type ServiceId = String;
-/// A target: a model engine, a store or an instance of a plain service.
+/// Identifies a target: a model engine, a store or an instance of a plain service.
 pub type TargetId = String;
 
-/// When something started, in Unix milliseconds of its own clock.
+/// The time at which a process started, called its birth: milliseconds since the Unix epoch on its own host's clock.
 pub type BirthMs = i64;
 
-/// One start of a target. A target may start again under the id that it had, and then holds and
-/// knows nothing of before: whatever is believed of a target is believed of one start of it.
+/// One start of a target. A target that restarts keeps its id but loses its state, so information about a target
+/// always refers to one start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TargetStart {
     /// The target.
     pub id: TargetId,
-    /// `None` where births aren't told. Names the start, and says nothing about which of two starts is
-    /// the later one: clocks go back.
+    /// When the target started; `None` if it is not reported. Only compared for equality: clocks may be set
+    /// back, so the greater of two births is not necessarily the later one.
     pub born_ms: Option<BirthMs>,
 }
 
 impl TargetStart {
-    /// Whether what tells this birth, or none, may be of this start.
+    /// Whether information with this birth, or without one, may refer to this start.
     pub fn may_match_birth(&self, born_ms: Option<BirthMs>) -> bool {
         may_be_same_birth(self.born_ms, born_ms)
     }
 }
 
-/// Whether two births may be one: they differ only if both are told.
+/// Whether two births may belong to the same start. An unknown birth matches any.
 pub fn may_be_same_birth(one: Option<BirthMs>, other: Option<BirthMs>) -> bool {
     one.is_none() || other.is_none() || one == other
 }
@@ -54,15 +54,15 @@
     }
 }
 
-/// Counts the starts of one target; a larger number is a later start.
+/// Number of a target's start; a greater number is a later start.
 pub type Incarnation = u64;
-/// The caller's id for a request, unique within its account.
+/// The caller's id for a request, unique within the account.
 pub type RequestId = String;
-/// A failure domain.
+/// Identifies a failure domain.
 pub type DomainId = String;
-/// Counts the dispatches of one request, from 1.
+/// Number of a dispatch of a request, starting at 1.
 pub type Attempt = u32;
-/// A number of the configuration. An accepted number is final.
+/// Number of a version of the configuration. The content of an accepted number never changes.
 pub type ConfigNumber = u64;
-/// Hash of a chain of prompt blocks: names one prefix of one account, model and weight version.
+/// Hash of a chain of prompt blocks. Identifies a prefix of a prompt for one account, model and weight version.
 pub type BlockKey = u128;
