--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -115,7 +115,7 @@
             http::set_header(&mut response, "etag", &format!("\"{number}\""));
             response
         }
-        PatchAnswer::StaleBase(current) => {
+        PatchAnswer::BaseMismatch(current) => {
             let message = format!(
                 "another patch was accepted first; read number {current}, then send yours with \
                  If-Match: \"{current}\" and a new Idempotency-Key"
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -67,8 +67,8 @@
 pub enum PatchAnswer {
     /// The patch was accepted as this configuration number.
     Accepted(ConfigNumber),
-    /// The patch was made against an older configuration; this is the current number.
-    StaleBase(ConfigNumber),
+    /// The patch was not made against the current configuration, which has this number.
+    BaseMismatch(ConfigNumber),
     /// The patched configuration would be invalid, for these reasons.
     Invalid(Vec<String>),
     /// The patch id was already used for a different patch.
@@ -209,7 +209,7 @@
 
     fn try_patch(&mut self, patch: &Patch) -> PatchAnswer {
         if patch.base != self.book.number() {
-            return PatchAnswer::StaleBase(self.book.number());
+            return PatchAnswer::BaseMismatch(self.book.number());
         }
         let Ok(change) = serde_json::from_str::<Value>(&patch.text) else {
             return PatchAnswer::Invalid(vec![
--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -21,7 +21,7 @@
 fn of_two_racing_operators_exactly_one_wins() {
     let mut state = State::new(1_000);
     assert_eq!(patch(&mut state, "a", 0, &kind(1)), PatchAnswer::Accepted(1));
-    assert_eq!(patch(&mut state, "b", 0, &kind(2)), PatchAnswer::StaleBase(1));
+    assert_eq!(patch(&mut state, "b", 0, &kind(2)), PatchAnswer::BaseMismatch(1));
     assert_eq!(state.config().config.kinds["k"].priority, 1);
 }
 
