--- a/src/log/disk.rs
+++ b/src/log/disk.rs
@@ -83,8 +83,8 @@
             .map_err(failed)?;
         let (records, valid_bytes) = read_records(&mut log).map_err(failed)?;
         let (marked_bytes, marked_lost) = read_mark(&mark);
-        let was_used = snapshot.is_some() || !records.is_empty() || marked_bytes > 0;
-        let is_vote_missing = vote.is_none() && was_used;
+        let holds_state = snapshot.is_some() || !records.is_empty() || marked_bytes > 0;
+        let is_vote_missing = vote.is_none() && holds_state;
         if is_vote_missing {
             let reason = format!("{} holds a log but no valid vote", folder.display());
             let remedy = "replace this replica by one with a new node_id and an empty folder";
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -62,8 +62,9 @@
                 }
             }
             (None, Some(snapshot)) => {
-                let waits = progress.snapshot_sent_at.is_some_and(|at| now < at + SNAPSHOT_RESEND);
-                if waits {
+                let snapshot_pending =
+                    progress.snapshot_sent_at.is_some_and(|at| now < at + SNAPSHOT_RESEND);
+                if snapshot_pending {
                     return;
                 }
                 progress.snapshot_sent_at = Some(now);
@@ -104,7 +105,7 @@
             self.send_append_reply(from, Err(Mismatch { hint }), round);
             return;
         }
-        let equal_until = prev_index + entries.len() as Index;
+        let matched_until = prev_index + entries.len() as Index;
         let mut members_changed = false;
         for entry in entries {
             if entry.index <= self.log.snapshot_index() {
@@ -125,17 +126,17 @@
         if members_changed {
             self.members = self.log.members();
         }
-        self.commit = self.commit.max(commit.min(equal_until));
+        self.commit = self.commit.max(commit.min(matched_until));
         // A leader that has not committed an entry of its own term may not know all committed entries.
-        let knows_all = self.log.term_at(commit) == Some(term);
-        if knows_all && self.commit >= commit {
+        let leader_knows_committed = self.log.term_at(commit) == Some(term);
+        if leader_knows_committed && self.commit >= commit {
             let round_ack =
                 round_ack.filter(|round_ack| round_ack.start_nonce == self.restart.nonce());
             let sent_after =
                 round_ack.and_then(|round_ack| self.round_times.sent_after(round_ack.round));
             self.caught_up_at = self.caught_up_at.max(sent_after);
         }
-        self.send_append_reply(from, Ok(equal_until.max(self.log.snapshot_index())), round);
+        self.send_append_reply(from, Ok(matched_until.max(self.log.snapshot_index())), round);
     }
 
     pub(super) fn on_snapshot(
@@ -152,7 +153,7 @@
         }
         let index = snapshot.index;
         if index > self.commit {
-            let follows_on = self.log.term_at(index) == Some(snapshot.term);
+            let log_matches = self.log.term_at(index) == Some(snapshot.term);
             self.log.install(snapshot.clone());
             self.members = self.log.members();
             self.commit = index;
@@ -160,8 +161,8 @@
             self.effects.committed.clear();
             let persist = &mut self.effects.persist;
             // Unsaved entries up to the index are part of the snapshot or discarded.
-            persist.append.retain(|entry| follows_on && entry.index > index);
-            if !follows_on {
+            persist.append.retain(|entry| log_matches && entry.index > index);
+            if !log_matches {
                 persist.truncate_from = Some(persist.truncate_from.unwrap_or(0).max(index + 1));
                 self.discard_saved_from(1);
             }
@@ -249,7 +250,7 @@
         if !progress.round_ack.is_some_and(is_late) {
             progress.round_ack = Some(round_ack);
         }
-        let behind = match result {
+        let is_behind = match result {
             Ok(index) => {
                 progress.snapshot_sent_at = None;
                 progress.match_index = progress.match_index.max(index.min(last));
@@ -263,7 +264,7 @@
         };
         self.confirm_rounds();
         self.advance_commit();
-        if behind {
+        if is_behind {
             self.send_to(from, now);
         }
     }
@@ -300,8 +301,8 @@
 
     /// Steps down once this replica's removal from the voters is committed.
     fn step_down_if_removed(&mut self) {
-        let removed = !self.members.voters.contains(&self.id);
-        if removed && self.log.members_index() <= self.commit {
+        let is_removed = !self.members.voters.contains(&self.id);
+        if is_removed && self.log.members_index() <= self.commit {
             self.role = Role::Follower;
             self.leader = None;
         }
--- a/src/log/raft/round_times.rs
+++ b/src/log/raft/round_times.rs
@@ -34,7 +34,7 @@
     /// A lower bound on when a message was sent whose sender had received the acknowledgement of `acked_round`.
     /// Drops the rounds up to it.
     pub(super) fn sent_after(&mut self, acked_round: u64) -> Option<BootTime> {
-        let known = self.rounds.partition_point(|(round, _)| *round <= acked_round);
-        self.rounds.drain(..known).next_back().map(|(_, at)| at)
+        let dropped_count = self.rounds.partition_point(|(round, _)| *round <= acked_round);
+        self.rounds.drain(..dropped_count).next_back().map(|(_, at)| at)
     }
 }
--- a/src/log/raft/save.rs
+++ b/src/log/raft/save.rs
@@ -76,7 +76,8 @@
 
     /// Whether the candidate that this replica has voted for may still win the election.
     pub(super) fn candidate_may_win(&self, now: BootTime) -> bool {
-        let waits = !matches!(self.role, Role::PreCandidate { .. }) && self.awaits_vote_outcome;
-        waits && (now < self.election_deadline || !self.is_vote_durable())
+        let awaits_outcome =
+            !matches!(self.role, Role::PreCandidate { .. }) && self.awaits_vote_outcome;
+        awaits_outcome && (now < self.election_deadline || !self.is_vote_durable())
     }
 }
