--- a/src/log/raft/election.rs
+++ b/src/log/raft/election.rs
@@ -99,7 +99,8 @@
             && matches!(self.role, Role::Follower);
         if granted {
             self.vote.voted_for = Some(from);
-            // Every earlier lease has expired. With the vote, so that the first reply to the leader needs no write.
+            // Saved together with the vote, so that the first reply to a new leader needs no further write. No lease of
+            // an earlier leader rests on this replica any more.
             self.vote.acknowledged_leader = Some(from);
             self.effects.persist.vote = Some(self.vote);
             self.awaits_vote_outcome = true;
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -14,7 +14,7 @@
 const NO_ROUND: u64 = 0;
 
 impl Raft {
-    /// Sends entries or a heartbeat to every other replica.
+    /// Sends entries, a snapshot or a heartbeat to every other replica.
     pub(super) fn broadcast(&mut self, now: BootTime) {
         let members = self.members.clone();
         let Role::Leader(leader) = &mut self.role else { return };
@@ -172,7 +172,7 @@
         self.send_append_reply(from, Ok(index), round);
     }
 
-    /// Follows `from` as the leader of `term` and returns true, or rejects its message if the term is outdated.
+    /// Follows `from` as the leader of `term`. If the term is outdated, rejects the message instead and returns false.
     fn accept_leader(
         &mut self,
         from: NodeId,
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -82,7 +82,7 @@
     Patch(PatchAnswer),
     /// The result of `Command::Claim`.
     Claim(ClaimAnswer),
-    /// The result of `Command::Release` or `Command::Record`: whether the sender held the claim.
+    /// The result of `Command::Release` or `Command::Record`: whether the claim was the sender's.
     Done(bool),
     /// The result of `Command::Fence`: the allocated fencing number.
     Fence(u64),
