--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -43,8 +43,10 @@
 
 /// Replicas are a millisecond apart; a slow sync takes tens of them. A leader is missed after 0.3 s,
 /// and a new one leads 0.6 s later at the latest: callers of hosts that start anew wait for it.
-const TIMING: RaftTiming =
-    RaftTiming { heartbeat: Duration::from_millis(75), election: Duration::from_millis(300) };
+const TIMING: RaftTiming = RaftTiming {
+    heartbeat_interval: Duration::from_millis(75),
+    election_timeout: Duration::from_millis(300),
+};
 /// Entries after which a snapshot replaces them: each may hold a whole deployment of some hundred
 /// kilobytes, and a disk some hundred megabytes.
 const SNAPSHOT_EVERY: Index = 256;
@@ -111,7 +113,7 @@
     });
     tasks.spawn("operators", operators.accept(listen(operators_address).await?));
     if let Some(address) = host.target_list {
-        let list = ListAddress { address, rate_per_s: host.target_list_rate };
+        let list = ListAddress { address, rate_per_s: host.target_list_reads_per_s };
         tasks.spawn(
             "target_list",
             roster_reader::run(shared.clone(), host.ip, list, metrics.clone()),
@@ -123,7 +125,7 @@
     let recording =
         age_recorder::keep_recording(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
-    let apart = host.periods.order_lease;
+    let apart = host.periods.min_order_interval;
     let ordering = Rc::new(Ordering {
         shared: shared.clone(),
         scheduling: scheduling.clone(),
@@ -184,7 +186,7 @@
             }
         };
         is_first = false;
-        let members = Members::of(identity.founders.keys().copied());
+        let members = Members::from_voters(identity.founders.keys().copied());
         let seed = rand::rng().random();
         let raft = Raft::new(identity.node, members, TIMING, recovered, seed, boot_now());
         let start = Start {
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated log: our own consensus, its storage, and the final state that it carries.
+//! The replicated log: Raft consensus, its durable storage, and the replicated state machine.
 
 pub mod disk;
 pub mod driver;
@@ -6,4 +6,4 @@
 pub mod state;
 pub mod types;
 
-pub use types::{Answered, Entry, Index, Members, Message, Payload, Persist, Snapshot, Term, Vote};
+pub use types::{Entry, Index, Members, Message, Payload, Persist, RoundAck, Snapshot, Term, Vote};
--- a/src/log/raft/replication.rs
+++ b/src/log/raft/replication.rs
@@ -1,25 +1,25 @@
-//! Replication: the leader's broadcasts, the followers' answers, commits and reads.
+//! Replication: the leader's broadcasts, the followers' replies, commits and reads.
 
 use std::time::Duration;
 
 use super::{Leader, Progress, Raft, Recovering, Role};
 use crate::clock::BootTime;
 use crate::ids::NodeId;
-use crate::log::types::{Answered, Index, Message, Mismatch, Payload, Snapshot, Term};
+use crate::log::types::{Index, Message, Mismatch, Payload, RoundAck, Snapshot, Term};
 
-/// A snapshot is sent again if it was not acknowledged within this time.
+/// A snapshot is resent if it is not acknowledged within this time.
 const SNAPSHOT_RESEND: Duration = Duration::from_secs(2);
 
-/// Before the first round of any leader.
+/// The round in replies that acknowledge no round; a leader's first round is 1.
 const NO_ROUND: u64 = 0;
 
 impl Raft {
-    /// Sends entries or a heartbeat to every other replica.
+    /// Sends entries, a snapshot or a heartbeat to every other replica.
     pub(super) fn broadcast(&mut self, now: BootTime) {
         let members = self.members.clone();
         let Role::Leader(leader) = &mut self.role else { return };
         leader.broadcast_due = false;
-        leader.heartbeat_at = now + self.timing.heartbeat;
+        leader.heartbeat_at = now + self.timing.heartbeat_interval;
         leader.round += 1;
         leader.rounds.push_back((leader.round, now));
         for read in leader.reads.iter_mut().filter(|read| read.round.is_none()) {
@@ -34,22 +34,22 @@
         for id in others {
             self.send_to(id, now);
         }
-        // A lone voter confirms itself.
+        // A single voter is its own quorum.
         self.confirm_rounds();
     }
 
     fn send_to(&mut self, id: NodeId, now: BootTime) {
         let last_index = self.log.last_index();
-        let is_sure = self.holds_leadership(now);
+        let holds_lease = self.holds_leader_lease(now);
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.progress.get_mut(&id) else { return };
         let (term, commit, round) = (self.vote.term, self.commit, leader.round);
-        let prev_index = progress.next - 1;
+        let prev_index = progress.next_index - 1;
         let message = match (self.log.term_at(prev_index), self.log.snapshot()) {
             (Some(prev_term), _) => {
-                let entries = self.log.batch(progress.next);
-                progress.next += entries.len() as Index;
-                let answered = progress.answered.filter(|_| is_sure);
+                let entries = self.log.batch(progress.next_index);
+                progress.next_index += entries.len() as Index;
+                let round_ack = progress.round_ack.filter(|_| holds_lease);
                 Message::Append {
                     term,
                     prev_index,
@@ -58,21 +58,22 @@
                     commit,
                     last_index,
                     round,
-                    answered,
+                    round_ack,
                 }
             }
             (None, Some(snapshot)) => {
-                let waits = progress.snapshot_sent.is_some_and(|at| now < at + SNAPSHOT_RESEND);
-                if waits {
+                let snapshot_pending =
+                    progress.snapshot_sent_at.is_some_and(|at| now < at + SNAPSHOT_RESEND);
+                if snapshot_pending {
                     return;
                 }
-                progress.snapshot_sent = Some(now);
+                progress.snapshot_sent_at = Some(now);
                 Message::InstallSnapshot { term, snapshot: snapshot.clone(), last_index, round }
             }
             (None, None) => return,
         };
-        // Early: a leader's own copy counts only once it is durable here too.
-        self.effects.early.push((id, message));
+        // May be sent before the entries are durable here: the leader counts its own copy only once it is.
+        self.effects.immediate_messages.push((id, message));
     }
 
     pub(super) fn on_append(&mut self, from: NodeId, message: Message, now: BootTime) {
@@ -84,7 +85,7 @@
             commit,
             last_index,
             round,
-            answered,
+            round_ack,
         } = message
         else {
             return;
@@ -94,17 +95,17 @@
         }
         if prev_index > self.log.last_index() {
             let hint = self.log.last_index();
-            self.answer(from, Err(Mismatch { hint }), round);
+            self.send_append_reply(from, Err(Mismatch { hint }), round);
             return;
         }
         if prev_index >= self.log.snapshot_index()
             && self.log.term_at(prev_index) != Some(prev_term)
         {
-            let hint = self.log.before_term_of(prev_index);
-            self.answer(from, Err(Mismatch { hint }), round);
+            let hint = self.log.last_index_before_term_of(prev_index);
+            self.send_append_reply(from, Err(Mismatch { hint }), round);
             return;
         }
-        let equal_until = prev_index + entries.len() as Index;
+        let matched_until = prev_index + entries.len() as Index;
         let mut members_changed = false;
         for entry in entries {
             if entry.index <= self.log.snapshot_index() {
@@ -125,16 +126,17 @@
         if members_changed {
             self.members = self.log.members();
         }
-        self.commit = self.commit.max(commit.min(equal_until));
-        // Until it has committed in its own term a leader may not know of all that was committed before.
-        let knows_all = self.log.term_at(commit) == Some(term);
-        if knows_all && self.commit >= commit {
-            let answered = answered.filter(|answered| answered.start == self.restart.nonce());
+        self.commit = self.commit.max(commit.min(matched_until));
+        // A leader that has not committed an entry of its own term may not know all committed entries.
+        let leader_knows_committed = self.log.term_at(commit) == Some(term);
+        if leader_knows_committed && self.commit >= commit {
+            let round_ack =
+                round_ack.filter(|round_ack| round_ack.start_nonce == self.restart.nonce());
             let sent_after =
-                answered.and_then(|answered| self.answered_rounds.sent_after(answered.round));
+                round_ack.and_then(|round_ack| self.round_times.sent_after(round_ack.round));
             self.caught_up_at = self.caught_up_at.max(sent_after);
         }
-        self.answer(from, Ok(equal_until.max(self.log.snapshot_index())), round);
+        self.send_append_reply(from, Ok(matched_until.max(self.log.snapshot_index())), round);
     }
 
     pub(super) fn on_snapshot(
@@ -151,26 +153,26 @@
         }
         let index = snapshot.index;
         if index > self.commit {
-            let follows_on = self.log.term_at(index) == Some(snapshot.term);
+            let log_matches = self.log.term_at(index) == Some(snapshot.term);
             self.log.install(snapshot.clone());
             self.members = self.log.members();
             self.commit = index;
             self.applied = index;
             self.effects.committed.clear();
             let persist = &mut self.effects.persist;
-            // Entries that were to be appended before are in the snapshot or void.
-            persist.append.retain(|entry| follows_on && entry.index > index);
-            if !follows_on {
+            // Unsaved entries up to the index are part of the snapshot or discarded.
+            persist.append.retain(|entry| log_matches && entry.index > index);
+            if !log_matches {
                 persist.truncate_from = Some(persist.truncate_from.unwrap_or(0).max(index + 1));
-                self.void_saved_from(1);
+                self.discard_saved_from(1);
             }
             self.effects.persist.snapshot = Some(snapshot.clone());
             self.effects.restore = Some(snapshot);
         }
-        self.answer(from, Ok(index), round);
+        self.send_append_reply(from, Ok(index), round);
     }
 
-    /// Whether `from` leads in this term; answers it if not.
+    /// Follows `from` as the leader of `term`. If the term is outdated, rejects the message instead and returns false.
     fn accept_leader(
         &mut self,
         from: NodeId,
@@ -181,46 +183,46 @@
     ) -> bool {
         if term < self.vote.term {
             let hint = self.log.last_index();
-            // Its sender may lead again by now, and count rounds anew.
-            self.answer(from, Err(Mismatch { hint }), NO_ROUND);
+            // The sender may be the leader of a later term by now, with a new count of rounds.
+            self.send_append_reply(from, Err(Mismatch { hint }), NO_ROUND);
             return false;
         }
-        self.follow(term, Some(from), now);
-        self.answered_rounds.answer(round, now);
-        self.failed_candidacies = 0;
-        self.heard_leader = Some(now);
-        self.restart.heard_leader_since();
-        self.acknowledge(from);
-        if let Some(Recovering { until: until @ None }) = &mut self.recovering {
-            *until = Some(last_index);
+        self.become_follower(term, Some(from), now);
+        self.round_times.record(round, now);
+        self.failed_elections = 0;
+        self.last_leader_contact = Some(now);
+        self.restart.on_leader_contact();
+        self.record_acknowledged_leader(from);
+        if let Some(Recovering { target_index: target_index @ None }) = &mut self.recovering {
+            *target_index = Some(last_index);
         }
         true
     }
 
     fn truncate_from(&mut self, index: Index) {
-        debug_assert!(index > self.commit, "a committed entry must never be void");
+        debug_assert!(index > self.commit, "a committed entry must never be discarded");
         self.log.truncate_from(index);
-        self.void_saved_from(index);
+        self.discard_saved_from(index);
         let persist = &mut self.effects.persist;
         persist.append.retain(|entry| entry.index < index);
         let earlier = persist.truncate_from.unwrap_or(index);
         persist.truncate_from = Some(earlier.min(index));
     }
 
-    /// Answers a leader. What is acknowledged must be durable; that this replica still counts on the leader is said
-    /// at once, so that no leader is lost while disks are slow.
-    fn answer(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
+    /// Replies to a leader. Entries are acknowledged only once they are durable. While others are unsaved, a reply for
+    /// those that are durable is sent at once, so that the leader keeps its lease while disks are slow.
+    fn send_append_reply(&mut self, to: NodeId, result: Result<Index, Mismatch>, round: u64) {
         let term = self.vote.term;
-        let answered = Answered { start: self.restart.nonce(), round };
-        let reply = |result| (to, Message::AppendReply { term, result, answered });
+        let round_ack = RoundAck { start_nonce: self.restart.nonce(), round };
+        let reply = |result| (to, Message::AppendReply { term, result, round_ack });
         if self.has_unsaved() && self.is_vote_durable() {
             let durable = result.map(|index| index.min(self.persisted));
-            self.effects.early.push(reply(durable));
+            self.effects.immediate_messages.push(reply(durable));
             if durable == result {
                 return;
             }
         }
-        self.effects.late.push(reply(result));
+        self.effects.messages_after_persist.push(reply(result));
     }
 
     pub(super) fn on_append_reply(
@@ -228,11 +230,11 @@
         from: NodeId,
         term: Term,
         result: Result<Index, Mismatch>,
-        answered: Answered,
+        round_ack: RoundAck,
         now: BootTime,
     ) {
         if term > self.vote.term {
-            self.follow(term, None, now);
+            self.become_follower(term, None, now);
             return;
         }
         let last = self.log.last_index();
@@ -241,44 +243,46 @@
         if term < self.vote.term {
             return;
         }
-        progress.acked_round = progress.acked_round.max(answered.round);
-        let is_late = |last: Answered| last.start == answered.start && last.round > answered.round;
-        if !progress.answered.is_some_and(is_late) {
-            progress.answered = Some(answered);
+        progress.acked_round = progress.acked_round.max(round_ack.round);
+        let is_late = |last: RoundAck| {
+            last.start_nonce == round_ack.start_nonce && last.round > round_ack.round
+        };
+        if !progress.round_ack.is_some_and(is_late) {
+            progress.round_ack = Some(round_ack);
         }
-        let behind = match result {
+        let is_behind = match result {
             Ok(index) => {
-                progress.snapshot_sent = None;
-                progress.matched = progress.matched.max(index.min(last));
-                progress.next = progress.next.max(progress.matched + 1);
-                progress.next <= last
+                progress.snapshot_sent_at = None;
+                progress.match_index = progress.match_index.max(index.min(last));
+                progress.next_index = progress.next_index.max(progress.match_index + 1);
+                progress.next_index <= last
             }
             Err(Mismatch { hint }) => {
-                progress.next = (hint + 1).min(progress.next).max(1);
+                progress.next_index = (hint + 1).min(progress.next_index).max(1);
                 true
             }
         };
         self.confirm_rounds();
         self.advance_commit();
-        if behind {
+        if is_behind {
             self.send_to(from, now);
         }
     }
 
-    /// Commits what a quorum has made durable, if it is of this term.
+    /// Commits the entries that are durable on a quorum, if the last of them is of this term.
     pub(super) fn advance_commit(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let own = self.persisted;
-        let candidate = quorum_value(&self.members.voters, self.members.quorum(), |id| {
-            if id == self.id { own } else { leader.progress.get(&id).map_or(0, |p| p.matched) }
+        let quorum_index = quorum_value(&self.members.voters, self.members.quorum(), |id| {
+            if id == self.id { own } else { leader.progress.get(&id).map_or(0, |p| p.match_index) }
         });
-        if candidate > self.commit && self.log.term_at(candidate) == Some(self.vote.term) {
-            self.commit = candidate;
+        if quorum_index > self.commit && self.log.term_at(quorum_index) == Some(self.vote.term) {
+            self.commit = quorum_index;
             self.step_down_if_removed();
         }
     }
 
-    /// Finds the last round that a quorum answered, and releases the reads it confirms.
+    /// Finds the last round that a quorum has acknowledged, and adds the reads that it confirms to the effects.
     fn confirm_rounds(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let round = leader.round;
@@ -295,9 +299,10 @@
         leader.reads.retain(|read| !read.is_confirmed(confirmed));
     }
 
+    /// Steps down once this replica's removal from the voters is committed.
     fn step_down_if_removed(&mut self) {
-        let removed = !self.members.voters.contains(&self.id);
-        if removed && self.log.members_index() <= self.commit {
+        let is_removed = !self.members.voters.contains(&self.id);
+        if is_removed && self.log.members_index() <= self.commit {
             self.role = Role::Follower;
             self.leader = None;
         }
@@ -311,6 +316,7 @@
 }
 
 impl Leader {
+    /// Records that a quorum has acknowledged all rounds up to `confirmed`.
     fn confirm(&mut self, confirmed: u64) {
         while let Some((round, sent_at)) = self.rounds.front().copied()
             && round <= confirmed
@@ -321,7 +327,7 @@
     }
 }
 
-/// The highest value that at least a quorum of voters has reached.
+/// The highest value that at least a quorum of the voters has reached.
 fn quorum_value(
     voters: &std::collections::BTreeSet<NodeId>,
     quorum: usize,
--- a/src/membership/shell.rs
+++ b/src/membership/actor.rs
@@ -1,4 +1,4 @@
-//! The actor around `Swim`: a UDP socket and a timer.
+//! The actor that runs `Swim` on a UDP socket.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,19 +14,19 @@
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
 use crate::route::targets::Leaving;
 
-/// Largest datagram that is read.
+/// Size of the receive buffer; longer datagrams are truncated, and then fail to open.
 const DATAGRAM_BYTES: usize = 60_000;
 
-/// What the rest of the node sees of membership.
+/// The state of membership that is shared with the rest of the node.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
-    /// Nodes that are not taken for dead, this one first.
+pub struct MembershipView {
+    /// Nodes that are not considered dead, this one first.
     pub live: Vec<Member>,
-    /// Targets that other nodes saw leaving; whoever takes them empties the list.
-    pub heard_leaving: Vec<Leaving>,
+    /// Targets that other nodes reported as leaving, until the reader takes them.
+    pub leaving_targets: Vec<Leaving>,
 }
 
-/// The actor.
+/// The membership actor.
 #[derive(xtra::Actor)]
 pub struct Membership {
     swim: Swim,
@@ -34,29 +34,29 @@
     sealer: DatagramSealer,
     opener: DatagramOpener,
     links: Arc<Links>,
-    known: Arc<Mutex<Known>>,
+    view: Arc<Mutex<MembershipView>>,
 }
 
-/// Time passes.
+/// Advances time.
 pub struct Tick;
 
-/// A datagram came.
+/// A datagram was received.
 pub struct Datagram(pub Vec<u8>);
 
-/// This node saw a target leaving.
-pub struct TellLeaving(pub Leaving);
+/// This node has noticed that a target is leaving; the other nodes are told.
+pub struct AnnounceLeaving(pub Leaving);
 
 impl Membership {
-    /// The actor, not started yet.
+    /// Creates the actor without starting it.
     pub fn new(
         swim: Swim,
         socket: Arc<UdpSocket>,
         sealer: DatagramSealer,
         opener: DatagramOpener,
         links: Arc<Links>,
-        known: Arc<Mutex<Known>>,
+        view: Arc<Mutex<MembershipView>>,
     ) -> Membership {
-        Membership { swim, socket, sealer, opener, links, known }
+        Membership { swim, socket, sealer, opener, links, view }
     }
 
     async fn send_all(&mut self, packets: Vec<(NodeId, Packet)>) {
@@ -67,22 +67,23 @@
             let Some(address) = address.filter(|_| !self.links.is_cut(to)) else { continue };
             let Ok(body) = postcard::to_stdvec(&packet) else { continue };
             let datagram = self.sealer.seal(to, &body);
-            // A lost datagram is what the probes are for.
+            // A send error is treated like a lost datagram.
             drop(self.socket.send_to(&datagram, address).await);
         }
     }
 
+    /// Updates the shared view and the addresses of the links.
     fn publish(&mut self) {
         let live = self.swim.live();
         for member in &live[1..] {
             self.links.set_address(member.node, member.address);
         }
-        let mut known = self.known.lock();
-        for change in changes(&known.live, &live) {
+        let mut view = self.view.lock();
+        for change in membership_changes(&view.live, &live) {
             log::info!("event=membership_changed {change} live={}", live.len());
         }
-        known.live = live;
-        known.heard_leaving.extend(self.swim.take_heard_leaving());
+        view.live = live;
+        view.leaving_targets.extend(self.swim.take_leaving_targets());
     }
 }
 
@@ -111,19 +112,19 @@
     }
 }
 
-impl Handler<TellLeaving> for Membership {
+impl Handler<AnnounceLeaving> for Membership {
     type Return = ();
 
-    async fn handle(&mut self, leaving: TellLeaving, _context: &mut Context<Self>) {
-        self.swim.tell_leaving(leaving.0);
+    async fn handle(&mut self, leaving: AnnounceLeaving, _context: &mut Context<Self>) {
+        self.swim.announce_leaving(leaving.0);
     }
 }
 
-/// Reads datagrams for as long as the actor lives.
+/// Passes received datagrams to the actor until it has stopped.
 pub async fn read_datagrams(socket: Arc<UdpSocket>, membership: Address<Membership>) {
     let mut buffer = vec![0; DATAGRAM_BYTES];
     loop {
-        // An error here is an answer to an earlier datagram, for example a closed port.
+        // Errors here report on an earlier send, for example to a closed port.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         if membership.send(Datagram(buffer[..length].to_vec())).detach().await.is_err() {
             return;
@@ -131,7 +132,8 @@
     }
 }
 
-fn changes(before: &[Member], after: &[Member]) -> Vec<String> {
+/// The nodes that were added or removed, as fields of the log line.
+fn membership_changes(before: &[Member], after: &[Member]) -> Vec<String> {
     let ids = |members: &[Member]| -> Vec<NodeId> { members.iter().map(|m| m.node).collect() };
     let (before, after) = (ids(before), ids(after));
     let came = after.iter().filter(|node| !before.contains(node));
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,6 +1,6 @@
-//! Membership: which nodes live, found by probing each other over UDP.
+//! Membership: which nodes are alive, detected by SWIM-like probes over UDP.
 
-pub mod shell;
+pub mod actor;
 pub mod swim;
 
-pub use swim::{Item, Member, Packet, Status, Swim, SwimTiming};
+pub use swim::{GossipItem, Member, Packet, Status, Swim, SwimTiming};
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_world.rs
@@ -13,8 +13,10 @@
 
 use crate::log_disk::Disk;
 
-pub const TIMING: RaftTiming =
-    RaftTiming { heartbeat: Duration::from_millis(50), election: Duration::from_millis(300) };
+pub const TIMING: RaftTiming = RaftTiming {
+    heartbeat_interval: Duration::from_millis(50),
+    election_timeout: Duration::from_millis(300),
+};
 const STEP: Duration = Duration::from_millis(5);
 /// Clocks run at most this much faster or slower: well within what leases allow for.
 const DRIFT: f64 = 0.02;
@@ -27,7 +29,7 @@
     let entries = (1..=4).map(|index| Entry { index, term: 5, payload: Payload::Noop }).collect();
     let vote = Vote { term: 5, ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
-    Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, now)
+    Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, now)
 }
 
 /// One replica: its disk always, its process only while it runs.
@@ -120,7 +122,7 @@
             reads_answered: 0,
         };
         for id in 1..=voters {
-            world.add_with(id, Members::of(1..=voters));
+            world.add_with(id, Members::from_voters(1..=voters));
         }
         world
     }
@@ -133,7 +135,7 @@
 
     /// Adds a replica with an empty disk that knows nobody.
     pub fn join(&mut self, id: NodeId) {
-        self.add_with(id, Members::of([]));
+        self.add_with(id, Members::from_voters([]));
     }
 
     /// Takes a replica away together with its disk.
@@ -213,7 +215,7 @@
         self.crash(id);
         let recovered = &mut self.replicas.get_mut(&id).expect("a replica").disk.recovered;
         let kept = recovered.entries.len().saturating_sub(entries);
-        recovered.lost |= kept < recovered.entries.len();
+        recovered.has_lost_data |= kept < recovered.entries.len();
         recovered.entries.truncate(kept);
     }
 
@@ -360,8 +362,8 @@
             if effects.is_empty() {
                 return;
             }
-            self.send(id, std::mem::take(&mut effects.early));
-            let late = std::mem::take(&mut effects.late);
+            self.send(id, std::mem::take(&mut effects.immediate_messages));
+            let late = std::mem::take(&mut effects.messages_after_persist);
             if effects.persist.is_empty() {
                 self.send(id, late);
             } else if !self.save(id, std::mem::take(&mut effects.persist), late) {
@@ -398,7 +400,7 @@
         replica.disk.write(&persist, usize::MAX);
         if let Some(raft) = &mut replica.raft {
             raft.saved(clock);
-            replica.disk.recovered.lost &= raft.status().recovering;
+            replica.disk.recovered.has_lost_data &= raft.status().recovering;
         }
         self.send(id, late);
     }
@@ -444,7 +446,7 @@
             let Some(raft) = self.raft(id) else { continue };
             let status = raft.status();
             let now = self.clock(id);
-            if raft.holds_leadership(now) {
+            if raft.holds_leader_lease(now) {
                 sure_leaders.push(id);
             }
             if let Some(at) = raft.caught_up_at(now) {
--- a/tests/logic/restarting.rs
+++ b/tests/logic/restarting.rs
@@ -12,21 +12,21 @@
 /// Replica 1 of three, which acknowledged replica 2 as the leader of term 5.
 fn after_2() -> Raft {
     let entries = vec![Entry { index: 1, term: 5, payload: Payload::Noop }];
-    let vote = Vote { term: 5, acknowledged: Some(2), ..Vote::default() };
+    let vote = Vote { term: 5, acknowledged_leader: Some(2), ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
-    Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START)
+    Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START)
 }
 
 fn sent(raft: &mut Raft, now: Duration) -> Vec<(u64, Message)> {
     let effects = raft.take_effects(now);
-    effects.early.into_iter().chain(effects.late).collect()
+    effects.immediate_messages.into_iter().chain(effects.messages_after_persist).collect()
 }
 
 /// The number that it draws at its start, which it asks replica 2 with.
 fn nonce(raft: &mut Raft, now: Duration) -> u64 {
     raft.tick(now);
     let asked = sent(raft, now).into_iter().find_map(|(to, message)| match message {
-        Message::Started { nonce } => Some((to, nonce)),
+        Message::LeaseQuery { nonce } => Some((to, nonce)),
         _ => None,
     });
     let (to, nonce) = asked.expect("it asks");
@@ -45,35 +45,35 @@
 fn it_votes_at_once_after_the_leader_has_said_that_it_started_again() {
     let mut raft = after_2();
     let nonce = nonce(&mut raft, START);
-    raft.receive(2, Message::NotLed { nonce }, START + Duration::from_millis(5));
+    raft.receive(2, Message::NoLease { nonce }, START + Duration::from_millis(5));
     assert!(votes(&mut raft, START + Duration::from_millis(6)));
 }
 
 #[test]
 fn without_that_word_it_keeps_from_voting_for_as_long_as_a_leader_may_count_on_it() {
     let mut raft = after_2();
-    assert!(!votes(&mut raft, START + TIMING.election - Duration::from_millis(1)));
-    assert!(votes(&mut raft, START + TIMING.election));
+    assert!(!votes(&mut raft, START + TIMING.election_timeout - Duration::from_millis(1)));
+    assert!(votes(&mut raft, START + TIMING.election_timeout));
 }
 
 #[test]
 fn words_of_others_and_answers_to_earlier_starts_do_not_count() {
     let mut raft = after_2();
     let nonce = nonce(&mut raft, START);
-    raft.receive(3, Message::NotLed { nonce }, START);
-    raft.receive(2, Message::NotLed { nonce: nonce ^ 1 }, START);
+    raft.receive(3, Message::NoLease { nonce }, START);
+    raft.receive(2, Message::NoLease { nonce: nonce ^ 1 }, START);
     assert!(!votes(&mut raft, START + Duration::from_millis(10)));
 }
 
 #[test]
 fn who_has_led_since_its_start_does_not_say_that_it_has_not() {
-    let mut raft = Raft::new(1, Members::of([1]), TIMING, Recovered::default(), 1, START);
+    let mut raft = Raft::new(1, Members::from_voters([1]), TIMING, Recovered::default(), 1, START);
     let is_denied = |raft: &mut Raft, now| {
-        raft.receive(2, Message::Started { nonce: 7 }, now);
-        !sent(raft, now).contains(&(2, Message::NotLed { nonce: 7 }))
+        raft.receive(2, Message::LeaseQuery { nonce: 7 }, now);
+        !sent(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
     };
     assert!(!is_denied(&mut raft, START));
-    let later = START + TIMING.election * 3;
+    let later = START + TIMING.election_timeout * 3;
     raft.tick(later);
     assert!(raft.status().is_leader);
     assert!(is_denied(&mut raft, later));
@@ -85,7 +85,7 @@
     for seed in 0..50 {
         let mut world = World::new(5, seed);
         world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election);
+        world.run(TIMING.election_timeout);
         world.ids().into_iter().for_each(|id| world.crash(id));
         // What is still under way arrives nowhere.
         world.run(Duration::from_millis(10));
@@ -93,7 +93,7 @@
         world.run(Duration::from_millis(100));
         let leader = world.leader().expect("there is a leader");
         let now = world.clock(leader);
-        assert!(world.raft(leader).expect("it runs").holds_leadership(now), "seed {seed}");
+        assert!(world.raft(leader).expect("it runs").holds_leader_lease(now), "seed {seed}");
     }
 }
 
@@ -103,11 +103,11 @@
     for seed in 0..20 {
         let mut world = World::new(5, seed);
         world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election);
+        world.run(TIMING.election_timeout);
         let lost = world.leader().expect("a leader");
         world.ids().into_iter().for_each(|id| world.crash(id));
         world.ids().into_iter().filter(|id| *id != lost).for_each(|id| world.start(id));
-        world.run(TIMING.election * 4);
+        world.run(TIMING.election_timeout * 4);
         assert!(world.leader().is_some_and(|leader| leader != lost), "seed {seed}");
     }
 }
@@ -119,7 +119,7 @@
 #[test]
 fn a_follower_has_caught_up_only_once_its_leader_has_committed_in_its_term() {
     let mut raft = after_2();
-    let append = |entries: Vec<Entry>, commit, answered| Message::Append {
+    let append = |entries: Vec<Entry>, commit, round_ack| Message::Append {
         term: 6,
         prev_index: 1,
         prev_term: 5,
@@ -127,23 +127,23 @@
         commit,
         last_index: 2,
         round: 1,
-        answered,
+        round_ack,
     };
     let noop = Entry { index: 2, term: 6, payload: Payload::Noop };
-    let now = START + TIMING.election * 2;
+    let now = START + TIMING.election_timeout * 2;
     raft.receive(2, append(vec![noop], 0, None), now);
     let answers = sent(&mut raft, now).into_iter().map(|(_, message)| message);
-    let answered = answers
+    let round_ack = answers
         .filter_map(|message| match message {
-            Message::AppendReply { answered, .. } => Some(answered),
+            Message::AppendReply { round_ack, .. } => Some(round_ack),
             _ => None,
         })
         .next_back();
-    assert!(answered.is_some());
+    assert!(round_ack.is_some());
     assert_eq!(raft.caught_up_at(now), None, "entry 1 may have been committed long ago");
-    raft.receive(2, append(Vec::new(), 1, answered), now);
+    raft.receive(2, append(Vec::new(), 1, round_ack), now);
     assert_eq!(raft.caught_up_at(now), None, "and so may others that this leader has");
-    raft.receive(2, append(Vec::new(), 2, answered), now);
+    raft.receive(2, append(Vec::new(), 2, round_ack), now);
     assert_eq!(
         raft.caught_up_at(now),
         None,
@@ -157,7 +157,7 @@
         commit: 2,
         last_index: 2,
         round: 2,
-        answered,
+        round_ack,
     };
     raft.receive(2, ends_with, now);
     assert_eq!(raft.caught_up_at(now), Some(now));
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -17,14 +17,14 @@
 fn with_leader(seed: u64) -> (World, NodeId) {
     let mut world = World::new(5, seed);
     world.run_until("there is a leader", |world| world.leader().is_some());
-    world.run(TIMING.election * 2);
+    world.run(TIMING.election_timeout * 2);
     let leader = world.leader().expect("a leader");
     (world, leader)
 }
 
 fn sure_leader(world: &World) -> Option<NodeId> {
     let is_sure =
-        |id: &NodeId| world.raft(*id).is_some_and(|raft| raft.holds_leadership(world.clock(*id)));
+        |id: &NodeId| world.raft(*id).is_some_and(|raft| raft.holds_leader_lease(world.clock(*id)));
     world.ids().into_iter().find(is_sure)
 }
 
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -26,11 +26,11 @@
     raft.receive(2, message, now);
     let effects = raft.take_effects(now);
     // Nothing is promised by the answer to a pre-vote.
-    let pre_vote = effects.early.first().map(|(_, message)| match message {
+    let pre_vote = effects.immediate_messages.first().map(|(_, message)| match message {
         Message::PreVoteReply { granted, .. } => *granted,
         message => panic!("{message:?} leaves before anything is durable"),
     });
-    let vote = effects.late.iter().find_map(|(_, message)| match message {
+    let vote = effects.messages_after_persist.iter().find_map(|(_, message)| match message {
         Message::VoteReply { granted, .. } => Some(*granted),
         _ => None,
     });
@@ -65,7 +65,10 @@
     assert_eq!(answer(&mut raft, request(6, 5, 4), LATER).0, Some(true), "resent by the same");
     raft.receive(3, request(6, 5, 9), LATER);
     let effects = raft.take_effects(LATER);
-    assert_eq!(effects.late, vec![(3, Message::VoteReply { term: 6, granted: false })]);
+    assert_eq!(
+        effects.messages_after_persist,
+        vec![(3, Message::VoteReply { term: 6, granted: false })]
+    );
 }
 
 #[test]
@@ -78,18 +81,18 @@
         commit: 4,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
-    let soon = LATER + TIMING.election - Duration::from_millis(1);
+    let soon = LATER + TIMING.election_timeout - Duration::from_millis(1);
     let mut raft = replica();
     raft.receive(3, heartbeat, LATER);
     assert_eq!(answer(&mut raft, request(9, 9, 9), soon), (None, 5), "not even its term is taken");
     let pre_vote = Message::PreVote { term: 6, last_index: 9, last_term: 9 };
     assert_eq!(answer(&mut raft, pre_vote, soon).0, Some(false));
-    let late = LATER + TIMING.election;
+    let late = LATER + TIMING.election_timeout;
     assert_eq!(answer(&mut raft, request(9, 9, 9), late), (Some(true), 9));
     // After a start it may have forgotten a leader that it heard.
-    let early = START + TIMING.election - Duration::from_millis(1);
+    let early = START + TIMING.election_timeout - Duration::from_millis(1);
     assert_eq!(answer(&mut replica(), request(9, 9, 9), early), (None, 5));
 }
 
@@ -106,13 +109,13 @@
         commit: 4,
         last_index: 4,
         round: 28,
-        answered: None,
+        round_ack: None,
     };
     raft.receive(3, earlier, LATER);
     let effects = raft.take_effects(LATER);
-    let (to, reply) = effects.late.first().expect("it is told of the later term");
-    let Message::AppendReply { term, answered, .. } = reply else { panic!("{reply:?}") };
-    assert_eq!((*to, *term, answered.round), (3, 5, 0));
+    let (to, reply) = effects.messages_after_persist.first().expect("it is told of the later term");
+    let Message::AppendReply { term, round_ack, .. } = reply else { panic!("{reply:?}") };
+    assert_eq!((*to, *term, round_ack.round), (3, 5, 0));
 }
 
 #[test]
@@ -127,8 +130,8 @@
 #[test]
 fn a_replica_that_lost_bytes_votes_only_after_it_has_what_its_leader_had() {
     let vote = Vote { term: 5, ..Vote::default() };
-    let recovered = Recovered { vote, lost: true, ..Recovered::default() };
-    let mut raft = Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START);
+    let recovered = Recovered { vote, has_lost_data: true, ..Recovered::default() };
+    let mut raft = Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START);
     assert_eq!(answer(&mut raft, request(6, 9, 9), LATER).0, Some(false));
     let append = |prev_index: u64, count: u64| Message::Append {
         term: 6,
@@ -140,7 +143,7 @@
         commit: 0,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
     for (prev_index, count, recovering) in [(0, 3, true), (3, 1, false)] {
         raft.receive(3, append(prev_index, count), LATER);
@@ -149,7 +152,7 @@
         raft.saved(LATER);
         assert_eq!(raft.status().recovering, recovering);
     }
-    let late = LATER + TIMING.election;
+    let late = LATER + TIMING.election_timeout;
     assert_eq!(answer(&mut raft, request(7, 6, 4), late).0, Some(true));
 }
 
@@ -162,7 +165,7 @@
     let pre_vote = || Message::PreVote { term: 7, last_index: 9, last_term: 6 };
     let is_granted = |raft: &mut Raft, now: Duration| {
         raft.receive(3, pre_vote(), now);
-        let early = raft.take_effects(now).early;
+        let early = raft.take_effects(now).immediate_messages;
         let reply = |(_, message): &(u64, Message)| match message {
             Message::PreVoteReply { granted, .. } => Some(*granted),
             _ => None,
@@ -173,7 +176,7 @@
     assert!(!is_granted(&mut raft, saved_at), "its vote is still being written");
     raft.saved(saved_at);
     assert!(!is_granted(&mut raft, saved_at + Duration::from_secs(4)), "others write as long");
-    let over = saved_at + Duration::from_secs(4) + TIMING.election * 2;
+    let over = saved_at + Duration::from_secs(4) + TIMING.election_timeout * 2;
     assert!(is_granted(&mut raft, over), "the candidate has had its time");
 }
 
@@ -181,8 +184,8 @@
 #[test]
 fn a_recovering_replica_does_not_count_entries_that_became_void_while_they_were_written() {
     let vote = Vote { term: 5, ..Vote::default() };
-    let recovered = Recovered { vote, lost: true, ..Recovered::default() };
-    let mut raft = Raft::new(1, Members::of([1, 2, 3]), TIMING, recovered, 1, START);
+    let recovered = Recovered { vote, has_lost_data: true, ..Recovered::default() };
+    let mut raft = Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START);
     let append = |term: u64, count: u64| Message::Append {
         term,
         prev_index: 0,
@@ -191,7 +194,7 @@
         commit: 0,
         last_index: 4,
         round: 1,
-        answered: None,
+        round_ack: None,
     };
     raft.receive(2, append(6, 4), LATER);
     raft.take_effects(LATER);
