--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -7,7 +7,7 @@
 
 use super::view::{FleetView, TargetState};
 use crate::clock::BootTime;
-use crate::gateway::call::Prompt;
+use crate::gateway::metadata::Prompt;
 use crate::ids::TargetStart;
 use crate::scheduler::weights::{
     BEGINS_WITHIN, OLD_WEIGHTS_MS, OldWeights, RolloutHistories, RolloutHistory,
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -7,7 +7,7 @@
     FORGOTTEN_AFTER_LISTS, Listed, Presence, REPLACED_FORGOTTEN_AFTER_LISTS, Roster,
 };
 use crate::clock::BootTime;
-use crate::gateway::call::TargetLoad;
+use crate::gateway::metadata::TargetLoad;
 use crate::ids::{ModelId, ServiceId, TargetId, TargetStart};
 pub use crate::route::health::Fault;
 use crate::route::health::Health;
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -10,9 +10,9 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use super::call::{Forwarded, KeptParts, ResponseMetadata};
 use super::examine;
 use super::job::Job;
+use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
 use super::place::{self, Chosen, NoChoice};
 use super::pool::{Connection, Sent};
 use super::record::Record;
@@ -36,7 +36,7 @@
     /// The answer.
     pub answer: Response<Incoming>,
     /// What it says beside its content.
-    pub outcome: ResponseMetadata,
+    pub response_metadata: ResponseMetadata,
     /// The connection, to be given back once the body is whole.
     pub connection: Connection,
     /// Counts the request at the target.
@@ -81,7 +81,7 @@
         }
         let chosen = place::choose(gateway, job, &avoid).await.map_err(Missed::Unplaced)?;
         let target = chosen.target.clone();
-        let reading = job.call.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
+        let reading = job.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
         let ticket = chosen.placed.as_ref().map(|placed| placed.ticket);
         let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
         let Some(mut connection) = connect(gateway, &target, job.ends_at, record).await else {
@@ -142,8 +142,9 @@
                 return Err(Missed::TimedOut(target));
             }
         };
-        let outcome = headers::decode_metadata(answer.headers());
-        let answered = Answered { target, answer, outcome, connection, at_target, sent_at };
+        let response_metadata = headers::decode_metadata(answer.headers());
+        let answered =
+            Answered { target, answer, response_metadata, connection, at_target, sent_at };
         return judge(gateway, job, answered, record);
     }
     Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoneSound)))
@@ -192,8 +193,8 @@
         target: &chosen.target.id,
         account: job.account.as_ref(),
         time_left,
-        urgency: job.call.prompt.is_some().then_some(job.rank.for_engine()),
-        cache_wall: job.call.prompt.is_some().then(salt),
+        urgency: job.metadata.prompt.is_some().then_some(job.rank.for_engine()),
+        cache_wall: job.metadata.prompt.is_some().then(salt),
         resume_after,
         weight_version: chosen.weight_version,
         kept: placed.map(|placed| KeptParts {
@@ -217,12 +218,12 @@
     record: &mut Record,
 ) -> Result<Answered, Missed> {
     let now = boot_now();
-    let Answered { target, answer, outcome, at_target, .. } = &mut answered;
-    record.answered(outcome);
-    if let Some(load) = outcome.load {
+    let Answered { target, answer, response_metadata, at_target, .. } = &mut answered;
+    record.answered(response_metadata);
+    if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
     }
-    let is_other = outcome.request_id.as_ref().is_some_and(|id| *id != job.call.id);
+    let is_other = response_metadata.request_id.as_ref().is_some_and(|id| *id != job.metadata.id);
     if is_other {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
         record.failed(target, "answer to another request");
@@ -231,28 +232,29 @@
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
         record.failed(target, "another target or other weights");
-        let is_replaced = outcome.answered_by.as_ref().is_some_and(|id| *id != target.id);
+        let is_replaced = response_metadata.answered_by.as_ref().is_some_and(|id| *id != target.id);
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
             examine::has_ended(gateway, target, "another target answers at its address");
             at_target.ends(End::Replaced);
         } else {
-            if let Some(prompt) = &job.call.prompt {
-                let has = outcome.weight_version;
+            if let Some(prompt) = &job.metadata.prompt {
+                let has = response_metadata.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
-            at_target.ends(End::OtherWeights(outcome.weight_version));
+            at_target.ends(End::OtherWeights(response_metadata.weight_version));
         }
         return Err(Missed::NotRun(answered.target));
     }
-    if let (Some(prompt), Some(version)) = (&job.call.prompt, outcome.weight_version) {
+    if let (Some(prompt), Some(version)) = (&job.metadata.prompt, response_metadata.weight_version)
+    {
         gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
     }
-    if outcome.did_not_run {
+    if response_metadata.did_not_run {
         record.failed(target, &format!("not run, status {}", answer.status().as_u16()));
         at_target.ends(End::NotRun);
-        let Answered { target, connection, outcome, .. } = answered;
-        if !outcome.closes {
+        let Answered { target, connection, response_metadata, .. } = answered;
+        if !response_metadata.closes {
             gateway.give_back(&target, connection);
         }
         return Err(Missed::NotRun(target));
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, Uri};
 use tokio::time::Instant;
 
-use super::call::Call;
+use super::metadata::RequestMetadata;
 use super::rank::Rank;
 use crate::deployment::Route;
 use crate::ids::{AccountId, ServiceId};
@@ -15,7 +15,7 @@
 /// A request as all its attempts see it.
 pub struct Job {
     /// What the caller says.
-    pub call: Call,
+    pub metadata: RequestMetadata,
     /// The method.
     pub method: Method,
     /// Path and query, as the caller sent them.
@@ -50,7 +50,7 @@
         *self.fingerprint.get_or_init(|| {
             let path = self.uri.path_and_query().map_or("", |path| path.as_str());
             let account = self.account.as_deref();
-            Fingerprint::of(account, self.method.as_str(), &self.call.host, path, &self.body)
+            Fingerprint::of(account, self.method.as_str(), &self.metadata.host, path, &self.body)
         })
     }
 }
--- a/src/gateway/call.rs
+++ b/src/gateway/metadata.rs
@@ -9,7 +9,7 @@
 
 /// A caller's request, without its body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestMetadata {
     /// The caller's id; each attempt of a caller has its own.
     pub id: RequestId,
     /// The host that the caller named, without a port.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,12 +2,12 @@
 
 pub mod answer;
 pub mod attempt;
-pub mod call;
 pub mod events;
 pub mod examine;
 pub mod freshness;
 pub mod job;
 pub mod line_budget;
+pub mod metadata;
 pub mod place;
 pub mod pool;
 pub mod rank;
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -89,7 +89,7 @@
 fn alone(gateway: &Gateway, job: &Job, avoid: &[TargetStart]) -> Result<Chosen, NoChoice> {
     let ask = placement::Criteria {
         service: &job.service,
-        prompt: job.call.prompt.as_ref(),
+        prompt: job.metadata.prompt.as_ref(),
         cache_wall: &job.cache_wall,
         tried: avoid,
         drawn: job.drawn,
@@ -98,7 +98,7 @@
     };
     let choice = placement::choose(&gateway.fleet.borrow(), &ask, boot_now());
     let choice = choice.map_err(NoChoice::NoTarget)?;
-    if job.call.prompt.is_some() {
+    if job.metadata.prompt.is_some() {
         gateway.metrics.placed_alone.add(1, &[]);
     }
     let trace = format!(
@@ -114,7 +114,7 @@
 
 /// Whether a prompt may still begin on the weights that it was placed for.
 pub fn may_still_begin(gateway: &Gateway, job: &Job, chosen: &Chosen) -> bool {
-    let Some(prompt) = &job.call.prompt else { return true };
+    let Some(prompt) = &job.metadata.prompt else { return true };
     let old_weights = gateway.host.periods.old_weights;
     let old_weights = match chosen.placed {
         // Only the scheduler knows from when its own bound counts.
@@ -129,7 +129,7 @@
 /// Which weights the engine must run, the newest named ones, and how long ago the first were named
 /// that the engine has missed.
 fn weights_trace(gateway: &Gateway, job: &Job, expected: Option<u64>) -> String {
-    let Some(prompt) = &job.call.prompt else { return String::new() };
+    let Some(prompt) = &job.metadata.prompt else { return String::new() };
     let named_since = gateway.named_since.borrow();
     let named = named_since.get(&prompt.model);
     let missed_since = named.and_then(|named| named.missed_since(expected));
@@ -145,7 +145,7 @@
 
 /// What the scheduler is asked; `None` if the request is no prompt.
 fn ask_of(gateway: &Gateway, job: &Job, avoid: &[TargetStart]) -> Option<PlacementRequest> {
-    let prompt = job.call.prompt.as_ref()?;
+    let prompt = job.metadata.prompt.as_ref()?;
     let now = boot_now();
     let fleet = gateway.fleet.borrow();
     let suspects = fleet
--- a/src/gateway/record.rs
+++ b/src/gateway/record.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::call::{Call, ResponseMetadata};
+use super::metadata::{RequestMetadata, ResponseMetadata};
 use super::place::Chosen;
 use super::rank::Rank;
 use super::state::Gateway;
@@ -64,11 +64,11 @@
 
 impl Record {
     /// Begins with a request's arrival.
-    pub fn new(gateway: &Rc<Gateway>, call: &Call, begun: BootTime) -> Record {
+    pub fn new(gateway: &Rc<Gateway>, metadata: &RequestMetadata, begun: BootTime) -> Record {
         gateway.answering.set(gateway.answering.get() + 1);
         Record {
             gateway: gateway.clone(),
-            id: call.id.clone(),
+            id: metadata.id.clone(),
             begun,
             route: String::new(),
             version: 0,
@@ -100,10 +100,10 @@
     }
 
     /// A target answered, and told how busy it is.
-    pub fn answered(&mut self, outcome: &ResponseMetadata) {
+    pub fn answered(&mut self, response_metadata: &ResponseMetadata) {
         let at_ms = self.elapsed().as_millis();
         let _ = write!(self.steps, " answered_ms={at_ms}");
-        if let Some(load) = outcome.load {
+        if let Some(load) = response_metadata.load {
             let _ = write!(self.steps, " running={} waiting={}", load.running, load.waiting);
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -12,10 +12,10 @@
 
 use super::answer::{AnswerBody, RelayError, in_parts};
 use super::attempt::{Answered, Missed, attempt};
-use super::call::ResponseMetadata;
 use super::events::EventSplitter;
 use super::examine;
 use super::job::Job;
+use super::metadata::ResponseMetadata;
 use super::pool::Connection;
 use super::record::{Ended, Record};
 use super::state::{AtTarget, Gateway};
@@ -65,7 +65,7 @@
 struct Source {
     target: TargetStart,
     body: Incoming,
-    outcome: ResponseMetadata,
+    response_metadata: ResponseMetadata,
     connection: Connection,
     at_target: AtTarget,
     sent_at: BootTime,
@@ -143,7 +143,7 @@
                 Some(Err(error)) => return Next::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    source.at_target.has_read(&source.outcome);
+                    source.at_target.has_read(&source.response_metadata);
                     match self.events.push(&data) {
                         Ok(events) if events.is_empty() => {}
                         Ok(events) => return Next::Events(events),
@@ -172,7 +172,7 @@
             source.at_target.ends(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
             self.gateway.answered_whole(&self.job);
-            if !source.outcome.closes {
+            if !source.response_metadata.closes {
                 self.gateway.give_back(&source.target, source.connection);
             }
         }
@@ -196,7 +196,7 @@
             return Err(reason.into());
         }
         self.events.drop_part();
-        let last = self.events.last_id().or(self.job.call.resume_after.as_deref());
+        let last = self.events.last_id().or(self.job.metadata.resume_after.as_deref());
         let last = last.map(str::to_string);
         let resumed =
             attempt(&self.gateway, &self.job, &self.tried, last.as_deref(), None, &mut self.record)
@@ -216,9 +216,17 @@
 
 impl Source {
     fn new(answered: Answered) -> Source {
-        let Answered { target, answer, outcome, mut connection, at_target, sent_at } = answered;
-        connection.set_idle_timeout(outcome.idle_timeout);
-        Source { target, body: answer.into_body(), outcome, connection, at_target, sent_at }
+        let Answered { target, answer, response_metadata, mut connection, at_target, sent_at } =
+            answered;
+        connection.set_idle_timeout(response_metadata.idle_timeout);
+        Source {
+            target,
+            body: answer.into_body(),
+            response_metadata,
+            connection,
+            at_target,
+            sent_at,
+        }
     }
 }
 
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -14,9 +14,9 @@
 
 use super::answer::{Answer, Refusal, refuse, whole};
 use super::attempt::{Answered, Missed, attempt};
-use super::call::Call;
 use super::examine;
 use super::job::Job;
+use super::metadata::RequestMetadata;
 use super::place::NoChoice;
 use super::rank::Rank;
 use super::record::{Ended, Record};
@@ -51,9 +51,9 @@
     let begun = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let call = headers::decode_call(&head.uri, &head.headers);
-    let mut record = Record::new(&gateway, &call, begun);
-    let mut answer = match admit(&gateway, head, call, body, arrived, &mut record).await {
+    let metadata = headers::decode_call(&head.uri, &head.headers);
+    let mut record = Record::new(&gateway, &metadata, begun);
+    let mut answer = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(job) => serve(&gateway, job, record).await,
         Err((refusal, id)) => refused(refusal, &id, &record),
     };
@@ -67,18 +67,18 @@
 async fn admit(
     gateway: &Gateway,
     head: http::request::Parts,
-    call: Call,
+    metadata: RequestMetadata,
     body: Incoming,
     arrived: Instant,
     record: &mut Record,
 ) -> Result<Job, (Refusal, String)> {
-    let patience = patience_at_start(call.deadline);
+    let patience = patience_at_start(metadata.deadline);
     gateway.until_deployed(patience).await;
-    let table = match table_for(gateway, &call, record).await {
+    let table = match table_for(gateway, &metadata, record).await {
         Ok(table) => table,
-        Err(refusal) => return Err((refusal, call.id)),
+        Err(refusal) => return Err((refusal, metadata.id)),
     };
-    let mut job = job(&table, head, call, arrived, record)?;
+    let mut job = job(&table, head, metadata, arrived, record)?;
     let (version, most) = (table.deployment().version, table.deployment().bounds.body_bytes);
     drop(table);
     gateway.until_served(&job.service, patience.saturating_sub(arrived.elapsed())).await;
@@ -86,9 +86,9 @@
         Ok(body) => body,
         // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
         Err(Refusal::BodyTooLarge) if gateway.confirm(version).await != Confirmation::Newest => {
-            return Err((Refusal::Unconfirmed, job.call.id));
+            return Err((Refusal::Unconfirmed, job.metadata.id));
         }
-        Err(refusal) => return Err((refusal, job.call.id)),
+        Err(refusal) => return Err((refusal, job.metadata.id)),
     };
     Ok(job)
 }
@@ -96,14 +96,14 @@
 /// The table by which a request is routed, or refused for good: only by the newest deployment.
 async fn table_for(
     gateway: &Gateway,
-    call: &Call,
+    metadata: &RequestMetadata,
     record: &mut Record,
 ) -> Result<Rc<Table>, Refusal> {
     loop {
         let table = gateway.table().ok_or(Refusal::NotReady)?;
         let version = table.deployment().version;
         record.looked_up(version);
-        if table.find(&call.host, &call.path, call.key.as_deref()).is_ok() {
+        if table.find(&metadata.host, &metadata.path, metadata.key.as_deref()).is_ok() {
             return Ok(table);
         }
         match gateway.confirm(version).await {
@@ -124,24 +124,24 @@
 fn job(
     table: &Table,
     head: http::request::Parts,
-    call: Call,
+    metadata: RequestMetadata,
     arrived: Instant,
     record: &mut Record,
 ) -> Result<Job, (Refusal, String)> {
-    let found = match table.find(&call.host, &call.path, call.key.as_deref()) {
+    let found = match table.find(&metadata.host, &metadata.path, metadata.key.as_deref()) {
         Ok(found) => found,
-        Err(Rejection::NoRoute) => return Err((Refusal::NoRoute, call.id)),
-        Err(Rejection::UnknownKey) => return Err((Refusal::UnknownKey, call.id)),
+        Err(Rejection::NoRoute) => return Err((Refusal::NoRoute, metadata.id)),
+        Err(Rejection::UnknownKey) => return Err((Refusal::UnknownKey, metadata.id)),
     };
     let route = found.route.clone();
     let rank = Rank::of(found.account, &route);
     record.routed(&route.name, rank);
     let mut random = rand::rng();
     let Some(service) = route.pick(random.random()).cloned() else {
-        return Err((Refusal::NoTarget, call.id));
+        return Err((Refusal::NoTarget, metadata.id));
     };
     let isolated = found.account.filter(|account| account.is_isolated);
-    let most = call.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    let most = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
     Ok(Job {
         method: head.method,
         uri: origin_form(&head.uri),
@@ -157,7 +157,7 @@
         drawn: random.random(),
         fingerprint: OnceCell::new(),
         route,
-        call,
+        metadata,
     })
 }
 
@@ -178,7 +178,7 @@
     gateway.retries.borrow_mut().sent(&job.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
-    let resume_after = job.call.resume_after.clone();
+    let resume_after = job.metadata.resume_after.clone();
     loop {
         let patience = patience(&job, tried.len());
         let tried_now =
@@ -202,15 +202,15 @@
                     (false, NoChoice::NoTarget(SelectionError::OldWeights)) => Refusal::OldWeights,
                     (false, NoChoice::NoTarget(_)) => Refusal::NoTarget,
                 };
-                return refused(refusal, &job.call.id, &record);
+                return refused(refusal, &job.metadata.id, &record);
             }
             Err(Missed::Held(left)) => {
                 let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
-                return refused(refusal, &job.call.id, &record);
+                return refused(refusal, &job.metadata.id, &record);
             }
             Err(Missed::TooLate) => {
                 let refusal = if may_have_run { Refusal::TimedOut } else { Refusal::TooLate };
-                return refused(refusal, &job.call.id, &record);
+                return refused(refusal, &job.metadata.id, &record);
             }
             Err(Missed::NotRun(target)) => (Refusal::NoTarget, target),
             Err(Missed::MayHaveRun(target)) => (Refusal::Broken, target),
@@ -224,7 +224,7 @@
         };
         let may_repeat = !may_have_run || job.route.policy.may_repeat();
         if !may_repeat || !may_try_again(gateway, &job, &tried) {
-            return refused(refusal, &job.call.id, &record);
+            return refused(refusal, &job.metadata.id, &record);
         }
     }
 }
@@ -233,7 +233,7 @@
 fn patience(job: &Job, tried: usize) -> Option<Duration> {
     let has_another = (tried as u32) + 1 < job.route.attempts && job.route.policy.may_repeat();
     let wait = job.route.objective * OBJECTIVES_TO_WAIT;
-    let least = if job.call.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
+    let least = if job.metadata.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
     (has_another && !wait.is_zero()).then(|| wait.max(least))
 }
 
@@ -256,7 +256,8 @@
     let body = if is_stream {
         EventRelay::new(gateway.clone(), job, record, tried, answered).into_body()
     } else if relay::is_short(answered.answer.body()) {
-        let Answered { target, answer, outcome, mut connection, at_target, sent_at } = answered;
+        let Answered { target, answer, response_metadata, mut connection, at_target, sent_at } =
+            answered;
         match relay::read_whole(answer.into_body(), job.ends_at).await {
             Ok(bytes) => {
                 drop(at_target);
@@ -266,8 +267,8 @@
                     gateway.fleet.borrow_mut().succeeded(&target);
                     gateway.answered_whole(&job);
                 }
-                connection.set_idle_timeout(outcome.idle_timeout);
-                if !outcome.closes {
+                connection.set_idle_timeout(response_metadata.idle_timeout);
+                if !response_metadata.closes {
                     gateway.give_back(&target, connection);
                 }
                 whole(bytes)
@@ -278,7 +279,7 @@
                 if Instant::now() < job.ends_at {
                     examine::broke_off(gateway, &job, &target, sent_at, &mut record).await;
                 }
-                return refused(Refusal::Broken, &job.call.id, &record);
+                return refused(Refusal::Broken, &job.metadata.id, &record);
             }
         }
     } else {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -9,10 +9,10 @@
 
 use tokio::sync::{Notify, watch};
 
-use super::call::ResponseMetadata;
 use super::freshness::{Freshness, Verdict};
 use super::job::Job;
 use super::line_budget::LineBudget;
+use super::metadata::ResponseMetadata;
 use super::pool::{Connection, Pool};
 use super::scheduler_client::SchedulerClient;
 use super::subscriptions::{HeldTargets, Subscriptions};
@@ -453,13 +453,13 @@
     }
 
     /// Its prompt has been read: the first part of the answer is here.
-    pub fn has_read(&mut self, outcome: &ResponseMetadata) {
+    pub fn has_read(&mut self, response_metadata: &ResponseMetadata) {
         let Some(dispatch) = &mut self.dispatch else { return };
         if !self.gateway.fleet.borrow_mut().has_read(dispatch) {
             return;
         }
         if let Some(ticket) = self.ticket {
-            let (weight_version, load) = (outcome.weight_version, outcome.load);
+            let (weight_version, load) = (response_metadata.weight_version, response_metadata.load);
             self.gateway.scheduler.tell(PlacementEvent::FirstPart { ticket, weight_version, load });
         }
     }
--- a/src/scheduler/engine.rs
+++ b/src/scheduler/engine.rs
@@ -10,7 +10,7 @@
 use super::pace::Pace;
 use crate::clock::BootTime;
 use crate::fleet::Listed;
-use crate::gateway::call::TargetLoad;
+use crate::gateway::metadata::TargetLoad;
 use crate::route::health::Health;
 
 /// A load that answers tell counts for less and less, and for nothing after this time: about how
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::call::{Part, TargetLoad};
+use crate::gateway::metadata::{Part, TargetLoad};
 use crate::ids::{ModelId, ServiceId, TargetStart};
 
 /// Names a placement.
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -21,7 +21,7 @@
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
 use crate::fleet::{Fault, Presence};
-use crate::gateway::call::Part;
+use crate::gateway::metadata::Part;
 use crate::ids::{ServiceId, TargetStart};
 
 /// An engine takes another prompt once it has less than this left to read: enough to keep it busy
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -13,7 +13,7 @@
 use super::memory::PartKey;
 use crate::clock::BootTime;
 use crate::deployment::StoreTraits;
-use crate::gateway::call::Part;
+use crate::gateway::metadata::Part;
 use crate::ids::{BirthMs, may_be_same_birth};
 
 /// A fetch is granted for this long. Transfers take tens of milliseconds; one that would wait for
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -14,7 +14,7 @@
 use kumquatpost::control::scheduling::Scheduling;
 use kumquatpost::control::shared::{Belief, Shared};
 use kumquatpost::control::state::{ControlState, Published};
-use kumquatpost::gateway::call::Part;
+use kumquatpost::gateway::metadata::Part;
 use kumquatpost::gateway::scheduler_connection;
 use kumquatpost::log::Term;
 use kumquatpost::scheduler::weights::OldWeights;
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -167,7 +167,7 @@
     first.slots = 48;
     let entry = entry(unhurried(), vec![first, second]).await;
     // The second looks busy, so that the first is chosen.
-    let busy = kumquatpost::gateway::call::TargetLoad { running: 40, waiting: 0, slots: 48 };
+    let busy = kumquatpost::gateway::metadata::TargetLoad { running: 40, waiting: 0, slots: 48 };
     // A report counts in full until then.
     let now = kumquatpost::clock::boot_now() + LONG;
     entry.gateway.fleet.borrow_mut().reported(&start("i-2"), busy, now);
--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Uri};
-use kumquatpost::gateway::call::{Forwarded, KeptParts};
+use kumquatpost::gateway::metadata::{Forwarded, KeptParts};
 use kumquatpost::platform::headers;
 
 use crate::fixtures::address;
--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -9,7 +9,7 @@
 
 use kumquatpost::deployment::{Deployment, ServiceRole};
 use kumquatpost::fleet::Listed;
-use kumquatpost::gateway::call::Part;
+use kumquatpost::gateway::metadata::Part;
 use kumquatpost::ids::TargetStart;
 use kumquatpost::scheduler::store::{Inventory, StoreEvent, StoredPart};
 use kumquatpost::scheduler::{
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -4,7 +4,7 @@
 
 use kumquatpost::fleet::placement::{Criteria, SelectionError, choose};
 use kumquatpost::fleet::{Fault, FleetView};
-use kumquatpost::gateway::call::{Part, Prompt};
+use kumquatpost::gateway::metadata::{Part, Prompt};
 use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
 
 use crate::fixtures::{address, ms, roster, start, target};
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -5,7 +5,7 @@
 use kumquatpost::control::frames::{NumberedRoster, encode};
 use kumquatpost::control::weights::next_loads;
 use kumquatpost::fleet::{Fault, FleetView, Listed, Presence, Roster};
-use kumquatpost::gateway::call::TargetLoad;
+use kumquatpost::gateway::metadata::TargetLoad;
 use kumquatpost::ids::{ServiceId, TargetStart};
 
 use crate::asking::shared;
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -3,7 +3,7 @@
 use kumquatpost::control::unreadable::UnreadableLines;
 use kumquatpost::fleet::listing::EntryError;
 use kumquatpost::fleet::{Listed, Listing, UnreadableEntry};
-use kumquatpost::gateway::call::TargetLoad;
+use kumquatpost::gateway::metadata::TargetLoad;
 use kumquatpost::ids::TargetStart;
 use kumquatpost::scheduler::store::{StoreEvent, StoredPart};
 use kumquatpost::scheduler::{End, Placed, PlacementEvent, PlacementRequest, Scheduler};
--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::StoreTraits;
-use kumquatpost::gateway::call::Part;
+use kumquatpost::gateway::metadata::Part;
 use kumquatpost::platform::stores;
 use kumquatpost::scheduler::store::{
     FETCH_LASTS, FreePlan, Inventory, Store, StoreEvent, StoreStart, StoredPart, part_key,
