--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
 use super::place::{self, Chosen, NoChoice};
 use super::pool::{Connection, Sent};
-use super::record::Record;
+use super::request_record::RequestRecord;
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
@@ -72,7 +72,7 @@
     tried: &[TargetStart],
     resume_after: Option<&str>,
     patience: Option<Duration>,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<Answered, Missed> {
     let mut avoid = tried.to_vec();
     for _ in 0..CONNECTIONS_TRIED {
@@ -91,14 +91,14 @@
         };
         // The scheduler may hear later than this entry that the target leaves, and connecting takes time.
         if !gateway.fleet.borrow().takes_work(&target) {
-            record.failed(&target, "it takes no new work");
+            record.attempt_failed(&target, "it takes no new work");
             at_target.ends(End::NotRun);
             avoid.push(target);
             continue;
         }
         // Its word may have lain for long at an entry that was starved, and connecting takes time.
         if !place::may_still_begin(gateway, job, &chosen) {
-            record.failed(&target, "its weights must be replaced by now");
+            record.attempt_failed(&target, "its weights must be replaced by now");
             at_target.ends(End::NotRun);
             gateway.give_back(&target, connection);
             avoid.push(target);
@@ -110,7 +110,7 @@
             gateway.give_back(&target, connection);
             return Err(Missed::Held(left));
         }
-        record.chosen(&chosen, connection.was_used);
+        record.target_selected(&chosen, connection.was_used);
         let time_left = job.ends_at.saturating_duration_since(Instant::now());
         if time_left < LEAST_TIME {
             return Err(Missed::TooLate);
@@ -123,12 +123,12 @@
         let answer = match sent {
             Ok(Sent::Answered(answer)) => answer,
             Ok(Sent::NotSent(reason)) => {
-                record.failed(&target, &reason);
+                record.attempt_failed(&target, &reason);
                 at_target.ends(End::NotRun);
                 continue;
             }
             Ok(Sent::Broken(reason)) => {
-                record.failed(&target, &reason);
+                record.attempt_failed(&target, &reason);
                 at_target.ends(End::Failed);
                 drop(at_target);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
@@ -136,7 +136,7 @@
                 return Err(Missed::MayHaveRun(target));
             }
             Err(_) => {
-                record.failed(&target, "no answer in time");
+                record.attempt_failed(&target, "no answer in time");
                 at_target.ends(End::Failed);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 return Err(Missed::TimedOut(target));
@@ -151,9 +151,9 @@
 }
 
 /// How much longer the request must not reach a target.
-fn held_for(gateway: &Gateway, job: &Job, record: &mut Record) -> Option<Duration> {
+fn held_for(gateway: &Gateway, job: &Job, record: &mut RequestRecord) -> Option<Duration> {
     let left = gateway.held_for(job)?;
-    record.asks(job.fingerprint());
+    record.set_fingerprint(job.fingerprint());
     Some(left)
 }
 
@@ -161,7 +161,7 @@
     gateway: &Gateway,
     target: &TargetStart,
     ends_at: Instant,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Option<Connection> {
     if let Some(connection) = gateway.pool.reuse(target) {
         return Some(connection);
@@ -170,7 +170,7 @@
     match timeout_at(ends_at, Connection::open(address)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(error)) => {
-            record.failed(target, &error.to_string());
+            record.attempt_failed(target, &error.to_string());
             gateway.fleet.borrow_mut().unreachable(target, boot_now());
             if error.kind() == ErrorKind::ConnectionRefused {
                 examine::has_ended(gateway, target, "refuses connections");
@@ -215,23 +215,23 @@
     gateway: &Gateway,
     job: &Job,
     mut answered: Answered,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<Answered, Missed> {
     let now = boot_now();
     let Answered { target, answer, response_metadata, at_target, .. } = &mut answered;
-    record.answered(response_metadata);
+    record.response_received(response_metadata);
     if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
     }
     let is_other = response_metadata.request_id.as_ref().is_some_and(|id| *id != job.metadata.id);
     if is_other {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
-        record.failed(target, "answer to another request");
+        record.attempt_failed(target, "answer to another request");
         at_target.ends(End::Failed);
         return Err(Missed::MayHaveRun(answered.target));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        record.failed(target, "another target or other weights");
+        record.attempt_failed(target, "another target or other weights");
         let is_replaced = response_metadata.answered_by.as_ref().is_some_and(|id| *id != target.id);
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
@@ -251,7 +251,7 @@
         gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
     }
     if response_metadata.did_not_run {
-        record.failed(target, &format!("not run, status {}", answer.status().as_u16()));
+        record.attempt_failed(target, &format!("not run, status {}", answer.status().as_u16()));
         at_target.ends(End::NotRun);
         let Answered { target, connection, response_metadata, .. } = answered;
         if !response_metadata.closes {
--- a/src/gateway/examine.rs
+++ b/src/gateway/examine.rs
@@ -6,7 +6,7 @@
 
 use super::job::Job;
 use super::pool::Connection;
-use super::record::Record;
+use super::request_record::RequestRecord;
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
@@ -30,10 +30,10 @@
     job: &Job,
     target: &TargetStart,
     sent_at: BootTime,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) {
     let run = BrokenRun { fingerprint: job.fingerprint(), sent_at, broke_at: boot_now() };
-    record.asks(run.fingerprint);
+    record.set_fingerprint(run.fingerprint);
     // Who leaves ends as planned.
     if gateway.fleet.borrow().was_told_to_leave(target) {
         return;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -17,7 +17,7 @@
 use super::job::Job;
 use super::metadata::ResponseMetadata;
 use super::pool::Connection;
-use super::record::{Ended, Record};
+use super::request_record::{Outcome, RequestRecord};
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
@@ -54,7 +54,7 @@
     /// The request.
     pub job: Job,
     /// What happens to it.
-    pub record: Record,
+    pub record: RequestRecord,
     /// Targets that it was sent to.
     pub tried: Vec<TargetStart>,
     source: Option<Source>,
@@ -83,7 +83,7 @@
     pub fn new(
         gateway: Rc<Gateway>,
         job: Job,
-        record: Record,
+        record: RequestRecord,
         tried: Vec<TargetStart>,
         answered: Answered,
     ) -> EventRelay {
@@ -108,7 +108,7 @@
         loop {
             match self.next_of_source().await {
                 Next::Events(events) => {
-                    self.record.first_part();
+                    self.record.first_part_sent();
                     return Ok(Some(events));
                 }
                 Next::Whole => {
@@ -116,7 +116,7 @@
                     return Ok(None);
                 }
                 Next::TimeOver => {
-                    self.record.end(Ended::BrokenOff);
+                    self.record.set_outcome(Outcome::BrokenOff);
                     return Err("its time is over".into());
                 }
                 Next::Broken(reason) => self.go_on_elsewhere(reason).await?,
@@ -167,7 +167,7 @@
     }
 
     fn finish(&mut self) {
-        self.record.end(Ended::Relayed(StatusCode::OK.as_u16()));
+        self.record.set_outcome(Outcome::Relayed(StatusCode::OK.as_u16()));
         if let Some(mut source) = self.source.take() {
             source.at_target.ends(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
@@ -183,14 +183,14 @@
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
             source.at_target.ends(End::Failed);
-            self.record.failed(&source.target, &reason);
+            self.record.attempt_failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
             let (target, sent_at) = (source.target.clone(), source.sent_at);
             // Closes the connection, which ends the run there.
             drop(source);
             examine::broke_off(&self.gateway, &self.job, &target, sent_at, &mut self.record).await;
         }
-        self.record.end(Ended::BrokenOff);
+        self.record.set_outcome(Outcome::BrokenOff);
         let has_retry = || self.gateway.retries.borrow_mut().spend(&self.job.service, boot_now());
         if !may_resume || !has_retry() {
             return Err(reason.into());
@@ -231,28 +231,33 @@
 }
 
 /// Relays a body that is no stream of events and too long to be taken as a whole.
-pub fn raw(gateway: Rc<Gateway>, job: Job, answered: Answered, record: Record) -> AnswerBody {
+pub fn raw(
+    gateway: Rc<Gateway>,
+    job: Job,
+    answered: Answered,
+    record: RequestRecord,
+) -> AnswerBody {
     let status = answered.answer.status();
     let source = Source::new(answered);
     in_parts(stream::unfold(Some((gateway, job, source, record)), move |state| async move {
         let (gateway, job, mut source, mut record) = state?;
         let error: RelayError = match timeout_at(job.ends_at, source.body.frame()).await {
             Ok(None) => {
-                record.end(Ended::Relayed(status.as_u16()));
+                record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
                     gateway.answered_whole(&job);
                 }
                 return None;
             }
             Ok(Some(Ok(frame))) => {
-                record.first_part();
+                record.first_part_sent();
                 return Some((Ok(frame), Some((gateway, job, source, record))));
             }
             Ok(Some(Err(error))) => error.into(),
             Err(_) => "its time is over".into(),
         };
-        record.failed(&source.target, &error.to_string());
-        record.end(Ended::BrokenOff);
+        record.attempt_failed(&source.target, &error.to_string());
+        record.set_outcome(Outcome::BrokenOff);
         if Instant::now() < job.ends_at {
             examine::broke_off(&gateway, &job, &source.target, source.sent_at, &mut record).await;
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -19,8 +19,8 @@
 use super::metadata::RequestMetadata;
 use super::place::NoChoice;
 use super::rank::Rank;
-use super::record::{Ended, Record};
 use super::relay::{self, EventRelay};
+use super::request_record::{Outcome, RequestRecord};
 use super::state::{Confirmation, Gateway};
 use crate::clock::boot_now;
 use crate::deployment::{Rejection, RunPolicy, Table};
@@ -48,11 +48,11 @@
 
 /// Answers a request.
 pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
-    let begun = boot_now();
+    let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
     let metadata = headers::decode_call(&head.uri, &head.headers);
-    let mut record = Record::new(&gateway, &metadata, begun);
+    let mut record = RequestRecord::new(&gateway, &metadata, started_at);
     let mut answer = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(job) => serve(&gateway, job, record).await,
         Err((refusal, id)) => refused(refusal, &id, &record),
@@ -70,7 +70,7 @@
     metadata: RequestMetadata,
     body: Incoming,
     arrived: Instant,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<Job, (Refusal, String)> {
     let patience = patience_at_start(metadata.deadline);
     gateway.until_deployed(patience).await;
@@ -97,12 +97,12 @@
 async fn table_for(
     gateway: &Gateway,
     metadata: &RequestMetadata,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<Rc<Table>, Refusal> {
     loop {
         let table = gateway.table().ok_or(Refusal::NotReady)?;
         let version = table.deployment().version;
-        record.looked_up(version);
+        record.set_version(version);
         if table.find(&metadata.host, &metadata.path, metadata.key.as_deref()).is_ok() {
             return Ok(table);
         }
@@ -126,7 +126,7 @@
     head: http::request::Parts,
     metadata: RequestMetadata,
     arrived: Instant,
-    record: &mut Record,
+    record: &mut RequestRecord,
 ) -> Result<Job, (Refusal, String)> {
     let found = match table.find(&metadata.host, &metadata.path, metadata.key.as_deref()) {
         Ok(found) => found,
@@ -135,7 +135,7 @@
     };
     let route = found.route.clone();
     let rank = Rank::of(found.account, &route);
-    record.routed(&route.name, rank);
+    record.set_route(&route.name, rank);
     let mut random = rand::rng();
     let Some(service) = route.pick(random.random()).cloned() else {
         return Err((Refusal::NoTarget, metadata.id));
@@ -174,7 +174,7 @@
     }
 }
 
-async fn serve(gateway: &Rc<Gateway>, job: Job, mut record: Record) -> Answer {
+async fn serve(gateway: &Rc<Gateway>, job: Job, mut record: RequestRecord) -> Answer {
     gateway.retries.borrow_mut().sent(&job.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
@@ -246,7 +246,7 @@
 async fn relay_answer(
     gateway: &Rc<Gateway>,
     job: Job,
-    mut record: Record,
+    mut record: RequestRecord,
     tried: Vec<TargetStart>,
     answered: Answered,
 ) -> Answer {
@@ -261,8 +261,8 @@
         match relay::read_whole(answer.into_body(), job.ends_at).await {
             Ok(bytes) => {
                 drop(at_target);
-                record.first_part();
-                record.end(Ended::Relayed(status.as_u16()));
+                record.first_part_sent();
+                record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
                     gateway.fleet.borrow_mut().succeeded(&target);
                     gateway.answered_whole(&job);
@@ -274,7 +274,7 @@
                 whole(bytes)
             }
             Err(error) => {
-                record.failed(&target, &error.to_string());
+                record.attempt_failed(&target, &error.to_string());
                 drop((at_target, connection));
                 if Instant::now() < job.ends_at {
                     examine::broke_off(gateway, &job, &target, sent_at, &mut record).await;
@@ -291,7 +291,7 @@
     answer
 }
 
-fn refused(refusal: Refusal, id: &str, record: &Record) -> Answer {
+fn refused(refusal: Refusal, id: &str, record: &RequestRecord) -> Answer {
     let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random());
     let come_back = match refusal {
         Refusal::Busy(come_back) | Refusal::Held(come_back) => come_back,
@@ -300,6 +300,6 @@
         _ => COME_BACK_AFTER + spread,
     };
     let answer = refuse(refusal, id, come_back);
-    record.end(Ended::Refused(answer.status().as_u16(), refusal.name()));
+    record.set_outcome(Outcome::Refused(answer.status().as_u16(), refusal.name()));
     answer
 }
--- a/src/gateway/record.rs
+++ b/src/gateway/request_record.rs
@@ -17,7 +17,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     /// The caller left before the answer was whole.
     #[default]
     CallerLeft,
@@ -29,128 +29,132 @@
     BrokenOff,
 }
 
-impl Ended {
+impl Outcome {
     /// Its name and reason in metrics.
     fn labels(self) -> (&'static str, &'static str) {
         match self {
-            Ended::CallerLeft => ("caller_left", ""),
-            Ended::Relayed(200..=299) => ("relayed", ""),
-            Ended::Relayed(_) => ("relayed", "failure of the target"),
-            Ended::Refused(_, reason) => ("refused", reason),
-            Ended::BrokenOff => ("broken_off", ""),
+            Outcome::CallerLeft => ("caller_left", ""),
+            Outcome::Relayed(200..=299) => ("relayed", ""),
+            Outcome::Relayed(_) => ("relayed", "failure of the target"),
+            Outcome::Refused(_, reason) => ("refused", reason),
+            Outcome::BrokenOff => ("broken_off", ""),
         }
     }
 
     fn is_success(self) -> bool {
-        matches!(self, Ended::Relayed(200..=299))
+        matches!(self, Outcome::Relayed(200..=299))
     }
 }
 
 /// Follows one request. The line is written when it is dropped.
-pub struct Record {
+pub struct RequestRecord {
     gateway: Rc<Gateway>,
     id: String,
-    begun: BootTime,
+    started_at: BootTime,
     route: String,
     version: DeploymentVersion,
     /// 0 first.
     rank: u8,
-    steps: String,
+    attempts: String,
     /// What it asks, if that was told.
     fingerprint: Option<Fingerprint>,
     first_part: Option<Duration>,
-    ended: Cell<Ended>,
+    outcome: Cell<Outcome>,
 }
 
-impl Record {
+impl RequestRecord {
     /// Begins with a request's arrival.
-    pub fn new(gateway: &Rc<Gateway>, metadata: &RequestMetadata, begun: BootTime) -> Record {
+    pub fn new(
+        gateway: &Rc<Gateway>,
+        metadata: &RequestMetadata,
+        started_at: BootTime,
+    ) -> RequestRecord {
         gateway.answering.set(gateway.answering.get() + 1);
-        Record {
+        RequestRecord {
             gateway: gateway.clone(),
             id: metadata.id.clone(),
-            begun,
+            started_at,
             route: String::new(),
             version: 0,
             rank: 0,
-            steps: String::new(),
+            attempts: String::new(),
             fingerprint: None,
             first_part: None,
-            ended: Cell::new(Ended::CallerLeft),
+            outcome: Cell::new(Outcome::CallerLeft),
         }
     }
 
     /// The version of the deployment by which its route is looked up.
-    pub fn looked_up(&mut self, version: DeploymentVersion) {
+    pub fn set_version(&mut self, version: DeploymentVersion) {
         self.version = version;
     }
 
     /// The route that was found, and how urgent the request is.
-    pub fn routed(&mut self, route: &str, rank: Rank) {
+    pub fn set_route(&mut self, route: &str, rank: Rank) {
         self.route = route.to_string();
         self.rank = rank.order();
     }
 
     /// A target was chosen.
-    pub fn chosen(&mut self, chosen: &Chosen, is_reused: bool) {
+    pub fn target_selected(&mut self, chosen: &Chosen, is_reused: bool) {
         let at_ms = self.elapsed().as_millis();
         let (target, trace) = (&chosen.target, &chosen.trace);
         // Writing to a string can't fail.
-        let _ = write!(self.steps, " at_ms={at_ms} target={target} {trace} reused={is_reused}");
+        let _ = write!(self.attempts, " at_ms={at_ms} target={target} {trace} reused={is_reused}");
     }
 
     /// A target answered, and told how busy it is.
-    pub fn answered(&mut self, response_metadata: &ResponseMetadata) {
+    pub fn response_received(&mut self, response_metadata: &ResponseMetadata) {
         let at_ms = self.elapsed().as_millis();
-        let _ = write!(self.steps, " answered_ms={at_ms}");
+        let _ = write!(self.attempts, " answered_ms={at_ms}");
         if let Some(load) = response_metadata.load {
-            let _ = write!(self.steps, " running={} waiting={}", load.running, load.waiting);
+            let _ = write!(self.attempts, " running={} waiting={}", load.running, load.waiting);
         }
     }
 
     /// A target did not answer as hoped.
-    pub fn failed(&mut self, target: &TargetStart, reason: &str) {
+    pub fn attempt_failed(&mut self, target: &TargetStart, reason: &str) {
         let at_ms = self.elapsed().as_millis();
         self.gateway.metrics.missed.add(1, &[label("reason", reason)]);
-        let _ = write!(self.steps, " at_ms={at_ms} failed={target} reason={reason:?}");
+        let _ = write!(self.attempts, " at_ms={at_ms} failed={target} reason={reason:?}");
     }
 
     /// What the request asks, to find the caller's other attempts by: one of its runs broke off.
-    pub fn asks(&mut self, fingerprint: Fingerprint) {
+    pub fn set_fingerprint(&mut self, fingerprint: Fingerprint) {
         if self.fingerprint.replace(fingerprint).is_none() {
-            let _ = write!(self.steps, " fingerprint={fingerprint}");
+            let _ = write!(self.attempts, " fingerprint={fingerprint}");
         }
     }
 
     /// The first part of the answer is on its way.
-    pub fn first_part(&mut self) {
+    pub fn first_part_sent(&mut self) {
         if self.first_part.is_none() {
             self.first_part = Some(self.elapsed());
         }
     }
 
     /// How it ended.
-    pub fn end(&self, ended: Ended) {
-        self.ended.set(ended);
+    pub fn set_outcome(&self, outcome: Outcome) {
+        self.outcome.set(outcome);
     }
 
     /// Time since the request came.
     pub fn elapsed(&self) -> Duration {
-        boot_now().saturating_sub(self.begun)
+        boot_now().saturating_sub(self.started_at)
     }
 }
 
-impl Drop for Record {
+impl Drop for RequestRecord {
     fn drop(&mut self) {
         self.gateway.answering.set(self.gateway.answering.get().saturating_sub(1));
-        let ended = self.ended.get();
-        let (ending, reason) = ended.labels();
+        let outcome = self.outcome.get();
+        let (ending, reason) = outcome.labels();
         self.gateway.metrics.ended(&self.route, ending, reason);
         if let Some(first) = self.first_part {
             let route = [label("route", &self.route)];
             self.gateway.metrics.first_part_s.record(first.as_secs_f64(), &route);
         }
-        if !self.gateway.lines.allows(&self.id, ended.is_success(), boot_now()) {
+        if !self.gateway.lines.allows(&self.id, outcome.is_success(), boot_now()) {
             return;
         }
         let first_ms = self.first_part.map_or(-1, |first| first.as_millis() as i64);
@@ -163,8 +167,8 @@
             self.rank,
             self.version,
             self.elapsed().as_millis(),
-            ended,
-            self.steps
+            outcome,
+            self.attempts
         );
     }
 }
