--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -11,11 +11,11 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::examine;
-use super::job::Job;
 use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
 use super::place::{self, Chosen, NoChoice};
 use super::pool::{Connection, Sent};
 use super::request_record::RequestRecord;
+use super::routed_request::RoutedRequest;
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
@@ -68,7 +68,7 @@
 /// Why there is no answer.
 pub async fn attempt(
     gateway: &Rc<Gateway>,
-    job: &Job,
+    routed: &RoutedRequest,
     tried: &[TargetStart],
     resume_after: Option<&str>,
     patience: Option<Duration>,
@@ -76,15 +76,15 @@
 ) -> Result<Answered, Missed> {
     let mut avoid = tried.to_vec();
     for _ in 0..CONNECTIONS_TRIED {
-        if let Some(left) = held_for(gateway, job, record) {
+        if let Some(left) = held_for(gateway, routed, record) {
             return Err(Missed::Held(left));
         }
-        let chosen = place::choose(gateway, job, &avoid).await.map_err(Missed::Unplaced)?;
+        let chosen = place::choose(gateway, routed, &avoid).await.map_err(Missed::Unplaced)?;
         let target = chosen.target.clone();
-        let reading = job.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
+        let reading = routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
         let ticket = chosen.placed.as_ref().map(|placed| placed.ticket);
         let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
-        let Some(mut connection) = connect(gateway, &target, job.ends_at, record).await else {
+        let Some(mut connection) = connect(gateway, &target, routed.deadline, record).await else {
             at_target.ends(End::Unreachable);
             avoid.push(target);
             continue;
@@ -97,7 +97,7 @@
             continue;
         }
         // Its word may have lain for long at an entry that was starved, and connecting takes time.
-        if !place::may_still_begin(gateway, job, &chosen) {
+        if !place::may_still_begin(gateway, routed, &chosen) {
             record.attempt_failed(&target, "its weights must be replaced by now");
             at_target.ends(End::NotRun);
             gateway.give_back(&target, connection);
@@ -105,18 +105,19 @@
             continue;
         }
         // It may have waited for its place for long.
-        if let Some(left) = held_for(gateway, job, record) {
+        if let Some(left) = held_for(gateway, routed, record) {
             at_target.ends(End::NotRun);
             gateway.give_back(&target, connection);
             return Err(Missed::Held(left));
         }
         record.target_selected(&chosen, connection.was_used);
-        let time_left = job.ends_at.saturating_duration_since(Instant::now());
+        let time_left = routed.deadline.saturating_duration_since(Instant::now());
         if time_left < LEAST_TIME {
             return Err(Missed::TooLate);
         }
-        let request = request_for(job, &chosen, time_left, resume_after);
-        let give_up_at = patience.map_or(job.ends_at, |p| job.ends_at.min(Instant::now() + p));
+        let request = request_for(routed, &chosen, time_left, resume_after);
+        let give_up_at =
+            patience.map_or(routed.deadline, |p| routed.deadline.min(Instant::now() + p));
         let sent_at = boot_now();
         let sent = timeout_at(give_up_at, connection.send(request)).await;
         let now = boot_now();
@@ -132,7 +133,7 @@
                 at_target.ends(End::Failed);
                 drop(at_target);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
-                examine::broke_off(gateway, job, &target, sent_at, record).await;
+                examine::broke_off(gateway, routed, &target, sent_at, record).await;
                 return Err(Missed::MayHaveRun(target));
             }
             Err(_) => {
@@ -145,15 +146,19 @@
         let response_metadata = headers::decode_metadata(answer.headers());
         let answered =
             Answered { target, answer, response_metadata, connection, at_target, sent_at };
-        return judge(gateway, job, answered, record);
+        return judge(gateway, routed, answered, record);
     }
     Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoneSound)))
 }
 
 /// How much longer the request must not reach a target.
-fn held_for(gateway: &Gateway, job: &Job, record: &mut RequestRecord) -> Option<Duration> {
-    let left = gateway.held_for(job)?;
-    record.set_fingerprint(job.fingerprint());
+fn held_for(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    record: &mut RequestRecord,
+) -> Option<Duration> {
+    let left = gateway.held_for(routed)?;
+    record.set_fingerprint(routed.fingerprint());
     Some(left)
 }
 
@@ -182,19 +187,19 @@
 }
 
 fn request_for(
-    job: &Job,
+    routed: &RoutedRequest,
     chosen: &Chosen,
     time_left: Duration,
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let placed = chosen.placed.as_ref();
-    let salt = || placed.map_or_else(|| job.cache_wall.clone(), |placed| placed.salt.clone());
+    let salt = || placed.map_or_else(|| routed.cache_wall.clone(), |placed| placed.salt.clone());
     let forwarded = Forwarded {
         target: &chosen.target.id,
-        account: job.account.as_ref(),
+        account: routed.account.as_ref(),
         time_left,
-        urgency: job.metadata.prompt.is_some().then_some(job.rank.for_engine()),
-        cache_wall: job.metadata.prompt.is_some().then(salt),
+        urgency: routed.metadata.prompt.is_some().then_some(routed.rank.for_engine()),
+        cache_wall: routed.metadata.prompt.is_some().then(salt),
         resume_after,
         weight_version: chosen.weight_version,
         kept: placed.map(|placed| KeptParts {
@@ -203,17 +208,17 @@
             fetch_until_ms: placed.fetch_until_ms,
         }),
     };
-    let mut request = Request::new(Full::new(job.body.clone()));
-    *request.method_mut() = job.method.clone();
-    *request.uri_mut() = job.uri.clone();
-    *request.headers_mut() = headers::for_target(&job.headers, &forwarded);
+    let mut request = Request::new(Full::new(routed.body.clone()));
+    *request.method_mut() = routed.method.clone();
+    *request.uri_mut() = routed.uri.clone();
+    *request.headers_mut() = headers::for_target(&routed.headers, &forwarded);
     request
 }
 
 /// Tells an answer to this request from refusals and from answers to others.
 fn judge(
     gateway: &Gateway,
-    job: &Job,
+    routed: &RoutedRequest,
     mut answered: Answered,
     record: &mut RequestRecord,
 ) -> Result<Answered, Missed> {
@@ -223,7 +228,8 @@
     if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
     }
-    let is_other = response_metadata.request_id.as_ref().is_some_and(|id| *id != job.metadata.id);
+    let is_other =
+        response_metadata.request_id.as_ref().is_some_and(|id| *id != routed.metadata.id);
     if is_other {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
         record.attempt_failed(target, "answer to another request");
@@ -238,7 +244,7 @@
             examine::has_ended(gateway, target, "another target answers at its address");
             at_target.ends(End::Replaced);
         } else {
-            if let Some(prompt) = &job.metadata.prompt {
+            if let Some(prompt) = &routed.metadata.prompt {
                 let has = response_metadata.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
@@ -246,7 +252,8 @@
         }
         return Err(Missed::NotRun(answered.target));
     }
-    if let (Some(prompt), Some(version)) = (&job.metadata.prompt, response_metadata.weight_version)
+    if let (Some(prompt), Some(version)) =
+        (&routed.metadata.prompt, response_metadata.weight_version)
     {
         gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
     }
--- a/src/gateway/examine.rs
+++ b/src/gateway/examine.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::job::Job;
 use super::pool::Connection;
 use super::request_record::RequestRecord;
+use super::routed_request::RoutedRequest;
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
@@ -27,12 +27,12 @@
 /// target has ended, for a short time.
 pub async fn broke_off(
     gateway: &Rc<Gateway>,
-    job: &Job,
+    routed: &RoutedRequest,
     target: &TargetStart,
     sent_at: BootTime,
     record: &mut RequestRecord,
 ) {
-    let run = BrokenRun { fingerprint: job.fingerprint(), sent_at, broke_at: boot_now() };
+    let run = BrokenRun { fingerprint: routed.fingerprint(), sent_at, broke_at: boot_now() };
     record.set_fingerprint(run.fingerprint);
     // Who leaves ends as planned.
     if gateway.fleet.borrow().was_told_to_leave(target) {
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::job::Job;
+use super::routed_request::RoutedRequest;
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::control::frames::SchedulerError;
@@ -43,10 +43,10 @@
 /// If there is none.
 pub async fn choose(
     gateway: &Rc<Gateway>,
-    job: &Job,
+    routed: &RoutedRequest,
     avoid: &[TargetStart],
 ) -> Result<Chosen, NoChoice> {
-    if let Some(ask) = ask_of(gateway, job, avoid) {
+    if let Some(ask) = ask_of(gateway, routed, avoid) {
         let answer = gateway.scheduler.ask(ask).await;
         if let Some(Ok(placed)) = &answer {
             gateway.until_listed(&placed.target, LISTED_WITHIN).await;
@@ -62,7 +62,7 @@
             Some(Err(_)) | None => {}
         }
     }
-    alone(gateway, job, avoid)
+    alone(gateway, routed, avoid)
 }
 
 fn by_scheduler(placed: Placed) -> Chosen {
@@ -86,19 +86,23 @@
     Chosen { target: placed.target.clone(), placed: Some(placed), weight_version, trace }
 }
 
-fn alone(gateway: &Gateway, job: &Job, avoid: &[TargetStart]) -> Result<Chosen, NoChoice> {
+fn alone(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    avoid: &[TargetStart],
+) -> Result<Chosen, NoChoice> {
     let ask = placement::Criteria {
-        service: &job.service,
-        prompt: job.metadata.prompt.as_ref(),
-        cache_wall: &job.cache_wall,
+        service: &routed.service,
+        prompt: routed.metadata.prompt.as_ref(),
+        cache_wall: &routed.cache_wall,
         tried: avoid,
-        drawn: job.drawn,
+        drawn: routed.tie_breaker,
         named: &gateway.named_since.borrow(),
         old_weights: gateway.host.periods.old_weights,
     };
     let choice = placement::choose(&gateway.fleet.borrow(), &ask, boot_now());
     let choice = choice.map_err(NoChoice::NoTarget)?;
-    if job.metadata.prompt.is_some() {
+    if routed.metadata.prompt.is_some() {
         gateway.metrics.placed_alone.add(1, &[]);
     }
     let trace = format!(
@@ -106,15 +110,15 @@
         choice.load,
         choice.home,
         choice.expected.as_millis(),
-        weights_trace(gateway, job, choice.weight_version),
+        weights_trace(gateway, routed, choice.weight_version),
     );
     let weight_version = choice.weight_version;
     Ok(Chosen { target: choice.target, placed: None, weight_version, trace })
 }
 
 /// Whether a prompt may still begin on the weights that it was placed for.
-pub fn may_still_begin(gateway: &Gateway, job: &Job, chosen: &Chosen) -> bool {
-    let Some(prompt) = &job.metadata.prompt else { return true };
+pub fn may_still_begin(gateway: &Gateway, routed: &RoutedRequest, chosen: &Chosen) -> bool {
+    let Some(prompt) = &routed.metadata.prompt else { return true };
     let old_weights = gateway.host.periods.old_weights;
     let old_weights = match chosen.placed {
         // Only the scheduler knows from when its own bound counts.
@@ -128,8 +132,8 @@
 
 /// Which weights the engine must run, the newest named ones, and how long ago the first were named
 /// that the engine has missed.
-fn weights_trace(gateway: &Gateway, job: &Job, expected: Option<u64>) -> String {
-    let Some(prompt) = &job.metadata.prompt else { return String::new() };
+fn weights_trace(gateway: &Gateway, routed: &RoutedRequest, expected: Option<u64>) -> String {
+    let Some(prompt) = &routed.metadata.prompt else { return String::new() };
     let named_since = gateway.named_since.borrow();
     let named = named_since.get(&prompt.model);
     let missed_since = named.and_then(|named| named.missed_since(expected));
@@ -144,30 +148,34 @@
 }
 
 /// What the scheduler is asked; `None` if the request is no prompt.
-fn ask_of(gateway: &Gateway, job: &Job, avoid: &[TargetStart]) -> Option<PlacementRequest> {
-    let prompt = job.metadata.prompt.as_ref()?;
+fn ask_of(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    avoid: &[TargetStart],
+) -> Option<PlacementRequest> {
+    let prompt = routed.metadata.prompt.as_ref()?;
     let now = boot_now();
     let fleet = gateway.fleet.borrow();
     let suspects = fleet
-        .live(&job.service)
+        .live(&routed.service)
         .filter(|state| !state.health.admits(state.running, now))
         .map(|state| state.listed.start.clone());
     let mut avoid: Vec<TargetStart> = avoid.iter().cloned().chain(suspects).collect();
     // An entry that is cut off from many engines knows nothing against them.
-    if avoid.len() * 2 > fleet.live(&job.service).count() {
-        avoid.truncate(job.route.attempts as usize);
+    if avoid.len() * 2 > fleet.live(&routed.service).count() {
+        avoid.truncate(routed.route.attempts as usize);
     }
     Some(PlacementRequest {
-        service: job.service.clone(),
+        service: routed.service.clone(),
         model: prompt.model.clone(),
-        wall: job.cache_wall.clone(),
+        wall: routed.cache_wall.clone(),
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
-        priority: job.rank.order(),
-        objective: job.route.objective,
-        time_left: job.ends_at.saturating_duration_since(tokio::time::Instant::now()),
-        waited: job.arrived.elapsed(),
+        priority: routed.rank.order(),
+        objective: routed.route.objective,
+        time_left: routed.deadline.saturating_duration_since(tokio::time::Instant::now()),
+        waited: routed.arrived.elapsed(),
         avoid,
     })
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -14,10 +14,10 @@
 use super::attempt::{Answered, Missed, attempt};
 use super::events::EventSplitter;
 use super::examine;
-use super::job::Job;
 use super::metadata::ResponseMetadata;
 use super::pool::Connection;
 use super::request_record::{Outcome, RequestRecord};
+use super::routed_request::RoutedRequest;
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
@@ -52,7 +52,7 @@
     /// The entry.
     pub gateway: Rc<Gateway>,
     /// The request.
-    pub job: Job,
+    pub routed: RoutedRequest,
     /// What happens to it.
     pub record: RequestRecord,
     /// Targets that it was sent to.
@@ -82,13 +82,13 @@
     /// A relay of an answer.
     pub fn new(
         gateway: Rc<Gateway>,
-        job: Job,
+        routed: RoutedRequest,
         record: RequestRecord,
         tried: Vec<TargetStart>,
         answered: Answered,
     ) -> EventRelay {
         let source = Some(Source::new(answered));
-        EventRelay { gateway, job, record, tried, source, events: EventSplitter::default() }
+        EventRelay { gateway, routed, record, tried, source, events: EventSplitter::default() }
     }
 
     /// The body as the caller gets it.
@@ -128,11 +128,11 @@
         let pause = self.longest_pause();
         let Some(source) = &mut self.source else { return Next::Broken("no source".into()) };
         loop {
-            let ends_at =
-                pause.map_or(self.job.ends_at, |p| self.job.ends_at.min(Instant::now() + p));
+            let ends_at = pause
+                .map_or(self.routed.deadline, |p| self.routed.deadline.min(Instant::now() + p));
             let frame = match timeout_at(ends_at, source.body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) if Instant::now() >= self.job.ends_at => return Next::TimeOver,
+                Err(_) if Instant::now() >= self.routed.deadline => return Next::TimeOver,
                 Err(_) => return Next::Broken("no event for too long".into()),
             };
             match frame {
@@ -158,12 +158,14 @@
         if !self.may_resume() {
             return None;
         }
-        let pause = self.job.route.gap_target.map_or(PAUSE_TO_RESUME, |gap| gap * PAUSES_TO_RESUME);
-        Some(pause.max(self.job.route.objective))
+        let pause =
+            self.routed.route.gap_target.map_or(PAUSE_TO_RESUME, |gap| gap * PAUSES_TO_RESUME);
+        Some(pause.max(self.routed.route.objective))
     }
 
     fn may_resume(&self) -> bool {
-        self.job.route.policy.may_repeat() && (self.tried.len() as u32) < self.job.route.attempts
+        self.routed.route.policy.may_repeat()
+            && (self.tried.len() as u32) < self.routed.route.attempts
     }
 
     fn finish(&mut self) {
@@ -171,7 +173,7 @@
         if let Some(mut source) = self.source.take() {
             source.at_target.ends(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
-            self.gateway.answered_whole(&self.job);
+            self.gateway.answered_whole(&self.routed);
             if !source.response_metadata.closes {
                 self.gateway.give_back(&source.target, source.connection);
             }
@@ -188,19 +190,27 @@
             let (target, sent_at) = (source.target.clone(), source.sent_at);
             // Closes the connection, which ends the run there.
             drop(source);
-            examine::broke_off(&self.gateway, &self.job, &target, sent_at, &mut self.record).await;
+            examine::broke_off(&self.gateway, &self.routed, &target, sent_at, &mut self.record)
+                .await;
         }
         self.record.set_outcome(Outcome::BrokenOff);
-        let has_retry = || self.gateway.retries.borrow_mut().spend(&self.job.service, boot_now());
+        let has_retry =
+            || self.gateway.retries.borrow_mut().spend(&self.routed.service, boot_now());
         if !may_resume || !has_retry() {
             return Err(reason.into());
         }
         self.events.drop_part();
-        let last = self.events.last_id().or(self.job.metadata.resume_after.as_deref());
+        let last = self.events.last_id().or(self.routed.metadata.resume_after.as_deref());
         let last = last.map(str::to_string);
-        let resumed =
-            attempt(&self.gateway, &self.job, &self.tried, last.as_deref(), None, &mut self.record)
-                .await;
+        let resumed = attempt(
+            &self.gateway,
+            &self.routed,
+            &self.tried,
+            last.as_deref(),
+            None,
+            &mut self.record,
+        )
+        .await;
         match resumed {
             Ok(answered) if answered.answer.status() == StatusCode::OK => {
                 self.tried.push(answered.target.clone());
@@ -233,33 +243,34 @@
 /// Relays a body that is no stream of events and too long to be taken as a whole.
 pub fn raw(
     gateway: Rc<Gateway>,
-    job: Job,
+    routed: RoutedRequest,
     answered: Answered,
     record: RequestRecord,
 ) -> AnswerBody {
     let status = answered.answer.status();
     let source = Source::new(answered);
-    in_parts(stream::unfold(Some((gateway, job, source, record)), move |state| async move {
-        let (gateway, job, mut source, mut record) = state?;
-        let error: RelayError = match timeout_at(job.ends_at, source.body.frame()).await {
+    in_parts(stream::unfold(Some((gateway, routed, source, record)), move |state| async move {
+        let (gateway, routed, mut source, mut record) = state?;
+        let error: RelayError = match timeout_at(routed.deadline, source.body.frame()).await {
             Ok(None) => {
                 record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
-                    gateway.answered_whole(&job);
+                    gateway.answered_whole(&routed);
                 }
                 return None;
             }
             Ok(Some(Ok(frame))) => {
                 record.first_part_sent();
-                return Some((Ok(frame), Some((gateway, job, source, record))));
+                return Some((Ok(frame), Some((gateway, routed, source, record))));
             }
             Ok(Some(Err(error))) => error.into(),
             Err(_) => "its time is over".into(),
         };
         record.attempt_failed(&source.target, &error.to_string());
         record.set_outcome(Outcome::BrokenOff);
-        if Instant::now() < job.ends_at {
-            examine::broke_off(&gateway, &job, &source.target, source.sent_at, &mut record).await;
+        if Instant::now() < routed.deadline {
+            examine::broke_off(&gateway, &routed, &source.target, source.sent_at, &mut record)
+                .await;
         }
         Some((Err(error), None))
     }))
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -15,12 +15,12 @@
 use super::answer::{Answer, Refusal, refuse, whole};
 use super::attempt::{Answered, Missed, attempt};
 use super::examine;
-use super::job::Job;
 use super::metadata::RequestMetadata;
 use super::place::NoChoice;
 use super::rank::Rank;
 use super::relay::{self, EventRelay};
 use super::request_record::{Outcome, RequestRecord};
+use super::routed_request::RoutedRequest;
 use super::state::{Confirmation, Gateway};
 use crate::clock::boot_now;
 use crate::deployment::{Rejection, RunPolicy, Table};
@@ -54,7 +54,7 @@
     let metadata = headers::decode_call(&head.uri, &head.headers);
     let mut record = RequestRecord::new(&gateway, &metadata, started_at);
     let mut answer = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
-        Ok(job) => serve(&gateway, job, record).await,
+        Ok(routed) => serve(&gateway, routed, record).await,
         Err((refusal, id)) => refused(refusal, &id, &record),
     };
     if gateway.stopping.get() {
@@ -71,26 +71,26 @@
     body: Incoming,
     arrived: Instant,
     record: &mut RequestRecord,
-) -> Result<Job, (Refusal, String)> {
+) -> Result<RoutedRequest, (Refusal, String)> {
     let patience = patience_at_start(metadata.deadline);
     gateway.until_deployed(patience).await;
     let table = match table_for(gateway, &metadata, record).await {
         Ok(table) => table,
         Err(refusal) => return Err((refusal, metadata.id)),
     };
-    let mut job = job(&table, head, metadata, arrived, record)?;
+    let mut routed = route_request(&table, head, metadata, arrived, record)?;
     let (version, most) = (table.deployment().version, table.deployment().bounds.body_bytes);
     drop(table);
-    gateway.until_served(&job.service, patience.saturating_sub(arrived.elapsed())).await;
-    job.body = match read_body(body, most).await {
+    gateway.until_served(&routed.service, patience.saturating_sub(arrived.elapsed())).await;
+    routed.body = match read_body(body, most).await {
         Ok(body) => body,
         // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
         Err(Refusal::BodyTooLarge) if gateway.confirm(version).await != Confirmation::Newest => {
-            return Err((Refusal::Unconfirmed, job.metadata.id));
+            return Err((Refusal::Unconfirmed, routed.metadata.id));
         }
-        Err(refusal) => return Err((refusal, job.metadata.id)),
+        Err(refusal) => return Err((refusal, routed.metadata.id)),
     };
-    Ok(job)
+    Ok(routed)
 }
 
 /// The table by which a request is routed, or refused for good: only by the newest deployment.
@@ -121,13 +121,13 @@
 }
 
 /// Works out what all attempts share, but for the body.
-fn job(
+fn route_request(
     table: &Table,
     head: http::request::Parts,
     metadata: RequestMetadata,
     arrived: Instant,
     record: &mut RequestRecord,
-) -> Result<Job, (Refusal, String)> {
+) -> Result<RoutedRequest, (Refusal, String)> {
     let found = match table.find(&metadata.host, &metadata.path, metadata.key.as_deref()) {
         Ok(found) => found,
         Err(Rejection::NoRoute) => return Err((Refusal::NoRoute, metadata.id)),
@@ -141,8 +141,8 @@
         return Err((Refusal::NoTarget, metadata.id));
     };
     let isolated = found.account.filter(|account| account.is_isolated);
-    let most = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    Ok(Job {
+    let timeout = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    Ok(RoutedRequest {
         method: head.method,
         uri: origin_form(&head.uri),
         headers: head.headers,
@@ -153,8 +153,8 @@
         rank,
         service,
         arrived,
-        ends_at: arrived + most,
-        drawn: random.random(),
+        deadline: arrived + timeout,
+        tie_breaker: random.random(),
         fingerprint: OnceCell::new(),
         route,
         metadata,
@@ -174,23 +174,23 @@
     }
 }
 
-async fn serve(gateway: &Rc<Gateway>, job: Job, mut record: RequestRecord) -> Answer {
-    gateway.retries.borrow_mut().sent(&job.service, boot_now());
+async fn serve(gateway: &Rc<Gateway>, routed: RoutedRequest, mut record: RequestRecord) -> Answer {
+    gateway.retries.borrow_mut().sent(&routed.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
-    let resume_after = job.metadata.resume_after.clone();
+    let resume_after = routed.metadata.resume_after.clone();
     loop {
-        let patience = patience(&job, tried.len());
+        let patience = patience(&routed, tried.len());
         let tried_now =
-            attempt(gateway, &job, &tried, resume_after.as_deref(), patience, &mut record).await;
+            attempt(gateway, &routed, &tried, resume_after.as_deref(), patience, &mut record).await;
         let (missed, target) = match tried_now {
             Ok(answered) => {
                 let target = answered.target.clone();
                 tried.push(target);
                 let wants_another = answered.answer.status().is_server_error()
-                    && job.route.policy == RunPolicy::Idempotent;
-                if !(wants_another && may_try_again(gateway, &job, &tried)) {
-                    return relay_answer(gateway, job, record, tried, answered).await;
+                    && routed.route.policy == RunPolicy::Idempotent;
+                if !(wants_another && may_try_again(gateway, &routed, &tried)) {
+                    return relay_answer(gateway, routed, record, tried, answered).await;
                 }
                 may_have_run = true;
                 continue;
@@ -202,15 +202,15 @@
                     (false, NoChoice::NoTarget(SelectionError::OldWeights)) => Refusal::OldWeights,
                     (false, NoChoice::NoTarget(_)) => Refusal::NoTarget,
                 };
-                return refused(refusal, &job.metadata.id, &record);
+                return refused(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::Held(left)) => {
                 let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
-                return refused(refusal, &job.metadata.id, &record);
+                return refused(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::TooLate) => {
                 let refusal = if may_have_run { Refusal::TimedOut } else { Refusal::TooLate };
-                return refused(refusal, &job.metadata.id, &record);
+                return refused(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::NotRun(target)) => (Refusal::NoTarget, target),
             Err(Missed::MayHaveRun(target)) => (Refusal::Broken, target),
@@ -222,50 +222,51 @@
             (true, Refusal::NoTarget) => Refusal::Broken,
             (_, missed) => missed,
         };
-        let may_repeat = !may_have_run || job.route.policy.may_repeat();
-        if !may_repeat || !may_try_again(gateway, &job, &tried) {
-            return refused(refusal, &job.metadata.id, &record);
+        let may_repeat = !may_have_run || routed.route.policy.may_repeat();
+        if !may_repeat || !may_try_again(gateway, &routed, &tried) {
+            return refused(refusal, &routed.metadata.id, &record);
         }
     }
 }
 
 /// How long the first of several possible targets is waited for.
-fn patience(job: &Job, tried: usize) -> Option<Duration> {
-    let has_another = (tried as u32) + 1 < job.route.attempts && job.route.policy.may_repeat();
-    let wait = job.route.objective * OBJECTIVES_TO_WAIT;
-    let least = if job.metadata.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
+fn patience(routed: &RoutedRequest, tried: usize) -> Option<Duration> {
+    let has_another =
+        (tried as u32) + 1 < routed.route.attempts && routed.route.policy.may_repeat();
+    let wait = routed.route.objective * OBJECTIVES_TO_WAIT;
+    let least = if routed.metadata.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
     (has_another && !wait.is_zero()).then(|| wait.max(least))
 }
 
-fn may_try_again(gateway: &Gateway, job: &Job, tried: &[TargetStart]) -> bool {
-    (tried.len() as u32) < job.route.attempts.max(2)
-        && Instant::now() < job.ends_at
-        && gateway.retries.borrow_mut().spend(&job.service, boot_now())
+fn may_try_again(gateway: &Gateway, routed: &RoutedRequest, tried: &[TargetStart]) -> bool {
+    (tried.len() as u32) < routed.route.attempts.max(2)
+        && Instant::now() < routed.deadline
+        && gateway.retries.borrow_mut().spend(&routed.service, boot_now())
 }
 
 async fn relay_answer(
     gateway: &Rc<Gateway>,
-    job: Job,
+    routed: RoutedRequest,
     mut record: RequestRecord,
     tried: Vec<TargetStart>,
     answered: Answered,
 ) -> Answer {
     let status = answered.answer.status();
     let values = headers::for_caller(answered.answer.headers());
-    let is_stream = job.route.policy.is_stream() && status == StatusCode::OK;
+    let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
-        EventRelay::new(gateway.clone(), job, record, tried, answered).into_body()
+        EventRelay::new(gateway.clone(), routed, record, tried, answered).into_body()
     } else if relay::is_short(answered.answer.body()) {
         let Answered { target, answer, response_metadata, mut connection, at_target, sent_at } =
             answered;
-        match relay::read_whole(answer.into_body(), job.ends_at).await {
+        match relay::read_whole(answer.into_body(), routed.deadline).await {
             Ok(bytes) => {
                 drop(at_target);
                 record.first_part_sent();
                 record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
                     gateway.fleet.borrow_mut().succeeded(&target);
-                    gateway.answered_whole(&job);
+                    gateway.answered_whole(&routed);
                 }
                 connection.set_idle_timeout(response_metadata.idle_timeout);
                 if !response_metadata.closes {
@@ -276,14 +277,14 @@
             Err(error) => {
                 record.attempt_failed(&target, &error.to_string());
                 drop((at_target, connection));
-                if Instant::now() < job.ends_at {
-                    examine::broke_off(gateway, &job, &target, sent_at, &mut record).await;
+                if Instant::now() < routed.deadline {
+                    examine::broke_off(gateway, &routed, &target, sent_at, &mut record).await;
                 }
-                return refused(Refusal::Broken, &job.metadata.id, &record);
+                return refused(Refusal::Broken, &routed.metadata.id, &record);
             }
         }
     } else {
-        relay::raw(gateway.clone(), job, answered, record)
+        relay::raw(gateway.clone(), routed, answered, record)
     };
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
--- a/src/gateway/job.rs
+++ b/src/gateway/routed_request.rs
@@ -13,7 +13,7 @@
 use crate::quarantine::Fingerprint;
 
 /// A request as all its attempts see it.
-pub struct Job {
+pub struct RoutedRequest {
     /// What the caller says.
     pub metadata: RequestMetadata,
     /// The method.
@@ -37,14 +37,14 @@
     /// When its head was here.
     pub arrived: Instant,
     /// When its time is over.
-    pub ends_at: Instant,
+    pub deadline: Instant,
     /// Breaks ties between targets.
-    pub drawn: u64,
+    pub tie_breaker: u64,
     /// What it asks, once somebody wants to know.
     pub fingerprint: OnceCell<Fingerprint>,
 }
 
-impl Job {
+impl RoutedRequest {
     /// Names what it asks, whichever of the caller's attempts it is. Only once the body is here.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,10 +10,10 @@
 use tokio::sync::{Notify, watch};
 
 use super::freshness::{Freshness, Verdict};
-use super::job::Job;
 use super::line_budget::LineBudget;
 use super::metadata::ResponseMetadata;
 use super::pool::{Connection, Pool};
+use super::routed_request::RoutedRequest;
 use super::scheduler_client::SchedulerClient;
 use super::subscriptions::{HeldTargets, Subscriptions};
 use crate::clock::{BootTime, boot_now};
@@ -334,14 +334,14 @@
     }
 
     /// How much longer a request must not reach a target, if targets have ended under it.
-    pub fn held_for(&self, job: &Job) -> Option<Duration> {
+    pub fn held_for(&self, routed: &RoutedRequest) -> Option<Duration> {
         let known = self.quarantine.borrow();
-        if known.is_empty() { None } else { known.held_for(job.fingerprint(), boot_now()) }
+        if known.is_empty() { None } else { known.held_for(routed.fingerprint(), boot_now()) }
     }
 
     /// A request got a whole answer.
-    pub fn answered_whole(&self, job: &Job) {
-        let run = job.fingerprint();
+    pub fn answered_whole(&self, routed: &RoutedRequest) {
+        let run = routed.fingerprint();
         self.quarantine.send_if_modified(|known| known.answered_whole(run, boot_now()));
     }
 
