--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -198,7 +198,7 @@
         target: &chosen.target.id,
         account: routed.account.as_ref(),
         time_left,
-        urgency: routed.metadata.prompt.is_some().then_some(routed.rank.for_engine()),
+        priority: routed.metadata.prompt.is_some().then_some(routed.priority.engine_level()),
         cache_wall: routed.metadata.prompt.is_some().then(salt),
         resume_after,
         weight_version: chosen.weight_version,
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -74,7 +74,7 @@
     /// How much of the caller's time is left.
     pub time_left: Duration,
     /// How urgent an engine shall take it, from 0 (first) to 9.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// Names those who may share kept cache with this request.
     pub cache_wall: Option<String>,
     /// The last event that the caller has.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,7 +9,7 @@
 pub mod metadata;
 pub mod place;
 pub mod pool;
-pub mod rank;
+pub mod priority;
 pub mod relay;
 pub mod request;
 pub mod request_record;
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -172,7 +172,7 @@
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
-        priority: routed.rank.order(),
+        priority: routed.priority.scheduler_level(),
         objective: routed.route.objective,
         time_left: routed.deadline.saturating_duration_since(tokio::time::Instant::now()),
         waited: routed.arrived.elapsed(),
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -17,7 +17,7 @@
 use super::examine;
 use super::metadata::RequestMetadata;
 use super::place::NoChoice;
-use super::rank::Rank;
+use super::priority::Priority;
 use super::relay::{self, EventRelay};
 use super::request_record::{Outcome, RequestRecord};
 use super::routed_request::RoutedRequest;
@@ -134,8 +134,8 @@
         Err(Rejection::UnknownKey) => return Err((Refusal::UnknownKey, metadata.id)),
     };
     let route = found.route.clone();
-    let rank = Rank::of(found.account, &route);
-    record.set_route(&route.name, rank);
+    let priority = Priority::of(found.account, &route);
+    record.set_route(&route.name, priority);
     let mut random = rand::rng();
     let Some(service) = route.pick(random.random()).cloned() else {
         return Err((Refusal::NoTarget, metadata.id));
@@ -150,7 +150,7 @@
         account: found.account.map(|account| account.id.clone()),
         cache_wall: isolated
             .map_or_else(|| SHARED_CACHE.to_string(), |account| format!("only:{}", account.id)),
-        rank,
+        priority,
         service,
         arrived,
         deadline: arrived + timeout,
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -7,7 +7,7 @@
 
 use super::metadata::{RequestMetadata, ResponseMetadata};
 use super::place::Chosen;
-use super::rank::Rank;
+use super::priority::Priority;
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::deployment::document::DeploymentVersion;
@@ -54,7 +54,7 @@
     route: String,
     version: DeploymentVersion,
     /// 0 first.
-    rank: u8,
+    priority: u8,
     attempts: String,
     /// What it asks, if that was told.
     fingerprint: Option<Fingerprint>,
@@ -76,7 +76,7 @@
             started_at,
             route: String::new(),
             version: 0,
-            rank: 0,
+            priority: 0,
             attempts: String::new(),
             fingerprint: None,
             first_part: None,
@@ -90,9 +90,9 @@
     }
 
     /// The route that was found, and how urgent the request is.
-    pub fn set_route(&mut self, route: &str, rank: Rank) {
+    pub fn set_route(&mut self, route: &str, priority: Priority) {
         self.route = route.to_string();
-        self.rank = rank.order();
+        self.priority = priority.scheduler_level();
     }
 
     /// A target was chosen.
@@ -164,7 +164,7 @@
              first_ms={first_ms} ended={:?}{}",
             self.id,
             self.route,
-            self.rank,
+            self.priority,
             self.version,
             self.elapsed().as_millis(),
             outcome,
--- a/src/gateway/routed_request.rs
+++ b/src/gateway/routed_request.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::metadata::RequestMetadata;
-use super::rank::Rank;
+use super::priority::Priority;
 use crate::deployment::Route;
 use crate::ids::{AccountId, ServiceId};
 use crate::quarantine::Fingerprint;
@@ -31,7 +31,7 @@
     /// Names those who may share kept cache with it.
     pub cache_wall: String,
     /// How urgent it is.
-    pub rank: Rank,
+    pub priority: Priority,
     /// The service that serves it.
     pub service: ServiceId,
     /// When its head was here.
--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -20,7 +20,7 @@
         target,
         account: Some(account),
         time_left: Duration::from_millis(750),
-        urgency: Some(2),
+        priority: Some(2),
         cache_wall: Some("all/m/1".to_string()),
         resume_after: None,
         weight_version: Some(1),
--- a/tests/deployment/table.rs
+++ b/tests/deployment/table.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use kumquatpost::deployment::{Rejection, RunPolicy, Share, Table};
-use kumquatpost::gateway::rank::Rank;
+use kumquatpost::gateway::priority::Priority;
 
 use crate::fixtures::{account, deployment, route};
 
@@ -68,13 +68,13 @@
         account.priority = account_rank;
         let mut route = route("stream", RunPolicy::StreamOnce, "llm");
         route.priority = route_rank;
-        Rank::of(Some(&account), &route)
+        Priority::of(Some(&account), &route)
     };
-    assert!(rank(Some(1), 0).order() < rank(Some(1), 1).order());
-    assert!(rank(Some(1), 0).for_engine() < rank(Some(1), 2).for_engine());
-    assert!(rank(Some(0), 2).order() < rank(Some(1), 0).order());
-    assert!(rank(Some(0), 2).for_engine() < rank(Some(1), 0).for_engine());
-    assert!(rank(None, 0).order() < rank(None, 1).order());
-    assert!(rank(Some(200), 200).for_engine() <= 9);
-    assert!(rank(Some(200), 200).order() > rank(Some(2), 9).order());
+    assert!(rank(Some(1), 0).scheduler_level() < rank(Some(1), 1).scheduler_level());
+    assert!(rank(Some(1), 0).engine_level() < rank(Some(1), 2).engine_level());
+    assert!(rank(Some(0), 2).scheduler_level() < rank(Some(1), 0).scheduler_level());
+    assert!(rank(Some(0), 2).engine_level() < rank(Some(1), 0).engine_level());
+    assert!(rank(None, 0).scheduler_level() < rank(None, 1).scheduler_level());
+    assert!(rank(Some(200), 200).engine_level() <= 9);
+    assert!(rank(Some(200), 200).scheduler_level() > rank(Some(2), 9).scheduler_level());
 }
