--- a/src/gateway/line_budget.rs
+++ b/src/gateway/log_limiter.rs
@@ -9,33 +9,33 @@
 
 /// Lines of whole answers that are written each second. Beyond that only those of some requests
 /// are, by a hash of their ids, so that all processes keep the same ones.
-const WHOLE_PER_S: u32 = 100;
+const SUCCESSES_PER_S: u32 = 100;
 /// Lines of all other endings that are written each second: 20 for each of a hundred connections.
-const OTHERS_PER_S: u32 = 2_000;
+const FAILURES_PER_S: u32 = 2_000;
 /// One request in this many is kept then.
-const KEPT_ONE_IN: u64 = 16;
+const SAMPLE_ONE_IN: u64 = 16;
 
 /// Bounds the lines that are written for requests.
 #[derive(Debug, Default)]
-pub struct LineBudget {
+pub struct RequestLogLimiter {
     second: Cell<u64>,
-    whole: Cell<u32>,
-    others: Cell<u32>,
+    successes: Cell<u32>,
+    failures: Cell<u32>,
 }
 
-impl LineBudget {
+impl RequestLogLimiter {
     /// Whether the line of a request is written.
-    pub fn allows(&self, id: &str, is_success: bool, now: BootTime) -> bool {
+    pub fn should_log(&self, id: &str, is_success: bool, now: BootTime) -> bool {
         if self.second.replace(now.as_secs()) != now.as_secs() {
-            self.whole.set(0);
-            self.others.set(0);
+            self.successes.set(0);
+            self.failures.set(0);
         }
-        let (count, most) = match is_success {
-            true => (&self.whole, WHOLE_PER_S),
-            false => (&self.others, OTHERS_PER_S),
+        let (count, limit) = match is_success {
+            true => (&self.successes, SUCCESSES_PER_S),
+            false => (&self.failures, FAILURES_PER_S),
         };
         count.set(count.get() + 1);
-        let is_kept = is_success && FxBuildHasher.hash_one(id).is_multiple_of(KEPT_ONE_IN);
-        count.get() <= most || is_kept
+        let is_sampled = is_success && FxBuildHasher.hash_one(id).is_multiple_of(SAMPLE_ONE_IN);
+        count.get() <= limit || is_sampled
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,7 +5,7 @@
 pub mod events;
 pub mod examine;
 pub mod freshness;
-pub mod line_budget;
+pub mod log_limiter;
 pub mod metadata;
 pub mod place;
 pub mod pool;
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -154,7 +154,7 @@
             let route = [label("route", &self.route)];
             self.gateway.metrics.first_part_s.record(first.as_secs_f64(), &route);
         }
-        if !self.gateway.lines.allows(&self.id, outcome.is_success(), boot_now()) {
+        if !self.gateway.log_limiter.should_log(&self.id, outcome.is_success(), boot_now()) {
             return;
         }
         let first_ms = self.first_part.map_or(-1, |first| first.as_millis() as i64);
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::freshness::{Freshness, Verdict};
-use super::line_budget::LineBudget;
+use super::log_limiter::RequestLogLimiter;
 use super::metadata::ResponseMetadata;
 use super::pool::{Connection, Pool};
 use super::routed_request::RoutedRequest;
@@ -125,7 +125,7 @@
     /// Its metrics.
     pub metrics: EntryMetrics,
     /// Bounds the lines that are written for requests.
-    pub lines: LineBudget,
+    pub log_limiter: RequestLogLimiter,
 }
 
 impl Gateway {
@@ -164,7 +164,7 @@
             stopping: Cell::new(false),
             answering: Cell::new(0),
             metrics,
-            lines: LineBudget::default(),
+            log_limiter: RequestLogLimiter::default(),
         }
     }
 
--- a/tests/deployment/explaining.rs
+++ b/tests/deployment/explaining.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Instant;
 
-use kumquatpost::gateway::line_budget::LineBudget;
+use kumquatpost::gateway::log_limiter::RequestLogLimiter;
 use kumquatpost::queries::request::{Line, story};
 use kumquatpost::telemetry::bounded::BoundedAppender;
 use kumquatpost::telemetry::roles::EntryMetrics;
@@ -67,10 +67,10 @@
 
 #[test]
 fn lines_of_requests_are_bounded_and_failures_go_first() {
-    let budget = LineBudget::default();
+    let limiter = RequestLogLimiter::default();
     let written = |is_success, second: u64| {
         let ids = (0..10_000).map(|n| format!("r{n}"));
-        ids.filter(|id| budget.allows(id, is_success, ms(second * 1_000))).count()
+        ids.filter(|id| limiter.should_log(id, is_success, ms(second * 1_000))).count()
     };
     let whole = written(true, 1);
     assert!((500..1_000).contains(&whole), "{whole}");
