--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -12,11 +12,11 @@
 
 use super::examine;
 use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
-use super::place::{self, Chosen, NoChoice};
 use super::pool::{Connection, Sent};
 use super::request_record::RequestRecord;
 use super::routed_request::RoutedRequest;
 use super::state::{AtTarget, Gateway};
+use super::target_selection::{self, NoTarget, SelectedTarget};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::fleet::placement::SelectionError;
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Missed {
     /// No target can take it now.
-    Unplaced(NoChoice),
+    Unplaced(NoTarget),
     /// The target did not run it.
     NotRun(TargetStart),
     /// It may have run.
@@ -79,10 +79,12 @@
         if let Some(left) = held_for(gateway, routed, record) {
             return Err(Missed::Held(left));
         }
-        let chosen = place::choose(gateway, routed, &avoid).await.map_err(Missed::Unplaced)?;
-        let target = chosen.target.clone();
+        let selected = target_selection::select_target(gateway, routed, &avoid)
+            .await
+            .map_err(Missed::Unplaced)?;
+        let target = selected.target.clone();
         let reading = routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
-        let ticket = chosen.placed.as_ref().map(|placed| placed.ticket);
+        let ticket = selected.placed.as_ref().map(|placed| placed.ticket);
         let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
         let Some(mut connection) = connect(gateway, &target, routed.deadline, record).await else {
             at_target.ends(End::Unreachable);
@@ -97,7 +99,7 @@
             continue;
         }
         // Its word may have lain for long at an entry that was starved, and connecting takes time.
-        if !place::may_still_begin(gateway, routed, &chosen) {
+        if !target_selection::may_start_on_weights(gateway, routed, &selected) {
             record.attempt_failed(&target, "its weights must be replaced by now");
             at_target.ends(End::NotRun);
             gateway.give_back(&target, connection);
@@ -110,12 +112,12 @@
             gateway.give_back(&target, connection);
             return Err(Missed::Held(left));
         }
-        record.target_selected(&chosen, connection.was_used);
+        record.target_selected(&selected, connection.was_used);
         let time_left = routed.deadline.saturating_duration_since(Instant::now());
         if time_left < LEAST_TIME {
             return Err(Missed::TooLate);
         }
-        let request = request_for(routed, &chosen, time_left, resume_after);
+        let request = request_for(routed, &selected, time_left, resume_after);
         let give_up_at =
             patience.map_or(routed.deadline, |p| routed.deadline.min(Instant::now() + p));
         let sent_at = boot_now();
@@ -148,7 +150,7 @@
             Answered { target, answer, response_metadata, connection, at_target, sent_at };
         return judge(gateway, routed, answered, record);
     }
-    Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoneSound)))
+    Err(Missed::Unplaced(NoTarget::Selection(SelectionError::NoneSound)))
 }
 
 /// How much longer the request must not reach a target.
@@ -188,20 +190,20 @@
 
 fn request_for(
     routed: &RoutedRequest,
-    chosen: &Chosen,
+    selected: &SelectedTarget,
     time_left: Duration,
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
-    let placed = chosen.placed.as_ref();
+    let placed = selected.placed.as_ref();
     let salt = || placed.map_or_else(|| routed.cache_wall.clone(), |placed| placed.salt.clone());
     let forwarded = Forwarded {
-        target: &chosen.target.id,
+        target: &selected.target.id,
         account: routed.account.as_ref(),
         time_left,
         priority: routed.metadata.prompt.is_some().then_some(routed.priority.engine_level()),
         cache_wall: routed.metadata.prompt.is_some().then(salt),
         resume_after,
-        weight_version: chosen.weight_version,
+        weight_version: selected.weight_version,
         kept: placed.map(|placed| KeptParts {
             fetch: &placed.fetch,
             save: &placed.save,
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -16,12 +16,12 @@
 use super::attempt::{Answered, Missed, attempt};
 use super::examine;
 use super::metadata::RequestMetadata;
-use super::place::NoChoice;
 use super::priority::Priority;
 use super::relay::{self, EventRelay};
 use super::request_record::{Outcome, RequestRecord};
 use super::routed_request::RoutedRequest;
 use super::state::{Confirmation, Gateway};
+use super::target_selection::NoTarget;
 use crate::clock::boot_now;
 use crate::deployment::{Rejection, RunPolicy, Table};
 use crate::fleet::placement::SelectionError;
@@ -198,9 +198,9 @@
             Err(Missed::Unplaced(why)) => {
                 let refusal = match (may_have_run, why) {
                     (true, _) => Refusal::Broken,
-                    (false, NoChoice::Busy(come_back)) => Refusal::Busy(come_back),
-                    (false, NoChoice::NoTarget(SelectionError::OldWeights)) => Refusal::OldWeights,
-                    (false, NoChoice::NoTarget(_)) => Refusal::NoTarget,
+                    (false, NoTarget::Busy(come_back)) => Refusal::Busy(come_back),
+                    (false, NoTarget::Selection(SelectionError::OldWeights)) => Refusal::OldWeights,
+                    (false, NoTarget::Selection(_)) => Refusal::NoTarget,
                 };
                 return refused(refusal, &routed.metadata.id, &record);
             }
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use super::metadata::{RequestMetadata, ResponseMetadata};
-use super::place::Chosen;
 use super::priority::Priority;
 use super::state::Gateway;
+use super::target_selection::SelectedTarget;
 use crate::clock::{BootTime, boot_now};
 use crate::deployment::document::DeploymentVersion;
 use crate::ids::TargetStart;
@@ -96,9 +96,9 @@
     }
 
     /// A target was chosen.
-    pub fn target_selected(&mut self, chosen: &Chosen, is_reused: bool) {
+    pub fn target_selected(&mut self, selected: &SelectedTarget, is_reused: bool) {
         let at_ms = self.elapsed().as_millis();
-        let (target, trace) = (&chosen.target, &chosen.trace);
+        let (target, trace) = (&selected.target, &selected.trace);
         // Writing to a string can't fail.
         let _ = write!(self.attempts, " at_ms={at_ms} target={target} {trace} reused={is_reused}");
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/target_selection.rs
@@ -14,10 +14,10 @@
 
 /// An entry that has a part of the list of targets waits so long for one that a prompt was placed at: the
 /// rest of the list takes a tenth of a second.
-const LISTED_WITHIN: Duration = Duration::from_millis(200);
+const LISTED_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A target for one attempt.
-pub struct Chosen {
+pub struct SelectedTarget {
     /// The target.
     pub target: TargetStart,
     /// The scheduler's word, if it is its choice.
@@ -30,9 +30,9 @@
 
 /// Why there is no target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoChoice {
+pub enum NoTarget {
     /// None is known here, or none is sound.
-    NoTarget(placement::SelectionError),
+    Selection(placement::SelectionError),
     /// None will have room in time. Come back after this time.
     Busy(Duration),
 }
@@ -41,31 +41,31 @@
 ///
 /// # Errors
 /// If there is none.
-pub async fn choose(
+pub async fn select_target(
     gateway: &Rc<Gateway>,
     routed: &RoutedRequest,
     avoid: &[TargetStart],
-) -> Result<Chosen, NoChoice> {
-    if let Some(ask) = ask_of(gateway, routed, avoid) {
-        let answer = gateway.scheduler.ask(ask).await;
+) -> Result<SelectedTarget, NoTarget> {
+    if let Some(request) = placement_request(gateway, routed, avoid) {
+        let answer = gateway.scheduler.ask(request).await;
         if let Some(Ok(placed)) = &answer {
-            gateway.until_listed(&placed.target, LISTED_WITHIN).await;
+            gateway.until_listed(&placed.target, LISTED_TIMEOUT).await;
         }
         match answer {
             Some(Ok(placed)) if gateway.fleet.borrow().get(&placed.target).is_some() => {
-                return Ok(by_scheduler(placed));
+                return Ok(from_placement(placed));
             }
             Some(Ok(placed)) => gateway.scheduler.give_back(&placed),
-            Some(Err(SchedulerError::Placement(PlacementError::Busy(come_back)))) => {
-                return Err(NoChoice::Busy(come_back));
+            Some(Err(SchedulerError::Placement(PlacementError::Busy(retry_after)))) => {
+                return Err(NoTarget::Busy(retry_after));
             }
             Some(Err(_)) | None => {}
         }
     }
-    alone(gateway, routed, avoid)
+    select_locally(gateway, routed, avoid)
 }
 
-fn by_scheduler(placed: Placed) -> Chosen {
+fn from_placement(placed: Placed) -> SelectedTarget {
     let trace = format!(
         "by=scheduler weights={} running={} ahead_ms={} resident_tokens={} fetched_tokens={} \
          again_nowhere_whole={} again_link_full={} again_link_slow={} expected_ms={} waited_ms={} \
@@ -83,15 +83,15 @@
         placed.save.iter().flatten().count(),
     );
     let weight_version = placed.weight_version;
-    Chosen { target: placed.target.clone(), placed: Some(placed), weight_version, trace }
+    SelectedTarget { target: placed.target.clone(), placed: Some(placed), weight_version, trace }
 }
 
-fn alone(
+fn select_locally(
     gateway: &Gateway,
     routed: &RoutedRequest,
     avoid: &[TargetStart],
-) -> Result<Chosen, NoChoice> {
-    let ask = placement::Criteria {
+) -> Result<SelectedTarget, NoTarget> {
+    let criteria = placement::Criteria {
         service: &routed.service,
         prompt: routed.metadata.prompt.as_ref(),
         cache_wall: &routed.cache_wall,
@@ -100,8 +100,8 @@
         named: &gateway.named_since.borrow(),
         old_weights: gateway.host.periods.old_weights,
     };
-    let choice = placement::choose(&gateway.fleet.borrow(), &ask, boot_now());
-    let choice = choice.map_err(NoChoice::NoTarget)?;
+    let choice = placement::choose(&gateway.fleet.borrow(), &criteria, boot_now());
+    let choice = choice.map_err(NoTarget::Selection)?;
     if routed.metadata.prompt.is_some() {
         gateway.metrics.placed_alone.add(1, &[]);
     }
@@ -113,20 +113,24 @@
         weights_trace(gateway, routed, choice.weight_version),
     );
     let weight_version = choice.weight_version;
-    Ok(Chosen { target: choice.target, placed: None, weight_version, trace })
+    Ok(SelectedTarget { target: choice.target, placed: None, weight_version, trace })
 }
 
 /// Whether a prompt may still begin on the weights that it was placed for.
-pub fn may_still_begin(gateway: &Gateway, routed: &RoutedRequest, chosen: &Chosen) -> bool {
+pub fn may_start_on_weights(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    selected: &SelectedTarget,
+) -> bool {
     let Some(prompt) = &routed.metadata.prompt else { return true };
     let old_weights = gateway.host.periods.old_weights;
-    let old_weights = match chosen.placed {
+    let old_weights = match selected.placed {
         // Only the scheduler knows from when its own bound counts.
         Some(_) => OldWeights { within: None, ..old_weights },
         None => old_weights,
     };
     let named_since = gateway.named_since.borrow();
-    let (named, has) = (named_since.get(&prompt.model), chosen.weight_version);
+    let (named, has) = (named_since.get(&prompt.model), selected.weight_version);
     old_weights.cost_ms(named, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
 }
 
@@ -148,7 +152,7 @@
 }
 
 /// What the scheduler is asked; `None` if the request is no prompt.
-fn ask_of(
+fn placement_request(
     gateway: &Gateway,
     routed: &RoutedRequest,
     avoid: &[TargetStart],
