--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::examine;
 use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
-use super::pool::{Connection, Sent};
+use super::pool::{Connection, SendOutcome};
 use super::request_record::RequestRecord;
 use super::routed_request::RoutedRequest;
 use super::state::{AtTarget, Gateway};
@@ -102,17 +102,17 @@
         if !target_selection::may_start_on_weights(gateway, routed, &selected) {
             record.attempt_failed(&target, "its weights must be replaced by now");
             at_target.ends(End::NotRun);
-            gateway.give_back(&target, connection);
+            gateway.return_connection(&target, connection);
             avoid.push(target);
             continue;
         }
         // It may have waited for its place for long.
         if let Some(left) = held_for(gateway, routed, record) {
             at_target.ends(End::NotRun);
-            gateway.give_back(&target, connection);
+            gateway.return_connection(&target, connection);
             return Err(Missed::Held(left));
         }
-        record.target_selected(&selected, connection.was_used);
+        record.target_selected(&selected, connection.is_reused);
         let time_left = routed.deadline.saturating_duration_since(Instant::now());
         if time_left < LEAST_TIME {
             return Err(Missed::TooLate);
@@ -124,13 +124,13 @@
         let sent = timeout_at(give_up_at, connection.send(request)).await;
         let now = boot_now();
         let answer = match sent {
-            Ok(Sent::Answered(answer)) => answer,
-            Ok(Sent::NotSent(reason)) => {
+            Ok(SendOutcome::Response(answer)) => answer,
+            Ok(SendOutcome::NotSent(reason)) => {
                 record.attempt_failed(&target, &reason);
                 at_target.ends(End::NotRun);
                 continue;
             }
-            Ok(Sent::Broken(reason)) => {
+            Ok(SendOutcome::Broken(reason)) => {
                 record.attempt_failed(&target, &reason);
                 at_target.ends(End::Failed);
                 drop(at_target);
@@ -170,7 +170,7 @@
     ends_at: Instant,
     record: &mut RequestRecord,
 ) -> Option<Connection> {
-    if let Some(connection) = gateway.pool.reuse(target) {
+    if let Some(connection) = gateway.pool.take_idle(target) {
         return Some(connection);
     }
     let address = gateway.fleet.borrow().get(target)?.listed.address;
@@ -264,7 +264,7 @@
         at_target.ends(End::NotRun);
         let Answered { target, connection, response_metadata, .. } = answered;
         if !response_metadata.closes {
-            gateway.give_back(&target, connection);
+            gateway.return_connection(&target, connection);
         }
         return Err(Missed::NotRun(target));
     }
--- a/src/gateway/examine.rs
+++ b/src/gateway/examine.rs
@@ -69,7 +69,7 @@
     let refuses = match address {
         Some(address) => match Connection::open(address).await {
             Ok(connection) => {
-                gateway.give_back(target, connection);
+                gateway.return_connection(target, connection);
                 false
             }
             Err(error) => error.kind() == ErrorKind::ConnectionRefused,
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -22,11 +22,11 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// A connection whose bytes are not acknowledged for this long is given up: its target is gone or
 /// cut off.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_200);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// An idle connection is not used again that shortly before the target may close it.
-const CLOSING_MARGIN: Duration = Duration::from_millis(1_000);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 /// How long a target that doesn't say keeps an idle connection, as far as is known.
-const DEFAULT_IDLE: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Idle connections.
 #[derive(Default)]
@@ -47,13 +47,13 @@
     /// How long the target keeps it open without a request.
     idle_timeout: Duration,
     /// Whether it has carried a request before.
-    pub was_used: bool,
+    pub is_reused: bool,
 }
 
 /// What came of sending a request.
-pub enum Sent {
+pub enum SendOutcome {
     /// The target answers.
-    Answered(Response<Incoming>),
+    Response(Response<Incoming>),
     /// Nothing of the request has left: it did not run.
     NotSent(String),
     /// The connection broke after some of the request had left: it may have run.
@@ -62,12 +62,12 @@
 
 impl Pool {
     /// An idle connection to a target that is surely open as far as can be seen.
-    pub fn reuse(&self, target: &TargetStart) -> Option<Connection> {
+    pub fn take_idle(&self, target: &TargetStart) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
         while let Some(Idle { connection, since }) = connections.pop() {
             let age = boot_now().saturating_sub(since);
-            if connection.sender.is_ready() && age + CLOSING_MARGIN < connection.idle_timeout {
+            if connection.sender.is_ready() && age + IDLE_TIMEOUT_MARGIN < connection.idle_timeout {
                 return Some(connection);
             }
         }
@@ -75,23 +75,23 @@
     }
 
     /// Keeps a connection for the next request.
-    pub fn give_back(&self, target: &TargetStart, mut connection: Connection) {
+    pub fn put_idle(&self, target: &TargetStart, mut connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
-        connection.was_used = true;
+        connection.is_reused = true;
         let idle = Idle { connection, since: boot_now() };
         self.idle.borrow_mut().entry(target.clone()).or_default().push(idle);
     }
 
     /// Closes connections to all targets but those that `is_kept` names, and those that are too old
     /// to be used again.
-    pub fn keep(&self, is_kept: impl Fn(&TargetStart) -> bool) {
+    pub fn retain(&self, is_kept: impl Fn(&TargetStart) -> bool) {
         let now = boot_now();
         self.idle.borrow_mut().retain(|target, connections| {
             connections.retain(|idle| {
                 let age = now.saturating_sub(idle.since);
-                age + CLOSING_MARGIN < idle.connection.idle_timeout
+                age + IDLE_TIMEOUT_MARGIN < idle.connection.idle_timeout
             });
             !connections.is_empty() && is_kept(target)
         });
@@ -104,31 +104,31 @@
     /// # Errors
     /// If the target can't be reached in time.
     pub async fn open(to: SocketAddr) -> std::io::Result<Connection> {
-        let stream = net::connect(to, CONNECT_TIMEOUT, UNACKNOWLEDGED).await?;
+        let stream = net::connect(to, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await?;
         let (sender, connection) = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
             .map_err(std::io::Error::other)?;
-        let driving = tokio::task::spawn_local(async move {
+        let driver = tokio::task::spawn_local(async move {
             if let Err(error) = connection.await {
                 log::debug!("event=target_connection_ended reason={:?}", error.to_string());
             }
         });
         Ok(Connection {
             sender,
-            driver: driving.abort_handle(),
-            idle_timeout: DEFAULT_IDLE,
-            was_used: false,
+            driver: driver.abort_handle(),
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+            is_reused: false,
         })
     }
 
     /// Sends a request and waits for the head of the answer.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Sent {
+    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
-            Ok(answer) => Sent::Answered(answer),
+            Ok(answer) => SendOutcome::Response(answer),
             Err(mut error) => match error.take_message() {
-                Some(_) => Sent::NotSent(error.error().to_string()),
-                None => Sent::Broken(error.error().to_string()),
+                Some(_) => SendOutcome::NotSent(error.error().to_string()),
+                None => SendOutcome::Broken(error.error().to_string()),
             },
         }
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -175,7 +175,7 @@
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
             self.gateway.answered_whole(&self.routed);
             if !source.response_metadata.closes {
-                self.gateway.give_back(&source.target, source.connection);
+                self.gateway.return_connection(&source.target, source.connection);
             }
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -270,7 +270,7 @@
                 }
                 connection.set_idle_timeout(response_metadata.idle_timeout);
                 if !response_metadata.closes {
-                    gateway.give_back(&target, connection);
+                    gateway.return_connection(&target, connection);
                 }
                 whole(bytes)
             }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -77,7 +77,7 @@
 async fn clean(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(CLEAN_EVERY).await;
-        gateway.pool.keep(|_| true);
+        gateway.pool.retain(|_| true);
     }
 }
 
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -407,13 +407,13 @@
         self.subscriptions.borrow_mut().has_list();
         self.known.notify_waiters();
         let listed = &self.roster.borrow().roster;
-        self.pool.keep(|target| listed.get(target).is_some());
+        self.pool.retain(|target| listed.get(target).is_some());
     }
 
     /// Keeps a connection for the next request, if the target's start is still the one that is there.
-    pub fn give_back(&self, target: &TargetStart, connection: Connection) {
+    pub fn return_connection(&self, target: &TargetStart, connection: Connection) {
         if self.is_listed(target) {
-            self.pool.give_back(target, connection);
+            self.pool.put_idle(target, connection);
         }
     }
 
--- a/tests/deployment/late_news.rs
+++ b/tests/deployment/late_news.rs
@@ -73,12 +73,12 @@
             assert_eq!(entry.call("/safe/a", id).await.status, 200);
             assert_eq!(one.connections.get(), connections, "it is kept");
         }
-        let connection = entry.gateway.pool.reuse(&born("i-1", 9)).expect("it is kept");
+        let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("it is kept");
         let roster = NumberedRoster::new(2, Arc::new(roster([at(3)])));
         entry.gateway.observe_list(roster);
         // A request that was under way ends, and its connection is given back.
-        entry.gateway.give_back(&born("i-1", 9), connection);
-        assert!(entry.gateway.pool.reuse(&born("i-1", 9)).is_none());
+        entry.gateway.return_connection(&born("i-1", 9), connection);
+        assert!(entry.gateway.pool.take_idle(&born("i-1", 9)).is_none());
         assert_eq!(entry.call("/safe/a", "r3").await.status, 200);
         assert_eq!(one.connections.get(), 2);
         let request = one.requests.borrow().last().cloned().expect("it was asked");
