--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use super::pool::{Connection, SendOutcome};
 use super::request_record::RequestRecord;
 use super::routed_request::RoutedRequest;
-use super::state::{AtTarget, Gateway};
+use super::state::{Gateway, InFlightRequest};
 use super::target_selection::{self, NoTarget, SelectedTarget};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
@@ -40,7 +40,7 @@
     /// The connection, to be given back once the body is whole.
     pub connection: Connection,
     /// Counts the request at the target.
-    pub at_target: AtTarget,
+    pub in_flight: InFlightRequest,
     /// When it was sent.
     pub sent_at: BootTime,
 }
@@ -83,32 +83,33 @@
             .await
             .map_err(Missed::Unplaced)?;
         let target = selected.target.clone();
-        let reading = routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
+        let prompt_tokens =
+            routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
         let ticket = selected.placed.as_ref().map(|placed| placed.ticket);
-        let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
+        let mut in_flight = InFlightRequest::new(gateway, &target, ticket, prompt_tokens);
         let Some(mut connection) = connect(gateway, &target, routed.deadline, record).await else {
-            at_target.ends(End::Unreachable);
+            in_flight.set_end(End::Unreachable);
             avoid.push(target);
             continue;
         };
         // The scheduler may hear later than this entry that the target leaves, and connecting takes time.
         if !gateway.fleet.borrow().takes_work(&target) {
             record.attempt_failed(&target, "it takes no new work");
-            at_target.ends(End::NotRun);
+            in_flight.set_end(End::NotRun);
             avoid.push(target);
             continue;
         }
         // Its word may have lain for long at an entry that was starved, and connecting takes time.
         if !target_selection::may_start_on_weights(gateway, routed, &selected) {
             record.attempt_failed(&target, "its weights must be replaced by now");
-            at_target.ends(End::NotRun);
+            in_flight.set_end(End::NotRun);
             gateway.return_connection(&target, connection);
             avoid.push(target);
             continue;
         }
         // It may have waited for its place for long.
         if let Some(left) = held_for(gateway, routed, record) {
-            at_target.ends(End::NotRun);
+            in_flight.set_end(End::NotRun);
             gateway.return_connection(&target, connection);
             return Err(Missed::Held(left));
         }
@@ -127,27 +128,27 @@
             Ok(SendOutcome::Response(answer)) => answer,
             Ok(SendOutcome::NotSent(reason)) => {
                 record.attempt_failed(&target, &reason);
-                at_target.ends(End::NotRun);
+                in_flight.set_end(End::NotRun);
                 continue;
             }
             Ok(SendOutcome::Broken(reason)) => {
                 record.attempt_failed(&target, &reason);
-                at_target.ends(End::Failed);
-                drop(at_target);
+                in_flight.set_end(End::Failed);
+                drop(in_flight);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 examine::broke_off(gateway, routed, &target, sent_at, record).await;
                 return Err(Missed::MayHaveRun(target));
             }
             Err(_) => {
                 record.attempt_failed(&target, "no answer in time");
-                at_target.ends(End::Failed);
+                in_flight.set_end(End::Failed);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 return Err(Missed::TimedOut(target));
             }
         };
         let response_metadata = headers::decode_metadata(answer.headers());
         let answered =
-            Answered { target, answer, response_metadata, connection, at_target, sent_at };
+            Answered { target, answer, response_metadata, connection, in_flight, sent_at };
         return judge(gateway, routed, answered, record);
     }
     Err(Missed::Unplaced(NoTarget::Selection(SelectionError::NoneSound)))
@@ -225,7 +226,7 @@
     record: &mut RequestRecord,
 ) -> Result<Answered, Missed> {
     let now = boot_now();
-    let Answered { target, answer, response_metadata, at_target, .. } = &mut answered;
+    let Answered { target, answer, response_metadata, in_flight, .. } = &mut answered;
     record.response_received(response_metadata);
     if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
@@ -235,7 +236,7 @@
     if is_other {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
         record.attempt_failed(target, "answer to another request");
-        at_target.ends(End::Failed);
+        in_flight.set_end(End::Failed);
         return Err(Missed::MayHaveRun(answered.target));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -244,13 +245,13 @@
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
             examine::has_ended(gateway, target, "another target answers at its address");
-            at_target.ends(End::Replaced);
+            in_flight.set_end(End::Replaced);
         } else {
             if let Some(prompt) = &routed.metadata.prompt {
                 let has = response_metadata.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
-            at_target.ends(End::OtherWeights(response_metadata.weight_version));
+            in_flight.set_end(End::OtherWeights(response_metadata.weight_version));
         }
         return Err(Missed::NotRun(answered.target));
     }
@@ -261,7 +262,7 @@
     }
     if response_metadata.did_not_run {
         record.attempt_failed(target, &format!("not run, status {}", answer.status().as_u16()));
-        at_target.ends(End::NotRun);
+        in_flight.set_end(End::NotRun);
         let Answered { target, connection, response_metadata, .. } = answered;
         if !response_metadata.closes {
             gateway.return_connection(&target, connection);
@@ -269,7 +270,7 @@
         return Err(Missed::NotRun(target));
     }
     if answer.status().is_server_error() {
-        at_target.ends(End::Failed);
+        in_flight.set_end(End::Failed);
         gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
     }
     Ok(answered)
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -18,7 +18,7 @@
 use super::pool::Connection;
 use super::request_record::{Outcome, RequestRecord};
 use super::routed_request::RoutedRequest;
-use super::state::{AtTarget, Gateway};
+use super::state::{Gateway, InFlightRequest};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::ids::TargetStart;
@@ -67,7 +67,7 @@
     body: Incoming,
     response_metadata: ResponseMetadata,
     connection: Connection,
-    at_target: AtTarget,
+    in_flight: InFlightRequest,
     sent_at: BootTime,
 }
 
@@ -143,7 +143,7 @@
                 Some(Err(error)) => return Next::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    source.at_target.has_read(&source.response_metadata);
+                    source.in_flight.prompt_read(&source.response_metadata);
                     match self.events.push(&data) {
                         Ok(events) if events.is_empty() => {}
                         Ok(events) => return Next::Events(events),
@@ -171,7 +171,7 @@
     fn finish(&mut self) {
         self.record.set_outcome(Outcome::Relayed(StatusCode::OK.as_u16()));
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Whole);
+            source.in_flight.set_end(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
             self.gateway.answered_whole(&self.routed);
             if !source.response_metadata.closes {
@@ -184,7 +184,7 @@
     async fn go_on_elsewhere(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Failed);
+            source.in_flight.set_end(End::Failed);
             self.record.attempt_failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
             let (target, sent_at) = (source.target.clone(), source.sent_at);
@@ -226,7 +226,7 @@
 
 impl Source {
     fn new(answered: Answered) -> Source {
-        let Answered { target, answer, response_metadata, mut connection, at_target, sent_at } =
+        let Answered { target, answer, response_metadata, mut connection, in_flight, sent_at } =
             answered;
         connection.set_idle_timeout(response_metadata.idle_timeout);
         Source {
@@ -234,7 +234,7 @@
             body: answer.into_body(),
             response_metadata,
             connection,
-            at_target,
+            in_flight,
             sent_at,
         }
     }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -257,11 +257,11 @@
     let body = if is_stream {
         EventRelay::new(gateway.clone(), routed, record, tried, answered).into_body()
     } else if relay::is_short(answered.answer.body()) {
-        let Answered { target, answer, response_metadata, mut connection, at_target, sent_at } =
+        let Answered { target, answer, response_metadata, mut connection, in_flight, sent_at } =
             answered;
         match relay::read_whole(answer.into_body(), routed.deadline).await {
             Ok(bytes) => {
-                drop(at_target);
+                drop(in_flight);
                 record.first_part_sent();
                 record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
@@ -276,7 +276,7 @@
             }
             Err(error) => {
                 record.attempt_failed(&target, &error.to_string());
-                drop((at_target, connection));
+                drop((in_flight, connection));
                 if Instant::now() < routed.deadline {
                     examine::broke_off(gateway, &routed, &target, sent_at, &mut record).await;
                 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -433,27 +433,32 @@
 }
 
 /// A request at a target, counted in the fleet and by the scheduler for as long as it lives.
-pub struct AtTarget {
+pub struct InFlightRequest {
     gateway: Rc<Gateway>,
     dispatch: Option<Dispatch>,
     ticket: Option<TicketId>,
     end: End,
 }
 
-impl AtTarget {
+impl InFlightRequest {
     /// Counts a request at a target, which the scheduler may have placed there.
     pub fn new(
         gateway: &Rc<Gateway>,
         target: &TargetStart,
         ticket: Option<TicketId>,
-        reading_tokens: u64,
-    ) -> AtTarget {
-        let dispatch = gateway.fleet.borrow_mut().begin(target, reading_tokens);
-        AtTarget { gateway: gateway.clone(), dispatch: Some(dispatch), ticket, end: End::Left }
+        prompt_tokens: u64,
+    ) -> InFlightRequest {
+        let dispatch = gateway.fleet.borrow_mut().begin(target, prompt_tokens);
+        InFlightRequest {
+            gateway: gateway.clone(),
+            dispatch: Some(dispatch),
+            ticket,
+            end: End::Left,
+        }
     }
 
     /// Its prompt has been read: the first part of the answer is here.
-    pub fn has_read(&mut self, response_metadata: &ResponseMetadata) {
+    pub fn prompt_read(&mut self, response_metadata: &ResponseMetadata) {
         let Some(dispatch) = &mut self.dispatch else { return };
         if !self.gateway.fleet.borrow_mut().has_read(dispatch) {
             return;
@@ -465,12 +470,12 @@
     }
 
     /// How it ends. Without a word, the caller has left.
-    pub fn ends(&mut self, end: End) {
+    pub fn set_end(&mut self, end: End) {
         self.end = end;
     }
 }
 
-impl Drop for AtTarget {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         if let Some(dispatch) = self.dispatch.take() {
             self.gateway.fleet.borrow_mut().end(dispatch);
