--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,6 +1,5 @@
 //! Entry of a deployment: takes callers' requests and relays them to targets unchanged.
 
-pub mod answer;
 pub mod attempt;
 pub mod events;
 pub mod examine;
@@ -12,6 +11,7 @@
 pub mod relay;
 pub mod request;
 pub mod request_record;
+pub mod response;
 pub mod routed_request;
 pub mod run;
 pub mod scheduler_client;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -10,13 +10,13 @@
 use hyper::body::{Body, Frame, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use super::answer::{AnswerBody, RelayError, in_parts};
 use super::attempt::{Answered, Missed, attempt};
 use super::events::EventSplitter;
 use super::examine;
 use super::metadata::ResponseMetadata;
 use super::pool::Connection;
 use super::request_record::{Outcome, RequestRecord};
+use super::response::{RelayError, ResponseBody, stream_body};
 use super::routed_request::RoutedRequest;
 use super::state::{Gateway, InFlightRequest};
 use crate::clock::{BootTime, boot_now};
@@ -92,8 +92,8 @@
     }
 
     /// The body as the caller gets it.
-    pub fn into_body(self) -> AnswerBody {
-        in_parts(stream::unfold(Some(self), |relay| async {
+    pub fn into_body(self) -> ResponseBody {
+        stream_body(stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
             match relay.next().await {
                 Ok(Some(events)) => Some((Ok(Frame::data(events)), Some(relay))),
@@ -246,10 +246,10 @@
     routed: RoutedRequest,
     answered: Answered,
     record: RequestRecord,
-) -> AnswerBody {
+) -> ResponseBody {
     let status = answered.answer.status();
     let source = Source::new(answered);
-    in_parts(stream::unfold(Some((gateway, routed, source, record)), move |state| async move {
+    stream_body(stream::unfold(Some((gateway, routed, source, record)), move |state| async move {
         let (gateway, routed, mut source, mut record) = state?;
         let error: RelayError = match timeout_at(routed.deadline, source.body.frame()).await {
             Ok(None) => {
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -12,13 +12,13 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use super::answer::{Answer, Refusal, refuse, whole};
 use super::attempt::{Answered, Missed, attempt};
 use super::examine;
 use super::metadata::RequestMetadata;
 use super::priority::Priority;
 use super::relay::{self, EventRelay};
 use super::request_record::{Outcome, RequestRecord};
+use super::response::{GatewayResponse, Refusal, full_body, refusal_response};
 use super::routed_request::RoutedRequest;
 use super::state::{Confirmation, Gateway};
 use super::target_selection::NoTarget;
@@ -47,7 +47,7 @@
 const SHARED_CACHE: &str = "all";
 
 /// Answers a request.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
+pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
     let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
@@ -174,7 +174,11 @@
     }
 }
 
-async fn serve(gateway: &Rc<Gateway>, routed: RoutedRequest, mut record: RequestRecord) -> Answer {
+async fn serve(
+    gateway: &Rc<Gateway>,
+    routed: RoutedRequest,
+    mut record: RequestRecord,
+) -> GatewayResponse {
     gateway.retries.borrow_mut().sent(&routed.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
@@ -250,7 +254,7 @@
     mut record: RequestRecord,
     tried: Vec<TargetStart>,
     answered: Answered,
-) -> Answer {
+) -> GatewayResponse {
     let status = answered.answer.status();
     let values = headers::for_caller(answered.answer.headers());
     let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
@@ -272,7 +276,7 @@
                 if !response_metadata.closes {
                     gateway.return_connection(&target, connection);
                 }
-                whole(bytes)
+                full_body(bytes)
             }
             Err(error) => {
                 record.attempt_failed(&target, &error.to_string());
@@ -292,7 +296,7 @@
     answer
 }
 
-fn refused(refusal: Refusal, id: &str, record: &RequestRecord) -> Answer {
+fn refused(refusal: Refusal, id: &str, record: &RequestRecord) -> GatewayResponse {
     let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random());
     let come_back = match refusal {
         Refusal::Busy(come_back) | Refusal::Held(come_back) => come_back,
@@ -300,7 +304,7 @@
         Refusal::Unconfirmed => Duration::ZERO,
         _ => COME_BACK_AFTER + spread,
     };
-    let answer = refuse(refusal, id, come_back);
+    let answer = refusal_response(refusal, id, come_back);
     record.set_outcome(Outcome::Refused(answer.status().as_u16(), refusal.name()));
     answer
 }
--- a/src/gateway/answer.rs
+++ b/src/gateway/response.rs
@@ -17,14 +17,14 @@
 /// does not look whole.
 pub type RelayError = Box<dyn std::error::Error + Send + Sync>;
 /// Parts of a relayed body.
-pub type Parts = LocalBoxStream<'static, Result<Frame<Bytes>, RelayError>>;
+pub type BodyStream = LocalBoxStream<'static, Result<Frame<Bytes>, RelayError>>;
 /// The body of an answer.
-pub type AnswerBody = Either<
+pub type ResponseBody = Either<
     http_body_util::combinators::MapErr<Full<Bytes>, fn(Infallible) -> RelayError>,
-    StreamBody<Parts>,
+    StreamBody<BodyStream>,
 >;
 /// An answer.
-pub type Answer = Response<AnswerBody>;
+pub type GatewayResponse = Response<ResponseBody>;
 
 /// Why this system answers in place of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,33 +115,33 @@
     }
 
     /// Whether the same request may come back.
-    fn may_come_back(self) -> bool {
+    fn is_retryable(self) -> bool {
         self.status() == StatusCode::SERVICE_UNAVAILABLE
     }
 }
 
 /// An answer of this system's own.
-pub fn refuse(refusal: Refusal, id: &str, come_back_after: Duration) -> Answer {
-    let mut answer = Response::new(whole(Bytes::from_static(refusal.message().as_bytes())));
-    *answer.status_mut() = refusal.status();
-    let values = answer.headers_mut();
+pub fn refusal_response(refusal: Refusal, id: &str, retry_after: Duration) -> GatewayResponse {
+    let mut response = Response::new(full_body(Bytes::from_static(refusal.message().as_bytes())));
+    *response.status_mut() = refusal.status();
+    let values = response.headers_mut();
     values.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
     headers::set_request_id(values, id);
-    if refusal.may_come_back() {
-        headers::set_retry_after(values, come_back_after);
+    if refusal.is_retryable() {
+        headers::set_retry_after(values, retry_after);
     }
-    answer
+    response
 }
 
 /// A body that is here as a whole.
-pub fn whole(bytes: Bytes) -> AnswerBody {
+pub fn full_body(bytes: Bytes) -> ResponseBody {
     let never: fn(Infallible) -> RelayError = |never| match never {};
     Either::Left(Full::new(bytes).map_err(never))
 }
 
 /// A body that comes in parts.
-pub fn in_parts(
-    parts: impl futures::Stream<Item = Result<Frame<Bytes>, RelayError>> + 'static,
-) -> AnswerBody {
-    Either::Right(StreamBody::new(parts.boxed_local()))
+pub fn stream_body(
+    frames: impl futures::Stream<Item = Result<Frame<Bytes>, RelayError>> + 'static,
+) -> ResponseBody {
+    Either::Right(StreamBody::new(frames.boxed_local()))
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -11,8 +11,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::answer::Answer;
 use super::request;
+use super::response::GatewayResponse;
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::net;
@@ -57,7 +57,7 @@
                 used_at.set(BootTime::MAX);
                 let answer = request::answer(gateway, request).await;
                 used_at.set(boot_now());
-                Ok::<Answer, Infallible>(answer)
+                Ok::<GatewayResponse, Infallible>(answer)
             }
         })
     };
