--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -29,25 +29,25 @@
 use crate::platform::headers;
 
 /// A refused caller comes back after this at the least: about what an engine needs for a prompt.
-const COME_BACK_AFTER: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Refused callers spread their return over this time, so that they don't come as a wave.
-const COME_BACK_SPREAD: Duration = Duration::from_millis(600);
+const RETRY_AFTER_JITTER: Duration = Duration::from_millis(600);
 /// A request that may be repeated waits this many objectives for the first part of its answer
 /// before another target is asked.
-const OBJECTIVES_TO_WAIT: u32 = 2;
+const OBJECTIVES_BEFORE_RETRY: u32 = 2;
 /// A prompt waits at least this long: asking another engine costs reading it twice, and in a queue
 /// that would only make the queue longer. Callers wait for two seconds or more.
-const LEAST_PROMPT_WAIT: Duration = Duration::from_millis(1_500);
+const MIN_PROMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Until an entry knows a deployment and targets after all hosts lost power: an election takes up to
 /// a second, and news some ten milliseconds.
-const START_TAKES: Duration = Duration::from_millis(1_200);
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1_200);
 /// A caller waits for that for at most this part of its time: it may still come back elsewhere.
-const START_PART: u32 = 3;
+const STARTUP_WAIT_DIVISOR: u32 = 3;
 /// Names the cache that accounts without a wall of their own share.
-const SHARED_CACHE: &str = "all";
+const SHARED_CACHE_SCOPE: &str = "all";
 
 /// Answers a request.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
     let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
@@ -55,7 +55,7 @@
     let mut record = RequestRecord::new(&gateway, &metadata, started_at);
     let mut answer = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(routed) => serve(&gateway, routed, record).await,
-        Err((refusal, id)) => refused(refusal, &id, &record),
+        Err((refusal, id)) => refuse(refusal, &id, &record),
     };
     if gateway.stopping.get() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -72,17 +72,17 @@
     arrived: Instant,
     record: &mut RequestRecord,
 ) -> Result<RoutedRequest, (Refusal, String)> {
-    let patience = patience_at_start(metadata.deadline);
-    gateway.until_deployed(patience).await;
-    let table = match table_for(gateway, &metadata, record).await {
+    let max_wait = startup_wait(metadata.deadline);
+    gateway.until_deployed(max_wait).await;
+    let table = match confirmed_table(gateway, &metadata, record).await {
         Ok(table) => table,
         Err(refusal) => return Err((refusal, metadata.id)),
     };
     let mut routed = route_request(&table, head, metadata, arrived, record)?;
-    let (version, most) = (table.deployment().version, table.deployment().bounds.body_bytes);
+    let (version, max_bytes) = (table.deployment().version, table.deployment().bounds.body_bytes);
     drop(table);
-    gateway.until_served(&routed.service, patience.saturating_sub(arrived.elapsed())).await;
-    routed.body = match read_body(body, most).await {
+    gateway.until_served(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
+    routed.body = match read_body(body, max_bytes).await {
         Ok(body) => body,
         // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
         Err(Refusal::BodyTooLarge) if gateway.confirm(version).await != Confirmation::Newest => {
@@ -94,7 +94,7 @@
 }
 
 /// The table by which a request is routed, or refused for good: only by the newest deployment.
-async fn table_for(
+async fn confirmed_table(
     gateway: &Gateway,
     metadata: &RequestMetadata,
     record: &mut RequestRecord,
@@ -116,8 +116,9 @@
 
 /// How long a caller is kept waiting by an entry that has just started and knows nothing yet: a
 /// refusal would send it to another entry, which may have just started, too.
-pub fn patience_at_start(deadline: Option<Duration>) -> Duration {
-    deadline.map_or(START_TAKES, |deadline| START_TAKES.min(deadline / START_PART))
+pub fn startup_wait(deadline: Option<Duration>) -> Duration {
+    deadline
+        .map_or(MAX_STARTUP_WAIT, |deadline| MAX_STARTUP_WAIT.min(deadline / STARTUP_WAIT_DIVISOR))
 }
 
 /// Works out what all attempts share, but for the body.
@@ -148,8 +149,10 @@
         headers: head.headers,
         body: Bytes::new(),
         account: found.account.map(|account| account.id.clone()),
-        cache_wall: isolated
-            .map_or_else(|| SHARED_CACHE.to_string(), |account| format!("only:{}", account.id)),
+        cache_wall: isolated.map_or_else(
+            || SHARED_CACHE_SCOPE.to_string(),
+            |account| format!("only:{}", account.id),
+        ),
         priority,
         service,
         arrived,
@@ -166,8 +169,8 @@
     uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default()
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(_) => Err(Refusal::Malformed),
@@ -184,17 +187,24 @@
     let mut may_have_run = false;
     let resume_after = routed.metadata.resume_after.clone();
     loop {
-        let patience = patience(&routed, tried.len());
-        let tried_now =
-            attempt(gateway, &routed, &tried, resume_after.as_deref(), patience, &mut record).await;
-        let (missed, target) = match tried_now {
+        let response_timeout = first_response_timeout(&routed, tried.len());
+        let tried_now = attempt(
+            gateway,
+            &routed,
+            &tried,
+            resume_after.as_deref(),
+            response_timeout,
+            &mut record,
+        )
+        .await;
+        let (attempt_refusal, target) = match tried_now {
             Ok(answered) => {
                 let target = answered.target.clone();
                 tried.push(target);
                 let wants_another = answered.answer.status().is_server_error()
                     && routed.route.policy == RunPolicy::Idempotent;
-                if !(wants_another && may_try_again(gateway, &routed, &tried)) {
-                    return relay_answer(gateway, routed, record, tried, answered).await;
+                if !(wants_another && may_retry(gateway, &routed, &tried)) {
+                    return relay_response(gateway, routed, record, tried, answered).await;
                 }
                 may_have_run = true;
                 continue;
@@ -202,53 +212,53 @@
             Err(Missed::Unplaced(why)) => {
                 let refusal = match (may_have_run, why) {
                     (true, _) => Refusal::Broken,
-                    (false, NoTarget::Busy(come_back)) => Refusal::Busy(come_back),
+                    (false, NoTarget::Busy(retry_after)) => Refusal::Busy(retry_after),
                     (false, NoTarget::Selection(SelectionError::OldWeights)) => Refusal::OldWeights,
                     (false, NoTarget::Selection(_)) => Refusal::NoTarget,
                 };
-                return refused(refusal, &routed.metadata.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::Held(left)) => {
                 let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
-                return refused(refusal, &routed.metadata.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::TooLate) => {
                 let refusal = if may_have_run { Refusal::TimedOut } else { Refusal::TooLate };
-                return refused(refusal, &routed.metadata.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
             Err(Missed::NotRun(target)) => (Refusal::NoTarget, target),
             Err(Missed::MayHaveRun(target)) => (Refusal::Broken, target),
             Err(Missed::TimedOut(target)) => (Refusal::TimedOut, target),
         };
         tried.push(target);
-        may_have_run |= missed != Refusal::NoTarget;
-        let refusal = match (may_have_run, missed) {
+        may_have_run |= attempt_refusal != Refusal::NoTarget;
+        let refusal = match (may_have_run, attempt_refusal) {
             (true, Refusal::NoTarget) => Refusal::Broken,
-            (_, missed) => missed,
+            (_, attempt_refusal) => attempt_refusal,
         };
         let may_repeat = !may_have_run || routed.route.policy.may_repeat();
-        if !may_repeat || !may_try_again(gateway, &routed, &tried) {
-            return refused(refusal, &routed.metadata.id, &record);
+        if !may_repeat || !may_retry(gateway, &routed, &tried) {
+            return refuse(refusal, &routed.metadata.id, &record);
         }
     }
 }
 
 /// How long the first of several possible targets is waited for.
-fn patience(routed: &RoutedRequest, tried: usize) -> Option<Duration> {
+fn first_response_timeout(routed: &RoutedRequest, tried: usize) -> Option<Duration> {
     let has_another =
         (tried as u32) + 1 < routed.route.attempts && routed.route.policy.may_repeat();
-    let wait = routed.route.objective * OBJECTIVES_TO_WAIT;
-    let least = if routed.metadata.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
+    let wait = routed.route.objective * OBJECTIVES_BEFORE_RETRY;
+    let least = if routed.metadata.prompt.is_some() { MIN_PROMPT_TIMEOUT } else { Duration::ZERO };
     (has_another && !wait.is_zero()).then(|| wait.max(least))
 }
 
-fn may_try_again(gateway: &Gateway, routed: &RoutedRequest, tried: &[TargetStart]) -> bool {
+fn may_retry(gateway: &Gateway, routed: &RoutedRequest, tried: &[TargetStart]) -> bool {
     (tried.len() as u32) < routed.route.attempts.max(2)
         && Instant::now() < routed.deadline
         && gateway.retries.borrow_mut().spend(&routed.service, boot_now())
 }
 
-async fn relay_answer(
+async fn relay_response(
     gateway: &Rc<Gateway>,
     routed: RoutedRequest,
     mut record: RequestRecord,
@@ -284,7 +294,7 @@
                 if Instant::now() < routed.deadline {
                     examine::broke_off(gateway, &routed, &target, sent_at, &mut record).await;
                 }
-                return refused(Refusal::Broken, &routed.metadata.id, &record);
+                return refuse(Refusal::Broken, &routed.metadata.id, &record);
             }
         }
     } else {
@@ -296,15 +306,15 @@
     answer
 }
 
-fn refused(refusal: Refusal, id: &str, record: &RequestRecord) -> GatewayResponse {
-    let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random());
-    let come_back = match refusal {
-        Refusal::Busy(come_back) | Refusal::Held(come_back) => come_back,
+fn refuse(refusal: Refusal, id: &str, record: &RequestRecord) -> GatewayResponse {
+    let jitter = RETRY_AFTER_JITTER.mul_f64(rand::rng().random());
+    let retry_after = match refusal {
+        Refusal::Busy(retry_after) | Refusal::Held(retry_after) => retry_after,
         // Another entry may know more.
         Refusal::Unconfirmed => Duration::ZERO,
-        _ => COME_BACK_AFTER + spread,
+        _ => MIN_RETRY_AFTER + jitter,
     };
-    let answer = refusal_response(refusal, id, come_back);
+    let answer = refusal_response(refusal, id, retry_after);
     record.set_outcome(Outcome::Refused(answer.status().as_u16(), refusal.name()));
     answer
 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -55,9 +55,9 @@
             let (gateway, used_at) = (gateway.clone(), used_at.clone());
             async move {
                 used_at.set(BootTime::MAX);
-                let answer = request::answer(gateway, request).await;
+                let response = request::handle(gateway, request).await;
                 used_at.set(boot_now());
-                Ok::<GatewayResponse, Infallible>(answer)
+                Ok::<GatewayResponse, Infallible>(response)
             }
         })
     };
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -8,7 +8,7 @@
 use kumquatpost::control::frames::{NumberedRoster, Update};
 use kumquatpost::deployment::Deployment;
 use kumquatpost::fleet::Listed;
-use kumquatpost::gateway::request::patience_at_start;
+use kumquatpost::gateway::request::startup_wait;
 use kumquatpost::gateway::server;
 use kumquatpost::gateway::state::Gateway;
 use kumquatpost::platform::settings;
@@ -242,7 +242,7 @@
     // in all, others 2.5 s and more.
     let expected = [(Some(900), 300), (Some(1_500), 500), (Some(10_000), 1_200), (None, 1_200)];
     for (deadline_ms, waits_ms) in expected {
-        assert_eq!(patience_at_start(deadline_ms.map(ms)), ms(waits_ms));
+        assert_eq!(startup_wait(deadline_ms.map(ms)), ms(waits_ms));
     }
 }
 
