--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -256,7 +256,7 @@
     ("platform: what may have run is sent again", "src/gateway/request.rs",
      "let may_repeat = !may_have_run || routed.route.policy.may_repeat();", "let may_repeat = true;", "deployment", "gateway"),
     ("platform: another request's answer is relayed", "src/gateway/attempt.rs",
-     "    if is_other {", "    if false && is_other {", "deployment", "gateway"),
+     "    if is_for_other_request {", "    if false && is_for_other_request {", "deployment", "gateway"),
     ("platform: a caller sets what only we may set", "platform/headers.rs",
      "!NOT_PASSED_ON.contains(name) && !named.contains(name)", "!named.contains(name)", "deployment", "headers"),
     ("platform: a broken stream looks whole", "src/gateway/relay.rs",
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -25,16 +25,16 @@
 use crate::scheduler::End;
 
 /// Connections that are tried for one attempt. A target that can't be reached has run nothing.
-const CONNECTIONS_TRIED: usize = 4;
+const MAX_CONNECT_ATTEMPTS: usize = 4;
 /// Below this there is no point in sending a request: it could not be answered in time.
-const LEAST_TIME: Duration = Duration::from_millis(10);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
 /// An answer whose head is here.
-pub struct Answered {
+pub struct TargetResponse {
     /// The target.
     pub target: TargetStart,
     /// The answer.
-    pub answer: Response<Incoming>,
+    pub response: Response<Incoming>,
     /// What it says beside its content.
     pub response_metadata: ResponseMetadata,
     /// The connection, to be given back once the body is whole.
@@ -47,9 +47,9 @@
 
 /// Why an attempt brought no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Missed {
+pub enum AttemptError {
     /// No target can take it now.
-    Unplaced(NoTarget),
+    NoTarget(NoTarget),
     /// The target did not run it.
     NotRun(TargetStart),
     /// It may have run.
@@ -71,17 +71,17 @@
     routed: &RoutedRequest,
     tried: &[TargetStart],
     resume_after: Option<&str>,
-    patience: Option<Duration>,
+    response_timeout: Option<Duration>,
     record: &mut RequestRecord,
-) -> Result<Answered, Missed> {
+) -> Result<TargetResponse, AttemptError> {
     let mut avoid = tried.to_vec();
-    for _ in 0..CONNECTIONS_TRIED {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
         if let Some(left) = held_for(gateway, routed, record) {
-            return Err(Missed::Held(left));
+            return Err(AttemptError::Held(left));
         }
         let selected = target_selection::select_target(gateway, routed, &avoid)
             .await
-            .map_err(Missed::Unplaced)?;
+            .map_err(AttemptError::NoTarget)?;
         let target = selected.target.clone();
         let prompt_tokens =
             routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
@@ -111,21 +111,21 @@
         if let Some(left) = held_for(gateway, routed, record) {
             in_flight.set_end(End::NotRun);
             gateway.return_connection(&target, connection);
-            return Err(Missed::Held(left));
+            return Err(AttemptError::Held(left));
         }
         record.target_selected(&selected, connection.is_reused);
         let time_left = routed.deadline.saturating_duration_since(Instant::now());
-        if time_left < LEAST_TIME {
-            return Err(Missed::TooLate);
+        if time_left < MIN_TIME_LEFT {
+            return Err(AttemptError::TooLate);
         }
-        let request = request_for(routed, &selected, time_left, resume_after);
-        let give_up_at =
-            patience.map_or(routed.deadline, |p| routed.deadline.min(Instant::now() + p));
+        let request = build_request(routed, &selected, time_left, resume_after);
+        let response_deadline =
+            response_timeout.map_or(routed.deadline, |p| routed.deadline.min(Instant::now() + p));
         let sent_at = boot_now();
-        let sent = timeout_at(give_up_at, connection.send(request)).await;
+        let sent = timeout_at(response_deadline, connection.send(request)).await;
         let now = boot_now();
-        let answer = match sent {
-            Ok(SendOutcome::Response(answer)) => answer,
+        let response = match sent {
+            Ok(SendOutcome::Response(response)) => response,
             Ok(SendOutcome::NotSent(reason)) => {
                 record.attempt_failed(&target, &reason);
                 in_flight.set_end(End::NotRun);
@@ -137,21 +137,21 @@
                 drop(in_flight);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 examine::broke_off(gateway, routed, &target, sent_at, record).await;
-                return Err(Missed::MayHaveRun(target));
+                return Err(AttemptError::MayHaveRun(target));
             }
             Err(_) => {
                 record.attempt_failed(&target, "no answer in time");
                 in_flight.set_end(End::Failed);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
-                return Err(Missed::TimedOut(target));
+                return Err(AttemptError::TimedOut(target));
             }
         };
-        let response_metadata = headers::decode_metadata(answer.headers());
-        let answered =
-            Answered { target, answer, response_metadata, connection, in_flight, sent_at };
-        return judge(gateway, routed, answered, record);
+        let response_metadata = headers::decode_metadata(response.headers());
+        let received =
+            TargetResponse { target, response, response_metadata, connection, in_flight, sent_at };
+        return check_response(gateway, routed, received, record);
     }
-    Err(Missed::Unplaced(NoTarget::Selection(SelectionError::NoneSound)))
+    Err(AttemptError::NoTarget(NoTarget::Selection(SelectionError::NoneSound)))
 }
 
 /// How much longer the request must not reach a target.
@@ -168,14 +168,14 @@
 async fn connect(
     gateway: &Gateway,
     target: &TargetStart,
-    ends_at: Instant,
+    deadline: Instant,
     record: &mut RequestRecord,
 ) -> Option<Connection> {
     if let Some(connection) = gateway.pool.take_idle(target) {
         return Some(connection);
     }
     let address = gateway.fleet.borrow().get(target)?.listed.address;
-    match timeout_at(ends_at, Connection::open(address)).await {
+    match timeout_at(deadline, Connection::open(address)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(error)) => {
             record.attempt_failed(target, &error.to_string());
@@ -189,7 +189,7 @@
     }
 }
 
-fn request_for(
+fn build_request(
     routed: &RoutedRequest,
     selected: &SelectedTarget,
     time_left: Duration,
@@ -219,27 +219,27 @@
 }
 
 /// Tells an answer to this request from refusals and from answers to others.
-fn judge(
+fn check_response(
     gateway: &Gateway,
     routed: &RoutedRequest,
-    mut answered: Answered,
+    mut received: TargetResponse,
     record: &mut RequestRecord,
-) -> Result<Answered, Missed> {
+) -> Result<TargetResponse, AttemptError> {
     let now = boot_now();
-    let Answered { target, answer, response_metadata, in_flight, .. } = &mut answered;
+    let TargetResponse { target, response, response_metadata, in_flight, .. } = &mut received;
     record.response_received(response_metadata);
     if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
     }
-    let is_other =
+    let is_for_other_request =
         response_metadata.request_id.as_ref().is_some_and(|id| *id != routed.metadata.id);
-    if is_other {
+    if is_for_other_request {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
         record.attempt_failed(target, "answer to another request");
         in_flight.set_end(End::Failed);
-        return Err(Missed::MayHaveRun(answered.target));
+        return Err(AttemptError::MayHaveRun(received.target));
     }
-    if answer.status() == StatusCode::MISDIRECTED_REQUEST {
+    if response.status() == StatusCode::MISDIRECTED_REQUEST {
         record.attempt_failed(target, "another target or other weights");
         let is_replaced = response_metadata.answered_by.as_ref().is_some_and(|id| *id != target.id);
         if is_replaced {
@@ -253,7 +253,7 @@
             }
             in_flight.set_end(End::OtherWeights(response_metadata.weight_version));
         }
-        return Err(Missed::NotRun(answered.target));
+        return Err(AttemptError::NotRun(received.target));
     }
     if let (Some(prompt), Some(version)) =
         (&routed.metadata.prompt, response_metadata.weight_version)
@@ -261,17 +261,17 @@
         gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
     }
     if response_metadata.did_not_run {
-        record.attempt_failed(target, &format!("not run, status {}", answer.status().as_u16()));
+        record.attempt_failed(target, &format!("not run, status {}", response.status().as_u16()));
         in_flight.set_end(End::NotRun);
-        let Answered { target, connection, response_metadata, .. } = answered;
+        let TargetResponse { target, connection, response_metadata, .. } = received;
         if !response_metadata.closes {
             gateway.return_connection(&target, connection);
         }
-        return Err(Missed::NotRun(target));
+        return Err(AttemptError::NotRun(target));
     }
-    if answer.status().is_server_error() {
+    if response.status().is_server_error() {
         in_flight.set_end(End::Failed);
         gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
     }
-    Ok(answered)
+    Ok(received)
 }
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -125,7 +125,7 @@
     /// Sends a request and waits for the head of the answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
-            Ok(answer) => SendOutcome::Response(answer),
+            Ok(response) => SendOutcome::Response(response),
             Err(mut error) => match error.take_message() {
                 Some(_) => SendOutcome::NotSent(error.error().to_string()),
                 None => SendOutcome::Broken(error.error().to_string()),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Frame, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use super::attempt::{Answered, Missed, attempt};
+use super::attempt::{AttemptError, TargetResponse, attempt};
 use super::events::EventSplitter;
 use super::examine;
 use super::metadata::ResponseMetadata;
@@ -85,9 +85,9 @@
         routed: RoutedRequest,
         record: RequestRecord,
         tried: Vec<TargetStart>,
-        answered: Answered,
+        received: TargetResponse,
     ) -> EventRelay {
-        let source = Some(Source::new(answered));
+        let source = Some(Source::new(received));
         EventRelay { gateway, routed, record, tried, source, events: EventSplitter::default() }
     }
 
@@ -212,26 +212,34 @@
         )
         .await;
         match resumed {
-            Ok(answered) if answered.answer.status() == StatusCode::OK => {
-                self.tried.push(answered.target.clone());
-                self.source = Some(Source::new(answered));
+            Ok(received) if received.response.status() == StatusCode::OK => {
+                self.tried.push(received.target.clone());
+                self.source = Some(Source::new(received));
                 Ok(())
             }
-            Ok(answered) => Err(format!("resumed with {}", answered.answer.status()).into()),
-            Err(Missed::Unplaced(why)) => Err(format!("no engine to resume at: {why:?}").into()),
+            Ok(received) => Err(format!("resumed with {}", received.response.status()).into()),
+            Err(AttemptError::NoTarget(why)) => {
+                Err(format!("no engine to resume at: {why:?}").into())
+            }
             Err(missed) => Err(format!("not resumed: {missed:?}").into()),
         }
     }
 }
 
 impl Source {
-    fn new(answered: Answered) -> Source {
-        let Answered { target, answer, response_metadata, mut connection, in_flight, sent_at } =
-            answered;
+    fn new(received: TargetResponse) -> Source {
+        let TargetResponse {
+            target,
+            response,
+            response_metadata,
+            mut connection,
+            in_flight,
+            sent_at,
+        } = received;
         connection.set_idle_timeout(response_metadata.idle_timeout);
         Source {
             target,
-            body: answer.into_body(),
+            body: response.into_body(),
             response_metadata,
             connection,
             in_flight,
@@ -244,11 +252,11 @@
 pub fn raw(
     gateway: Rc<Gateway>,
     routed: RoutedRequest,
-    answered: Answered,
+    received: TargetResponse,
     record: RequestRecord,
 ) -> ResponseBody {
-    let status = answered.answer.status();
-    let source = Source::new(answered);
+    let status = received.response.status();
+    let source = Source::new(received);
     stream_body(stream::unfold(Some((gateway, routed, source, record)), move |state| async move {
         let (gateway, routed, mut source, mut record) = state?;
         let error: RelayError = match timeout_at(routed.deadline, source.body.frame()).await {
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -12,7 +12,7 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use super::attempt::{Answered, Missed, attempt};
+use super::attempt::{AttemptError, TargetResponse, attempt};
 use super::examine;
 use super::metadata::RequestMetadata;
 use super::priority::Priority;
@@ -53,14 +53,14 @@
     let (head, body) = request.into_parts();
     let metadata = headers::decode_call(&head.uri, &head.headers);
     let mut record = RequestRecord::new(&gateway, &metadata, started_at);
-    let mut answer = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
+    let mut response = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(routed) => serve(&gateway, routed, record).await,
         Err((refusal, id)) => refuse(refusal, &id, &record),
     };
     if gateway.stopping.get() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
 /// Finds the route, takes the body, and works out what all attempts share.
@@ -198,18 +198,18 @@
         )
         .await;
         let (attempt_refusal, target) = match tried_now {
-            Ok(answered) => {
-                let target = answered.target.clone();
+            Ok(received) => {
+                let target = received.target.clone();
                 tried.push(target);
-                let wants_another = answered.answer.status().is_server_error()
+                let wants_another = received.response.status().is_server_error()
                     && routed.route.policy == RunPolicy::Idempotent;
                 if !(wants_another && may_retry(gateway, &routed, &tried)) {
-                    return relay_response(gateway, routed, record, tried, answered).await;
+                    return relay_response(gateway, routed, record, tried, received).await;
                 }
                 may_have_run = true;
                 continue;
             }
-            Err(Missed::Unplaced(why)) => {
+            Err(AttemptError::NoTarget(why)) => {
                 let refusal = match (may_have_run, why) {
                     (true, _) => Refusal::Broken,
                     (false, NoTarget::Busy(retry_after)) => Refusal::Busy(retry_after),
@@ -218,17 +218,17 @@
                 };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::Held(left)) => {
+            Err(AttemptError::Held(left)) => {
                 let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::TooLate) => {
+            Err(AttemptError::TooLate) => {
                 let refusal = if may_have_run { Refusal::TimedOut } else { Refusal::TooLate };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::NotRun(target)) => (Refusal::NoTarget, target),
-            Err(Missed::MayHaveRun(target)) => (Refusal::Broken, target),
-            Err(Missed::TimedOut(target)) => (Refusal::TimedOut, target),
+            Err(AttemptError::NotRun(target)) => (Refusal::NoTarget, target),
+            Err(AttemptError::MayHaveRun(target)) => (Refusal::Broken, target),
+            Err(AttemptError::TimedOut(target)) => (Refusal::TimedOut, target),
         };
         tried.push(target);
         may_have_run |= attempt_refusal != Refusal::NoTarget;
@@ -263,17 +263,23 @@
     routed: RoutedRequest,
     mut record: RequestRecord,
     tried: Vec<TargetStart>,
-    answered: Answered,
+    received: TargetResponse,
 ) -> GatewayResponse {
-    let status = answered.answer.status();
-    let values = headers::for_caller(answered.answer.headers());
+    let status = received.response.status();
+    let values = headers::for_caller(received.response.headers());
     let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
-        EventRelay::new(gateway.clone(), routed, record, tried, answered).into_body()
-    } else if relay::is_short(answered.answer.body()) {
-        let Answered { target, answer, response_metadata, mut connection, in_flight, sent_at } =
-            answered;
-        match relay::read_whole(answer.into_body(), routed.deadline).await {
+        EventRelay::new(gateway.clone(), routed, record, tried, received).into_body()
+    } else if relay::is_short(received.response.body()) {
+        let TargetResponse {
+            target,
+            response,
+            response_metadata,
+            mut connection,
+            in_flight,
+            sent_at,
+        } = received;
+        match relay::read_whole(response.into_body(), routed.deadline).await {
             Ok(bytes) => {
                 drop(in_flight);
                 record.first_part_sent();
@@ -298,12 +304,12 @@
             }
         }
     } else {
-        relay::raw(gateway.clone(), routed, answered, record)
+        relay::raw(gateway.clone(), routed, received, record)
     };
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    *answer.headers_mut() = values;
-    answer
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = values;
+    response
 }
 
 fn refuse(refusal: Refusal, id: &str, record: &RequestRecord) -> GatewayResponse {
@@ -314,7 +320,7 @@
         Refusal::Unconfirmed => Duration::ZERO,
         _ => MIN_RETRY_AFTER + jitter,
     };
-    let answer = refusal_response(refusal, id, retry_after);
-    record.set_outcome(Outcome::Refused(answer.status().as_u16(), refusal.name()));
-    answer
+    let response = refusal_response(refusal, id, retry_after);
+    record.set_outcome(Outcome::Refused(response.status().as_u16(), refusal.name()));
+    response
 }
