--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -196,13 +196,13 @@
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let placed = selected.placed.as_ref();
-    let salt = || placed.map_or_else(|| routed.cache_wall.clone(), |placed| placed.salt.clone());
+    let salt = || placed.map_or_else(|| routed.cache_scope.clone(), |placed| placed.salt.clone());
     let forwarded = Forwarded {
         target: &selected.target.id,
         account: routed.account.as_ref(),
         time_left,
         priority: routed.metadata.prompt.is_some().then_some(routed.priority.engine_level()),
-        cache_wall: routed.metadata.prompt.is_some().then(salt),
+        cache_salt: routed.metadata.prompt.is_some().then(salt),
         resume_after,
         weight_version: selected.weight_version,
         kept: placed.map(|placed| KeptParts {
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -76,7 +76,7 @@
     /// How urgent an engine shall take it, from 0 (first) to 9.
     pub priority: Option<u8>,
     /// Names those who may share kept cache with this request.
-    pub cache_wall: Option<String>,
+    pub cache_salt: Option<String>,
     /// The last event that the caller has.
     pub resume_after: Option<&'a str>,
     /// The weights that the engine must run.
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -149,7 +149,7 @@
         headers: head.headers,
         body: Bytes::new(),
         account: found.account.map(|account| account.id.clone()),
-        cache_wall: isolated.map_or_else(
+        cache_scope: isolated.map_or_else(
             || SHARED_CACHE_SCOPE.to_string(),
             |account| format!("only:{}", account.id),
         ),
--- a/src/gateway/routed_request.rs
+++ b/src/gateway/routed_request.rs
@@ -29,7 +29,7 @@
     /// Its account.
     pub account: Option<AccountId>,
     /// Names those who may share kept cache with it.
-    pub cache_wall: String,
+    pub cache_scope: String,
     /// How urgent it is.
     pub priority: Priority,
     /// The service that serves it.
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -94,7 +94,7 @@
     let criteria = placement::Criteria {
         service: &routed.service,
         prompt: routed.metadata.prompt.as_ref(),
-        cache_wall: &routed.cache_wall,
+        cache_wall: &routed.cache_scope,
         tried: avoid,
         drawn: routed.tie_breaker,
         named: &gateway.named_since.borrow(),
@@ -172,7 +172,7 @@
     Some(PlacementRequest {
         service: routed.service.clone(),
         model: prompt.model.clone(),
-        wall: routed.cache_wall.clone(),
+        wall: routed.cache_scope.clone(),
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -21,7 +21,7 @@
         account: Some(account),
         time_left: Duration::from_millis(750),
         priority: Some(2),
-        cache_wall: Some("all/m/1".to_string()),
+        cache_salt: Some("all/m/1".to_string()),
         resume_after: None,
         weight_version: Some(1),
         kept: None,
