--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -321,7 +321,7 @@
      "let age = now.saturating_sub(self.measured_at).as_secs_f64();",
      "let age = now.saturating_sub(now.max(self.measured_at)).as_secs_f64();", "deployment", "links"),
     ("platform: an entry that has just started refuses", "src/gateway/request.rs",
-     "    gateway.until_deployed(max_wait).await;", "", "deployment", "just_started"),
+     "    gateway.wait_for_deployment(max_wait).await;", "", "deployment", "just_started"),
     ("platform: lists with one number are taken for one", "src/control/numbered_roster.rs",
      "RosterName { number: self.number, digest: self.digest }",
      "RosterName { number: self.number, digest: self.digest.min(1) }", "deployment", "leaving"),
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -73,7 +73,7 @@
     record: &mut RequestRecord,
 ) -> Result<RoutedRequest, (Refusal, String)> {
     let max_wait = startup_wait(metadata.deadline);
-    gateway.until_deployed(max_wait).await;
+    gateway.wait_for_deployment(max_wait).await;
     let table = match confirmed_table(gateway, &metadata, record).await {
         Ok(table) => table,
         Err(refusal) => return Err((refusal, metadata.id)),
@@ -81,7 +81,7 @@
     let mut routed = route_request(&table, head, metadata, arrived, record)?;
     let (version, max_bytes) = (table.deployment().version, table.deployment().bounds.body_bytes);
     drop(table);
-    gateway.until_served(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
+    gateway.wait_for_service(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
     routed.body = match read_body(body, max_bytes).await {
         Ok(body) => body,
         // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -199,8 +199,8 @@
 
     /// Waits until a deployment is known, for so long at the most. An entry that has just started
     /// learns it within a second if a leader has to be elected first, else at once.
-    pub async fn until_deployed(&self, at_most: Duration) {
-        self.until(at_most, || self.table.borrow().is_some()).await;
+    pub async fn wait_for_deployment(&self, timeout: Duration) {
+        self.wait_until(timeout, || self.table.borrow().is_some()).await;
     }
 
     /// Whether a request that the deployment of this version refuses may be refused for good. Waits for a replica's
@@ -215,7 +215,7 @@
         let first = verdict();
         if let Verdict::Wait(until) = first {
             let is_answered = || !matches!(verdict(), Verdict::Wait(_));
-            self.until(until.saturating_sub(boot_now()), || is_later() || is_answered()).await;
+            self.wait_until(until.saturating_sub(boot_now()), || is_later() || is_answered()).await;
         }
         match verdict() {
             _ if is_later() => Confirmation::LaterDeployment,
@@ -225,25 +225,25 @@
     }
 
     /// Waits until a target of a service is known, or the whole list, for so long at the most.
-    pub async fn until_served(&self, service: &str, at_most: Duration) {
+    pub async fn wait_for_service(&self, service: &str, timeout: Duration) {
         let is_served = || self.fleet.borrow().live(service).next().is_some();
-        self.until(at_most, || self.has_list() || is_served()).await;
+        self.wait_until(timeout, || self.has_list() || is_served()).await;
     }
 
     /// Waits until a target is known, or the whole list, for so long at the most.
-    pub async fn until_listed(&self, target: &TargetStart, at_most: Duration) {
+    pub async fn wait_for_target(&self, target: &TargetStart, timeout: Duration) {
         let is_listed = || self.fleet.borrow().get(target).is_some();
-        self.until(at_most, || self.has_list() || is_listed()).await;
+        self.wait_until(timeout, || self.has_list() || is_listed()).await;
     }
 
-    async fn until(&self, at_most: Duration, is_known: impl Fn() -> bool) {
+    async fn wait_until(&self, timeout: Duration, is_known: impl Fn() -> bool) {
         let knowing = async {
             while !is_known() {
                 self.known.notified().await;
             }
         };
         // Whoever waited in vain is refused.
-        let _ = tokio::time::timeout(at_most, knowing).await;
+        let _ = tokio::time::timeout(timeout, knowing).await;
     }
 
     /// How old what is known here may be; `None` if nothing is known.
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -49,7 +49,7 @@
     if let Some(request) = placement_request(gateway, routed, avoid) {
         let answer = gateway.scheduler.ask(request).await;
         if let Some(Ok(placed)) = &answer {
-            gateway.until_listed(&placed.target, LISTED_TIMEOUT).await;
+            gateway.wait_for_target(&placed.target, LISTED_TIMEOUT).await;
         }
         match answer {
             Some(Ok(placed)) if gateway.fleet.borrow().get(&placed.target).is_some() => {
