--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -34,31 +34,31 @@
 use crate::telemetry::roles::EntryMetrics;
 
 /// Entries that are assumed to share the retry budget until a replica tells how many there are.
-const ENTRIES_AT_FIRST: u32 = 16;
+const INITIAL_ENTRY_COUNT: u32 = 16;
 /// A leader of an earlier term is believed once none of a later one was named for this long: terms
 /// begin again only after all replicas have lost their disks.
-const EARLIER_TERM_AFTER: Duration = Duration::from_secs(1);
+const TERM_RESET_AFTER: Duration = Duration::from_secs(1);
 
 /// A time without a replica's confirmation that is worth a line in the log once it is over: longer than it takes
 /// to turn to another replica.
-const STALE_LOGGED_AFTER: Duration = Duration::from_secs(1);
+const LOG_STALE_AFTER: Duration = Duration::from_secs(1);
 
 /// A change of a list of targets that is not the one that is known here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("a change of another list of targets than the known one"))]
-pub struct OtherRoster;
+pub struct RosterMismatch;
 
-impl From<NameMissing> for OtherRoster {
-    fn from(error: NameMissing) -> OtherRoster {
+impl From<NameMissing> for RosterMismatch {
+    fn from(error: NameMissing) -> RosterMismatch {
         log::warn!("event=targets_damaged reason={:?}", error.to_string());
-        OtherRoster
+        RosterMismatch
     }
 }
 
-impl From<PieceError> for OtherRoster {
-    fn from(error: PieceError) -> OtherRoster {
+impl From<PieceError> for RosterMismatch {
+    fn from(error: PieceError) -> RosterMismatch {
         log::warn!("event=targets_damaged reason={:?}", error.to_string());
-        OtherRoster
+        RosterMismatch
     }
 }
 
@@ -111,13 +111,13 @@
     /// When weights were named.
     pub named_since: RefCell<RolloutHistories>,
     /// When a replica last said that what is known here is current.
-    current_at: Cell<Option<BootTime>>,
+    last_heartbeat: Cell<Option<BootTime>>,
     /// How recent the deployment that is known here surely is.
     freshness: RefCell<Freshness>,
     /// The last request for a confirmation; 0 if there was none.
     pub confirm_requests: watch::Sender<ConfirmId>,
     /// Rings when a deployment, or targets, are known that were not.
-    known: Notify,
+    state_changed: Notify,
     /// Whether the process was asked to end.
     pub stopping: Cell<bool>,
     /// Requests that are being answered.
@@ -143,7 +143,7 @@
             host,
             table: RefCell::default(),
             fleet: RefCell::default(),
-            retries: RefCell::new(RetryShare::new(rule, ENTRIES_AT_FIRST)),
+            retries: RefCell::new(RetryShare::new(rule, INITIAL_ENTRY_COUNT)),
             quarantine: watch::Sender::default(),
             broken_runs: RefCell::default(),
             examined: Notify::new(),
@@ -157,10 +157,10 @@
             roster: RefCell::default(),
             assembly: RefCell::default(),
             named_since: RefCell::default(),
-            current_at: Cell::new(None),
+            last_heartbeat: Cell::new(None),
             freshness,
             confirm_requests: watch::Sender::default(),
-            known: Notify::new(),
+            state_changed: Notify::new(),
             stopping: Cell::new(false),
             answering: Cell::new(0),
             metrics,
@@ -189,11 +189,11 @@
 
     /// Whether new callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        !self.stopping.get() && self.table.borrow().is_some() && self.has_list()
+        !self.stopping.get() && self.table.borrow().is_some() && self.has_roster()
     }
 
     /// Whether the whole list of targets is known.
-    fn has_list(&self) -> bool {
+    fn has_roster(&self) -> bool {
         self.roster.borrow().number > 0
     }
 
@@ -227,28 +227,28 @@
     /// Waits until a target of a service is known, or the whole list, for so long at the most.
     pub async fn wait_for_service(&self, service: &str, timeout: Duration) {
         let is_served = || self.fleet.borrow().live(service).next().is_some();
-        self.wait_until(timeout, || self.has_list() || is_served()).await;
+        self.wait_until(timeout, || self.has_roster() || is_served()).await;
     }
 
     /// Waits until a target is known, or the whole list, for so long at the most.
     pub async fn wait_for_target(&self, target: &TargetStart, timeout: Duration) {
         let is_listed = || self.fleet.borrow().get(target).is_some();
-        self.wait_until(timeout, || self.has_list() || is_listed()).await;
+        self.wait_until(timeout, || self.has_roster() || is_listed()).await;
     }
 
     async fn wait_until(&self, timeout: Duration, is_known: impl Fn() -> bool) {
-        let knowing = async {
+        let changes = async {
             while !is_known() {
-                self.known.notified().await;
+                self.state_changed.notified().await;
             }
         };
         // Whoever waited in vain is refused.
-        let _ = tokio::time::timeout(timeout, knowing).await;
+        let _ = tokio::time::timeout(timeout, changes).await;
     }
 
     /// How old what is known here may be; `None` if nothing is known.
     pub fn belief_age(&self) -> Option<Duration> {
-        self.current_at.get().map(|at| boot_now().saturating_sub(at))
+        self.last_heartbeat.get().map(|at| boot_now().saturating_sub(at))
     }
 
     /// The same in milliseconds, -1 if nothing is known.
@@ -256,11 +256,11 @@
         self.belief_age().map_or(-1, |age| age.as_millis() as i64)
     }
 
-    fn observe_current(&self) {
-        if let Some(age) = self.belief_age().filter(|age| *age >= STALE_LOGGED_AFTER) {
+    fn observe_heartbeat(&self) {
+        if let Some(age) = self.belief_age().filter(|age| *age >= LOG_STALE_AFTER) {
             log::info!("event=belief_current again_after_ms={}", age.as_millis());
         }
-        self.current_at.set(Some(boot_now()));
+        self.last_heartbeat.set(Some(boot_now()));
     }
 
     /// The name of the list of targets that is in use.
@@ -285,11 +285,11 @@
     /// # Errors
     /// If it is a change of a list of targets that is not the one that is known here: the replica must
     /// tell the whole list.
-    pub fn observe(&self, update: Update) -> Result<(), OtherRoster> {
+    pub fn observe(&self, update: Update) -> Result<(), RosterMismatch> {
         match update {
             Update::Heartbeat { replicas, entries, leader, term } => {
                 self.observe_leader(leader, term);
-                self.observe_current();
+                self.observe_heartbeat();
                 if let Some(entries) = entries {
                     self.retries.borrow_mut().set_entries(entries);
                 }
@@ -300,7 +300,7 @@
             Update::Deployment(deployment) => self.observe_deployment(deployment),
             Update::Confirmed { id, age } => {
                 self.freshness.borrow_mut().confirmed(id, age);
-                self.known.notify_waiters();
+                self.state_changed.notify_waiters();
             }
             Update::Weights(named) => {
                 weights::observe_ages(&mut self.named_since.borrow_mut(), named, boot_now());
@@ -319,15 +319,15 @@
                     return Ok(());
                 }
                 if known.name() != before {
-                    return Err(OtherRoster);
+                    return Err(RosterMismatch);
                 }
                 let mut roster = known.roster;
                 Arc::make_mut(&mut roster).apply(change);
                 let changed = NumberedRoster::new(name.number, roster);
                 if changed.name() != name {
-                    return Err(OtherRoster);
+                    return Err(RosterMismatch);
                 }
-                self.observe_roster(changed);
+                self.replace_roster(changed);
             }
         }
         Ok(())
@@ -353,8 +353,8 @@
     fn observe_leader(&self, leader: Option<IpAddr>, term: Term) {
         let (known, named_at) = self.leader_term.get();
         let now = boot_now();
-        let is_behind = term < known && now < named_at + EARLIER_TERM_AFTER;
-        let Some(leader) = leader.filter(|_| !is_behind) else { return };
+        let is_stale = term < known && now < named_at + TERM_RESET_AFTER;
+        let Some(leader) = leader.filter(|_| !is_stale) else { return };
         let is_other = (self.leader.get(), known) != (Some(leader), term);
         self.leader.set(Some(leader));
         self.leader_term.set((term, now));
@@ -381,23 +381,23 @@
             return Ok(());
         }
         let listed = piece.listed()?;
-        if !self.has_list() {
+        if !self.has_roster() {
             self.fleet.borrow_mut().add(&listed);
-            self.known.notify_waiters();
+            self.state_changed.notify_waiters();
         }
         self.observe_leaving(listed.iter());
         let whole = self.assembly.borrow_mut().take(piece)?;
-        whole.into_iter().for_each(|roster| self.observe_roster(roster));
+        whole.into_iter().for_each(|roster| self.replace_roster(roster));
         Ok(())
     }
 
     /// Takes a whole list. One that is not later than the known one changes nothing.
-    pub fn observe_list(&self, roster: NumberedRoster) {
+    pub fn observe_roster(&self, roster: NumberedRoster) {
         self.observe_leaving(roster.roster.iter());
-        self.observe_roster(roster);
+        self.replace_roster(roster);
     }
 
-    fn observe_roster(&self, roster: NumberedRoster) {
+    fn replace_roster(&self, roster: NumberedRoster) {
         if roster.name() <= self.roster.borrow().name() {
             return;
         }
@@ -405,7 +405,7 @@
         *self.roster.borrow_mut() = roster;
         *self.assembly.borrow_mut() = Assembly::default();
         self.subscriptions.borrow_mut().has_list();
-        self.known.notify_waiters();
+        self.state_changed.notify_waiters();
         let listed = &self.roster.borrow().roster;
         self.pool.retain(|target| listed.get(target).is_some());
     }
@@ -427,7 +427,7 @@
                 deployment.routes.len()
             );
             *table = Some(Rc::new(Table::new(deployment)));
-            self.known.notify_waiters();
+            self.state_changed.notify_waiters();
         }
     }
 }
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -97,7 +97,7 @@
 
     pub fn hears_list(&self, number: u64, targets: Vec<Listed>) {
         let roster = NumberedRoster::new(number, Arc::new(roster(targets)));
-        self.gateway.observe_list(roster);
+        self.gateway.observe_roster(roster);
     }
 
     pub async fn call(&self, path: &str, id: &str) -> Got {
--- a/tests/deployment/late_news.rs
+++ b/tests/deployment/late_news.rs
@@ -20,7 +20,7 @@
         let known = entry.gateway.roster_name();
         let late = NumberedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
         assert!(late.name() < known);
-        entry.gateway.observe_list(late);
+        entry.gateway.observe_roster(late);
         assert!(entry.gateway.fleet.borrow().get(&start("i-1")).is_none());
     });
 }
@@ -75,7 +75,7 @@
         }
         let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("it is kept");
         let roster = NumberedRoster::new(2, Arc::new(roster([at(3)])));
-        entry.gateway.observe_list(roster);
+        entry.gateway.observe_roster(roster);
         // A request that was under way ends, and its connection is given back.
         entry.gateway.return_connection(&born("i-1", 9), connection);
         assert!(entry.gateway.pool.take_idle(&born("i-1", 9)).is_none());
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -81,7 +81,7 @@
 impl Heard<'_> {
     fn new<'a>(gateway: &'a Rc<Gateway>, replica: &'a Shared) -> Heard<'a> {
         let told = current(replica);
-        gateway.observe_list(told.clone());
+        gateway.observe_roster(told.clone());
         Heard { gateway, replica, told }
     }
 
@@ -91,7 +91,7 @@
         let frame = self.replica.roster_change(&self.told, &now);
         let news: Update = read(&mut &frame[..]).await.expect("a frame");
         if self.gateway.observe(news).is_err() {
-            self.gateway.observe_list(now.clone());
+            self.gateway.observe_roster(now.clone());
         }
         self.told = now;
     }
