--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -273,7 +273,7 @@
     ("platform: prompts on old weights for ever", "src/scheduler/weights.rs",
      "(!is_over).then_some(OLD_WEIGHTS_MS)", "(!is_over || true).then_some(OLD_WEIGHTS_MS)", "deployment", "rollout"),
     ("platform: an entry alone knows nothing of named weights", "src/gateway/state.rs",
-     "weights::observe_ages(&mut self.named_since.borrow_mut(), named, boot_now());", "            Update::Weights(_) => {}", "deployment", "weights_alone"),
+     "weights::observe_ages(&mut self.rollouts.borrow_mut(), named, boot_now());", "            Update::Weights(_) => {}", "deployment", "weights_alone"),
     ("platform: an entry alone places on old weights for ever", "src/fleet/placement.rs",
      "let cost_ms = ask.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;",
      "let cost_ms = ask.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by).unwrap_or(0.0);", "deployment", "weights_alone"),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -173,7 +173,7 @@
         if let Some(mut source) = self.source.take() {
             source.in_flight.set_end(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
-            self.gateway.answered_whole(&self.routed);
+            self.gateway.record_success(&self.routed);
             if !source.response_metadata.closes {
                 self.gateway.return_connection(&source.target, source.connection);
             }
@@ -263,7 +263,7 @@
             Ok(None) => {
                 record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
-                    gateway.answered_whole(&routed);
+                    gateway.record_success(&routed);
                 }
                 return None;
             }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -286,7 +286,7 @@
                 record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
                     gateway.fleet.borrow_mut().succeeded(&target);
-                    gateway.answered_whole(&routed);
+                    gateway.record_success(&routed);
                 }
                 connection.set_idle_timeout(response_metadata.idle_timeout);
                 if !response_metadata.closes {
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -158,7 +158,7 @@
             return;
         }
         let first_ms = self.first_part.map_or(-1, |first| first.as_millis() as i64);
-        let age_ms = self.gateway.belief_age_ms();
+        let age_ms = self.gateway.state_age_ms();
         log::info!(
             "event=request id={} route={} rank={} version={} age_ms={age_ms} took_ms={} \
              first_ms={first_ms} ended={:?}{}",
--- a/src/gateway/scheduler_connection.rs
+++ b/src/gateway/scheduler_connection.rs
@@ -27,7 +27,7 @@
 /// Keeps connected to the replica that leads, for as long as the process lives.
 pub async fn keep_connected(gateway: Rc<Gateway>) {
     loop {
-        let Some(named) = gateway.named_leader() else {
+        let Some(named) = gateway.current_leader() else {
             let _ = tokio::time::timeout(TRY_AGAIN_AFTER, gateway.leader_changed.notified()).await;
             continue;
         };
@@ -75,7 +75,7 @@
 
 /// Ends once another replica leads, or the same one in another term.
 async fn is_replaced(gateway: &Gateway, named: (IpAddr, Term)) {
-    while gateway.named_leader() == Some(named) {
+    while gateway.current_leader() == Some(named) {
         // A change that comes just before is seen after the pause.
         let _ = tokio::time::timeout(TRY_AGAIN_AFTER, gateway.leader_changed.notified()).await;
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -109,7 +109,7 @@
     /// A list of which some pieces have arrived.
     assembly: RefCell<Assembly>,
     /// When weights were named.
-    pub named_since: RefCell<RolloutHistories>,
+    pub rollouts: RefCell<RolloutHistories>,
     /// When a replica last said that what is known here is current.
     last_heartbeat: Cell<Option<BootTime>>,
     /// How recent the deployment that is known here surely is.
@@ -156,7 +156,7 @@
             subscriptions,
             roster: RefCell::default(),
             assembly: RefCell::default(),
-            named_since: RefCell::default(),
+            rollouts: RefCell::default(),
             last_heartbeat: Cell::new(None),
             freshness,
             confirm_requests: watch::Sender::default(),
@@ -173,7 +173,7 @@
         self.metrics.answering.record(self.answering.get() as u64, &[]);
         let held = self.quarantine.borrow().held_count(boot_now());
         self.metrics.requests_held.record(held as u64, &[]);
-        if let Some(age) = self.belief_age() {
+        if let Some(age) = self.state_age() {
             self.metrics.belief_age_s.record(age.as_secs_f64(), &[]);
         }
         if let Some(table) = self.table() {
@@ -247,17 +247,17 @@
     }
 
     /// How old what is known here may be; `None` if nothing is known.
-    pub fn belief_age(&self) -> Option<Duration> {
+    pub fn state_age(&self) -> Option<Duration> {
         self.last_heartbeat.get().map(|at| boot_now().saturating_sub(at))
     }
 
     /// The same in milliseconds, -1 if nothing is known.
-    pub fn belief_age_ms(&self) -> i64 {
-        self.belief_age().map_or(-1, |age| age.as_millis() as i64)
+    pub fn state_age_ms(&self) -> i64 {
+        self.state_age().map_or(-1, |age| age.as_millis() as i64)
     }
 
     fn observe_heartbeat(&self) {
-        if let Some(age) = self.belief_age().filter(|age| *age >= LOG_STALE_AFTER) {
+        if let Some(age) = self.state_age().filter(|age| *age >= LOG_STALE_AFTER) {
             log::info!("event=belief_current again_after_ms={}", age.as_millis());
         }
         self.last_heartbeat.set(Some(boot_now()));
@@ -303,7 +303,7 @@
                 self.state_changed.notify_waiters();
             }
             Update::Weights(named) => {
-                weights::observe_ages(&mut self.named_since.borrow_mut(), named, boot_now());
+                weights::observe_ages(&mut self.rollouts.borrow_mut(), named, boot_now());
             }
             Update::Quarantine(reports) => {
                 share::change(&self.quarantine, |known| known.observe(reports, boot_now()));
@@ -340,13 +340,13 @@
     }
 
     /// A request got a whole answer.
-    pub fn answered_whole(&self, routed: &RoutedRequest) {
+    pub fn record_success(&self, routed: &RoutedRequest) {
         let run = routed.fingerprint();
         self.quarantine.send_if_modified(|known| known.answered_whole(run, boot_now()));
     }
 
     /// The host of the replica that leads, and the term in which it does.
-    pub fn named_leader(&self) -> Option<(IpAddr, Term)> {
+    pub fn current_leader(&self) -> Option<(IpAddr, Term)> {
         self.leader.get().map(|leader| (leader, self.leader_term.get().0))
     }
 
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -58,7 +58,7 @@
                 Ok(()) => pause = Duration::ZERO,
                 Err(error) => {
                     let reason = error.to_string();
-                    let age_ms = gateway.belief_age_ms();
+                    let age_ms = gateway.state_age_ms();
                     log::info!(
                         "event=subscription_lost replica={replica} reason={reason:?} age_ms={age_ms}"
                     );
@@ -80,7 +80,7 @@
         name: gateway.host.name.clone(),
         failure_domain: gateway.host.failure_domain.clone(),
         deployment: gateway.table().map_or(0, |table| table.deployment().version),
-        named: weights::ages(&gateway.named_since.borrow(), boot_now()),
+        named: weights::ages(&gateway.rollouts.borrow(), boot_now()),
     };
     write.write_all(&encode(&introduction)).await?;
     tokio::select! {
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -97,7 +97,7 @@
         cache_wall: &routed.cache_scope,
         tried: avoid,
         drawn: routed.tie_breaker,
-        named: &gateway.named_since.borrow(),
+        named: &gateway.rollouts.borrow(),
         old_weights: gateway.host.periods.old_weights,
     };
     let choice = placement::choose(&gateway.fleet.borrow(), &criteria, boot_now());
@@ -129,7 +129,7 @@
         Some(_) => OldWeights { within: None, ..old_weights },
         None => old_weights,
     };
-    let named_since = gateway.named_since.borrow();
+    let named_since = gateway.rollouts.borrow();
     let (named, has) = (named_since.get(&prompt.model), selected.weight_version);
     old_weights.cost_ms(named, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
 }
@@ -138,7 +138,7 @@
 /// that the engine has missed.
 fn weights_trace(gateway: &Gateway, routed: &RoutedRequest, expected: Option<u64>) -> String {
     let Some(prompt) = &routed.metadata.prompt else { return String::new() };
-    let named_since = gateway.named_since.borrow();
+    let named_since = gateway.rollouts.borrow();
     let named = named_since.get(&prompt.model);
     let missed_since = named.and_then(|named| named.missed_since(expected));
     let age = missed_since.map(|since| boot_now().saturating_sub(since).as_millis());
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -114,7 +114,7 @@
     let entry = entry(unhurried(), vec![target("i-1", "app", app.address)]).await;
     let replica = StandInReplica::start(&entry, ip, 1);
     let tasks = listening(&entry).await;
-    until("it hears the replica", || entry.gateway.belief_age().is_some()).await;
+    until("it hears the replica", || entry.gateway.state_age().is_some()).await;
     (entry, replica, app, tasks)
 }
 
@@ -196,7 +196,7 @@
         std::thread::sleep(IN_FORCE + ms(1_200));
         silenced.join().expect("it ends");
         // It reads now what the replica has said more than two seconds ago.
-        until("it reads", || entry.gateway.belief_age().is_some_and(|age| age < ms(1_000))).await;
+        until("it reads", || entry.gateway.state_age().is_some_and(|age| age < ms(1_000))).await;
         may_come_back(&entry.call("/added/", "r1").await, "a route");
     });
 }
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -73,7 +73,7 @@
         entry.gateway.replicas.borrow_mut().insert(ip);
         let (tasks, _first_end) = essentials();
         subscription::start(&entry.gateway, &tasks);
-        while entry.gateway.belief_age().is_none() {
+        while entry.gateway.state_age().is_none() {
             tokio::time::sleep(ms(10)).await;
         }
         is_named.store(true, Ordering::SeqCst);
@@ -82,7 +82,7 @@
         std::thread::sleep(frozen);
         // In touch again, and told four times a second that what it knows is current.
         tokio::time::sleep(ms(2_000)).await;
-        let named = entry.gateway.named_since.borrow().clone();
+        let named = entry.gateway.rollouts.borrow().clone();
         let since = named["m"].missed_since(Some(1)).expect("it was told");
         let late = since.saturating_sub(named_at);
         assert!(late < ms(1_000), "it believes that they were named {late:?} later than they were");
