--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -10,13 +10,13 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use super::examine;
 use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
 use super::pool::{Connection, SendOutcome};
 use super::request_record::RequestRecord;
 use super::routed_request::RoutedRequest;
 use super::state::{Gateway, InFlightRequest};
 use super::target_selection::{self, NoTarget, SelectedTarget};
+use super::termination;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::fleet::placement::SelectionError;
@@ -136,7 +136,7 @@
                 in_flight.set_end(End::Failed);
                 drop(in_flight);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
-                examine::broke_off(gateway, routed, &target, sent_at, record).await;
+                termination::report_broken_run(gateway, routed, &target, sent_at, record).await;
                 return Err(AttemptError::MayHaveRun(target));
             }
             Err(_) => {
@@ -181,7 +181,7 @@
             record.attempt_failed(target, &error.to_string());
             gateway.fleet.borrow_mut().unreachable(target, boot_now());
             if error.kind() == ErrorKind::ConnectionRefused {
-                examine::has_ended(gateway, target, "refuses connections");
+                termination::record_termination(gateway, target, "refuses connections");
             }
             None
         }
@@ -244,7 +244,11 @@
         let is_replaced = response_metadata.answered_by.as_ref().is_some_and(|id| *id != target.id);
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
-            examine::has_ended(gateway, target, "another target answers at its address");
+            termination::record_termination(
+                gateway,
+                target,
+                "another target answers at its address",
+            );
             in_flight.set_end(End::Replaced);
         } else {
             if let Some(prompt) = &routed.metadata.prompt {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,7 +2,6 @@
 
 pub mod attempt;
 pub mod events;
-pub mod examine;
 pub mod freshness;
 pub mod log_limiter;
 pub mod metadata;
@@ -21,3 +20,4 @@
 pub mod subscription;
 pub mod subscriptions;
 pub mod target_selection;
+pub mod termination;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -12,13 +12,13 @@
 
 use super::attempt::{AttemptError, TargetResponse, attempt};
 use super::events::EventSplitter;
-use super::examine;
 use super::metadata::ResponseMetadata;
 use super::pool::Connection;
 use super::request_record::{Outcome, RequestRecord};
 use super::response::{RelayError, ResponseBody, stream_body};
 use super::routed_request::RoutedRequest;
 use super::state::{Gateway, InFlightRequest};
+use super::termination;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::ids::TargetStart;
@@ -190,8 +190,14 @@
             let (target, sent_at) = (source.target.clone(), source.sent_at);
             // Closes the connection, which ends the run there.
             drop(source);
-            examine::broke_off(&self.gateway, &self.routed, &target, sent_at, &mut self.record)
-                .await;
+            termination::report_broken_run(
+                &self.gateway,
+                &self.routed,
+                &target,
+                sent_at,
+                &mut self.record,
+            )
+            .await;
         }
         self.record.set_outcome(Outcome::BrokenOff);
         let has_retry =
@@ -277,8 +283,14 @@
         record.attempt_failed(&source.target, &error.to_string());
         record.set_outcome(Outcome::BrokenOff);
         if Instant::now() < routed.deadline {
-            examine::broke_off(&gateway, &routed, &source.target, source.sent_at, &mut record)
-                .await;
+            termination::report_broken_run(
+                &gateway,
+                &routed,
+                &source.target,
+                source.sent_at,
+                &mut record,
+            )
+            .await;
         }
         Some((Err(error), None))
     }))
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -13,7 +13,6 @@
 use tokio::time::Instant;
 
 use super::attempt::{AttemptError, TargetResponse, attempt};
-use super::examine;
 use super::metadata::RequestMetadata;
 use super::priority::Priority;
 use super::relay::{self, EventRelay};
@@ -22,6 +21,7 @@
 use super::routed_request::RoutedRequest;
 use super::state::{Confirmation, Gateway};
 use super::target_selection::NoTarget;
+use super::termination;
 use crate::clock::boot_now;
 use crate::deployment::{Rejection, RunPolicy, Table};
 use crate::fleet::placement::SelectionError;
@@ -298,7 +298,8 @@
                 record.attempt_failed(&target, &error.to_string());
                 drop((in_flight, connection));
                 if Instant::now() < routed.deadline {
-                    examine::broke_off(gateway, &routed, &target, sent_at, &mut record).await;
+                    termination::report_broken_run(gateway, &routed, &target, sent_at, &mut record)
+                        .await;
                 }
                 return refuse(Refusal::Broken, &routed.metadata.id, &record);
             }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -88,7 +88,7 @@
     /// Runs that broke off at targets that may have ended.
     pub broken_runs: RefCell<BrokenRuns>,
     /// Rings when it was looked whether a target listens.
-    pub examined: Notify,
+    pub probe_finished: Notify,
     /// Connections to targets.
     pub pool: Pool,
     /// The connection to the scheduler.
@@ -146,7 +146,7 @@
             retries: RefCell::new(RetryShare::new(rule, INITIAL_ENTRY_COUNT)),
             quarantine: watch::Sender::default(),
             broken_runs: RefCell::default(),
-            examined: Notify::new(),
+            probe_finished: Notify::new(),
             pool: Pool::default(),
             scheduler: SchedulerClient::default(),
             leader: Cell::new(None),
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -8,9 +8,9 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-use super::examine;
 use super::state::Gateway;
 use super::subscriptions::Subscription;
+use super::termination;
 use crate::clock::boot_now;
 use crate::control::frames::{self, FollowTargets, FromSubscriber, Introduction, Update, encode};
 use crate::control::publisher::HEARTBEAT_EVERY;
@@ -147,7 +147,7 @@
         let known = gateway.roster_name();
         gateway.observe(update).map_err(std::io::Error::other)?;
         if gateway.roster_name() != known {
-            examine::compare_with_list(gateway);
+            termination::record_unlisted(gateway);
             log_roster(gateway, replica);
         }
         // By then the replica has sent where replicas are.
--- a/src/gateway/examine.rs
+++ b/src/gateway/termination.rs
@@ -16,16 +16,16 @@
 
 /// A target that still listened is looked at once more after this time: it may close its connections
 /// before its address.
-const AGAIN_AFTER: Duration = Duration::from_millis(250);
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(250);
 /// A request waits for the first look for this long before it is sent elsewhere. Looking takes a
 /// millisecond or two.
-const WAITS_FOR: Duration = Duration::from_millis(50);
+const PROBE_WAIT: Duration = Duration::from_millis(50);
 /// Broken runs that are named in a line of the log.
-const RUNS_LOGGED: usize = 64;
+const MAX_LOGGED_RUNS: usize = 64;
 
 /// A run of a request, sent to a target at `sent_at`, broke off there. Waits until it is known whether the
 /// target has ended, for a short time.
-pub async fn broke_off(
+pub async fn report_broken_run(
     gateway: &Rc<Gateway>,
     routed: &RoutedRequest,
     target: &TargetStart,
@@ -40,31 +40,31 @@
     }
     let finding = gateway.broken_runs.borrow_mut().broke_off(target, run);
     match finding {
-        Finding::HasEnded => ended_under(gateway, target, &[run], "known"),
+        Finding::HasEnded => quarantine_runs(gateway, target, &[run], "known"),
         Finding::MustExamine => {
-            tokio::task::spawn_local(examine(gateway.clone(), target.clone()));
-            wait(gateway).await;
+            tokio::task::spawn_local(probe(gateway.clone(), target.clone()));
+            wait_for_probe(gateway).await;
         }
-        Finding::IsExamined => wait(gateway).await,
+        Finding::IsExamined => wait_for_probe(gateway).await,
     }
 }
 
-async fn wait(gateway: &Gateway) {
+async fn wait_for_probe(gateway: &Gateway) {
     // Whoever is not told in time goes on without.
-    let _ = tokio::time::timeout(WAITS_FOR, gateway.examined.notified()).await;
+    let _ = tokio::time::timeout(PROBE_WAIT, gateway.probe_finished.notified()).await;
 }
 
-async fn examine(gateway: Rc<Gateway>, target: TargetStart) {
-    if listens(&gateway, &target).await {
-        tokio::time::sleep(AGAIN_AFTER).await;
-        if listens(&gateway, &target).await {
+async fn probe(gateway: Rc<Gateway>, target: TargetStart) {
+    if is_listening(&gateway, &target).await {
+        tokio::time::sleep(SECOND_PROBE_DELAY).await;
+        if is_listening(&gateway, &target).await {
             gateway.broken_runs.borrow_mut().listens(&target);
         }
     }
 }
 
 /// Whether a target accepts a connection, or at least does not refuse one.
-async fn listens(gateway: &Gateway, target: &TargetStart) -> bool {
+async fn is_listening(gateway: &Gateway, target: &TargetStart) -> bool {
     let address = gateway.fleet.borrow().get(target).map(|state| state.listed.address);
     let refuses = match address {
         Some(address) => match Connection::open(address).await {
@@ -77,34 +77,34 @@
         None => false,
     };
     if refuses {
-        has_ended(gateway, target, "refuses connections");
+        record_termination(gateway, target, "refuses connections");
     }
-    gateway.examined.notify_waiters();
+    gateway.probe_finished.notify_waiters();
     !refuses
 }
 
 /// There is evidence that a target has ended.
-pub fn has_ended(gateway: &Gateway, target: &TargetStart, evidence: &str) {
+pub fn record_termination(gateway: &Gateway, target: &TargetStart, evidence: &str) {
     let runs = gateway.broken_runs.borrow_mut().has_ended(target, boot_now());
     if !runs.is_empty() {
-        ended_under(gateway, target, &runs, evidence);
+        quarantine_runs(gateway, target, &runs, evidence);
     }
 }
 
 /// Takes starts at which runs broke off, and which never said that they leave, for ended once the list names them no
 /// more. Call it after each change of the list.
-pub fn compare_with_list(gateway: &Gateway) {
-    let gone = |target: &&TargetStart| {
+pub fn record_unlisted(gateway: &Gateway) {
+    let is_unlisted = |target: &&TargetStart| {
         !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
     };
-    let ended: Vec<TargetStart> =
-        gateway.broken_runs.borrow().doubted().filter(gone).cloned().collect();
-    ended.iter().for_each(|target| has_ended(gateway, target, "is listed no more"));
+    let terminated: Vec<TargetStart> =
+        gateway.broken_runs.borrow().doubted().filter(is_unlisted).cloned().collect();
+    terminated.iter().for_each(|target| record_termination(gateway, target, "is listed no more"));
 }
 
-fn ended_under(gateway: &Gateway, target: &TargetStart, runs: &[BrokenRun], evidence: &str) {
+fn quarantine_runs(gateway: &Gateway, target: &TargetStart, runs: &[BrokenRun], evidence: &str) {
     let shown: Vec<String> =
-        runs.iter().take(RUNS_LOGGED).map(|run| run.fingerprint.to_string()).collect();
+        runs.iter().take(MAX_LOGGED_RUNS).map(|run| run.fingerprint.to_string()).collect();
     log::warn!(
         "event=target_ended target={target} evidence={evidence:?} runs={} fingerprints={}",
         runs.len(),
