--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -260,7 +260,7 @@
     ("platform: a caller sets what only we may set", "platform/headers.rs",
      "!NOT_PASSED_ON.contains(name) && !named.contains(name)", "!named.contains(name)", "deployment", "headers"),
     ("platform: a broken stream looks whole", "src/gateway/relay.rs",
-     "None if self.events.holds_part() =>", "None if false && self.events.holds_part() =>", "deployment", "gateway"),
+     "None if self.events.has_partial() =>", "None if false && self.events.has_partial() =>", "deployment", "gateway"),
     ("platform: placements outlive their entry", "src/control/scheduling.rs",
      "for ticket in self.entry.placed.take() {", "for ticket in self.entry.placed.take().into_iter().take(0) {", "deployment", "asking"),
     ("platform: retries beyond the share", "src/fleet/budget.rs",
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -24,7 +24,7 @@
     /// If one event is larger than 1 MiB.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, Oversized> {
         if self.pending.is_empty() && bytes.ends_with(b"\n\n") {
-            self.note_ids(bytes);
+            self.update_last_id(bytes);
             return Ok(bytes.clone());
         }
         self.pending.extend_from_slice(bytes);
@@ -36,17 +36,17 @@
             };
         };
         let whole = self.pending.split_to(end).freeze();
-        self.note_ids(&whole);
+        self.update_last_id(&whole);
         Ok(whole)
     }
 
     /// Whether part of an event is held.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Forgets a part whose rest won't come.
-    pub fn drop_part(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
@@ -55,7 +55,7 @@
         self.last_id.as_deref()
     }
 
-    fn note_ids(&mut self, whole: &[u8]) {
+    fn update_last_id(&mut self, whole: &[u8]) {
         let id_of = |line: &[u8]| line.strip_prefix(b"id:").map(<[u8]>::to_vec);
         let last = whole.split(|byte| *byte == b'\n').rev().find_map(id_of);
         if let Some(id) = last {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -26,25 +26,25 @@
 
 /// A body up to this length is taken as a whole before any of it is relayed, so that one that breaks
 /// off can be asked for again.
-pub const WHOLE_BYTES: u64 = 256 << 10;
+pub const MAX_BUFFERED_BYTES: u64 = 256 << 10;
 /// A stream that may be resumed goes on elsewhere after a pause of this many of the longest pauses
 /// that the operator allows.
-const PAUSES_TO_RESUME: u32 = 4;
+const GAPS_BEFORE_RESUME: u32 = 4;
 /// The same where the operator names none.
-const PAUSE_TO_RESUME: Duration = Duration::from_secs(2);
+const DEFAULT_MAX_GAP: Duration = Duration::from_secs(2);
 
 /// Takes a body as a whole.
 ///
 /// # Errors
 /// If it breaks off or its time is over.
-pub async fn read_whole(body: Incoming, ends_at: Instant) -> Result<Bytes, RelayError> {
-    let body = Limited::new(body, WHOLE_BYTES as usize).collect();
-    Ok(timeout_at(ends_at, body).await??.to_bytes())
+pub async fn read_buffered(body: Incoming, deadline: Instant) -> Result<Bytes, RelayError> {
+    let body = Limited::new(body, MAX_BUFFERED_BYTES as usize).collect();
+    Ok(timeout_at(deadline, body).await??.to_bytes())
 }
 
 /// Whether a body is surely short enough to be taken as a whole.
-pub fn is_short(body: &Incoming) -> bool {
-    body.size_hint().upper().is_some_and(|bytes| bytes <= WHOLE_BYTES)
+pub fn fits_buffer(body: &Incoming) -> bool {
+    body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_BYTES)
 }
 
 /// Relays a stream of events.
@@ -71,11 +71,11 @@
     sent_at: BootTime,
 }
 
-enum Next {
+enum SourceRead {
     Events(Bytes),
-    Whole,
+    Complete,
     Broken(String),
-    TimeOver,
+    TimedOut,
 }
 
 impl EventRelay {
@@ -106,61 +106,61 @@
     /// The next whole events; `None` at the end.
     async fn next(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
-            match self.next_of_source().await {
-                Next::Events(events) => {
+            match self.read_source().await {
+                SourceRead::Events(events) => {
                     self.record.first_part_sent();
                     return Ok(Some(events));
                 }
-                Next::Whole => {
+                SourceRead::Complete => {
                     self.finish();
                     return Ok(None);
                 }
-                Next::TimeOver => {
+                SourceRead::TimedOut => {
                     self.record.set_outcome(Outcome::BrokenOff);
                     return Err("its time is over".into());
                 }
-                Next::Broken(reason) => self.go_on_elsewhere(reason).await?,
+                SourceRead::Broken(reason) => self.resume(reason).await?,
             }
         }
     }
 
-    async fn next_of_source(&mut self) -> Next {
-        let pause = self.longest_pause();
-        let Some(source) = &mut self.source else { return Next::Broken("no source".into()) };
+    async fn read_source(&mut self) -> SourceRead {
+        let max_gap = self.max_gap();
+        let Some(source) = &mut self.source else { return SourceRead::Broken("no source".into()) };
         loop {
-            let ends_at = pause
+            let deadline = max_gap
                 .map_or(self.routed.deadline, |p| self.routed.deadline.min(Instant::now() + p));
-            let frame = match timeout_at(ends_at, source.body.frame()).await {
+            let frame = match timeout_at(deadline, source.body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) if Instant::now() >= self.routed.deadline => return Next::TimeOver,
-                Err(_) => return Next::Broken("no event for too long".into()),
+                Err(_) if Instant::now() >= self.routed.deadline => return SourceRead::TimedOut,
+                Err(_) => return SourceRead::Broken("no event for too long".into()),
             };
             match frame {
-                None if self.events.holds_part() => {
-                    return Next::Broken("ends within an event".into());
+                None if self.events.has_partial() => {
+                    return SourceRead::Broken("ends within an event".into());
                 }
-                None => return Next::Whole,
-                Some(Err(error)) => return Next::Broken(error.to_string()),
+                None => return SourceRead::Complete,
+                Some(Err(error)) => return SourceRead::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     source.in_flight.prompt_read(&source.response_metadata);
                     match self.events.push(&data) {
                         Ok(events) if events.is_empty() => {}
-                        Ok(events) => return Next::Events(events),
-                        Err(_) => return Next::Broken("an event is too large".into()),
+                        Ok(events) => return SourceRead::Events(events),
+                        Err(_) => return SourceRead::Broken("an event is too large".into()),
                     }
                 }
             }
         }
     }
 
-    fn longest_pause(&self) -> Option<Duration> {
+    fn max_gap(&self) -> Option<Duration> {
         if !self.may_resume() {
             return None;
         }
-        let pause =
-            self.routed.route.gap_target.map_or(PAUSE_TO_RESUME, |gap| gap * PAUSES_TO_RESUME);
-        Some(pause.max(self.routed.route.objective))
+        let max_gap =
+            self.routed.route.gap_target.map_or(DEFAULT_MAX_GAP, |gap| gap * GAPS_BEFORE_RESUME);
+        Some(max_gap.max(self.routed.route.objective))
     }
 
     fn may_resume(&self) -> bool {
@@ -181,7 +181,7 @@
     }
 
     /// Resumes the stream at another engine after the last whole event.
-    async fn go_on_elsewhere(&mut self, reason: String) -> Result<(), RelayError> {
+    async fn resume(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
             source.in_flight.set_end(End::Failed);
@@ -200,12 +200,12 @@
             .await;
         }
         self.record.set_outcome(Outcome::BrokenOff);
-        let has_retry =
+        let has_retry_budget =
             || self.gateway.retries.borrow_mut().spend(&self.routed.service, boot_now());
-        if !may_resume || !has_retry() {
+        if !may_resume || !has_retry_budget() {
             return Err(reason.into());
         }
-        self.events.drop_part();
+        self.events.discard_partial();
         let last = self.events.last_id().or(self.routed.metadata.resume_after.as_deref());
         let last = last.map(str::to_string);
         let resumed = attempt(
@@ -255,7 +255,7 @@
 }
 
 /// Relays a body that is no stream of events and too long to be taken as a whole.
-pub fn raw(
+pub fn relay_body(
     gateway: Rc<Gateway>,
     routed: RoutedRequest,
     received: TargetResponse,
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -270,7 +270,7 @@
     let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
         EventRelay::new(gateway.clone(), routed, record, tried, received).into_body()
-    } else if relay::is_short(received.response.body()) {
+    } else if relay::fits_buffer(received.response.body()) {
         let TargetResponse {
             target,
             response,
@@ -279,7 +279,7 @@
             in_flight,
             sent_at,
         } = received;
-        match relay::read_whole(response.into_body(), routed.deadline).await {
+        match relay::read_buffered(response.into_body(), routed.deadline).await {
             Ok(bytes) => {
                 drop(in_flight);
                 record.first_part_sent();
@@ -305,7 +305,7 @@
             }
         }
     } else {
-        relay::raw(gateway.clone(), routed, received, record)
+        relay::relay_body(gateway.clone(), routed, received, record)
     };
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/tests/deployment/events.rs
+++ b/tests/deployment/events.rs
@@ -22,15 +22,15 @@
         assert_eq!(whole, expected, "{pushed:?}");
         assert_eq!(events.last_id(), last, "{pushed:?}");
     }
-    assert!(!events.holds_part());
+    assert!(!events.has_partial());
 }
 
 #[test]
 fn a_part_whose_rest_wont_come_is_dropped() {
     let mut events = EventSplitter::default();
     events.push(&Bytes::from_static(b"id: 1\n\nid: 2\nda")).expect("it is small");
-    assert!(events.holds_part());
-    events.drop_part();
+    assert!(events.has_partial());
+    events.discard_partial();
     let whole = events.push(&Bytes::from_static(b"id: 2\n\n")).expect("it is small");
     assert_eq!(whole, "id: 2\n\n");
 }
