--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -13,7 +13,7 @@
 use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
 
 /// An answer takes one or two milliseconds. After this time the entry decides alone.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
 /// After an answer that did not come in time, nothing is asked for this long.
 const PAUSE_AFTER_TIMEOUT: Duration = Duration::from_millis(200);
 
@@ -21,44 +21,44 @@
 /// election takes some 50 to 600 ms. An entry that decides alone does not know what is resident where, and
 /// fetches nothing: the contexts of most of its prompts are read again (3,000 tokens each, measured), and
 /// engines are busy with that when the scheduler is back.
-const HELD_PART: f64 = 0.4;
-const HELD_AT_LEAST: Duration = Duration::from_millis(200);
+const WAIT_OBJECTIVE_FRACTION: f64 = 0.4;
+const MIN_SCHEDULER_WAIT: Duration = Duration::from_millis(200);
 /// It waits for at most this part of the time that its caller has left.
-const HELD_PART_OF_TIME_LEFT: u32 = 3;
+const TIME_LEFT_DIVISOR: u32 = 3;
 /// After this time without answers nobody waits any more: the replicas are gone, not between two leaders.
-const RETURNS_WITHIN: Duration = Duration::from_secs(1);
+const MAX_ABSENCE: Duration = Duration::from_secs(1);
 /// How often it is asked again meanwhile.
-const ASK_AGAIN_EVERY: Duration = Duration::from_millis(30);
+const RETRY_INTERVAL: Duration = Duration::from_millis(30);
 
-type Answer = Result<Placed, SchedulerError>;
+type PlacementOutcome = Result<Placed, SchedulerError>;
 
 /// What the scheduler says to a placement request.
 pub(super) enum Reply {
     Queued,
-    Placed(Box<Answer>),
+    Placed(Box<PlacementOutcome>),
 }
 
 /// An ask that is not answered yet. The scheduler is told when nobody waits any more.
-struct Pending<'a> {
-    asking: &'a SchedulerClient,
+struct PendingRequest<'a> {
+    client: &'a SchedulerClient,
     number: u64,
-    answers: mpsc::Receiver<Reply>,
+    replies: mpsc::Receiver<Reply>,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        let is_open = self.asking.waiting.borrow_mut().remove(&self.number).is_some();
-        self.answers.close();
+        let is_open = self.client.pending.borrow_mut().remove(&self.number).is_some();
+        self.replies.close();
         // An answer that came too late is in the channel, or finds nobody later.
-        while let Ok(reply) = self.answers.try_recv() {
-            if let Reply::Placed(answer) = reply
-                && let Ok(placed) = *answer
+        while let Ok(reply) = self.replies.try_recv() {
+            if let Reply::Placed(outcome) = reply
+                && let Ok(placed) = *outcome
             {
-                self.asking.give_back(&placed);
+                self.client.return_placement(&placed);
             }
         }
         if is_open {
-            self.asking.send(&FromEntry::Withdraw(self.number));
+            self.client.send(&FromEntry::Withdraw(self.number));
         }
     }
 }
@@ -67,88 +67,87 @@
 #[derive(Default)]
 pub struct SchedulerClient {
     outgoing: RefCell<Option<mpsc::Sender<Arc<[u8]>>>>,
-    waiting: RefCell<HashMap<u64, mpsc::Sender<Reply>>>,
-    next: Cell<u64>,
+    pending: RefCell<HashMap<u64, mpsc::Sender<Reply>>>,
+    next_number: Cell<u64>,
     paused_until: Cell<BootTime>,
     /// Rings when a connection is made.
     connected: Notify,
     /// Since when asks are not answered; `None` while they are.
-    absent_since: Cell<Option<BootTime>>,
+    unavailable_since: Cell<Option<BootTime>>,
 }
 
 impl SchedulerClient {
     /// Asks where a prompt runs; `None` if there is no answer in time. While nothing schedules, it waits
     /// for a scheduler for a part of the prompt's objective.
-    pub async fn ask(&self, ask: PlacementRequest) -> Option<Answer> {
-        let until = Instant::now() + hold_timeout(&ask);
+    pub async fn place(&self, request: PlacementRequest) -> Option<PlacementOutcome> {
+        let until = Instant::now() + scheduler_wait(&request);
         loop {
-            match self.ask_once(ask.clone()).await {
+            match self.try_place(request.clone()).await {
                 None | Some(Err(SchedulerError::NotScheduling)) => {}
                 answered => {
-                    self.absent_since.set(None);
+                    self.unavailable_since.set(None);
                     return answered;
                 }
             }
-            let absent_since = self.absent_since.get().unwrap_or_else(boot_now);
-            self.absent_since.set(Some(absent_since));
-            let is_expired = boot_now() >= absent_since + RETURNS_WITHIN;
+            let unavailable_since = self.unavailable_since.get().unwrap_or_else(boot_now);
+            self.unavailable_since.set(Some(unavailable_since));
+            let is_expired = boot_now() >= unavailable_since + MAX_ABSENCE;
             let left = until.saturating_duration_since(Instant::now());
             if is_expired || left.is_zero() {
                 return None;
             }
             // Whichever comes first: a connection is made, or a replica may have begun to schedule.
-            let _ =
-                tokio::time::timeout(left.min(ASK_AGAIN_EVERY), self.connected.notified()).await;
+            let _ = tokio::time::timeout(left.min(RETRY_INTERVAL), self.connected.notified()).await;
         }
     }
 
     /// Since when asks are not answered; `None` while they are.
-    pub fn absent_since(&self) -> Option<BootTime> {
-        self.absent_since.get()
+    pub fn unavailable_since(&self) -> Option<BootTime> {
+        self.unavailable_since.get()
     }
 
-    async fn ask_once(&self, ask: PlacementRequest) -> Option<Answer> {
+    async fn try_place(&self, request: PlacementRequest) -> Option<PlacementOutcome> {
         if boot_now() < self.paused_until.get() {
             return None;
         }
-        let most = ask.time_left;
-        let mut pending = self.pending();
-        if !self.send(&FromEntry::Place(pending.number, ask)) {
+        let queue_timeout = request.time_left;
+        let mut pending = self.register();
+        if !self.send(&FromEntry::Place(pending.number, request)) {
             return None;
         }
-        match tokio::time::timeout(ANSWER_TIMEOUT, pending.answers.recv()).await {
-            Ok(Some(Reply::Placed(answer))) => return Some(*answer),
+        match tokio::time::timeout(REPLY_TIMEOUT, pending.replies.recv()).await {
+            Ok(Some(Reply::Placed(outcome))) => return Some(*outcome),
             Ok(Some(Reply::Queued)) => {}
             Ok(None) => return None,
             Err(_) => {
-                log::warn!("event=scheduler_timeout waited_ms={}", ANSWER_TIMEOUT.as_millis());
+                log::warn!("event=scheduler_timeout waited_ms={}", REPLY_TIMEOUT.as_millis());
                 self.paused_until.set(boot_now() + PAUSE_AFTER_TIMEOUT);
                 return None;
             }
         }
-        match tokio::time::timeout(most, pending.answers.recv()).await {
-            Ok(Some(Reply::Placed(answer))) => Some(*answer),
+        match tokio::time::timeout(queue_timeout, pending.replies.recv()).await {
+            Ok(Some(Reply::Placed(outcome))) => Some(*outcome),
             _ => None,
         }
     }
 
-    fn pending(&self) -> Pending<'_> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let (sender, answers) = mpsc::channel(2);
-        self.waiting.borrow_mut().insert(number, sender);
-        Pending { asking: self, number, answers }
+    fn register(&self) -> PendingRequest<'_> {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let (sender, replies) = mpsc::channel(2);
+        self.pending.borrow_mut().insert(number, sender);
+        PendingRequest { client: self, number, replies }
     }
 
     /// Tells what became of a placement. It is lost if there is no connection: the scheduler forgets
     /// the placement by itself.
-    pub fn tell(&self, note: PlacementEvent) {
-        self.send(&FromEntry::Event(note));
+    pub fn send_event(&self, event: PlacementEvent) {
+        self.send(&FromEntry::Event(event));
     }
 
     /// Gives back a placement that is not used.
-    pub fn give_back(&self, placed: &Placed) {
-        self.tell(PlacementEvent::Ended { ticket: placed.ticket, end: End::NotRun });
+    pub fn return_placement(&self, placed: &Placed) {
+        self.send_event(PlacementEvent::Ended { ticket: placed.ticket, end: End::NotRun });
     }
 
     /// A connection is made: requests go through this channel.
@@ -161,24 +160,24 @@
     /// The connection has ended, and with it all that waits for an answer.
     pub(super) fn detach(&self) {
         *self.outgoing.borrow_mut() = None;
-        self.waiting.borrow_mut().clear();
+        self.pending.borrow_mut().clear();
     }
 
     /// Hands an answer to whoever waits for it. A placement that nobody waits for is given back: the caller
     /// has left, or the entry has decided alone.
     pub(super) fn deliver(&self, number: u64, reply: Reply) {
-        let waiting = match reply {
-            Reply::Placed(_) => self.waiting.borrow_mut().remove(&number),
-            Reply::Queued => self.waiting.borrow().get(&number).cloned(),
+        let pending = match reply {
+            Reply::Placed(_) => self.pending.borrow_mut().remove(&number),
+            Reply::Queued => self.pending.borrow().get(&number).cloned(),
         };
-        let unwanted = match waiting {
-            Some(waiting) => waiting.try_send(reply).err().map(|error| error.into_inner()),
+        let unwanted = match pending {
+            Some(pending) => pending.try_send(reply).err().map(|error| error.into_inner()),
             None => Some(reply),
         };
-        if let Some(Reply::Placed(answer)) = unwanted
-            && let Ok(placed) = *answer
+        if let Some(Reply::Placed(outcome)) = unwanted
+            && let Ok(placed) = *outcome
         {
-            self.give_back(&placed);
+            self.return_placement(&placed);
         }
     }
 
@@ -189,7 +188,7 @@
 }
 
 /// How long a prompt waits for a scheduler.
-fn hold_timeout(ask: &PlacementRequest) -> Duration {
-    let held = ask.objective.mul_f64(HELD_PART).max(HELD_AT_LEAST);
-    held.min(ask.time_left / HELD_PART_OF_TIME_LEFT)
+fn scheduler_wait(request: &PlacementRequest) -> Duration {
+    let held = request.objective.mul_f64(WAIT_OBJECTIVE_FRACTION).max(MIN_SCHEDULER_WAIT);
+    held.min(request.time_left / TIME_LEFT_DIVISOR)
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -465,7 +465,11 @@
         }
         if let Some(ticket) = self.ticket {
             let (weight_version, load) = (response_metadata.weight_version, response_metadata.load);
-            self.gateway.scheduler.tell(PlacementEvent::FirstPart { ticket, weight_version, load });
+            self.gateway.scheduler.send_event(PlacementEvent::FirstPart {
+                ticket,
+                weight_version,
+                load,
+            });
         }
     }
 
@@ -481,7 +485,7 @@
             self.gateway.fleet.borrow_mut().end(dispatch);
         }
         if let Some(ticket) = self.ticket {
-            self.gateway.scheduler.tell(PlacementEvent::Ended { ticket, end: self.end });
+            self.gateway.scheduler.send_event(PlacementEvent::Ended { ticket, end: self.end });
         }
     }
 }
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -47,7 +47,7 @@
     avoid: &[TargetStart],
 ) -> Result<SelectedTarget, NoTarget> {
     if let Some(request) = placement_request(gateway, routed, avoid) {
-        let answer = gateway.scheduler.ask(request).await;
+        let answer = gateway.scheduler.place(request).await;
         if let Some(Ok(placed)) = &answer {
             gateway.wait_for_target(&placed.target, LISTED_TIMEOUT).await;
         }
@@ -55,7 +55,7 @@
             Some(Ok(placed)) if gateway.fleet.borrow().get(&placed.target).is_some() => {
                 return Ok(from_placement(placed));
             }
-            Some(Ok(placed)) => gateway.scheduler.give_back(&placed),
+            Some(Ok(placed)) => gateway.scheduler.return_placement(&placed),
             Some(Err(SchedulerError::Placement(PlacementError::Busy(retry_after)))) => {
                 return Err(NoTarget::Busy(retry_after));
             }
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -274,7 +274,7 @@
             std::future::pending::<()>().await;
         });
         let hurried = PlacementRequest { objective: ms(600), time_left: ms(6_000), ..ask() };
-        let answer = entry.gateway.scheduler.ask(hurried).await;
+        let answer = entry.gateway.scheduler.place(hurried).await;
         let placed = answer.expect("it waited").expect("it is placed");
         assert_eq!(placed.target, start("i-1"));
     });
@@ -288,12 +288,12 @@
         let hurried = PlacementRequest { objective: ms(600), time_left: ms(6_000), ..ask() };
         let waited = async || {
             let begun = boot_now();
-            assert_eq!(entry.gateway.scheduler.ask(hurried.clone()).await, None);
+            assert_eq!(entry.gateway.scheduler.place(hurried.clone()).await, None);
             boot_now() - begun
         };
         assert!(waited().await >= ms(240), "a leader may be elected meanwhile");
         while boot_now()
-            < entry.gateway.scheduler.absent_since().expect("it had no answer") + ms(1_000)
+            < entry.gateway.scheduler.unavailable_since().expect("it had no answer") + ms(1_000)
         {
             waited().await;
         }
