--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -18,6 +18,6 @@
 pub mod server;
 pub mod state;
 pub mod subscription;
-pub mod subscriptions;
+pub mod subscription_policy;
 pub mod target_selection;
 pub mod termination;
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -15,7 +15,7 @@
 use super::pool::{Connection, Pool};
 use super::routed_request::RoutedRequest;
 use super::scheduler_client::SchedulerClient;
-use super::subscriptions::{HeldTargets, Subscriptions};
+use super::subscription_policy::{HeldRoster, Subscriptions};
 use crate::clock::{BootTime, boot_now};
 use crate::control::frames::{ConfirmId, NumberedRoster, RosterName, Update};
 use crate::control::pieces::{Assembly, Piece, PieceError};
@@ -371,8 +371,8 @@
     }
 
     /// What this entry holds of the list of targets.
-    pub fn held_targets(&self) -> HeldTargets {
-        HeldTargets { whole: self.roster_name(), part: self.assembly.borrow().progress() }
+    pub fn held_roster(&self) -> HeldRoster {
+        HeldRoster { whole: self.roster_name(), part: self.assembly.borrow().progress() }
     }
 
     /// Takes a part of a list. An entry that has none serves with the targets of the first parts.
@@ -404,7 +404,7 @@
         self.fleet.borrow_mut().take(&roster.roster);
         *self.roster.borrow_mut() = roster;
         *self.assembly.borrow_mut() = Assembly::default();
-        self.subscriptions.borrow_mut().has_list();
+        self.subscriptions.borrow_mut().roster_complete();
         self.state_changed.notify_waiters();
         let listed = &self.roster.borrow().roster;
         self.pool.retain(|target| listed.get(target).is_some());
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use super::state::Gateway;
-use super::subscriptions::Subscription;
+use super::subscription_policy::Subscription;
 use super::termination;
 use crate::clock::boot_now;
 use crate::control::frames::{self, FollowTargets, FromSubscriber, Introduction, Update, encode};
@@ -23,15 +23,15 @@
 /// is published.
 const SUBSCRIPTIONS_AT_ONCE: usize = 2;
 /// A replica that has sent nothing for this long is left for another one: three heartbeats.
-const SILENT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
 /// Longest time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Requests to a replica that wait to be written.
-const REQUESTS: usize = 4;
+const REQUEST_QUEUE_LEN: usize = 4;
 /// Leaving targets that are named in a line of the log.
-const LEAVING_LOGGED: usize = 8;
+const MAX_LOGGED_LEAVING: usize = 8;
 /// Pause between replicas.
-const NEXT_AFTER: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Subscribes to replicas for as long as the process lives.
 pub fn start(gateway: &Rc<Gateway>, tasks: &Essentials) {
@@ -43,13 +43,13 @@
 async fn keep_subscribed(gateway: Rc<Gateway>) {
     let mut last = None;
     loop {
-        let begun = {
+        let subscription = {
             let replicas = gateway.replicas.borrow();
             let mut subscriptions = gateway.subscriptions.borrow_mut();
             subscriptions.begin(&replicas, last, boot_now(), &mut rand::rng())
         };
-        let mut pause = NEXT_AFTER;
-        if let Some(mut subscription) = begun {
+        let mut pause = RECONNECT_DELAY;
+        if let Some(mut subscription) = subscription {
             let replica = subscription.replica;
             let ended = subscribe(&gateway, &mut subscription).await;
             gateway.subscriptions.borrow_mut().end(subscription, ended.is_err(), boot_now());
@@ -73,9 +73,9 @@
 async fn subscribe(gateway: &Gateway, subscription: &mut Subscription) -> std::io::Result<()> {
     let replica = subscription.replica;
     let to = SocketAddr::new(replica, gateway.host.peer_port);
-    let stream = net::connect(to, CONNECT_TIMEOUT, SILENT).await?;
+    let stream = net::connect(to, CONNECT_TIMEOUT, SILENCE_TIMEOUT).await?;
     let (read, mut write) = stream.into_split();
-    let (requests, requested) = mpsc::channel(REQUESTS);
+    let (requests, requested) = mpsc::channel(REQUEST_QUEUE_LEN);
     let introduction = Introduction::Entry {
         name: gateway.host.name.clone(),
         failure_domain: gateway.host.failure_domain.clone(),
@@ -139,7 +139,8 @@
     let replica = subscription.replica;
     let mut read = BufReader::new(read);
     loop {
-        let update: Update = tokio::time::timeout(SILENT, frames::read(&mut read)).await??;
+        let update: Update =
+            tokio::time::timeout(SILENCE_TIMEOUT, frames::read(&mut read)).await??;
         let is_heartbeat = matches!(update, Update::Heartbeat { .. });
         if let Update::RosterNamed { name, .. } = &update {
             subscription.observe_name(*name, boot_now());
@@ -154,10 +155,10 @@
         if is_heartbeat {
             let now = boot_now();
             let replicas = gateway.replicas.borrow().clone();
-            if gateway.subscriptions.borrow().should_move(subscription, &replicas, now) {
+            if gateway.subscriptions.borrow().should_switch(subscription, &replicas, now) {
                 return Ok(());
             }
-            let held = gateway.held_targets();
+            let held = gateway.held_roster();
             let request =
                 gateway.subscriptions.borrow_mut().request(subscription, held, &replicas, now);
             if let Some(request) = request {
@@ -175,6 +176,6 @@
         name.number,
         name.digest,
         leaving.len(),
-        &leaving[..leaving.len().min(LEAVING_LOGGED)]
+        &leaving[..leaving.len().min(MAX_LOGGED_LEAVING)]
     );
 }
--- a/src/gateway/subscriptions.rs
+++ b/src/gateway/subscription_policy.rs
@@ -18,14 +18,14 @@
 
 /// A replica of the own failure domain that could not be reached is turned to again after this time: another
 /// one sends the same, at the price of bytes between failure domains.
-const NEAR_AGAIN_AFTER: Duration = Duration::from_secs(3);
+const LOCAL_RETRY_DELAY: Duration = Duration::from_secs(3);
 /// An entry without a list that has subscribed to one replica for this long takes the list from it, wherever it
 /// is: two heartbeats.
-const WAITS_FOR_NEAR: Duration = Duration::from_millis(250);
+const LOCAL_WAIT: Duration = Duration::from_millis(250);
 
 /// The changes of a list that one replica has named come from the other one within this time, or that one
 /// does not know it: one heartbeat, in which many changes pass a link of 10 Mbit/s.
-const CHANGES_WITHIN: Duration = Duration::from_millis(250);
+const CHANGES_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What one entry knows of the replicas that it may subscribe to.
 #[derive(Debug)]
@@ -33,11 +33,11 @@
     own_domain: DomainId,
     /// Failure domains of replicas, as far as is known.
     domains: BTreeMap<IpAddr, DomainId>,
-    in_use: BTreeSet<IpAddr>,
+    subscribed: BTreeSet<IpAddr>,
     /// When replicas were last left since they could not be reached or fell silent.
     failed: BTreeMap<IpAddr, BootTime>,
     /// The replica that sends the whole list now.
-    list_from: Option<IpAddr>,
+    roster_from: Option<IpAddr>,
     /// A replica that sends all changes of the list.
     changes_from: Option<IpAddr>,
 }
@@ -47,16 +47,16 @@
 pub struct Subscription {
     /// The replica.
     pub replica: IpAddr,
-    since: BootTime,
+    started_at: BootTime,
     /// What the replica was asked to send of the list of targets.
-    follows: Option<ListDetail>,
+    requested: Option<ListDetail>,
     /// A later list than was held, of which it has sent the name alone, and when it first did.
-    named: Option<(RosterName, BootTime)>,
+    announced: Option<(RosterName, BootTime)>,
 }
 
 /// What an entry holds of the list of targets.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HeldTargets {
+pub struct HeldRoster {
     /// The whole list that it has; the default if it has none.
     pub whole: RosterName,
     /// A list that it has a part of, and how many pieces.
@@ -66,14 +66,14 @@
 impl Subscription {
     /// The replica has sent the name of a list.
     pub fn observe_name(&mut self, name: RosterName, now: BootTime) {
-        let first = self.named.map_or(now, |(_, first)| first);
-        self.named = Some((name, first));
+        let first = self.announced.map_or(now, |(_, first)| first);
+        self.announced = Some((name, first));
     }
 
     /// Whether a list that was named is still not held.
-    fn lacks(&mut self, whole: RosterName, now: BootTime) -> bool {
-        self.named = self.named.filter(|(name, _)| *name > whole);
-        self.named.is_some_and(|(_, first)| now >= first + CHANGES_WITHIN)
+    fn misses_changes(&mut self, whole: RosterName, now: BootTime) -> bool {
+        self.announced = self.announced.filter(|(name, _)| *name > whole);
+        self.announced.is_some_and(|(_, first)| now >= first + CHANGES_TIMEOUT)
     }
 }
 
@@ -83,9 +83,9 @@
         Subscriptions {
             own_domain,
             domains: BTreeMap::new(),
-            in_use: BTreeSet::new(),
+            subscribed: BTreeSet::new(),
             failed: BTreeMap::new(),
-            list_from: None,
+            roster_from: None,
             changes_from: None,
         }
     }
@@ -104,20 +104,20 @@
         now: BootTime,
         random: &mut impl Rng,
     ) -> Option<Subscription> {
-        let near = self.near(replicas, now).filter(|near| !self.in_use.contains(near));
-        let free: Vec<IpAddr> = replicas.difference(&self.in_use).copied().collect();
+        let local = self.local(replicas, now).filter(|local| !self.subscribed.contains(local));
+        let free: Vec<IpAddr> = replicas.difference(&self.subscribed).copied().collect();
         let others: Vec<IpAddr> = free.iter().copied().filter(|ip| Some(*ip) != last).collect();
         let other = || others.choose(random).or_else(|| free.first()).copied();
-        let replica = near.or_else(other)?;
-        self.in_use.insert(replica);
-        Some(Subscription { replica, since: now, follows: None, named: None })
+        let replica = local.or_else(other)?;
+        self.subscribed.insert(replica);
+        Some(Subscription { replica, started_at: now, requested: None, announced: None })
     }
 
     /// Ends a subscription.
     pub fn end(&mut self, subscription: Subscription, has_failed: bool, now: BootTime) {
-        self.in_use.remove(&subscription.replica);
-        if self.list_from == Some(subscription.replica) {
-            self.list_from = None;
+        self.subscribed.remove(&subscription.replica);
+        if self.roster_from == Some(subscription.replica) {
+            self.roster_from = None;
         }
         if self.changes_from == Some(subscription.replica) {
             self.changes_from = None;
@@ -129,40 +129,38 @@
     }
 
     /// Whether to leave a replica for one of the own failure domain that is not subscribed to.
-    pub fn should_move(
+    pub fn should_switch(
         &self,
         subscription: &Subscription,
         replicas: &BTreeSet<IpAddr>,
         now: BootTime,
     ) -> bool {
-        let near = self.near(replicas, now);
-        near.is_some_and(|near| !self.in_use.contains(&near))
-            && self.list_from != Some(subscription.replica)
+        let local = self.local(replicas, now);
+        local.is_some_and(|local| !self.subscribed.contains(&local))
+            && self.roster_from != Some(subscription.replica)
             // One of several connections moves.
-            && self.in_use.first() == Some(&subscription.replica)
+            && self.subscribed.first() == Some(&subscription.replica)
     }
 
     /// What to ask a replica for that has just sent a heartbeat, if it is time.
     pub fn request(
         &mut self,
         subscription: &mut Subscription,
-        held: HeldTargets,
+        held: HeldRoster,
         replicas: &BTreeSet<IpAddr>,
         now: BootTime,
     ) -> Option<FollowTargets> {
-        let lacks_changes = subscription.lacks(held.whole, now);
-        let detail = match subscription.follows {
-            None if held.whole.number == 0
-                && !self.takes_list_from(subscription, replicas, now) =>
-            {
+        let misses_changes = subscription.misses_changes(held.whole, now);
+        let detail = match subscription.requested {
+            None if held.whole.number == 0 && !self.claims_roster(subscription, replicas, now) => {
                 return None;
             }
-            None => self.detail_from(subscription.replica),
+            None => self.detail_for(subscription.replica),
             // The other replica should have sent it by now.
-            Some(ListDetail::Names) if lacks_changes => ListDetail::Changes,
+            Some(ListDetail::Names) if misses_changes => ListDetail::Changes,
             Some(_) => return None,
         };
-        subscription.follows = Some(detail);
+        subscription.requested = Some(detail);
         if detail == ListDetail::Changes {
             self.changes_from = Some(subscription.replica);
         }
@@ -170,43 +168,43 @@
     }
 
     /// Whether an entry without a list takes it from this replica. If so, from no other one.
-    fn takes_list_from(
+    fn claims_roster(
         &mut self,
         subscription: &Subscription,
         replicas: &BTreeSet<IpAddr>,
         now: BootTime,
     ) -> bool {
-        let near = self.near(replicas, now);
-        let knows_all = replicas.iter().all(|ip| self.domains.contains_key(ip));
-        let is_best = near == Some(subscription.replica) || (knows_all && near.is_none());
-        let waited = now >= subscription.since + WAITS_FOR_NEAR;
-        let takes = self.list_from.is_none() && (is_best || waited);
+        let local = self.local(replicas, now);
+        let knows_all_domains = replicas.iter().all(|ip| self.domains.contains_key(ip));
+        let is_best = local == Some(subscription.replica) || (knows_all_domains && local.is_none());
+        let waited = now >= subscription.started_at + LOCAL_WAIT;
+        let takes = self.roster_from.is_none() && (is_best || waited);
         if takes {
-            self.list_from = Some(subscription.replica);
+            self.roster_from = Some(subscription.replica);
         }
         takes
     }
 
     /// One replica sends all changes: that of the own failure domain, or else the first one.
-    fn detail_from(&self, replica: IpAddr) -> ListDetail {
-        let is_near = self.domains.get(&replica) == Some(&self.own_domain);
-        match is_near || self.changes_from.is_none() {
+    fn detail_for(&self, replica: IpAddr) -> ListDetail {
+        let is_local = self.domains.get(&replica) == Some(&self.own_domain);
+        match is_local || self.changes_from.is_none() {
             true => ListDetail::Changes,
             false => ListDetail::Names,
         }
     }
 
     /// The list is whole.
-    pub fn has_list(&mut self) {
-        self.list_from = None;
+    pub fn roster_complete(&mut self) {
+        self.roster_from = None;
     }
 
     /// A replica of the own failure domain, unless it has failed lately.
-    fn near(&self, replicas: &BTreeSet<IpAddr>, now: BootTime) -> Option<IpAddr> {
-        let is_sound = |ip: &IpAddr| {
-            self.failed.get(ip).is_none_or(|failed| now >= *failed + NEAR_AGAIN_AFTER)
+    fn local(&self, replicas: &BTreeSet<IpAddr>, now: BootTime) -> Option<IpAddr> {
+        let is_usable = |ip: &IpAddr| {
+            self.failed.get(ip).is_none_or(|failed| now >= *failed + LOCAL_RETRY_DELAY)
         };
-        let is_near = |ip: &IpAddr| self.domains.get(ip) == Some(&self.own_domain);
-        replicas.iter().copied().find(|ip| is_near(ip) && is_sound(ip))
+        let is_local = |ip: &IpAddr| self.domains.get(ip) == Some(&self.own_domain);
+        replicas.iter().copied().find(|ip| is_local(ip) && is_usable(ip))
     }
 }
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -11,7 +11,7 @@
 use kumquatpost::control::reader_election::{READ_EVERY, ReaderElection};
 use kumquatpost::control::shared::Shared;
 use kumquatpost::fleet::{Listed, Presence, Roster};
-use kumquatpost::gateway::subscriptions::{HeldTargets, Subscription, Subscriptions};
+use kumquatpost::gateway::subscription_policy::{HeldRoster, Subscription, Subscriptions};
 use kumquatpost::ids::DomainId;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -49,7 +49,7 @@
     domain: DomainId,
     sources: Subscriptions,
     hearings: Vec<Subscription>,
-    held: HeldTargets,
+    held: HeldRoster,
     /// Bytes of lists that it was sent, and those of them from other failure domains.
     bytes: usize,
     bytes_between: usize,
@@ -62,7 +62,7 @@
             domain: domain(n),
             sources: Subscriptions::new(domain(n)),
             hearings: Vec::new(),
-            held: HeldTargets::default(),
+            held: HeldRoster::default(),
             bytes: 0,
             bytes_between: 0,
             whole_at: None,
@@ -81,7 +81,7 @@
         let mut random = SmallRng::seed_from_u64(self.bytes as u64);
         let mut kept = Vec::new();
         for hearing in std::mem::take(&mut self.hearings) {
-            if self.sources.should_move(&hearing, &known, now) {
+            if self.sources.should_switch(&hearing, &known, now) {
                 let last = Some(hearing.replica);
                 self.sources.end(hearing, false, now);
                 kept.extend(self.sources.begin(&known, last, now, &mut random));
@@ -108,7 +108,7 @@
         self.hearings = kept;
         if self.whole_at.is_some_and(|at| at <= now) {
             self.held.whole = list.name();
-            self.sources.has_list();
+            self.sources.roster_complete();
         }
     }
 }
@@ -181,11 +181,11 @@
     let mut other =
         sources.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
     assert_ne!(other.replica, replica(0));
-    let held = HeldTargets::default();
-    assert!(!sources.should_move(&other, &replicas, ms(310)), "it has just failed");
+    let held = HeldRoster::default();
+    assert!(!sources.should_switch(&other, &replicas, ms(310)), "it has just failed");
     assert!(sources.request(&mut other, held, &replicas, ms(310)).is_some());
-    sources.has_list();
-    assert!(sources.should_move(&other, &replicas, ms(4_000)), "it may be back");
+    sources.roster_complete();
+    assert!(sources.should_switch(&other, &replicas, ms(4_000)), "it may be back");
 }
 
 /// The replica that tells the list dies in the midst: another one goes on where it was.
@@ -257,7 +257,7 @@
     let mut near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let mut far = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let (earlier, later) = (list(7), changed_list(&list(7)));
-    let held = HeldTargets { whole: earlier.name(), ..HeldTargets::default() };
+    let held = HeldRoster { whole: earlier.name(), ..HeldRoster::default() };
     let detail = |asked: Option<FollowTargets>| asked.map(|asked| asked.detail);
     let asked = sources.request(&mut near, held, &replicas, ms(5));
     assert_eq!(detail(asked), Some(ListDetail::Changes));
