--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -21,13 +21,13 @@
 
 /// How long callers may still come after the stop is announced: the balancer asks once a second and
 /// takes an entry out after two misses.
-const ANNOUNCED: Duration = Duration::from_millis(2_600);
+const DRAIN_NOTICE: Duration = Duration::from_millis(2_600);
 /// Left of the grace period when the last requests are given up.
-const LAST_PART: Duration = Duration::from_millis(400);
+const GRACE_RESERVE: Duration = Duration::from_millis(400);
 /// How often a shutdown looks whether the last request has ended.
-const SHUTDOWN_CHECK: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How often connections that are too old are closed.
-const CLEAN_EVERY: Duration = Duration::from_secs(1);
+const POOL_CLEAN_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Runs until the process is asked to end, then ends gracefully.
 ///
@@ -43,55 +43,68 @@
     );
     let gateway = Rc::new(Gateway::new(host, EntryMetrics::new()?));
     let (closing, closed) = watch::channel(false);
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     let (tasks, mut first_end) = essentials();
     subscription::start(&gateway, &tasks);
     tasks.spawn("scheduler_connection", scheduler_connection::keep_connected(gateway.clone()));
     let ready = listen(readiness_address).await?;
-    let asked = gateway.clone();
-    let readiness = move || match asked.is_ready() {
+    let readiness_gateway = gateway.clone();
+    let readiness = move || match readiness_gateway.is_ready() {
         true => (StatusCode::OK, "ready".to_string()),
         false => (StatusCode::SERVICE_UNAVAILABLE, "not ready".to_string()),
     };
     tasks.spawn("readiness", text_server::serve(ready, readiness));
-    let measured = gateway.clone();
+    let metrics_gateway = gateway.clone();
     let metrics = listen(SocketAddr::new(gateway.host.ip, gateway.host.metrics_port)).await?;
-    let metrics_text = move || (StatusCode::OK, measured.metrics_text());
+    let metrics_text = move || (StatusCode::OK, metrics_gateway.metrics_text());
     tasks.spawn("metrics", text_server::serve(metrics, metrics_text));
     let callers = listen(callers_address).await?;
     // Ends by itself once a shutdown closes it.
-    tokio::task::spawn_local(server::accept(gateway.clone(), callers, closed, open.clone()));
-    tasks.spawn("clean", clean(gateway.clone()));
+    tokio::task::spawn_local(server::accept(
+        gateway.clone(),
+        callers,
+        closed,
+        open_connections.clone(),
+    ));
+    tasks.spawn("clean", close_expired_connections(gateway.clone()));
     let reloaded = reload::keep_reading(gateway.host.clone(), |host| {
         gateway.replicas.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
-        asked = crate::commands::until_asked_to_end() => asked?,
+        ended = crate::commands::until_asked_to_end() => ended?,
         failed = reloaded => failed?,
         error = first_end.wait() => return Err(error),
     }
-    stop(&gateway, &closing, &open).await;
+    shut_down(&gateway, &closing, &open_connections).await;
     Ok(())
 }
 
-async fn clean(gateway: Rc<Gateway>) {
+async fn close_expired_connections(gateway: Rc<Gateway>) {
     loop {
-        tokio::time::sleep(CLEAN_EVERY).await;
+        tokio::time::sleep(POOL_CLEAN_INTERVAL).await;
         gateway.pool.retain(|_| true);
     }
 }
 
-async fn stop(gateway: &Gateway, closing: &watch::Sender<bool>, open: &Cell<usize>) {
-    let asked = Instant::now();
-    log::info!("event=stopping answering={} open={}", gateway.answering.get(), open.get());
+async fn shut_down(
+    gateway: &Gateway,
+    closing: &watch::Sender<bool>,
+    open_connections: &Cell<usize>,
+) {
+    let started_at = Instant::now();
+    log::info!(
+        "event=stopping answering={} open={}",
+        gateway.answering.get(),
+        open_connections.get()
+    );
     gateway.stopping.set(true);
-    tokio::time::sleep(ANNOUNCED).await;
+    tokio::time::sleep(DRAIN_NOTICE).await;
     closing.send_replace(true);
-    let grace = gateway.host.periods.grace.saturating_sub(LAST_PART).max(ANNOUNCED);
-    while open.get() > 0 && asked.elapsed() < grace {
-        tokio::time::sleep(SHUTDOWN_CHECK).await;
+    let grace = gateway.host.periods.grace.saturating_sub(GRACE_RESERVE).max(DRAIN_NOTICE);
+    while open_connections.get() > 0 && started_at.elapsed() < grace {
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
-    log::info!("event=stop answering={} open={}", gateway.answering.get(), open.get());
+    log::info!("event=stop answering={} open={}", gateway.answering.get(), open_connections.get());
 }
 
 fn missing(what: &str) -> Error {
