--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -206,7 +206,7 @@
     /// Whether a request that the deployment of this version refuses may be refused for good. Waits for a replica's
     /// confirmation if need be, and for a later deployment with it.
     pub async fn confirm(&self, version: DeploymentVersion) -> Confirmation {
-        let request = self.freshness.borrow_mut().request(boot_now());
+        let request = self.freshness.borrow_mut().start_request(boot_now());
         if let Some(id) = request {
             self.confirm_requests.send_replace(id);
         }
@@ -219,8 +219,8 @@
         }
         match verdict() {
             _ if is_later() => Confirmation::LaterDeployment,
-            Verdict::Final => Confirmation::Newest,
-            Verdict::Wait(_) | Verdict::Unsure => Confirmation::Unknown,
+            Verdict::Confirmed => Confirmation::Newest,
+            Verdict::Wait(_) | Verdict::Unconfirmed => Confirmation::Unknown,
         }
     }
 
--- a/tests/deployment/freshness.rs
+++ b/tests/deployment/freshness.rs
@@ -11,7 +11,7 @@
 /// An entry whose first request was answered at once.
 fn confirmed(in_force: Option<Duration>) -> Freshness {
     let mut freshness = Freshness::new(in_force);
-    let id = freshness.request(START).expect("nothing is known yet");
+    let id = freshness.start_request(START).expect("nothing is known yet");
     freshness.confirmed(id, Duration::ZERO);
     freshness
 }
@@ -19,20 +19,20 @@
 #[test]
 fn a_confirmation_counts_from_when_it_was_asked_for_less_the_replicas_age() {
     let mut freshness = Freshness::new(None);
-    let id = freshness.request(START).expect("nothing is known yet");
+    let id = freshness.start_request(START).expect("nothing is known yet");
     freshness.confirmed(id, ms(300));
-    assert_eq!(freshness.verdict(START + ms(200)), Verdict::Final);
-    assert_eq!(freshness.verdict(START + ms(201)), Verdict::Unsure);
+    assert_eq!(freshness.verdict(START + ms(200)), Verdict::Confirmed);
+    assert_eq!(freshness.verdict(START + ms(201)), Verdict::Unconfirmed);
 }
 
 #[test]
 fn an_answer_to_an_earlier_request_confirms_nothing() {
     let mut freshness = Freshness::new(None);
-    let earlier = freshness.request(START).expect("nothing is known yet");
+    let earlier = freshness.start_request(START).expect("nothing is known yet");
     let now = START + ms(400);
-    assert!(freshness.request(now).is_some(), "the first one has no answer");
+    assert!(freshness.start_request(now).is_some(), "the first one has no answer");
     freshness.confirmed(earlier, Duration::ZERO);
-    assert_eq!(freshness.verdict(now), Verdict::Unsure);
+    assert_eq!(freshness.verdict(now), Verdict::Unconfirmed);
 }
 
 #[test]
@@ -41,9 +41,9 @@
         [(None, 500), (Some(ms(300)), 150), (Some(ms(2_000)), 500), (Some(Duration::ZERO), 0)];
     for (in_force, recent_ms) in cases {
         let freshness = confirmed(in_force);
-        assert_eq!(freshness.verdict(START + ms(recent_ms)), Verdict::Final, "{in_force:?}");
+        assert_eq!(freshness.verdict(START + ms(recent_ms)), Verdict::Confirmed, "{in_force:?}");
         let later = START + ms(recent_ms + 1);
-        assert_eq!(freshness.verdict(later), Verdict::Unsure, "{in_force:?}");
+        assert_eq!(freshness.verdict(later), Verdict::Unconfirmed, "{in_force:?}");
     }
 }
 
@@ -54,7 +54,7 @@
     let (mut requests, mut waits) = (0, 0);
     for call in 0..100_000_u32 {
         let now = START + Duration::from_micros(10) * call;
-        requests += usize::from(freshness.request(now).is_some());
+        requests += usize::from(freshness.start_request(now).is_some());
         waits += usize::from(matches!(freshness.verdict(now), Verdict::Wait(_)));
     }
     assert_eq!(requests, 7);
@@ -67,11 +67,11 @@
     let mut requests = 0;
     for call in 0..100_000_u32 {
         let now = START + Duration::from_micros(10) * call;
-        if let Some(id) = freshness.request(now) {
+        if let Some(id) = freshness.start_request(now) {
             requests += 1;
             freshness.confirmed(id, Duration::ZERO);
         }
-        assert_eq!(freshness.verdict(now), Verdict::Final);
+        assert_eq!(freshness.verdict(now), Verdict::Confirmed);
     }
     assert_eq!(requests, 2);
 }
