--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use super::metadata::{Forwarded, KeptParts, ResponseMetadata};
+use super::metadata::{ForwardingMetadata, PartTransfers, ResponseMetadata};
 use super::pool::{Connection, SendOutcome};
 use super::request_record::RequestRecord;
 use super::routed_request::RoutedRequest;
@@ -197,7 +197,7 @@
 ) -> Request<Full<Bytes>> {
     let placed = selected.placed.as_ref();
     let salt = || placed.map_or_else(|| routed.cache_scope.clone(), |placed| placed.salt.clone());
-    let forwarded = Forwarded {
+    let forwarded = ForwardingMetadata {
         target: &selected.target.id,
         account: routed.account.as_ref(),
         time_left,
@@ -205,7 +205,7 @@
         cache_salt: routed.metadata.prompt.is_some().then(salt),
         resume_after,
         weight_version: selected.weight_version,
-        kept: placed.map(|placed| KeptParts {
+        transfers: placed.map(|placed| PartTransfers {
             fetch: &placed.fetch,
             save: &placed.save,
             fetch_until_ms: placed.fetch_until_ms,
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -66,7 +66,7 @@
 
 /// What this system adds to a request for a target.
 #[derive(Clone, Debug)]
-pub struct Forwarded<'a> {
+pub struct ForwardingMetadata<'a> {
     /// The target that is meant; another one at its address must refuse.
     pub target: &'a TargetId,
     /// The caller's account.
@@ -82,12 +82,12 @@
     /// The weights that the engine must run.
     pub weight_version: Option<u64>,
     /// Where kept parts come from and go to.
-    pub kept: Option<KeptParts<'a>>,
+    pub transfers: Option<PartTransfers<'a>>,
 }
 
 /// Where the parts of a prompt are fetched and saved, one place a part.
 #[derive(Clone, Copy, Debug)]
-pub struct KeptParts<'a> {
+pub struct PartTransfers<'a> {
     /// Stores that have a part.
     pub fetch: &'a [Option<SocketAddr>],
     /// Stores that shall have a part.
--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::{HeaderMap, HeaderName, HeaderValue, Uri};
-use kumquatpost::gateway::metadata::{Forwarded, KeptParts};
+use kumquatpost::gateway::metadata::{ForwardingMetadata, PartTransfers};
 use kumquatpost::platform::headers;
 
 use crate::fixtures::address;
@@ -15,8 +15,8 @@
     pairs.iter().map(pair).collect()
 }
 
-fn forwarded<'a>(target: &'a String, account: &'a String) -> Forwarded<'a> {
-    Forwarded {
+fn forwarded<'a>(target: &'a String, account: &'a String) -> ForwardingMetadata<'a> {
+    ForwardingMetadata {
         target,
         account: Some(account),
         time_left: Duration::from_millis(750),
@@ -24,7 +24,7 @@
         cache_salt: Some("all/m/1".to_string()),
         resume_after: None,
         weight_version: Some(1),
-        kept: None,
+        transfers: None,
     }
 }
 
@@ -127,12 +127,12 @@
 #[test]
 fn parts_come_from_and_go_to_their_stores() {
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let kept = KeptParts {
+    let kept = PartTransfers {
         fetch: &[Some(address(1)), None, None],
         save: &[None, Some(address(2)), None],
         fetch_until_ms: 1_234,
     };
-    let with_kept = Forwarded { kept: Some(kept), ..forwarded(&target, &account) };
+    let with_kept = ForwardingMetadata { transfers: Some(kept), ..forwarded(&target, &account) };
     let passed = headers::for_target(&HeaderMap::new(), &with_kept);
     assert_eq!(passed["x-kv-fetch"], "10.0.0.1:1,-,-");
     assert_eq!(passed["x-kv-save"], "-,10.0.0.1:2,-");
