--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -69,7 +69,7 @@
         metadata: &RequestMetadata,
         started_at: BootTime,
     ) -> RequestRecord {
-        gateway.answering.set(gateway.answering.get() + 1);
+        gateway.active_requests.set(gateway.active_requests.get() + 1);
         RequestRecord {
             gateway: gateway.clone(),
             id: metadata.id.clone(),
@@ -146,7 +146,7 @@
 
 impl Drop for RequestRecord {
     fn drop(&mut self) {
-        self.gateway.answering.set(self.gateway.answering.get().saturating_sub(1));
+        self.gateway.active_requests.set(self.gateway.active_requests.get().saturating_sub(1));
         let outcome = self.outcome.get();
         let (ending, reason) = outcome.labels();
         self.gateway.metrics.ended(&self.route, ending, reason);
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -94,7 +94,7 @@
     let started_at = Instant::now();
     log::info!(
         "event=stopping answering={} open={}",
-        gateway.answering.get(),
+        gateway.active_requests.get(),
         open_connections.get()
     );
     gateway.stopping.set(true);
@@ -104,7 +104,11 @@
     while open_connections.get() > 0 && started_at.elapsed() < grace {
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
-    log::info!("event=stop answering={} open={}", gateway.answering.get(), open_connections.get());
+    log::info!(
+        "event=stop answering={} open={}",
+        gateway.active_requests.get(),
+        open_connections.get()
+    );
 }
 
 fn missing(what: &str) -> Error {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -121,7 +121,7 @@
     /// Whether the process was asked to end.
     pub stopping: Cell<bool>,
     /// Requests that are being answered.
-    pub answering: Cell<usize>,
+    pub active_requests: Cell<usize>,
     /// Its metrics.
     pub metrics: EntryMetrics,
     /// Bounds the lines that are written for requests.
@@ -162,7 +162,7 @@
             confirm_requests: watch::Sender::default(),
             state_changed: Notify::new(),
             stopping: Cell::new(false),
-            answering: Cell::new(0),
+            active_requests: Cell::new(0),
             metrics,
             log_limiter: RequestLogLimiter::default(),
         }
@@ -170,7 +170,7 @@
 
     /// All metrics as text, with what is true now.
     pub fn metrics_text(&self) -> String {
-        self.metrics.answering.record(self.answering.get() as u64, &[]);
+        self.metrics.answering.record(self.active_requests.get() as u64, &[]);
         let held = self.quarantine.borrow().held_count(boot_now());
         self.metrics.requests_held.record(held as u64, &[]);
         if let Some(age) = self.state_age() {
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -228,7 +228,7 @@
         let entry = Rc::new(new_entry().await);
         let caller = entry.clone();
         let asked = tokio::task::spawn_local(async move { caller.call("/once/a", "r1").await });
-        while entry.gateway.answering.get() == 0 && !asked.is_finished() {
+        while entry.gateway.active_requests.get() == 0 && !asked.is_finished() {
             tokio::task::yield_now().await;
         }
         entry.hears(unhurried(), vec![target("i-1", "app", one.address)]);
@@ -418,7 +418,7 @@
             eventually(|| one.seen() == 1).await;
             drop(stream);
             eventually(|| one.left.get() == 1).await;
-            eventually(|| entry.gateway.answering.get() == 0).await;
+            eventually(|| entry.gateway.active_requests.get() == 0).await;
             let fleet = entry.gateway.fleet.borrow();
             assert_eq!(fleet.get(&start("i-1")).expect("listed").running, 0);
         });
