--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -47,11 +47,11 @@
     avoid: &[TargetStart],
 ) -> Result<SelectedTarget, NoTarget> {
     if let Some(request) = placement_request(gateway, routed, avoid) {
-        let answer = gateway.scheduler.place(request).await;
-        if let Some(Ok(placed)) = &answer {
+        let outcome = gateway.scheduler.place(request).await;
+        if let Some(Ok(placed)) = &outcome {
             gateway.wait_for_target(&placed.target, LISTED_TIMEOUT).await;
         }
-        match answer {
+        match outcome {
             Some(Ok(placed)) if gateway.fleet.borrow().get(&placed.target).is_some() => {
                 return Ok(from_placement(placed));
             }
@@ -129,24 +129,24 @@
         Some(_) => OldWeights { within: None, ..old_weights },
         None => old_weights,
     };
-    let named_since = gateway.rollouts.borrow();
-    let (named, has) = (named_since.get(&prompt.model), selected.weight_version);
-    old_weights.cost_ms(named, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
+    let rollouts = gateway.rollouts.borrow();
+    let (history, has) = (rollouts.get(&prompt.model), selected.weight_version);
+    old_weights.cost_ms(history, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
 }
 
 /// Which weights the engine must run, the newest named ones, and how long ago the first were named
 /// that the engine has missed.
 fn weights_trace(gateway: &Gateway, routed: &RoutedRequest, expected: Option<u64>) -> String {
     let Some(prompt) = &routed.metadata.prompt else { return String::new() };
-    let named_since = gateway.rollouts.borrow();
-    let named = named_since.get(&prompt.model);
-    let missed_since = named.and_then(|named| named.missed_since(expected));
+    let rollouts = gateway.rollouts.borrow();
+    let history = rollouts.get(&prompt.model);
+    let missed_since = history.and_then(|history| history.missed_since(expected));
     let age = missed_since.map(|since| boot_now().saturating_sub(since).as_millis());
     let shown = |number: Option<u128>| number.map_or("-".to_string(), |number| number.to_string());
     format!(
         " weights={} named={} missed_ms={}",
         shown(expected.map(u128::from)),
-        shown(named.and_then(RolloutHistory::newest).map(u128::from)),
+        shown(history.and_then(RolloutHistory::newest).map(u128::from)),
         shown(age)
     )
 }
