--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! Entry of a deployment: takes callers' requests and relays them to targets unchanged.
+//! The entry of a deployment: an HTTP proxy that relays callers' requests to targets unchanged.
 
 pub mod attempt;
 pub mod events;
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Runs an entry, and shuts it down without cutting off a request.
+//! Starts an entry and shuts it down gracefully.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,20 +19,20 @@
 use crate::reload;
 use crate::telemetry::roles::EntryMetrics;
 
-/// How long callers may still come after the stop is announced: the balancer asks once a second and
-/// takes an entry out after two misses.
+/// How long an entry still accepts callers after it reports that it is not ready. The load balancer
+/// checks readiness once a second and removes an entry after two failed checks.
 const DRAIN_NOTICE: Duration = Duration::from_millis(2_600);
-/// Left of the grace period when the last requests are given up.
+/// How long before the end of the grace period the remaining connections are abandoned.
 const GRACE_RESERVE: Duration = Duration::from_millis(400);
-/// How often a shutdown looks whether the last request has ended.
+/// How often a shutdown checks whether all connections are closed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often connections that are too old are closed.
+/// How often expired idle connections to targets are closed.
 const POOL_CLEAN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs until the process is asked to end, then ends gracefully.
+/// Runs the entry until the process receives a termination signal, then shuts it down gracefully.
 ///
 /// # Errors
-/// If it can't start.
+/// If the entry can't start, signals can't be handled, or an essential task ends.
 pub async fn run(host: HostSettings) -> Result<()> {
     let callers_address = host.callers_address.ok_or_else(|| missing("callers' address"))?;
     let readiness_address = host.readiness_address.ok_or_else(|| missing("readiness address"))?;
@@ -59,7 +59,7 @@
     let metrics_text = move || (StatusCode::OK, metrics_gateway.metrics_text());
     tasks.spawn("metrics", text_server::serve(metrics, metrics_text));
     let callers = listen(callers_address).await?;
-    // Ends by itself once a shutdown closes it.
+    // Not an essential task: it ends by itself when a shutdown closes the listener.
     tokio::task::spawn_local(server::accept(
         gateway.clone(),
         callers,
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! Callers' connections.
+//! Accepts and serves callers' connections.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,15 +17,15 @@
 use crate::clock::{BootTime, boot_now};
 use crate::net;
 
-/// A caller whose end does not acknowledge for this long is gone.
+/// A connection whose sent bytes are not acknowledged for this long is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(5);
-/// Smallest limit for heads that the HTTP library takes.
+/// The smallest read buffer that hyper accepts.
 const MIN_HEAD_BYTES: usize = 8 << 10;
-/// A connection is not looked at more often than this.
+/// Lower bound on the delay between two checks of whether a connection is idle.
 const MIN_IDLE_CHECK: Duration = Duration::from_millis(20);
 
-/// Accepts callers for as long as the process lives. Connections end once `closing` is true, each
-/// after its request.
+/// Accepts callers' connections for the lifetime of the process. Once `closing` is true, each
+/// connection is closed after its current request.
 pub async fn accept(
     gateway: Rc<Gateway>,
     listener: TcpListener,
