--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles one request of a caller: routing, attempts at targets, and the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -28,25 +28,25 @@
 use crate::ids::TargetStart;
 use crate::platform::headers;
 
-/// A refused caller comes back after this at the least: about what an engine needs for a prompt.
+/// Shortest `Retry-After` of a refusal: about the time that an engine needs for one prompt.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// Refused callers spread their return over this time, so that they don't come as a wave.
+/// Random addition to `Retry-After`, so that refused callers don't all return at the same time.
 const RETRY_AFTER_JITTER: Duration = Duration::from_millis(600);
-/// A request that may be repeated waits this many objectives for the first part of its answer
-/// before another target is asked.
+/// A request that may be repeated waits this multiple of the route's objective for the head of the
+/// response before it is sent to another target.
 const OBJECTIVES_BEFORE_RETRY: u32 = 2;
-/// A prompt waits at least this long: asking another engine costs reading it twice, and in a queue
-/// that would only make the queue longer. Callers wait for two seconds or more.
+/// Shortest such wait for a prompt. A retry makes a second engine read the whole prompt, which
+/// lengthens the queues if the engines are overloaded.
 const MIN_PROMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Until an entry knows a deployment and targets after all hosts lost power: an election takes up to
-/// a second, and news some ten milliseconds.
+/// How long a request waits for an entry that has just started and has no deployment or targets
+/// yet. Covers an election of the replicas' leader after all hosts have lost power.
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1_200);
-/// A caller waits for that for at most this part of its time: it may still come back elsewhere.
+/// Such a request waits for at most its deadline divided by this, so that its caller can retry.
 const STARTUP_WAIT_DIVISOR: u32 = 3;
-/// Names the cache that accounts without a wall of their own share.
+/// Cache scope of all requests whose account is not isolated.
 const SHARED_CACHE_SCOPE: &str = "all";
 
-/// Answers a request.
+/// Handles a request and returns the response for its caller.
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
     let started_at = boot_now();
     let arrived = Instant::now();
@@ -63,7 +63,7 @@
     response
 }
 
-/// Finds the route, takes the body, and works out what all attempts share.
+/// Routes the request and reads its body.
 async fn admit(
     gateway: &Gateway,
     head: http::request::Parts,
@@ -84,7 +84,8 @@
     gateway.wait_for_service(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
     routed.body = match read_body(body, max_bytes).await {
         Ok(body) => body,
-        // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
+        // The body is partly consumed, so the request can't be checked against a later deployment
+        // with a larger limit.
         Err(Refusal::BodyTooLarge) if gateway.confirm(version).await != Confirmation::Newest => {
             return Err((Refusal::Unconfirmed, routed.metadata.id));
         }
@@ -93,7 +94,8 @@
     Ok(routed)
 }
 
-/// The table by which a request is routed, or refused for good: only by the newest deployment.
+/// Returns a routing table that has a route and account for the request, or else the table of the
+/// confirmed newest deployment, by which the request may be rejected for good.
 async fn confirmed_table(
     gateway: &Gateway,
     metadata: &RequestMetadata,
@@ -114,14 +116,14 @@
     }
 }
 
-/// How long a caller is kept waiting by an entry that has just started and knows nothing yet: a
-/// refusal would send it to another entry, which may have just started, too.
+/// How long a request waits at an entry that has just started and knows no deployment yet. The
+/// other entries may have just started too, so that an immediate retry there would also fail.
 pub fn startup_wait(deadline: Option<Duration>) -> Duration {
     deadline
         .map_or(MAX_STARTUP_WAIT, |deadline| MAX_STARTUP_WAIT.min(deadline / STARTUP_WAIT_DIVISOR))
 }
 
-/// Works out what all attempts share, but for the body.
+/// Finds the route, account and service of a request. The body is added later.
 fn route_request(
     table: &Table,
     head: http::request::Parts,
@@ -164,7 +166,7 @@
     })
 }
 
-/// Path and query alone: what a caller sends to a server, not to a proxy.
+/// Reduces the target of a request to origin form: path and query only.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default()
 }
@@ -243,7 +245,8 @@
     }
 }
 
-/// How long the first of several possible targets is waited for.
+/// How long to wait for the head of the response before another target is tried; `None` if this is
+/// the last target.
 fn first_response_timeout(routed: &RoutedRequest, tried: usize) -> Option<Duration> {
     let has_another =
         (tried as u32) + 1 < routed.route.attempts && routed.route.policy.may_repeat();
@@ -317,7 +320,7 @@
     let jitter = RETRY_AFTER_JITTER.mul_f64(rand::rng().random());
     let retry_after = match refusal {
         Refusal::Busy(retry_after) | Refusal::Held(retry_after) => retry_after,
-        // Another entry may know more.
+        // Another entry may have a later deployment, so the caller can retry there at once.
         Refusal::Unconfirmed => Duration::ZERO,
         _ => MIN_RETRY_AFTER + jitter,
     };
--- a/src/gateway/routed_request.rs
+++ b/src/gateway/routed_request.rs
@@ -1,4 +1,4 @@
-//! What all attempts of one request have in common.
+//! A request after routing.
 
 use std::cell::OnceCell;
 
@@ -12,40 +12,41 @@
 use crate::ids::{AccountId, ServiceId};
 use crate::quarantine::Fingerprint;
 
-/// A request as all its attempts see it.
+/// A routed request, shared by all its attempts.
 pub struct RoutedRequest {
-    /// What the caller says.
+    /// Metadata from the caller's headers.
     pub metadata: RequestMetadata,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query, as the caller sent them.
     pub uri: Uri,
     /// The caller's headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that matches the request.
     pub route: Route,
-    /// Its account.
+    /// The account of the caller's key, if any.
     pub account: Option<AccountId>,
-    /// Names those who may share kept cache with it.
+    /// Requests with equal scopes may share cached prompt parts.
     pub cache_scope: String,
-    /// How urgent it is.
+    /// Its priority among other requests.
     pub priority: Priority,
-    /// The service that serves it.
+    /// The service whose targets can run it.
     pub service: ServiceId,
-    /// When its head was here.
+    /// When the head of the request arrived.
     pub arrived: Instant,
-    /// When its time is over.
+    /// When the caller or the route gives up on it.
     pub deadline: Instant,
-    /// Breaks ties between targets.
+    /// Random number that decides between equally good targets.
     pub tie_breaker: u64,
-    /// What it asks, once somebody wants to know.
+    /// Cached result of `fingerprint()`.
     pub fingerprint: OnceCell<Fingerprint>,
 }
 
 impl RoutedRequest {
-    /// Names what it asks, whichever of the caller's attempts it is. Only once the body is here.
+    /// Identifies the request across retries by its caller. Must not be called before the body is
+    /// complete.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let path = self.uri.path_and_query().map_or("", |path| path.as_str());
