--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one target, and the head of its answer awaited.
+//! A single attempt: sends a request to one target and waits for the head of the response.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -24,48 +24,49 @@
 use crate::platform::headers;
 use crate::scheduler::End;
 
-/// Connections that are tried for one attempt. A target that can't be reached has run nothing.
+/// Connections that one attempt may try. A target that could not be reached has run nothing.
 const MAX_CONNECT_ATTEMPTS: usize = 4;
-/// Below this there is no point in sending a request: it could not be answered in time.
+/// A request with less time left than this is not sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// An answer whose head is here.
+/// A response whose head has been received.
 pub struct TargetResponse {
-    /// The target.
+    /// The target that sent it.
     pub target: TargetStart,
-    /// The answer.
+    /// The head, with the body still to be read.
     pub response: Response<Incoming>,
-    /// What it says beside its content.
+    /// Metadata from the headers.
     pub response_metadata: ResponseMetadata,
-    /// The connection, to be given back once the body is whole.
+    /// The connection, which returns to the pool after the body has been read.
     pub connection: Connection,
-    /// Counts the request at the target.
+    /// Accounts for the request at the target.
     pub in_flight: InFlightRequest,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent_at: BootTime,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt has no response to relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptError {
-    /// No target can take it now.
+    /// No target can take the request now.
     NoTarget(NoTarget),
-    /// The target did not run it.
+    /// The target did not run the request.
     NotRun(TargetStart),
-    /// It may have run.
+    /// The target failed and may have run the request.
     MayHaveRun(TargetStart),
-    /// Targets have ended under it: it must reach none for so long.
+    /// The request is quarantined for this much longer.
     Held(Duration),
-    /// Its time is over before it was sent.
+    /// The deadline passed before the request was sent.
     TooLate,
-    /// Its time is over after it was sent.
+    /// No response arrived in time. The target may have run the request.
     TimedOut(TargetStart),
 }
 
-/// Sends a request to the best target.
+/// Sends a request to the best target that accepts a connection and waits for the head of the
+/// response.
 ///
 /// # Errors
-/// Why there is no answer.
+/// If no target returned a response to this request.
 pub async fn attempt(
     gateway: &Rc<Gateway>,
     routed: &RoutedRequest,
@@ -92,14 +93,15 @@
             avoid.push(target);
             continue;
         };
-        // The scheduler may hear later than this entry that the target leaves, and connecting takes time.
+        // The target may have started to leave since the scheduler chose it, and while the
+        // connection was opened.
         if !gateway.fleet.borrow().takes_work(&target) {
             record.attempt_failed(&target, "it takes no new work");
             in_flight.set_end(End::NotRun);
             avoid.push(target);
             continue;
         }
-        // Its word may have lain for long at an entry that was starved, and connecting takes time.
+        // The placement may have become outdated while this task or the connection was delayed.
         if !target_selection::may_start_on_weights(gateway, routed, &selected) {
             record.attempt_failed(&target, "its weights must be replaced by now");
             in_flight.set_end(End::NotRun);
@@ -107,7 +109,7 @@
             avoid.push(target);
             continue;
         }
-        // It may have waited for its place for long.
+        // The request may have been quarantined while it waited for its placement.
         if let Some(left) = held_for(gateway, routed, record) {
             in_flight.set_end(End::NotRun);
             gateway.return_connection(&target, connection);
@@ -154,7 +156,7 @@
     Err(AttemptError::NoTarget(NoTarget::Selection(SelectionError::NoneSound)))
 }
 
-/// How much longer the request must not reach a target.
+/// How long the request remains quarantined; `None` if it is not.
 fn held_for(
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -218,7 +220,7 @@
     request
 }
 
-/// Tells an answer to this request from refusals and from answers to others.
+/// Separates responses to this request from refusals and from responses to other requests.
 fn check_response(
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -234,7 +236,7 @@
     let is_for_other_request =
         response_metadata.request_id.as_ref().is_some_and(|id| *id != routed.metadata.id);
     if is_for_other_request {
-        // The connection carries an answer to an earlier request: nothing on it can be trusted.
+        // The connection is out of step with its requests and must not be reused.
         record.attempt_failed(target, "answer to another request");
         in_flight.set_end(End::Failed);
         return Err(AttemptError::MayHaveRun(received.target));
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to targets. One request at a time uses a connection; idle ones are kept for reuse.
+//! Pool of HTTP/1.1 connections to targets. A connection carries one request at a time.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,21 +17,20 @@
 use crate::ids::TargetStart;
 use crate::net;
 
-/// Longest time to connect. Targets are about a millisecond away and accept within another; a lost
-/// opening packet is sent again only after a second, and another target serves the caller sooner.
+/// Connect timeout. Shorter than the initial TCP retransmission timeout of one second, so that a
+/// lost SYN leads to another target instead of a long wait.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection whose bytes are not acknowledged for this long is given up: its target is gone or
-/// cut off.
+/// A connection whose sent bytes are not acknowledged for this long is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// An idle connection is not used again that shortly before the target may close it.
+/// An idle connection is not reused this shortly before the target's idle timeout.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
-/// How long a target that doesn't say keeps an idle connection, as far as is known.
+/// Idle timeout assumed for targets that don't send one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Idle connections.
+/// Idle connections to targets.
 #[derive(Default)]
 pub struct Pool {
-    /// By target, the one that was used last at the end.
+    /// The idle connections of each target, the most recently used one last.
     idle: RefCell<HashMap<TargetStart, Vec<Idle>>>,
 }
 
@@ -40,28 +39,28 @@
     since: BootTime,
 }
 
-/// A connection to one start of a target. It closes when it is dropped.
+/// A connection to one start of a target. Dropping it closes it.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
-    /// How long the target keeps it open without a request.
+    /// How long the target keeps it open while it is idle.
     idle_timeout: Duration,
     /// Whether it has carried a request before.
     pub is_reused: bool,
 }
 
-/// What came of sending a request.
+/// The result of sending a request.
 pub enum SendOutcome {
-    /// The target answers.
+    /// The head of the response has arrived.
     Response(Response<Incoming>),
-    /// Nothing of the request has left: it did not run.
+    /// Nothing was sent, so that the target has not run the request.
     NotSent(String),
-    /// The connection broke after some of the request had left: it may have run.
+    /// The connection failed after it was partly or fully sent, so that the target may have run it.
     Broken(String),
 }
 
 impl Pool {
-    /// An idle connection to a target that is surely open as far as can be seen.
+    /// Takes an idle connection to a target that appears to be open.
     pub fn take_idle(&self, target: &TargetStart) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(target)?;
@@ -74,7 +73,7 @@
         None
     }
 
-    /// Keeps a connection for the next request.
+    /// Returns a connection to the pool, unless it is closed.
     pub fn put_idle(&self, target: &TargetStart, mut connection: Connection) {
         if connection.sender.is_closed() {
             return;
@@ -84,8 +83,8 @@
         self.idle.borrow_mut().entry(target.clone()).or_default().push(idle);
     }
 
-    /// Closes connections to all targets but those that `is_kept` names, and those that are too old
-    /// to be used again.
+    /// Keeps only connections that may still be reused and whose target satisfies `is_kept`; closes
+    /// all others.
     pub fn retain(&self, is_kept: impl Fn(&TargetStart) -> bool) {
         let now = boot_now();
         self.idle.borrow_mut().retain(|target, connections| {
@@ -102,7 +101,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// If the target can't be reached in time.
+    /// If the target can't be reached within `CONNECT_TIMEOUT`.
     pub async fn open(to: SocketAddr) -> std::io::Result<Connection> {
         let stream = net::connect(to, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await?;
         let (sender, connection) = http1::Builder::new()
@@ -122,7 +121,7 @@
         })
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         match self.sender.try_send_request(request).await {
             Ok(response) => SendOutcome::Response(response),
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Sets how long the target keeps it open without a request.
+    /// Sets how long the target keeps the connection open while it is idle, if it is known.
     pub fn set_idle_timeout(&mut self, timeout: Option<Duration>) {
         if let Some(timeout) = timeout {
             self.idle_timeout = timeout;
