--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -1,4 +1,4 @@
-//! What decisions need of a caller's request and of a target's answer.
+//! Metadata of callers' requests and of targets' responses, independent of the wire format.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,50 +7,50 @@
 
 use crate::ids::{AccountId, ModelId, RequestId, TargetId};
 
-/// A caller's request, without its body.
+/// What routing and placement need to know of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMetadata {
-    /// The caller's id; each attempt of a caller has its own.
+    /// The request id that the caller chose. Each attempt of a caller has its own.
     pub id: RequestId,
-    /// The host that the caller named, without a port.
+    /// The requested host, without a port.
     pub host: String,
-    /// The path, without a query.
+    /// The path, without the query.
     pub path: String,
-    /// The caller's key.
+    /// The bearer key.
     pub key: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub deadline: Option<Duration>,
-    /// What is known of the prompt, if it is one.
+    /// The prompt's metadata; `None` if the request is not a prompt.
     pub prompt: Option<Prompt>,
-    /// The caller has a stream's events up to this one.
+    /// Id of the last event that the caller has received of a stream that it resumes.
     pub resume_after: Option<String>,
 }
 
-/// What a caller says of its prompt.
+/// What a caller declares about its prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model.
+    /// The model that it is for.
     pub model: ModelId,
-    /// Tokens in the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that are generated.
+    /// Upper bound on the generated tokens.
     pub output_tokens: u64,
-    /// Parts of the prompt, in order. Requests share the first ones.
+    /// Parts of the prompt, in order. Prompts with a common prefix share their first parts.
     pub parts: Vec<Part>,
 }
 
-/// A part of a prompt.
+/// A contiguous part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Names its content, together with those before it.
+    /// Identifies its content and that of all parts before it.
     pub id: String,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u64,
 }
 
 impl Prompt {
-    /// The part that a returning caller sends again, with all before it: all but the last, which
-    /// belongs to the request itself. A prompt of one part is its own.
+    /// The parts that a later prompt of the same conversation starts with: all but the last, which
+    /// is specific to this request. A single part counts as shared.
     pub fn shared_parts(&self) -> &[Part] {
         match self.parts.len() {
             0 | 1 => &self.parts,
@@ -58,70 +58,70 @@
         }
     }
 
-    /// Tokens that a returning caller sends again.
+    /// Total length of the shared parts in tokens.
     pub fn shared_tokens(&self) -> u64 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 }
 
-/// What this system adds to a request for a target.
+/// What the entry adds to a request that it forwards to a target.
 #[derive(Clone, Debug)]
 pub struct ForwardingMetadata<'a> {
-    /// The target that is meant; another one at its address must refuse.
+    /// The intended target. Any other target at its address must refuse the request.
     pub target: &'a TargetId,
-    /// The caller's account.
+    /// The account of the caller.
     pub account: Option<&'a AccountId>,
-    /// How much of the caller's time is left.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// How urgent an engine shall take it, from 0 (first) to 9.
+    /// Priority for an engine, from 0 (highest) to 9.
     pub priority: Option<u8>,
-    /// Names those who may share kept cache with this request.
+    /// Requests with equal salts may share cached prompt parts.
     pub cache_salt: Option<String>,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub resume_after: Option<&'a str>,
     /// The weights that the engine must run.
     pub weight_version: Option<u64>,
-    /// Where kept parts come from and go to.
+    /// Stores from which and to which prompt parts are copied.
     pub transfers: Option<PartTransfers<'a>>,
 }
 
-/// Where the parts of a prompt are fetched and saved, one place a part.
+/// Stores for the parts of a prompt, one element per part.
 #[derive(Clone, Copy, Debug)]
 pub struct PartTransfers<'a> {
-    /// Stores that have a part.
+    /// Stores from which the engine fetches parts.
     pub fetch: &'a [Option<SocketAddr>],
-    /// Stores that shall have a part.
+    /// Stores to which the engine saves parts.
     pub save: &'a [Option<SocketAddr>],
-    /// When a fetch must be thrown away, on the engines' clock.
+    /// When fetched parts must be discarded, in milliseconds on the engines' clock.
     pub fetch_until_ms: u64,
 }
 
-/// What a target's answer says beside its content.
+/// What the headers of a target's response say.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMetadata {
-    /// The request that it answers.
+    /// Id of the request that the response belongs to.
     pub request_id: Option<RequestId>,
-    /// The target states that it did not run the request.
+    /// Whether the target states that it did not run the request.
     pub did_not_run: bool,
-    /// The target that answered, where it says so.
+    /// The target that sent the response, if the header is present.
     pub answered_by: Option<TargetId>,
-    /// How busy the target is.
+    /// The load of the target.
     pub load: Option<TargetLoad>,
-    /// The version of the weights that it runs.
+    /// Version of the weights that the target runs.
     pub weight_version: Option<u64>,
     /// How long the target keeps an idle connection open.
     pub idle_timeout: Option<Duration>,
-    /// Whether the target closes the connection after this answer.
+    /// Whether the target closes the connection after this response.
     pub closes: bool,
 }
 
-/// How busy a target says that it is.
+/// The load that a target reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests that are queued at the target.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Requests that the target can run concurrently.
     pub slots: u32,
 }
