--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,27 +1,28 @@
-//! Splits a stream of events into whole events, which are relayed byte for byte.
+//! Splits a byte stream into complete server-sent events without changing any bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is held while its end has not come.
+/// Largest incomplete event that is buffered.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Holds back what is not a whole event yet.
+/// Buffers the incomplete event at the end of a stream.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
-    /// The id of the last whole event.
+    /// Id of the last complete event.
     last_id: Option<String>,
 }
 
-/// An event is larger than is accepted.
+/// An event exceeds `MAX_EVENT_BYTES`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversized;
 
 impl EventSplitter {
-    /// Takes received bytes and returns all whole events, as they came; empty if there is none.
+    /// Adds received bytes and returns all events that are now complete. The result is empty if
+    /// there are none.
     ///
     /// # Errors
-    /// If one event is larger than 1 MiB.
+    /// If an incomplete event exceeds `MAX_EVENT_BYTES`.
     pub fn push(&mut self, bytes: &Bytes) -> Result<Bytes, Oversized> {
         if self.pending.is_empty() && bytes.ends_with(b"\n\n") {
             self.update_last_id(bytes);
@@ -40,17 +41,17 @@
         Ok(whole)
     }
 
-    /// Whether part of an event is held.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets a part whose rest won't come.
+    /// Discards the incomplete event.
     pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// The id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the body of an answer: as a whole, in parts, or event by event.
+//! Relays the body of a response: buffered, streamed, or event by event.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,44 +24,44 @@
 use crate::ids::TargetStart;
 use crate::scheduler::End;
 
-/// A body up to this length is taken as a whole before any of it is relayed, so that one that breaks
-/// off can be asked for again.
+/// A body of at most this length is buffered before any of it is relayed, so that the request can
+/// be retried if the body is cut short.
 pub const MAX_BUFFERED_BYTES: u64 = 256 << 10;
-/// A stream that may be resumed goes on elsewhere after a pause of this many of the longest pauses
-/// that the operator allows.
+/// A resumable stream without an event for this multiple of the route's largest allowed gap is
+/// resumed at another target.
 const GAPS_BEFORE_RESUME: u32 = 4;
-/// The same where the operator names none.
+/// Longest gap between events before such a resume if the route sets none.
 const DEFAULT_MAX_GAP: Duration = Duration::from_secs(2);
 
-/// Takes a body as a whole.
+/// Reads a whole body.
 ///
 /// # Errors
-/// If it breaks off or its time is over.
+/// If the body is cut short, too long, or not complete by the deadline.
 pub async fn read_buffered(body: Incoming, deadline: Instant) -> Result<Bytes, RelayError> {
     let body = Limited::new(body, MAX_BUFFERED_BYTES as usize).collect();
     Ok(timeout_at(deadline, body).await??.to_bytes())
 }
 
-/// Whether a body is surely short enough to be taken as a whole.
+/// Whether a body is known to fit into `MAX_BUFFERED_BYTES`.
 pub fn fits_buffer(body: &Incoming) -> bool {
     body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_BYTES)
 }
 
-/// Relays a stream of events.
+/// Relays a stream of server-sent events, and resumes it at another target if it fails.
 pub struct EventRelay {
-    /// The entry.
+    /// The shared state of the entry.
     pub gateway: Rc<Gateway>,
-    /// The request.
+    /// The request that the stream answers.
     pub routed: RoutedRequest,
-    /// What happens to it.
+    /// The log record of the request.
     pub record: RequestRecord,
-    /// Targets that it was sent to.
+    /// Targets that the request was sent to.
     pub tried: Vec<TargetStart>,
     source: Option<Source>,
     events: EventSplitter,
 }
 
-/// Where events come from.
+/// The target's response that events are read from.
 struct Source {
     target: TargetStart,
     body: Incoming,
@@ -79,7 +79,7 @@
 }
 
 impl EventRelay {
-    /// A relay of an answer.
+    /// Relays the events of this response.
     pub fn new(
         gateway: Rc<Gateway>,
         routed: RoutedRequest,
@@ -91,7 +91,7 @@
         EventRelay { gateway, routed, record, tried, source, events: EventSplitter::default() }
     }
 
-    /// The body as the caller gets it.
+    /// Turns the relay into the body of the response to the caller.
     pub fn into_body(self) -> ResponseBody {
         stream_body(stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
@@ -103,7 +103,7 @@
         }))
     }
 
-    /// The next whole events; `None` at the end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
             match self.read_source().await {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Resumes the stream at another engine after the last whole event.
+    /// Resumes the stream at another target, after the last complete event.
     async fn resume(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
@@ -188,7 +188,7 @@
             self.record.attempt_failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
             let (target, sent_at) = (source.target.clone(), source.sent_at);
-            // Closes the connection, which ends the run there.
+            // Closes the connection, which cancels the request at the target.
             drop(source);
             termination::report_broken_run(
                 &self.gateway,
@@ -223,11 +223,13 @@
                 self.source = Some(Source::new(received));
                 Ok(())
             }
-            Ok(received) => Err(format!("resumed with {}", received.response.status()).into()),
+            Ok(received) => {
+                Err(format!("stream resumed with status {}", received.response.status()).into())
+            }
             Err(AttemptError::NoTarget(why)) => {
-                Err(format!("no engine to resume at: {why:?}").into())
+                Err(format!("no target to resume the stream at: {why:?}").into())
             }
-            Err(missed) => Err(format!("not resumed: {missed:?}").into()),
+            Err(error) => Err(format!("stream not resumed: {error:?}").into()),
         }
     }
 }
@@ -254,7 +256,7 @@
     }
 }
 
-/// Relays a body that is no stream of events and too long to be taken as a whole.
+/// Streams a body that is not an event stream and may be too long to be buffered.
 pub fn relay_body(
     gateway: Rc<Gateway>,
     routed: RoutedRequest,
