--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: relayed ones, and this system's own.
+//! Responses to callers: relayed ones, and those of the entry itself.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -13,53 +13,55 @@
 
 use crate::platform::headers;
 
-/// Why a relayed body ends early. The connection to the caller is broken off, so that what was sent
-/// does not look whole.
+/// Why a relayed body was cut short. The connection to the caller is then closed, so that the
+/// caller does not take the body for complete.
 pub type RelayError = Box<dyn std::error::Error + Send + Sync>;
-/// Parts of a relayed body.
+/// A relayed body as a stream of frames.
 pub type BodyStream = LocalBoxStream<'static, Result<Frame<Bytes>, RelayError>>;
-/// The body of an answer.
+/// The body of a response to a caller.
 pub type ResponseBody = Either<
     http_body_util::combinators::MapErr<Full<Bytes>, fn(Infallible) -> RelayError>,
     StreamBody<BodyStream>,
 >;
-/// An answer.
+/// A response to a caller.
 pub type GatewayResponse = Response<ResponseBody>;
 
-/// Why this system answers in place of a target.
+/// Why the entry itself responds instead of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No route has the request's host and path.
+    /// No route matches the host and path of the request.
     NoRoute,
-    /// The route needs a key that some account holds.
+    /// The route requires a key, and no account has this one.
     UnknownKey,
     /// The body is longer than allowed.
     BodyTooLarge,
-    /// The request can't be read.
+    /// The body could not be read.
     Malformed,
-    /// No deployment is known here yet.
+    /// The entry knows no deployment yet.
     NotReady,
-    /// The known deployment refuses it, and no replica has confirmed that there is no later one. It has not run.
+    /// The known deployment rejects the request, but no replica has confirmed that it is the
+    /// newest. The request has not run.
     Unconfirmed,
-    /// No target can take it now. It has not run.
+    /// No target is available. The request has not run.
     NoTarget,
-    /// All targets run older weights than must be in force by now. It has not run.
+    /// All available targets run weights that are no longer allowed. The request has not run.
     OldWeights,
-    /// No target will have room in time. It has not run, and may come back after this time.
+    /// No target will have capacity in time. The request has not run and may be retried after this
+    /// time.
     Busy(Duration),
-    /// Targets have ended under this request, one after the other. It has not run, and may come back after
-    /// this time.
+    /// The request is quarantined because several targets terminated while they ran it. It has not
+    /// run now, and may be retried after this time.
     Held(Duration),
-    /// Its time is over, and it has not run.
+    /// The deadline passed before the request was sent. It has not run.
     TooLate,
-    /// The target broke off. It may have run.
+    /// The target failed. The request may have run.
     Broken,
-    /// Its time is over, and it may have run.
+    /// No response arrived in time. The request may have run.
     TimedOut,
 }
 
 impl Refusal {
-    /// The status that tells it.
+    /// The HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Refusal::NoRoute => StatusCode::NOT_FOUND,
@@ -114,13 +116,13 @@
         }
     }
 
-    /// Whether the same request may come back.
+    /// Whether the caller may retry the same request.
     fn is_retryable(self) -> bool {
         self.status() == StatusCode::SERVICE_UNAVAILABLE
     }
 }
 
-/// An answer of this system's own.
+/// Builds the response for a refusal.
 pub fn refusal_response(refusal: Refusal, id: &str, retry_after: Duration) -> GatewayResponse {
     let mut response = Response::new(full_body(Bytes::from_static(refusal.message().as_bytes())));
     *response.status_mut() = refusal.status();
@@ -133,13 +135,13 @@
     response
 }
 
-/// A body that is here as a whole.
+/// A body that is in memory.
 pub fn full_body(bytes: Bytes) -> ResponseBody {
     let never: fn(Infallible) -> RelayError = |never| match never {};
     Either::Left(Full::new(bytes).map_err(never))
 }
 
-/// A body that comes in parts.
+/// A body that is streamed.
 pub fn stream_body(
     frames: impl futures::Stream<Item = Result<Frame<Bytes>, RelayError>> + 'static,
 ) -> ResponseBody {
