--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one entry share.
+//! State that all tasks of an entry share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -33,19 +33,19 @@
 use crate::scheduler::{End, PlacementEvent, TicketId};
 use crate::telemetry::roles::EntryMetrics;
 
-/// Entries that are assumed to share the retry budget until a replica tells how many there are.
+/// Number of entries that share the retry budget until a replica reports it.
 const INITIAL_ENTRY_COUNT: u32 = 16;
-/// A leader of an earlier term is believed once none of a later one was named for this long: terms
-/// begin again only after all replicas have lost their disks.
+/// A leader of an earlier term is accepted if no leader of the known term was reported for this
+/// long. Terms start over only after all replicas have lost their disks.
 const TERM_RESET_AFTER: Duration = Duration::from_secs(1);
 
-/// A time without a replica's confirmation that is worth a line in the log once it is over: longer than it takes
-/// to turn to another replica.
+/// A gap between heartbeats of at least this length is logged. Longer than a switch to another
+/// replica takes.
 const LOG_STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// A change of a list of targets that is not the one that is known here.
+/// A roster update that does not apply to the roster held here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("a change of another list of targets than the known one"))]
+#[snafu(display("the change does not apply to the known roster"))]
 pub struct RosterMismatch;
 
 impl From<NameMissing> for RosterMismatch {
@@ -62,74 +62,74 @@
     }
 }
 
-/// What is known of a deployment's being the newest one.
+/// Whether a deployment is known to be the newest one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Confirmation {
-    /// A replica has just confirmed it.
+    /// A replica has confirmed it recently.
     Newest,
-    /// A later one has come.
+    /// A later deployment has arrived.
     LaterDeployment,
-    /// No replica has confirmed it lately.
+    /// No replica has confirmed it in time.
     Unknown,
 }
 
-/// One entry.
+/// The state of an entry.
 pub struct Gateway {
-    /// Its settings.
+    /// Settings of the host.
     pub host: HostSettings,
-    /// The newest deployment; `None` until a replica has sent it. Its version never falls.
+    /// Routing table of the newest known deployment. Its version never decreases.
     table: RefCell<Option<Rc<Table>>>,
-    /// The targets.
+    /// All known targets.
     pub fleet: RefCell<FleetView>,
-    /// What this entry may retry.
+    /// This entry's share of the retry budget.
     pub retries: RefCell<RetryShare>,
-    /// Requests under which targets have ended.
+    /// Requests that repeatedly terminate targets.
     pub quarantine: watch::Sender<Quarantine>,
-    /// Runs that broke off at targets that may have ended.
+    /// Failed runs at targets that may have terminated.
     pub broken_runs: RefCell<BrokenRuns>,
-    /// Rings when it was looked whether a target listens.
+    /// Notified after each probe of whether a target still listens.
     pub probe_finished: Notify,
-    /// Connections to targets.
+    /// Idle connections to targets.
     pub pool: Pool,
-    /// The connection to the scheduler.
+    /// The client of the scheduler.
     pub scheduler: SchedulerClient,
-    /// The host of the replica that leads, as far as is known.
+    /// Host of the replica that leads, if known.
     pub leader: Cell<Option<IpAddr>>,
-    /// The term in which it leads, and when it was last named: replicas that are behind name earlier
+    /// Term of that leader, and when it was last reported. Replicas that lag behind report earlier
     /// leaders.
     leader_term: Cell<(Term, BootTime)>,
-    /// Rings when another replica leads, or the same one in another term.
+    /// Notified when the leader or its term changes.
     pub leader_changed: Notify,
-    /// Hosts of replicas.
+    /// Hosts of all replicas.
     pub replicas: RefCell<BTreeSet<IpAddr>>,
-    /// Which replicas are subscribed to.
+    /// Chooses the replicas to subscribe to.
     pub subscriptions: RefCell<Subscriptions>,
-    /// The list of targets.
+    /// The roster: all targets that the platform lists.
     roster: RefCell<NumberedRoster>,
-    /// A list of which some pieces have arrived.
+    /// A roster that has been received in part.
     assembly: RefCell<Assembly>,
-    /// When weights were named.
+    /// Weight versions that were announced for each model, and when.
     pub rollouts: RefCell<RolloutHistories>,
-    /// When a replica last said that what is known here is current.
+    /// When the last heartbeat of a replica arrived.
     last_heartbeat: Cell<Option<BootTime>>,
-    /// How recent the deployment that is known here surely is.
+    /// Whether the known deployment is confirmed to be recent.
     freshness: RefCell<Freshness>,
-    /// The last request for a confirmation; 0 if there was none.
+    /// Id of the last request for a confirmation; 0 if there was none.
     pub confirm_requests: watch::Sender<ConfirmId>,
-    /// Rings when a deployment, or targets, are known that were not.
+    /// Notified when a deployment, targets or a confirmation arrive.
     state_changed: Notify,
-    /// Whether the process was asked to end.
+    /// Whether a shutdown has begun.
     pub stopping: Cell<bool>,
-    /// Requests that are being answered.
+    /// Number of requests in progress.
     pub active_requests: Cell<usize>,
-    /// Its metrics.
+    /// The metrics of this entry.
     pub metrics: EntryMetrics,
-    /// Bounds the lines that are written for requests.
+    /// Limits the rate of request log lines.
     pub log_limiter: RequestLogLimiter,
 }
 
 impl Gateway {
-    /// An entry that knows nothing yet.
+    /// Creates the state of an entry that has received no updates yet.
     pub fn new(host: HostSettings, metrics: EntryMetrics) -> Gateway {
         let rule = RetryRule {
             ratio: host.retry_ratio,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// All metrics as text, with what is true now.
+    /// Updates the gauges and returns all metrics as Prometheus text.
     pub fn metrics_text(&self) -> String {
         self.metrics.answering.record(self.active_requests.get() as u64, &[]);
         let held = self.quarantine.borrow().held_count(boot_now());
@@ -182,29 +182,29 @@
         self.metrics.text()
     }
 
-    /// The deployment in force here.
+    /// Routing table of the newest known deployment.
     pub fn table(&self) -> Option<Rc<Table>> {
         self.table.borrow().clone()
     }
 
-    /// Whether new callers may be sent here.
+    /// Whether the entry is ready for callers.
     pub fn is_ready(&self) -> bool {
         !self.stopping.get() && self.table.borrow().is_some() && self.has_roster()
     }
 
-    /// Whether the whole list of targets is known.
+    /// Whether a complete roster has been received.
     fn has_roster(&self) -> bool {
         self.roster.borrow().number > 0
     }
 
-    /// Waits until a deployment is known, for so long at the most. An entry that has just started
-    /// learns it within a second if a leader has to be elected first, else at once.
+    /// Waits until a deployment is known, for at most `timeout`. An entry that has just started
+    /// receives one at once unless the replicas must elect a leader first.
     pub async fn wait_for_deployment(&self, timeout: Duration) {
         self.wait_until(timeout, || self.table.borrow().is_some()).await;
     }
 
-    /// Whether a request that the deployment of this version refuses may be refused for good. Waits for a replica's
-    /// confirmation if need be, and for a later deployment with it.
+    /// Checks whether a rejection by the deployment of this version is final. Waits for the
+    /// confirmation of a replica, or for a later deployment, if necessary.
     pub async fn confirm(&self, version: DeploymentVersion) -> Confirmation {
         let request = self.freshness.borrow_mut().start_request(boot_now());
         if let Some(id) = request {
@@ -224,13 +224,13 @@
         }
     }
 
-    /// Waits until a target of a service is known, or the whole list, for so long at the most.
+    /// Waits until a target of the service or the complete roster is known, for at most `timeout`.
     pub async fn wait_for_service(&self, service: &str, timeout: Duration) {
         let is_served = || self.fleet.borrow().live(service).next().is_some();
         self.wait_until(timeout, || self.has_roster() || is_served()).await;
     }
 
-    /// Waits until a target is known, or the whole list, for so long at the most.
+    /// Waits until the target or the complete roster is known, for at most `timeout`.
     pub async fn wait_for_target(&self, target: &TargetStart, timeout: Duration) {
         let is_listed = || self.fleet.borrow().get(target).is_some();
         self.wait_until(timeout, || self.has_roster() || is_listed()).await;
@@ -242,16 +242,16 @@
                 self.state_changed.notified().await;
             }
         };
-        // Whoever waited in vain is refused.
+        // The caller checks the condition itself and refuses the request if it still fails.
         let _ = tokio::time::timeout(timeout, changes).await;
     }
 
-    /// How old what is known here may be; `None` if nothing is known.
+    /// Time since the last heartbeat of a replica; `None` if there was none.
     pub fn state_age(&self) -> Option<Duration> {
         self.last_heartbeat.get().map(|at| boot_now().saturating_sub(at))
     }
 
-    /// The same in milliseconds, -1 if nothing is known.
+    /// The same in milliseconds, or -1.
     pub fn state_age_ms(&self) -> i64 {
         self.state_age().map_or(-1, |age| age.as_millis() as i64)
     }
@@ -263,28 +263,28 @@
         self.last_heartbeat.set(Some(boot_now()));
     }
 
-    /// The name of the list of targets that is in use.
+    /// The name of the complete roster in use.
     pub fn roster_name(&self) -> RosterName {
         self.roster.borrow().name()
     }
 
-    /// Whether a target is on the list that is in use.
+    /// Whether a target is in the roster in use.
     pub fn is_listed(&self, target: &TargetStart) -> bool {
         self.roster.borrow().roster.get(target).is_some()
     }
 
-    /// Listed targets that are leaving.
+    /// Targets that are leaving according to the roster in use.
     pub fn leaving(&self) -> Vec<TargetStart> {
         let roster = &self.roster.borrow().roster;
         let leaving = roster.iter().filter(|listed| listed.presence == Presence::Leaving);
         leaving.map(|listed| listed.start.clone()).collect()
     }
 
-    /// Takes an update of a replica. What is older than what is known changes nothing.
+    /// Applies an update from a replica. Updates older than the known state have no effect.
     ///
     /// # Errors
-    /// If it is a change of a list of targets that is not the one that is known here: the replica must
-    /// tell the whole list.
+    /// If the update is a change to a roster other than the one held here. The replica must then
+    /// send the complete roster.
     pub fn observe(&self, update: Update) -> Result<(), RosterMismatch> {
         match update {
             Update::Heartbeat { replicas, entries, leader, term } => {
@@ -333,19 +333,19 @@
         Ok(())
     }
 
-    /// How much longer a request must not reach a target, if targets have ended under it.
+    /// How long a request remains quarantined; `None` if it is not.
     pub fn held_for(&self, routed: &RoutedRequest) -> Option<Duration> {
         let known = self.quarantine.borrow();
         if known.is_empty() { None } else { known.held_for(routed.fingerprint(), boot_now()) }
     }
 
-    /// A request got a whole answer.
+    /// Records that a request succeeded, which clears earlier evidence against it.
     pub fn record_success(&self, routed: &RoutedRequest) {
         let run = routed.fingerprint();
         self.quarantine.send_if_modified(|known| known.answered_whole(run, boot_now()));
     }
 
-    /// The host of the replica that leads, and the term in which it does.
+    /// Host and term of the replica that leads.
     pub fn current_leader(&self) -> Option<(IpAddr, Term)> {
         self.leader.get().map(|leader| (leader, self.leader_term.get().0))
     }
@@ -363,19 +363,20 @@
         }
     }
 
-    /// Replicas may disagree for a while on which list is the later one, not on who leaves: who does by
-    /// any list gets no more work.
+    /// Marks targets as leaving if any roster says so, even one that is not the latest: replicas
+    /// may disagree for a while about which roster that is.
     fn observe_leaving<'a>(&self, listed: impl Iterator<Item = &'a Listed>) {
         let leaving = listed.filter(|listed| listed.presence == Presence::Leaving);
         self.fleet.borrow_mut().leave(leaving.map(|listed| &listed.start));
     }
 
-    /// What this entry holds of the list of targets.
+    /// The complete and partial rosters held here.
     pub fn held_roster(&self) -> HeldRoster {
         HeldRoster { whole: self.roster_name(), part: self.assembly.borrow().progress() }
     }
 
-    /// Takes a part of a list. An entry that has none serves with the targets of the first parts.
+    /// Adds a piece of a roster. Until the first roster is complete, the targets of each piece are
+    /// usable at once.
     fn observe_piece(&self, piece: &Piece) -> Result<(), PieceError> {
         if piece.of <= self.roster_name() {
             return Ok(());
@@ -391,7 +392,7 @@
         Ok(())
     }
 
-    /// Takes a whole list. One that is not later than the known one changes nothing.
+    /// Applies a complete roster, which is ignored unless it is later than the known one.
     pub fn observe_roster(&self, roster: NumberedRoster) {
         self.observe_leaving(roster.roster.iter());
         self.replace_roster(roster);
@@ -410,7 +411,7 @@
         self.pool.retain(|target| listed.get(target).is_some());
     }
 
-    /// Keeps a connection for the next request, if the target's start is still the one that is there.
+    /// Returns a connection to the pool if the target is still in the roster.
     pub fn return_connection(&self, target: &TargetStart, connection: Connection) {
         if self.is_listed(target) {
             self.pool.put_idle(target, connection);
@@ -432,7 +433,8 @@
     }
 }
 
-/// A request at a target, counted in the fleet and by the scheduler for as long as it lives.
+/// A request that is in progress at a target. The fleet view and the scheduler account for it until
+/// this is dropped.
 pub struct InFlightRequest {
     gateway: Rc<Gateway>,
     dispatch: Option<Dispatch>,
@@ -441,7 +443,7 @@
 }
 
 impl InFlightRequest {
-    /// Counts a request at a target, which the scheduler may have placed there.
+    /// Registers a request at a target; `ticket` identifies its placement by the scheduler.
     pub fn new(
         gateway: &Rc<Gateway>,
         target: &TargetStart,
@@ -457,7 +459,7 @@
         }
     }
 
-    /// Its prompt has been read: the first part of the answer is here.
+    /// Records that response data has arrived, so that the target has read the prompt.
     pub fn prompt_read(&mut self, response_metadata: &ResponseMetadata) {
         let Some(dispatch) = &mut self.dispatch else { return };
         if !self.gateway.fleet.borrow_mut().has_read(dispatch) {
@@ -473,7 +475,7 @@
         }
     }
 
-    /// How it ends. Without a word, the caller has left.
+    /// Sets how the request ended at the target. The default is that the caller left.
     pub fn set_end(&mut self, end: End) {
         self.end = end;
     }
