--- a/src/gateway/freshness.rs
+++ b/src/gateway/freshness.rs
@@ -1,53 +1,57 @@
-//! How recent what an entry knows of the deployment surely is. Pure.
+//! Whether an entry's deployment is recent enough to reject a request for good. Pure.
 //!
-//! Replicas publish changes by themselves, and an entry serves on by what it knows while none does. Only
-//! before it says for good that there is no such route or key does it need to be sure. It asks for that then:
-//! a confirmation counts from when it was asked for, as what comes may have lain in a socket for long.
+//! Replicas push new deployments, and an entry continues with the known one while it receives
+//! nothing. Only before it rejects a request for an unknown route or key does it ask a replica to
+//! confirm that the deployment is the newest. A confirmation counts from the time of the request
+//! for it, since it may have been delayed on its way.
 
 use std::time::Duration;
 
 use crate::clock::BootTime;
 use crate::control::frames::ConfirmId;
 
-/// What an entry knows counts as recent for this long at the most.
+/// Upper bound on the age of a confirmation that allows a final rejection.
 const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(500);
-/// Of the time in which a deployment must be in force: the rest is for clocks, and for what is under way.
+/// The allowed age is also at most the time in which a deployment must be in force, divided by
+/// this. The rest of that time allows for clock drift and for messages on their way.
 const IN_FORCE_DIVISOR: u32 = 2;
-/// Replicas answer within some milliseconds if one of them is sure to know all.
+/// How long to wait for a confirmation. A replica that is up to date answers within milliseconds.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// What to do for a request that the known deployment refuses.
+/// Whether the known deployment may reject a request for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may be refused for good.
+    /// It may: the deployment is confirmed.
     Confirmed,
-    /// A replica is asked: wait until then, or until an answer or another deployment comes.
+    /// A confirmation is pending. Wait until this time, a confirmation or a later deployment.
     Wait(BootTime),
-    /// No replica has answered lately.
+    /// It may not: no replica has confirmed the deployment in time.
     Unconfirmed,
 }
 
-/// A request for a confirmation that has no answer yet.
+/// An unanswered request for a confirmation.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
     asked_at: BootTime,
-    /// Whether the one before it was answered, or there was none: else it is not worth waiting.
+    /// Whether the previous request was answered, or this is the first. Otherwise callers don't
+    /// wait for the answer.
     is_worth_waiting: bool,
 }
 
-/// How recent what an entry knows surely is.
+/// Tracks the confirmations of an entry's deployment.
 #[derive(Debug)]
 pub struct Freshness {
     max_age: Duration,
-    /// All that was committed before is known here. Never falls.
+    /// All deployments committed before this time are known. Never decreases.
     as_of: Option<BootTime>,
-    /// The last request, and when it was first made.
+    /// Id and time of the last request.
     last_request: (ConfirmId, BootTime),
     pending: Option<Pending>,
 }
 
 impl Freshness {
-    /// Nothing is confirmed yet. A deployment must be in force after `in_force`, if anything is promised.
+    /// Creates a tracker without confirmations. `in_force` is the time in which a deployment must
+    /// be in force, if it is limited.
     pub fn new(in_force: Option<Duration>) -> Freshness {
         let max_age = in_force.map_or(MAX_CONFIRMATION_AGE, |in_force| {
             MAX_CONFIRMATION_AGE.min(in_force / IN_FORCE_DIVISOR)
@@ -55,7 +59,7 @@
         Freshness { max_age, as_of: None, last_request: (0, BootTime::ZERO), pending: None }
     }
 
-    /// What may be said now of a route or key that is not known.
+    /// Whether a request for an unknown route or key may be rejected for good.
     pub fn verdict(&self, now: BootTime) -> Verdict {
         let is_recent = |as_of: BootTime| now.saturating_sub(as_of) <= self.max_age;
         if self.as_of.is_some_and(is_recent) {
@@ -71,7 +75,8 @@
         }
     }
 
-    /// The request to make now, if one is needed: however many callers need it, one at a time.
+    /// Starts a request for a confirmation. Returns `None` if the deployment is confirmed or a
+    /// request is already pending.
     pub fn start_request(&mut self, now: BootTime) -> Option<ConfirmId> {
         let is_recent = |as_of: BootTime| now.saturating_sub(as_of) <= self.max_age;
         let is_in_flight = |pending: Pending| now < pending.asked_at + CONFIRM_TIMEOUT;
@@ -84,7 +89,8 @@
         Some(self.last_request.0)
     }
 
-    /// A replica has confirmed what is known here; it was last sure to have all `age` before it said so.
+    /// Records the confirmation of a replica, which was up to date at the latest `age` before it
+    /// sent the confirmation.
     pub fn confirmed(&mut self, id: ConfirmId, age: Duration) {
         let (last_request, asked_at) = self.last_request;
         if id == last_request {
