--- a/src/gateway/log_limiter.rs
+++ b/src/gateway/log_limiter.rs
@@ -1,4 +1,4 @@
-//! Bounds the lines that are written for requests.
+//! Limits the rate of request log lines.
 
 use std::cell::Cell;
 use std::hash::BuildHasher;
@@ -7,15 +7,15 @@
 
 use crate::clock::BootTime;
 
-/// Lines of whole answers that are written each second. Beyond that only those of some requests
-/// are, by a hash of their ids, so that all processes keep the same ones.
+/// Successful requests that are logged each second. Beyond that, a sample chosen by a hash of the
+/// request id is logged, so that all processes log the same requests.
 const SUCCESSES_PER_S: u32 = 100;
-/// Lines of all other endings that are written each second: 20 for each of a hundred connections.
+/// Other requests that are logged each second.
 const FAILURES_PER_S: u32 = 2_000;
-/// One request in this many is kept then.
+/// One in this many successful requests is in the sample.
 const SAMPLE_ONE_IN: u64 = 16;
 
-/// Bounds the lines that are written for requests.
+/// Limits the rate of request log lines, with separate limits for successes and failures.
 #[derive(Debug, Default)]
 pub struct RequestLogLimiter {
     second: Cell<u64>,
@@ -24,7 +24,7 @@
 }
 
 impl RequestLogLimiter {
-    /// Whether the line of a request is written.
+    /// Counts a finished request and returns whether to log it.
     pub fn should_log(&self, id: &str, is_success: bool, now: BootTime) -> bool {
         if self.second.replace(now.as_secs()) != now.as_secs() {
             self.successes.set(0);
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, written as one log line when it ends.
+//! Collects what happens to a request and logs it as one line at the end.
 
 use std::cell::Cell;
 use std::fmt::Write;
@@ -18,19 +18,19 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller left before the answer was whole.
+    /// The caller disconnected before the response was complete.
     #[default]
     CallerLeft,
-    /// The target's answer was relayed as a whole, with this status.
+    /// The target's response was relayed completely, with this status.
     Relayed(u16),
-    /// This system answered, with this status and reason.
+    /// The entry itself responded, with this status and reason.
     Refused(u16, &'static str),
-    /// The answer broke off while it was relayed.
+    /// The response was cut short while it was relayed.
     BrokenOff,
 }
 
 impl Outcome {
-    /// Its name and reason in metrics.
+    /// Values of the `ending` and `reason` metric labels.
     fn labels(self) -> (&'static str, &'static str) {
         match self {
             Outcome::CallerLeft => ("caller_left", ""),
@@ -46,24 +46,24 @@
     }
 }
 
-/// Follows one request. The line is written when it is dropped.
+/// The record of one request. Dropping it updates the metrics and writes the log line.
 pub struct RequestRecord {
     gateway: Rc<Gateway>,
     id: String,
     started_at: BootTime,
     route: String,
     version: DeploymentVersion,
-    /// 0 first.
+    /// The scheduler level, 0 first.
     priority: u8,
     attempts: String,
-    /// What it asks, if that was told.
+    /// The fingerprint, once it has been logged for a failed or quarantined run.
     fingerprint: Option<Fingerprint>,
     first_part: Option<Duration>,
     outcome: Cell<Outcome>,
 }
 
 impl RequestRecord {
-    /// Begins with a request's arrival.
+    /// Starts the record of a request that has just arrived.
     pub fn new(
         gateway: &Rc<Gateway>,
         metadata: &RequestMetadata,
@@ -84,18 +84,18 @@
         }
     }
 
-    /// The version of the deployment by which its route is looked up.
+    /// Sets the version of the deployment that routes the request.
     pub fn set_version(&mut self, version: DeploymentVersion) {
         self.version = version;
     }
 
-    /// The route that was found, and how urgent the request is.
+    /// Sets the route and the priority.
     pub fn set_route(&mut self, route: &str, priority: Priority) {
         self.route = route.to_string();
         self.priority = priority.scheduler_level();
     }
 
-    /// A target was chosen.
+    /// Records the selection of a target.
     pub fn target_selected(&mut self, selected: &SelectedTarget, is_reused: bool) {
         let at_ms = self.elapsed().as_millis();
         let (target, trace) = (&selected.target, &selected.trace);
@@ -103,7 +103,7 @@
         let _ = write!(self.attempts, " at_ms={at_ms} target={target} {trace} reused={is_reused}");
     }
 
-    /// A target answered, and told how busy it is.
+    /// Records that the head of a response has arrived, with the load that the target reports.
     pub fn response_received(&mut self, response_metadata: &ResponseMetadata) {
         let at_ms = self.elapsed().as_millis();
         let _ = write!(self.attempts, " answered_ms={at_ms}");
@@ -112,33 +112,33 @@
         }
     }
 
-    /// A target did not answer as hoped.
+    /// Records that an attempt at a target failed.
     pub fn attempt_failed(&mut self, target: &TargetStart, reason: &str) {
         let at_ms = self.elapsed().as_millis();
         self.gateway.metrics.missed.add(1, &[label("reason", reason)]);
         let _ = write!(self.attempts, " at_ms={at_ms} failed={target} reason={reason:?}");
     }
 
-    /// What the request asks, to find the caller's other attempts by: one of its runs broke off.
+    /// Sets the fingerprint, by which the log lines of a caller's retries can be found.
     pub fn set_fingerprint(&mut self, fingerprint: Fingerprint) {
         if self.fingerprint.replace(fingerprint).is_none() {
             let _ = write!(self.attempts, " fingerprint={fingerprint}");
         }
     }
 
-    /// The first part of the answer is on its way.
+    /// Records the time to the first data of the response body.
     pub fn first_part_sent(&mut self) {
         if self.first_part.is_none() {
             self.first_part = Some(self.elapsed());
         }
     }
 
-    /// How it ended.
+    /// Sets how the request ended.
     pub fn set_outcome(&self, outcome: Outcome) {
         self.outcome.set(outcome);
     }
 
-    /// Time since the request came.
+    /// Time since the request arrived.
     pub fn elapsed(&self) -> Duration {
         boot_now().saturating_sub(self.started_at)
     }
