--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -1,4 +1,4 @@
-//! Subscribes to updates of two replicas at a time, and turns to others when one falls silent.
+//! Subscribes to the updates of replicas, and replaces replicas that fall silent.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -19,21 +19,21 @@
 use crate::quarantine::Revision;
 use crate::scheduler::weights;
 
-/// Replicas that an entry subscribes to at a time: one may be cut off from its leader just when a deployment
-/// is published.
+/// Number of concurrent subscriptions. With one, a new deployment would be delayed if its replica
+/// were cut off from the leader at that time.
 const SUBSCRIPTIONS_AT_ONCE: usize = 2;
-/// A replica that has sent nothing for this long is left for another one: three heartbeats.
+/// A subscription without updates for this long, which is three heartbeats, is ended.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
-/// Longest time to connect.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Requests to a replica that wait to be written.
+/// Capacity of the queue of requests to a replica.
 const REQUEST_QUEUE_LEN: usize = 4;
-/// Leaving targets that are named in a line of the log.
+/// Number of leaving targets that are named in a log line.
 const MAX_LOGGED_LEAVING: usize = 8;
-/// Pause between replicas.
+/// Delay before the next subscription after one has failed.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Subscribes to replicas for as long as the process lives.
+/// Starts the tasks that maintain the subscriptions.
 pub fn start(gateway: &Rc<Gateway>, tasks: &Essentials) {
     for _ in 0..SUBSCRIPTIONS_AT_ONCE {
         tasks.spawn("subscription", keep_subscribed(gateway.clone()));
@@ -69,7 +69,7 @@
     }
 }
 
-/// Takes updates of one replica until it falls silent, or another one is closer.
+/// Receives updates of one replica until it fails, falls silent, or a local replica is available.
 async fn subscribe(gateway: &Gateway, subscription: &mut Subscription) -> std::io::Result<()> {
     let replica = subscription.replica;
     let to = SocketAddr::new(replica, gateway.host.peer_port);
@@ -89,18 +89,18 @@
     }
 }
 
-/// Sends a replica what is asked of it, and what is known here of requests under which targets end.
+/// Sends requests, and news of the quarantine, to a replica.
 async fn send(
     gateway: &Gateway,
     mut write: OwnedWriteHalf,
     mut requested: mpsc::Receiver<FollowTargets>,
 ) -> std::io::Result<()> {
     let mut quarantine = gateway.quarantine.subscribe();
-    // A replica that has started again knows only what it is sent.
+    // A restarted replica may have lost its quarantine, so it gets all reports at first.
     quarantine.mark_changed();
     let mut sent = Revision::default();
     let mut confirm = gateway.confirm_requests.subscribe();
-    // A replica that was just turned to may know what the one before did not.
+    // Repeats the last request for a confirmation, as the previous replica may not have answered.
     if *confirm.borrow() > 0 {
         confirm.mark_changed();
     }
@@ -108,7 +108,7 @@
         let frame = tokio::select! {
             request = requested.recv() => match request {
                 Some(request) => FromSubscriber::FollowTargets(request),
-                // The subscription has ended.
+                // The receiving half has ended.
                 None => return Ok(()),
             },
             changed = confirm.changed() => {
@@ -151,7 +151,7 @@
             termination::record_unlisted(gateway);
             log_roster(gateway, replica);
         }
-        // By then the replica has sent where replicas are.
+        // Replicas send their failure domains before the first heartbeat.
         if is_heartbeat {
             let now = boot_now();
             let replicas = gateway.replicas.borrow().clone();
@@ -168,7 +168,7 @@
     }
 }
 
-/// Logs which list of targets is in use from now on, and who leaves by it.
+/// Logs the roster that is now in use and the targets that are leaving.
 fn log_roster(gateway: &Gateway, replica: IpAddr) {
     let (name, leaving) = (gateway.roster_name(), gateway.leaving());
     log::info!(
--- a/src/gateway/subscription_policy.rs
+++ b/src/gateway/subscription_policy.rs
@@ -1,9 +1,9 @@
-//! Which replicas an entry subscribes to, and which one sends it the whole list of targets. Pure.
+//! Chooses the replicas that an entry subscribes to, and the one that sends it the roster. Pure.
 //!
-//! All entries start at once after an outage (a thundering herd). If each of 300 takes the list of 3,000
-//! targets from both replicas that it subscribes to, wherever these are, 130 MB pass at each start, four fifths of
-//! them between failure domains, and the last entry has its list after 0.6 s. Each therefore takes it once,
-//! from a replica of its own failure domain where there is one.
+//! After an outage all entries start at the same time. If each received the complete roster from
+//! every replica that it subscribes to, large deployments would saturate the links between failure
+//! domains. Each entry therefore receives it once, preferably from a replica in its own failure
+//! domain (a local replica).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -16,61 +16,62 @@
 use crate::control::frames::{FollowTargets, ListDetail, RosterName};
 use crate::ids::DomainId;
 
-/// A replica of the own failure domain that could not be reached is turned to again after this time: another
-/// one sends the same, at the price of bytes between failure domains.
+/// A local replica that could not be reached is not preferred for this long. Other replicas send
+/// the same, but use the links between failure domains.
 const LOCAL_RETRY_DELAY: Duration = Duration::from_secs(3);
-/// An entry without a list that has subscribed to one replica for this long takes the list from it, wherever it
-/// is: two heartbeats.
+/// An entry without a roster accepts it from a replica of any failure domain after it has been
+/// subscribed to it for this long, which is two heartbeats.
 const LOCAL_WAIT: Duration = Duration::from_millis(250);
 
-/// The changes of a list that one replica has named come from the other one within this time, or that one
-/// does not know it: one heartbeat, in which many changes pass a link of 10 Mbit/s.
+/// If one replica announces a later roster, the changes should arrive from the other one within
+/// this time, which is one heartbeat. Otherwise they are requested from the announcing replica.
 const CHANGES_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What one entry knows of the replicas that it may subscribe to.
+/// The subscriptions of an entry, and what it knows of the replicas.
 #[derive(Debug)]
 pub struct Subscriptions {
     own_domain: DomainId,
-    /// Failure domains of replicas, as far as is known.
+    /// Known failure domains of replicas.
     domains: BTreeMap<IpAddr, DomainId>,
     subscribed: BTreeSet<IpAddr>,
-    /// When replicas were last left since they could not be reached or fell silent.
+    /// When the last subscription to a replica failed.
     failed: BTreeMap<IpAddr, BootTime>,
-    /// The replica that sends the whole list now.
+    /// The replica that is sending the first complete roster.
     roster_from: Option<IpAddr>,
-    /// A replica that sends all changes of the list.
+    /// The replica that was last asked for all changes of the roster.
     changes_from: Option<IpAddr>,
 }
 
-/// One subscription to a replica.
+/// A subscription to one replica.
 #[derive(Debug)]
 pub struct Subscription {
-    /// The replica.
+    /// The replica's host.
     pub replica: IpAddr,
     started_at: BootTime,
-    /// What the replica was asked to send of the list of targets.
+    /// Which roster updates the replica was asked for, if any.
     requested: Option<ListDetail>,
-    /// A later list than was held, of which it has sent the name alone, and when it first did.
+    /// The latest roster that the replica announced by name alone and that is not held yet, with
+    /// the time since when such a roster has been missing.
     announced: Option<(RosterName, BootTime)>,
 }
 
-/// What an entry holds of the list of targets.
+/// What an entry holds of rosters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldRoster {
-    /// The whole list that it has; the default if it has none.
+    /// The complete roster; the default if there is none.
     pub whole: RosterName,
-    /// A list that it has a part of, and how many pieces.
+    /// A partially received roster, and the number of its pieces received.
     pub part: (RosterName, u32),
 }
 
 impl Subscription {
-    /// The replica has sent the name of a list.
+    /// Records that the replica announced a roster by name.
     pub fn observe_name(&mut self, name: RosterName, now: BootTime) {
         let first = self.announced.map_or(now, |(_, first)| first);
         self.announced = Some((name, first));
     }
 
-    /// Whether a list that was named is still not held.
+    /// Whether an announced roster has been missing for too long.
     fn misses_changes(&mut self, whole: RosterName, now: BootTime) -> bool {
         self.announced = self.announced.filter(|(name, _)| *name > whole);
         self.announced.is_some_and(|(_, first)| now >= first + CHANGES_TIMEOUT)
@@ -78,7 +79,7 @@
 }
 
 impl Subscriptions {
-    /// Nothing is known of replicas yet.
+    /// Creates a policy without subscriptions.
     pub fn new(own_domain: DomainId) -> Subscriptions {
         Subscriptions {
             own_domain,
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Takes in which failure domains replicas are.
+    /// Adds failure domains of replicas.
     pub fn observe_domains(&mut self, domains: BTreeMap<IpAddr, DomainId>) {
         self.domains.extend(domains);
     }
 
-    /// Subscribes to a replica that is not subscribed to yet: one of the own failure domain if possible, and not
-    /// the last one if there is another.
+    /// Begins a subscription to a replica that has none: a local one if possible, otherwise a
+    /// random one, and not `last` if there is a choice.
     pub fn begin(
         &mut self,
         replicas: &BTreeSet<IpAddr>,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Whether to leave a replica for one of the own failure domain that is not subscribed to.
+    /// Whether to replace this subscription by one to a local replica that has none.
     pub fn should_switch(
         &self,
         subscription: &Subscription,
@@ -138,11 +139,11 @@
         let local = self.local(replicas, now);
         local.is_some_and(|local| !self.subscribed.contains(&local))
             && self.roster_from != Some(subscription.replica)
-            // One of several connections moves.
+            // Moves only one of the subscriptions.
             && self.subscribed.first() == Some(&subscription.replica)
     }
 
-    /// What to ask a replica for that has just sent a heartbeat, if it is time.
+    /// The request to send to a replica after its heartbeat, if any.
     pub fn request(
         &mut self,
         subscription: &mut Subscription,
@@ -156,7 +157,7 @@
                 return None;
             }
             None => self.detail_for(subscription.replica),
-            // The other replica should have sent it by now.
+            // The other replica should have sent the changes by now.
             Some(ListDetail::Names) if misses_changes => ListDetail::Changes,
             Some(_) => return None,
         };
@@ -167,7 +168,8 @@
         Some(FollowTargets { whole: held.whole, part: held.part, detail })
     }
 
-    /// Whether an entry without a list takes it from this replica. If so, from no other one.
+    /// Whether an entry without a roster receives it from this replica. If so, it is received from
+    /// no other one.
     fn claims_roster(
         &mut self,
         subscription: &Subscription,
@@ -185,7 +187,7 @@
         takes
     }
 
-    /// One replica sends all changes: that of the own failure domain, or else the first one.
+    /// The local replica, or else the first one, sends all changes; the other one only names.
     fn detail_for(&self, replica: IpAddr) -> ListDetail {
         let is_local = self.domains.get(&replica) == Some(&self.own_domain);
         match is_local || self.changes_from.is_none() {
@@ -194,12 +196,12 @@
         }
     }
 
-    /// The list is whole.
+    /// Records that a complete roster has been received.
     pub fn roster_complete(&mut self) {
         self.roster_from = None;
     }
 
-    /// A replica of the own failure domain, unless it has failed lately.
+    /// A local replica whose last subscription has not failed recently.
     fn local(&self, replicas: &BTreeSet<IpAddr>, now: BootTime) -> Option<IpAddr> {
         let is_usable = |ip: &IpAddr| {
             self.failed.get(ip).is_none_or(|failed| now >= *failed + LOCAL_RETRY_DELAY)
