--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -1,4 +1,4 @@
-//! Asks the scheduler where prompts run.
+//! Client of the scheduler, which places prompts on engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,33 +12,33 @@
 use crate::control::frames::{FromEntry, SchedulerError, encode};
 use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
 
-/// An answer takes one or two milliseconds. After this time the entry decides alone.
+/// How long to wait for the first reply before the entry selects a target itself. Usual replies
+/// take one or two milliseconds.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(40);
-/// After an answer that did not come in time, nothing is asked for this long.
+/// After such a timeout no requests are sent for this long.
 const PAUSE_AFTER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// While nothing schedules, a prompt waits for this part of its objective, and at least for so long: an
-/// election takes some 50 to 600 ms. An entry that decides alone does not know what is resident where, and
-/// fetches nothing: the contexts of most of its prompts are read again (3,000 tokens each, measured), and
-/// engines are busy with that when the scheduler is back.
+/// If no scheduler is available, a prompt waits for this fraction of its objective, but at least
+/// `MIN_SCHEDULER_WAIT`: an election of a leader usually takes less. An entry that selects a target
+/// itself can't use cached prompt parts, so the engine must read most of the prompt again.
 const WAIT_OBJECTIVE_FRACTION: f64 = 0.4;
 const MIN_SCHEDULER_WAIT: Duration = Duration::from_millis(200);
-/// It waits for at most this part of the time that its caller has left.
+/// The wait is at most the time left for the prompt, divided by this.
 const TIME_LEFT_DIVISOR: u32 = 3;
-/// After this time without answers nobody waits any more: the replicas are gone, not between two leaders.
+/// After this time without a scheduler, which is longer than an election, prompts no longer wait.
 const MAX_ABSENCE: Duration = Duration::from_secs(1);
-/// How often it is asked again meanwhile.
+/// How often the request is repeated while it waits for a scheduler.
 const RETRY_INTERVAL: Duration = Duration::from_millis(30);
 
 type PlacementOutcome = Result<Placed, SchedulerError>;
 
-/// What the scheduler says to a placement request.
+/// A reply to a placement request.
 pub(super) enum Reply {
     Queued,
     Placed(Box<PlacementOutcome>),
 }
 
-/// An ask that is not answered yet. The scheduler is told when nobody waits any more.
+/// A placement request without a final reply. Dropping it withdraws the request.
 struct PendingRequest<'a> {
     client: &'a SchedulerClient,
     number: u64,
@@ -49,7 +49,7 @@
     fn drop(&mut self) {
         let is_open = self.client.pending.borrow_mut().remove(&self.number).is_some();
         self.replies.close();
-        // An answer that came too late is in the channel, or finds nobody later.
+        // Returns a placement that has already arrived. `deliver` returns those that arrive later.
         while let Ok(reply) = self.replies.try_recv() {
             if let Reply::Placed(outcome) = reply
                 && let Ok(placed) = *outcome
@@ -63,22 +63,22 @@
     }
 }
 
-/// The connection to the scheduler.
+/// Sends placement requests over the current connection, and matches replies to them.
 #[derive(Default)]
 pub struct SchedulerClient {
     outgoing: RefCell<Option<mpsc::Sender<Arc<[u8]>>>>,
     pending: RefCell<HashMap<u64, mpsc::Sender<Reply>>>,
     next_number: Cell<u64>,
     paused_until: Cell<BootTime>,
-    /// Rings when a connection is made.
+    /// Notified when a connection is established.
     connected: Notify,
-    /// Since when asks are not answered; `None` while they are.
+    /// Since when no request has been answered; `None` while a scheduler is available.
     unavailable_since: Cell<Option<BootTime>>,
 }
 
 impl SchedulerClient {
-    /// Asks where a prompt runs; `None` if there is no answer in time. While nothing schedules, it waits
-    /// for a scheduler for a part of the prompt's objective.
+    /// Asks the scheduler to place a prompt. Returns `None` if it does not answer in time. If no
+    /// scheduler is available, waits for one for a part of the prompt's objective.
     pub async fn place(&self, request: PlacementRequest) -> Option<PlacementOutcome> {
         let until = Instant::now() + scheduler_wait(&request);
         loop {
@@ -96,12 +96,13 @@
             if is_expired || left.is_zero() {
                 return None;
             }
-            // Whichever comes first: a connection is made, or a replica may have begun to schedule.
+            // Retries early when a connection is established. A replica that starts to schedule on
+            // an existing connection is only noticed by a retry.
             let _ = tokio::time::timeout(left.min(RETRY_INTERVAL), self.connected.notified()).await;
         }
     }
 
-    /// Since when asks are not answered; `None` while they are.
+    /// Since when no request has been answered; `None` while a scheduler is available.
     pub fn unavailable_since(&self) -> Option<BootTime> {
         self.unavailable_since.get()
     }
@@ -139,32 +140,32 @@
         PendingRequest { client: self, number, replies }
     }
 
-    /// Tells what became of a placement. It is lost if there is no connection: the scheduler forgets
-    /// the placement by itself.
+    /// Reports an event of a placement. It is lost if there is no connection, but the scheduler
+    /// expires placements by itself.
     pub fn send_event(&self, event: PlacementEvent) {
         self.send(&FromEntry::Event(event));
     }
 
-    /// Gives back a placement that is not used.
+    /// Returns a placement that will not be used.
     pub fn return_placement(&self, placed: &Placed) {
         self.send_event(PlacementEvent::Ended { ticket: placed.ticket, end: End::NotRun });
     }
 
-    /// A connection is made: requests go through this channel.
+    /// Sets the channel of a new connection.
     pub(super) fn attach(&self, outgoing: mpsc::Sender<Arc<[u8]>>) {
         *self.outgoing.borrow_mut() = Some(outgoing);
         self.paused_until.set(BootTime::ZERO);
         self.connected.notify_waiters();
     }
 
-    /// The connection has ended, and with it all that waits for an answer.
+    /// Removes the channel of a closed connection and cancels all pending requests.
     pub(super) fn detach(&self) {
         *self.outgoing.borrow_mut() = None;
         self.pending.borrow_mut().clear();
     }
 
-    /// Hands an answer to whoever waits for it. A placement that nobody waits for is given back: the caller
-    /// has left, or the entry has decided alone.
+    /// Delivers a reply to the pending request. A placement is returned if the request is no longer
+    /// pending.
     pub(super) fn deliver(&self, number: u64, reply: Reply) {
         let pending = match reply {
             Reply::Placed(_) => self.pending.borrow_mut().remove(&number),
@@ -187,7 +188,7 @@
     }
 }
 
-/// How long a prompt waits for a scheduler.
+/// How long a prompt waits for a scheduler to become available.
 fn scheduler_wait(request: &PlacementRequest) -> Duration {
     let held = request.objective.mul_f64(WAIT_OBJECTIVE_FRACTION).max(MIN_SCHEDULER_WAIT);
     held.min(request.time_left / TIME_LEFT_DIVISOR)
--- a/src/gateway/scheduler_connection.rs
+++ b/src/gateway/scheduler_connection.rs
@@ -1,4 +1,4 @@
-//! The connection to the scheduler at the leading replica.
+//! The connection to the scheduler, which runs on the leader of the replicas.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -15,16 +15,16 @@
 use crate::log::Term;
 use crate::net;
 
-/// Longest time to connect.
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// A connection whose bytes are not acknowledged for this long is given up.
+/// A connection whose sent bytes are not acknowledged for this long is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(500);
-/// Frames that wait for the connection.
+/// Capacity of the queue of outgoing frames.
 const QUEUE_LEN: usize = 512;
-/// Pause before a leader that could not be reached is tried again.
+/// Delay before the same leader is connected to again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Keeps connected to the replica that leads, for as long as the process lives.
+/// Maintains a connection to the leader for the lifetime of the process.
 pub async fn keep_connected(gateway: Rc<Gateway>) {
     loop {
         let Some(leader) = gateway.current_leader() else {
@@ -35,7 +35,7 @@
         gateway.scheduler.detach();
         let reason = ended.err().map(|error| error.to_string());
         log::info!("event=scheduler_disconnected replica={} reason={reason:?}", leader.0);
-        // A leader that is not reached is tried again after a pause; another one at once.
+        // Waits before reconnecting to the same leader, but not if the leader has changed.
         let _ = tokio::time::timeout(RECONNECT_DELAY, until_leader_changes(&gateway, leader)).await;
     }
 }
@@ -73,10 +73,10 @@
     }
 }
 
-/// Ends once another replica leads, or the same one in another term.
+/// Waits until the leader or its term changes.
 async fn until_leader_changes(gateway: &Gateway, leader: (IpAddr, Term)) {
     while gateway.current_leader() == Some(leader) {
-        // A change that comes just before is seen after the pause.
+        // The timeout covers a change just before `notified` was called.
         let _ = tokio::time::timeout(RECONNECT_DELAY, gateway.leader_changed.notified()).await;
     }
 }
