--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: prompts by the scheduler's word, everything else by this entry's own.
+//! Selects targets: prompts are placed by the scheduler if it is available, others by the entry.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,32 +12,32 @@
 use crate::scheduler::weights::{BEGINS_WITHIN, OldWeights, RolloutHistory};
 use crate::scheduler::{Placed, PlacementError, PlacementRequest};
 
-/// An entry that has a part of the list of targets waits so long for one that a prompt was placed at: the
-/// rest of the list takes a tenth of a second.
+/// How long to wait for a placed prompt's target to appear in a roster that has only been received
+/// in part.
 const LISTED_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A target for one attempt.
+/// The target of one attempt.
 pub struct SelectedTarget {
-    /// The target.
+    /// The target itself.
     pub target: TargetStart,
-    /// The scheduler's word, if it is its choice.
+    /// The placement, if the scheduler selected the target.
     pub placed: Option<Placed>,
     /// The weights that the engine must run.
     pub weight_version: Option<u64>,
-    /// What the choice rests on, as key=value pairs.
+    /// The reasons for the selection as key=value pairs, for the log.
     pub trace: String,
 }
 
-/// Why there is no target.
+/// Why no target was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoTarget {
-    /// None is known here, or none is sound.
+    /// The entry's own selection found no suitable target.
     Selection(placement::SelectionError),
-    /// None will have room in time. Come back after this time.
+    /// No target will have capacity in time. The caller may retry after this time.
     Busy(Duration),
 }
 
-/// Chooses a target.
+/// Selects a target that is not in `avoid`.
 ///
 /// # Errors
 /// If there is none.
@@ -116,7 +116,7 @@
     Ok(SelectedTarget { target: choice.target, placed: None, weight_version, trace })
 }
 
-/// Whether a prompt may still begin on the weights that it was placed for.
+/// Whether a prompt may still start on the weights for which its target was selected.
 pub fn may_start_on_weights(
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -125,7 +125,7 @@
     let Some(prompt) = &routed.metadata.prompt else { return true };
     let old_weights = gateway.host.periods.old_weights;
     let old_weights = match selected.placed {
-        // Only the scheduler knows from when its own bound counts.
+        // This bound starts when the scheduler does, which the entry does not know.
         Some(_) => OldWeights { within: None, ..old_weights },
         None => old_weights,
     };
@@ -134,8 +134,8 @@
     old_weights.cost_ms(history, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
 }
 
-/// Which weights the engine must run, the newest named ones, and how long ago the first were named
-/// that the engine has missed.
+/// Describes the selected and the newest announced weights, and how long ago the first version was
+/// announced that the engine lacks.
 fn weights_trace(gateway: &Gateway, routed: &RoutedRequest, expected: Option<u64>) -> String {
     let Some(prompt) = &routed.metadata.prompt else { return String::new() };
     let rollouts = gateway.rollouts.borrow();
@@ -151,7 +151,7 @@
     )
 }
 
-/// What the scheduler is asked; `None` if the request is no prompt.
+/// Builds the placement request; `None` if the request is not a prompt.
 fn placement_request(
     gateway: &Gateway,
     routed: &RoutedRequest,
@@ -165,7 +165,7 @@
         .filter(|state| !state.health.admits(state.running, now))
         .map(|state| state.listed.start.clone());
     let mut avoid: Vec<TargetStart> = avoid.iter().cloned().chain(suspects).collect();
-    // An entry that is cut off from many engines knows nothing against them.
+    // If most targets seem unhealthy, the cause is probably this entry's own network.
     if avoid.len() * 2 > fleet.live(&routed.service).count() {
         avoid.truncate(routed.route.attempts as usize);
     }
--- a/src/gateway/termination.rs
+++ b/src/gateway/termination.rs
@@ -1,4 +1,5 @@
-//! Looks whether a target has ended when a run there breaks off.
+//! Detects whether a target has terminated when a run there fails, and reports the runs to the
+//! quarantine.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -14,17 +15,16 @@
 use crate::quarantine::share;
 use crate::telemetry::metrics::label;
 
-/// A target that still listened is looked at once more after this time: it may close its connections
-/// before its address.
+/// Delay before a target that accepted a connection is probed again. A terminating process may
+/// close its connections before its listener.
 const SECOND_PROBE_DELAY: Duration = Duration::from_millis(250);
-/// A request waits for the first look for this long before it is sent elsewhere. Looking takes a
-/// millisecond or two.
+/// How long a request waits for the result of a probe before it is retried elsewhere.
 const PROBE_WAIT: Duration = Duration::from_millis(50);
-/// Broken runs that are named in a line of the log.
+/// Number of runs whose fingerprints are logged for a terminated target.
 const MAX_LOGGED_RUNS: usize = 64;
 
-/// A run of a request, sent to a target at `sent_at`, broke off there. Waits until it is known whether the
-/// target has ended, for a short time.
+/// Records that a run, sent to a target at `sent_at`, failed there. Probes the target and waits
+/// shortly for the result, so that a retry takes a new quarantine into account.
 pub async fn report_broken_run(
     gateway: &Rc<Gateway>,
     routed: &RoutedRequest,
@@ -34,7 +34,7 @@
 ) {
     let run = BrokenRun { fingerprint: routed.fingerprint(), sent_at, broke_at: boot_now() };
     record.set_fingerprint(run.fingerprint);
-    // Who leaves ends as planned.
+    // The termination of a leaving target is planned.
     if gateway.fleet.borrow().was_told_to_leave(target) {
         return;
     }
@@ -50,7 +50,7 @@
 }
 
 async fn wait_for_probe(gateway: &Gateway) {
-    // Whoever is not told in time goes on without.
+    // The request proceeds without the result after the timeout.
     let _ = tokio::time::timeout(PROBE_WAIT, gateway.probe_finished.notified()).await;
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Whether a target accepts a connection, or at least does not refuse one.
+/// Whether a target is listening, which is assumed unless it refuses a connection.
 async fn is_listening(gateway: &Gateway, target: &TargetStart) -> bool {
     let address = gateway.fleet.borrow().get(target).map(|state| state.listed.address);
     let refuses = match address {
@@ -83,7 +83,7 @@
     !refuses
 }
 
-/// There is evidence that a target has ended.
+/// Records evidence that a target has terminated, and reports its failed runs to the quarantine.
 pub fn record_termination(gateway: &Gateway, target: &TargetStart, evidence: &str) {
     let runs = gateway.broken_runs.borrow_mut().has_ended(target, boot_now());
     if !runs.is_empty() {
@@ -91,8 +91,8 @@
     }
 }
 
-/// Takes starts at which runs broke off, and which never said that they leave, for ended once the list names them no
-/// more. Call it after each change of the list.
+/// Records the termination of targets with failed runs that are no longer in the roster although
+/// they were never leaving. To be called after each change of the roster.
 pub fn record_unlisted(gateway: &Gateway) {
     let is_unlisted = |target: &&TargetStart| {
         !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
