--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one target, and the head of its answer awaited.
+//! A single attempt: sends a request to one target and waits for the head of the response.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -10,13 +10,13 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use super::call::{Forwarded, KeptParts, ResponseMetadata};
-use super::examine;
-use super::job::Job;
-use super::place::{self, Chosen, NoChoice};
-use super::pool::{Connection, Sent};
-use super::record::Record;
-use super::state::{AtTarget, Gateway};
+use super::metadata::{ForwardingMetadata, PartTransfers, ResponseMetadata};
+use super::pool::{Connection, SendOutcome};
+use super::request_record::RequestRecord;
+use super::routed_request::RoutedRequest;
+use super::state::{Gateway, InFlightRequest};
+use super::target_selection::{self, NoTarget, SelectedTarget};
+use super::termination;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::fleet::placement::SelectionError;
@@ -24,155 +24,166 @@
 use crate::platform::headers;
 use crate::scheduler::End;
 
-/// Connections that are tried for one attempt. A target that can't be reached has run nothing.
-const CONNECTIONS_TRIED: usize = 4;
-/// Below this there is no point in sending a request: it could not be answered in time.
-const LEAST_TIME: Duration = Duration::from_millis(10);
+/// Connections that one attempt may try. A target that could not be reached has run nothing.
+const MAX_CONNECT_ATTEMPTS: usize = 4;
+/// A request with less time left than this is not sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// An answer whose head is here.
-pub struct Answered {
-    /// The target.
+/// A response whose head has been received.
+pub struct TargetResponse {
+    /// The target that sent it.
     pub target: TargetStart,
-    /// The answer.
-    pub answer: Response<Incoming>,
-    /// What it says beside its content.
-    pub outcome: ResponseMetadata,
-    /// The connection, to be given back once the body is whole.
+    /// The head, with the body still to be read.
+    pub response: Response<Incoming>,
+    /// Metadata from the headers.
+    pub response_metadata: ResponseMetadata,
+    /// The connection, which returns to the pool after the body has been read.
     pub connection: Connection,
-    /// Counts the request at the target.
-    pub at_target: AtTarget,
-    /// When it was sent.
+    /// Accounts for the request at the target.
+    pub in_flight: InFlightRequest,
+    /// When the request was sent.
     pub sent_at: BootTime,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt has no response to relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Missed {
-    /// No target can take it now.
-    Unplaced(NoChoice),
-    /// The target did not run it.
+pub enum AttemptError {
+    /// No target can take the request now.
+    NoTarget(NoTarget),
+    /// The target did not run the request.
     NotRun(TargetStart),
-    /// It may have run.
+    /// The target failed and may have run the request.
     MayHaveRun(TargetStart),
-    /// Targets have ended under it: it must reach none for so long.
+    /// The request is quarantined for this much longer.
     Held(Duration),
-    /// Its time is over before it was sent.
+    /// The deadline passed before the request was sent.
     TooLate,
-    /// Its time is over after it was sent.
+    /// No response arrived in time. The target may have run the request.
     TimedOut(TargetStart),
 }
 
-/// Sends a request to the best target.
+/// Sends a request to the best target that accepts a connection and waits for the head of the
+/// response.
 ///
 /// # Errors
-/// Why there is no answer.
+/// If no target returned a response to this request.
 pub async fn attempt(
     gateway: &Rc<Gateway>,
-    job: &Job,
+    routed: &RoutedRequest,
     tried: &[TargetStart],
     resume_after: Option<&str>,
-    patience: Option<Duration>,
-    record: &mut Record,
-) -> Result<Answered, Missed> {
+    response_timeout: Option<Duration>,
+    record: &mut RequestRecord,
+) -> Result<TargetResponse, AttemptError> {
     let mut avoid = tried.to_vec();
-    for _ in 0..CONNECTIONS_TRIED {
-        if let Some(left) = held_for(gateway, job, record) {
-            return Err(Missed::Held(left));
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
+        if let Some(left) = held_for(gateway, routed, record) {
+            return Err(AttemptError::Held(left));
         }
-        let chosen = place::choose(gateway, job, &avoid).await.map_err(Missed::Unplaced)?;
-        let target = chosen.target.clone();
-        let reading = job.call.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
-        let ticket = chosen.placed.as_ref().map(|placed| placed.ticket);
-        let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
-        let Some(mut connection) = connect(gateway, &target, job.ends_at, record).await else {
-            at_target.ends(End::Unreachable);
+        let selected = target_selection::select_target(gateway, routed, &avoid)
+            .await
+            .map_err(AttemptError::NoTarget)?;
+        let target = selected.target.clone();
+        let prompt_tokens =
+            routed.metadata.prompt.as_ref().map_or(0, |prompt| prompt.prompt_tokens);
+        let ticket = selected.placed.as_ref().map(|placed| placed.ticket);
+        let mut in_flight = InFlightRequest::new(gateway, &target, ticket, prompt_tokens);
+        let Some(mut connection) = connect(gateway, &target, routed.deadline, record).await else {
+            in_flight.set_end(End::Unreachable);
             avoid.push(target);
             continue;
         };
-        // The scheduler may hear later than this entry that the target leaves, and connecting takes time.
+        // The target may have started to leave since the scheduler chose it, and while the
+        // connection was opened.
         if !gateway.fleet.borrow().takes_work(&target) {
-            record.failed(&target, "it takes no new work");
-            at_target.ends(End::NotRun);
+            record.attempt_failed(&target, "it takes no new work");
+            in_flight.set_end(End::NotRun);
             avoid.push(target);
             continue;
         }
-        // Its word may have lain for long at an entry that was starved, and connecting takes time.
-        if !place::may_still_begin(gateway, job, &chosen) {
-            record.failed(&target, "its weights must be replaced by now");
-            at_target.ends(End::NotRun);
-            gateway.give_back(&target, connection);
+        // The placement may have become outdated while this task or the connection was delayed.
+        if !target_selection::may_start_on_weights(gateway, routed, &selected) {
+            record.attempt_failed(&target, "its weights must be replaced by now");
+            in_flight.set_end(End::NotRun);
+            gateway.return_connection(&target, connection);
             avoid.push(target);
             continue;
         }
-        // It may have waited for its place for long.
-        if let Some(left) = held_for(gateway, job, record) {
-            at_target.ends(End::NotRun);
-            gateway.give_back(&target, connection);
-            return Err(Missed::Held(left));
+        // The request may have been quarantined while it waited for its placement.
+        if let Some(left) = held_for(gateway, routed, record) {
+            in_flight.set_end(End::NotRun);
+            gateway.return_connection(&target, connection);
+            return Err(AttemptError::Held(left));
         }
-        record.chosen(&chosen, connection.was_used);
-        let time_left = job.ends_at.saturating_duration_since(Instant::now());
-        if time_left < LEAST_TIME {
-            return Err(Missed::TooLate);
+        record.target_selected(&selected, connection.is_reused);
+        let time_left = routed.deadline.saturating_duration_since(Instant::now());
+        if time_left < MIN_TIME_LEFT {
+            return Err(AttemptError::TooLate);
         }
-        let request = request_for(job, &chosen, time_left, resume_after);
-        let give_up_at = patience.map_or(job.ends_at, |p| job.ends_at.min(Instant::now() + p));
+        let request = build_request(routed, &selected, time_left, resume_after);
+        let response_deadline =
+            response_timeout.map_or(routed.deadline, |p| routed.deadline.min(Instant::now() + p));
         let sent_at = boot_now();
-        let sent = timeout_at(give_up_at, connection.send(request)).await;
+        let sent = timeout_at(response_deadline, connection.send(request)).await;
         let now = boot_now();
-        let answer = match sent {
-            Ok(Sent::Answered(answer)) => answer,
-            Ok(Sent::NotSent(reason)) => {
-                record.failed(&target, &reason);
-                at_target.ends(End::NotRun);
+        let response = match sent {
+            Ok(SendOutcome::Response(response)) => response,
+            Ok(SendOutcome::NotSent(reason)) => {
+                record.attempt_failed(&target, &reason);
+                in_flight.set_end(End::NotRun);
                 continue;
             }
-            Ok(Sent::Broken(reason)) => {
-                record.failed(&target, &reason);
-                at_target.ends(End::Failed);
-                drop(at_target);
+            Ok(SendOutcome::Broken(reason)) => {
+                record.attempt_failed(&target, &reason);
+                in_flight.set_end(End::Failed);
+                drop(in_flight);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
-                examine::broke_off(gateway, job, &target, sent_at, record).await;
-                return Err(Missed::MayHaveRun(target));
+                termination::report_broken_run(gateway, routed, &target, sent_at, record).await;
+                return Err(AttemptError::MayHaveRun(target));
             }
             Err(_) => {
-                record.failed(&target, "no answer in time");
-                at_target.ends(End::Failed);
+                record.attempt_failed(&target, "no answer in time");
+                in_flight.set_end(End::Failed);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
-                return Err(Missed::TimedOut(target));
+                return Err(AttemptError::TimedOut(target));
             }
         };
-        let outcome = headers::decode_metadata(answer.headers());
-        let answered = Answered { target, answer, outcome, connection, at_target, sent_at };
-        return judge(gateway, job, answered, record);
+        let response_metadata = headers::decode_metadata(response.headers());
+        let received =
+            TargetResponse { target, response, response_metadata, connection, in_flight, sent_at };
+        return check_response(gateway, routed, received, record);
     }
-    Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoneSound)))
+    Err(AttemptError::NoTarget(NoTarget::Selection(SelectionError::NoneSound)))
 }
 
-/// How much longer the request must not reach a target.
-fn held_for(gateway: &Gateway, job: &Job, record: &mut Record) -> Option<Duration> {
-    let left = gateway.held_for(job)?;
-    record.asks(job.fingerprint());
+/// How long the request remains quarantined; `None` if it is not.
+fn held_for(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    record: &mut RequestRecord,
+) -> Option<Duration> {
+    let left = gateway.held_for(routed)?;
+    record.set_fingerprint(routed.fingerprint());
     Some(left)
 }
 
 async fn connect(
     gateway: &Gateway,
     target: &TargetStart,
-    ends_at: Instant,
-    record: &mut Record,
+    deadline: Instant,
+    record: &mut RequestRecord,
 ) -> Option<Connection> {
-    if let Some(connection) = gateway.pool.reuse(target) {
+    if let Some(connection) = gateway.pool.take_idle(target) {
         return Some(connection);
     }
     let address = gateway.fleet.borrow().get(target)?.listed.address;
-    match timeout_at(ends_at, Connection::open(address)).await {
+    match timeout_at(deadline, Connection::open(address)).await {
         Ok(Ok(connection)) => Some(connection),
         Ok(Err(error)) => {
-            record.failed(target, &error.to_string());
+            record.attempt_failed(target, &error.to_string());
             gateway.fleet.borrow_mut().unreachable(target, boot_now());
             if error.kind() == ErrorKind::ConnectionRefused {
-                examine::has_ended(gateway, target, "refuses connections");
+                termination::record_termination(gateway, target, "refuses connections");
             }
             None
         }
@@ -180,86 +191,93 @@
     }
 }
 
-fn request_for(
-    job: &Job,
-    chosen: &Chosen,
+fn build_request(
+    routed: &RoutedRequest,
+    selected: &SelectedTarget,
     time_left: Duration,
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
-    let placed = chosen.placed.as_ref();
-    let salt = || placed.map_or_else(|| job.cache_wall.clone(), |placed| placed.salt.clone());
-    let forwarded = Forwarded {
-        target: &chosen.target.id,
-        account: job.account.as_ref(),
+    let placed = selected.placed.as_ref();
+    let salt = || placed.map_or_else(|| routed.cache_scope.clone(), |placed| placed.salt.clone());
+    let forwarded = ForwardingMetadata {
+        target: &selected.target.id,
+        account: routed.account.as_ref(),
         time_left,
-        urgency: job.call.prompt.is_some().then_some(job.rank.for_engine()),
-        cache_wall: job.call.prompt.is_some().then(salt),
+        priority: routed.metadata.prompt.is_some().then_some(routed.priority.engine_level()),
+        cache_salt: routed.metadata.prompt.is_some().then(salt),
         resume_after,
-        weight_version: chosen.weight_version,
-        kept: placed.map(|placed| KeptParts {
+        weight_version: selected.weight_version,
+        transfers: placed.map(|placed| PartTransfers {
             fetch: &placed.fetch,
             save: &placed.save,
             fetch_until_ms: placed.fetch_until_ms,
         }),
     };
-    let mut request = Request::new(Full::new(job.body.clone()));
-    *request.method_mut() = job.method.clone();
-    *request.uri_mut() = job.uri.clone();
-    *request.headers_mut() = headers::for_target(&job.headers, &forwarded);
+    let mut request = Request::new(Full::new(routed.body.clone()));
+    *request.method_mut() = routed.method.clone();
+    *request.uri_mut() = routed.uri.clone();
+    *request.headers_mut() = headers::for_target(&routed.headers, &forwarded);
     request
 }
 
-/// Tells an answer to this request from refusals and from answers to others.
-fn judge(
+/// Separates responses to this request from refusals and from responses to other requests.
+fn check_response(
     gateway: &Gateway,
-    job: &Job,
-    mut answered: Answered,
-    record: &mut Record,
-) -> Result<Answered, Missed> {
+    routed: &RoutedRequest,
+    mut received: TargetResponse,
+    record: &mut RequestRecord,
+) -> Result<TargetResponse, AttemptError> {
     let now = boot_now();
-    let Answered { target, answer, outcome, at_target, .. } = &mut answered;
-    record.answered(outcome);
-    if let Some(load) = outcome.load {
+    let TargetResponse { target, response, response_metadata, in_flight, .. } = &mut received;
+    record.response_received(response_metadata);
+    if let Some(load) = response_metadata.load {
         gateway.fleet.borrow_mut().reported(target, load, now);
     }
-    let is_other = outcome.request_id.as_ref().is_some_and(|id| *id != job.call.id);
-    if is_other {
-        // The connection carries an answer to an earlier request: nothing on it can be trusted.
-        record.failed(target, "answer to another request");
-        at_target.ends(End::Failed);
-        return Err(Missed::MayHaveRun(answered.target));
+    let is_for_other_request =
+        response_metadata.request_id.as_ref().is_some_and(|id| *id != routed.metadata.id);
+    if is_for_other_request {
+        // The connection is out of step with its requests and must not be reused.
+        record.attempt_failed(target, "answer to another request");
+        in_flight.set_end(End::Failed);
+        return Err(AttemptError::MayHaveRun(received.target));
     }
-    if answer.status() == StatusCode::MISDIRECTED_REQUEST {
-        record.failed(target, "another target or other weights");
-        let is_replaced = outcome.answered_by.as_ref().is_some_and(|id| *id != target.id);
+    if response.status() == StatusCode::MISDIRECTED_REQUEST {
+        record.attempt_failed(target, "another target or other weights");
+        let is_replaced = response_metadata.answered_by.as_ref().is_some_and(|id| *id != target.id);
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
-            examine::has_ended(gateway, target, "another target answers at its address");
-            at_target.ends(End::Replaced);
+            termination::record_termination(
+                gateway,
+                target,
+                "another target answers at its address",
+            );
+            in_flight.set_end(End::Replaced);
         } else {
-            if let Some(prompt) = &job.call.prompt {
-                let has = outcome.weight_version;
+            if let Some(prompt) = &routed.metadata.prompt {
+                let has = response_metadata.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
-            at_target.ends(End::OtherWeights(outcome.weight_version));
+            in_flight.set_end(End::OtherWeights(response_metadata.weight_version));
         }
-        return Err(Missed::NotRun(answered.target));
+        return Err(AttemptError::NotRun(received.target));
     }
-    if let (Some(prompt), Some(version)) = (&job.call.prompt, outcome.weight_version) {
+    if let (Some(prompt), Some(version)) =
+        (&routed.metadata.prompt, response_metadata.weight_version)
+    {
         gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
     }
-    if outcome.did_not_run {
-        record.failed(target, &format!("not run, status {}", answer.status().as_u16()));
-        at_target.ends(End::NotRun);
-        let Answered { target, connection, outcome, .. } = answered;
-        if !outcome.closes {
-            gateway.give_back(&target, connection);
+    if response_metadata.did_not_run {
+        record.attempt_failed(target, &format!("not run, status {}", response.status().as_u16()));
+        in_flight.set_end(End::NotRun);
+        let TargetResponse { target, connection, response_metadata, .. } = received;
+        if !response_metadata.closes {
+            gateway.return_connection(&target, connection);
         }
-        return Err(Missed::NotRun(target));
+        return Err(AttemptError::NotRun(target));
     }
-    if answer.status().is_server_error() {
-        at_target.ends(End::Failed);
+    if response.status().is_server_error() {
+        in_flight.set_end(End::Failed);
         gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
     }
-    Ok(answered)
+    Ok(received)
 }
--- /dev/null
+++ b/src/gateway/log_limiter.rs
@@ -0,0 +1,41 @@
+//! Limits the rate of request log lines.
+
+use std::cell::Cell;
+use std::hash::BuildHasher;
+
+use rustc_hash::FxBuildHasher;
+
+use crate::clock::BootTime;
+
+/// Successful requests that are logged each second. Beyond that, a sample chosen by a hash of the
+/// request id is logged, so that all processes log the same requests.
+const SUCCESSES_PER_S: u32 = 100;
+/// Other requests that are logged each second.
+const FAILURES_PER_S: u32 = 2_000;
+/// One in this many successful requests is in the sample.
+const SAMPLE_ONE_IN: u64 = 16;
+
+/// Limits the rate of request log lines, with separate limits for successes and failures.
+#[derive(Debug, Default)]
+pub struct RequestLogLimiter {
+    second: Cell<u64>,
+    successes: Cell<u32>,
+    failures: Cell<u32>,
+}
+
+impl RequestLogLimiter {
+    /// Counts a finished request and returns whether to log it.
+    pub fn should_log(&self, id: &str, is_success: bool, now: BootTime) -> bool {
+        if self.second.replace(now.as_secs()) != now.as_secs() {
+            self.successes.set(0);
+            self.failures.set(0);
+        }
+        let (count, limit) = match is_success {
+            true => (&self.successes, SUCCESSES_PER_S),
+            false => (&self.failures, FAILURES_PER_S),
+        };
+        count.set(count.get() + 1);
+        let is_sampled = is_success && FxBuildHasher.hash_one(id).is_multiple_of(SAMPLE_ONE_IN);
+        count.get() <= limit || is_sampled
+    }
+}
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,23 +1,23 @@
-//! Entry of a deployment: takes callers' requests and relays them to targets unchanged.
+//! The entry of a deployment: an HTTP proxy that relays callers' requests to targets unchanged.
 
-pub mod answer;
 pub mod attempt;
-pub mod call;
 pub mod events;
-pub mod examine;
 pub mod freshness;
-pub mod job;
-pub mod line_budget;
-pub mod place;
+pub mod log_limiter;
+pub mod metadata;
 pub mod pool;
-pub mod rank;
-pub mod record;
+pub mod priority;
 pub mod relay;
 pub mod request;
+pub mod request_record;
+pub mod response;
+pub mod routed_request;
 pub mod run;
 pub mod scheduler_client;
 pub mod scheduler_connection;
 pub mod server;
 pub mod state;
 pub mod subscription;
-pub mod subscriptions;
+pub mod subscription_policy;
+pub mod target_selection;
+pub mod termination;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the body of an answer: as a whole, in parts, or event by event.
+//! Relays the body of a response: buffered, streamed, or event by event.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,90 +10,90 @@
 use hyper::body::{Body, Frame, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-use super::answer::{AnswerBody, RelayError, in_parts};
-use super::attempt::{Answered, Missed, attempt};
-use super::call::ResponseMetadata;
+use super::attempt::{AttemptError, TargetResponse, attempt};
 use super::events::EventSplitter;
-use super::examine;
-use super::job::Job;
+use super::metadata::ResponseMetadata;
 use super::pool::Connection;
-use super::record::{Ended, Record};
-use super::state::{AtTarget, Gateway};
+use super::request_record::{Outcome, RequestRecord};
+use super::response::{RelayError, ResponseBody, stream_body};
+use super::routed_request::RoutedRequest;
+use super::state::{Gateway, InFlightRequest};
+use super::termination;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::ids::TargetStart;
 use crate::scheduler::End;
 
-/// A body up to this length is taken as a whole before any of it is relayed, so that one that breaks
-/// off can be asked for again.
-pub const WHOLE_BYTES: u64 = 256 << 10;
-/// A stream that may be resumed goes on elsewhere after a pause of this many of the longest pauses
-/// that the operator allows.
-const PAUSES_TO_RESUME: u32 = 4;
-/// The same where the operator names none.
-const PAUSE_TO_RESUME: Duration = Duration::from_secs(2);
+/// A body of at most this length is buffered before any of it is relayed, so that the request can
+/// be retried if the body is cut short.
+pub const MAX_BUFFERED_BYTES: u64 = 256 << 10;
+/// A resumable stream without an event for this multiple of the route's largest allowed gap is
+/// resumed at another target.
+const GAPS_BEFORE_RESUME: u32 = 4;
+/// Longest gap between events before such a resume if the route sets none.
+const DEFAULT_MAX_GAP: Duration = Duration::from_secs(2);
 
-/// Takes a body as a whole.
+/// Reads a whole body.
 ///
 /// # Errors
-/// If it breaks off or its time is over.
-pub async fn read_whole(body: Incoming, ends_at: Instant) -> Result<Bytes, RelayError> {
-    let body = Limited::new(body, WHOLE_BYTES as usize).collect();
-    Ok(timeout_at(ends_at, body).await??.to_bytes())
+/// If the body is cut short, too long, or not complete by the deadline.
+pub async fn read_buffered(body: Incoming, deadline: Instant) -> Result<Bytes, RelayError> {
+    let body = Limited::new(body, MAX_BUFFERED_BYTES as usize).collect();
+    Ok(timeout_at(deadline, body).await??.to_bytes())
 }
 
-/// Whether a body is surely short enough to be taken as a whole.
-pub fn is_short(body: &Incoming) -> bool {
-    body.size_hint().upper().is_some_and(|bytes| bytes <= WHOLE_BYTES)
+/// Whether a body is known to fit into `MAX_BUFFERED_BYTES`.
+pub fn fits_buffer(body: &Incoming) -> bool {
+    body.size_hint().upper().is_some_and(|bytes| bytes <= MAX_BUFFERED_BYTES)
 }
 
-/// Relays a stream of events.
+/// Relays a stream of server-sent events, and resumes it at another target if it fails.
 pub struct EventRelay {
-    /// The entry.
+    /// The shared state of the entry.
     pub gateway: Rc<Gateway>,
-    /// The request.
-    pub job: Job,
-    /// What happens to it.
-    pub record: Record,
-    /// Targets that it was sent to.
+    /// The request that the stream answers.
+    pub routed: RoutedRequest,
+    /// The log record of the request.
+    pub record: RequestRecord,
+    /// Targets that the request was sent to.
     pub tried: Vec<TargetStart>,
     source: Option<Source>,
     events: EventSplitter,
 }
 
-/// Where events come from.
+/// The target's response that events are read from.
 struct Source {
     target: TargetStart,
     body: Incoming,
-    outcome: ResponseMetadata,
+    response_metadata: ResponseMetadata,
     connection: Connection,
-    at_target: AtTarget,
+    in_flight: InFlightRequest,
     sent_at: BootTime,
 }
 
-enum Next {
+enum SourceRead {
     Events(Bytes),
-    Whole,
+    Complete,
     Broken(String),
-    TimeOver,
+    TimedOut,
 }
 
 impl EventRelay {
-    /// A relay of an answer.
+    /// Relays the events of this response.
     pub fn new(
         gateway: Rc<Gateway>,
-        job: Job,
-        record: Record,
+        routed: RoutedRequest,
+        record: RequestRecord,
         tried: Vec<TargetStart>,
-        answered: Answered,
+        received: TargetResponse,
     ) -> EventRelay {
-        let source = Some(Source::new(answered));
-        EventRelay { gateway, job, record, tried, source, events: EventSplitter::default() }
+        let source = Some(Source::new(received));
+        EventRelay { gateway, routed, record, tried, source, events: EventSplitter::default() }
     }
 
-    /// The body as the caller gets it.
-    pub fn into_body(self) -> AnswerBody {
-        in_parts(stream::unfold(Some(self), |relay| async {
+    /// Turns the relay into the body of the response to the caller.
+    pub fn into_body(self) -> ResponseBody {
+        stream_body(stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
             match relay.next().await {
                 Ok(Some(events)) => Some((Ok(Frame::data(events)), Some(relay))),
@@ -103,150 +103,196 @@
         }))
     }
 
-    /// The next whole events; `None` at the end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, RelayError> {
         loop {
-            match self.next_of_source().await {
-                Next::Events(events) => {
-                    self.record.first_part();
+            match self.read_source().await {
+                SourceRead::Events(events) => {
+                    self.record.first_part_sent();
                     return Ok(Some(events));
                 }
-                Next::Whole => {
+                SourceRead::Complete => {
                     self.finish();
                     return Ok(None);
                 }
-                Next::TimeOver => {
-                    self.record.end(Ended::BrokenOff);
+                SourceRead::TimedOut => {
+                    self.record.set_outcome(Outcome::BrokenOff);
                     return Err("its time is over".into());
                 }
-                Next::Broken(reason) => self.go_on_elsewhere(reason).await?,
+                SourceRead::Broken(reason) => self.resume(reason).await?,
             }
         }
     }
 
-    async fn next_of_source(&mut self) -> Next {
-        let pause = self.longest_pause();
-        let Some(source) = &mut self.source else { return Next::Broken("no source".into()) };
+    async fn read_source(&mut self) -> SourceRead {
+        let max_gap = self.max_gap();
+        let Some(source) = &mut self.source else { return SourceRead::Broken("no source".into()) };
         loop {
-            let ends_at =
-                pause.map_or(self.job.ends_at, |p| self.job.ends_at.min(Instant::now() + p));
-            let frame = match timeout_at(ends_at, source.body.frame()).await {
+            let deadline = max_gap
+                .map_or(self.routed.deadline, |p| self.routed.deadline.min(Instant::now() + p));
+            let frame = match timeout_at(deadline, source.body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) if Instant::now() >= self.job.ends_at => return Next::TimeOver,
-                Err(_) => return Next::Broken("no event for too long".into()),
+                Err(_) if Instant::now() >= self.routed.deadline => return SourceRead::TimedOut,
+                Err(_) => return SourceRead::Broken("no event for too long".into()),
             };
             match frame {
-                None if self.events.holds_part() => {
-                    return Next::Broken("ends within an event".into());
+                None if self.events.has_partial() => {
+                    return SourceRead::Broken("ends within an event".into());
                 }
-                None => return Next::Whole,
-                Some(Err(error)) => return Next::Broken(error.to_string()),
+                None => return SourceRead::Complete,
+                Some(Err(error)) => return SourceRead::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    source.at_target.has_read(&source.outcome);
+                    source.in_flight.prompt_read(&source.response_metadata);
                     match self.events.push(&data) {
                         Ok(events) if events.is_empty() => {}
-                        Ok(events) => return Next::Events(events),
-                        Err(_) => return Next::Broken("an event is too large".into()),
+                        Ok(events) => return SourceRead::Events(events),
+                        Err(_) => return SourceRead::Broken("an event is too large".into()),
                     }
                 }
             }
         }
     }
 
-    fn longest_pause(&self) -> Option<Duration> {
+    fn max_gap(&self) -> Option<Duration> {
         if !self.may_resume() {
             return None;
         }
-        let pause = self.job.route.gap_target.map_or(PAUSE_TO_RESUME, |gap| gap * PAUSES_TO_RESUME);
-        Some(pause.max(self.job.route.objective))
+        let max_gap =
+            self.routed.route.gap_target.map_or(DEFAULT_MAX_GAP, |gap| gap * GAPS_BEFORE_RESUME);
+        Some(max_gap.max(self.routed.route.objective))
     }
 
     fn may_resume(&self) -> bool {
-        self.job.route.policy.may_repeat() && (self.tried.len() as u32) < self.job.route.attempts
+        self.routed.route.policy.may_repeat()
+            && (self.tried.len() as u32) < self.routed.route.attempts
     }
 
     fn finish(&mut self) {
-        self.record.end(Ended::Relayed(StatusCode::OK.as_u16()));
+        self.record.set_outcome(Outcome::Relayed(StatusCode::OK.as_u16()));
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Whole);
+            source.in_flight.set_end(End::Whole);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
-            self.gateway.answered_whole(&self.job);
-            if !source.outcome.closes {
-                self.gateway.give_back(&source.target, source.connection);
+            self.gateway.record_success(&self.routed);
+            if !source.response_metadata.closes {
+                self.gateway.return_connection(&source.target, source.connection);
             }
         }
     }
 
-    /// Resumes the stream at another engine after the last whole event.
-    async fn go_on_elsewhere(&mut self, reason: String) -> Result<(), RelayError> {
+    /// Resumes the stream at another target, after the last complete event.
+    async fn resume(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Failed);
-            self.record.failed(&source.target, &reason);
+            source.in_flight.set_end(End::Failed);
+            self.record.attempt_failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
             let (target, sent_at) = (source.target.clone(), source.sent_at);
-            // Closes the connection, which ends the run there.
+            // Closes the connection, which cancels the request at the target.
             drop(source);
-            examine::broke_off(&self.gateway, &self.job, &target, sent_at, &mut self.record).await;
+            termination::report_broken_run(
+                &self.gateway,
+                &self.routed,
+                &target,
+                sent_at,
+                &mut self.record,
+            )
+            .await;
         }
-        self.record.end(Ended::BrokenOff);
-        let has_retry = || self.gateway.retries.borrow_mut().spend(&self.job.service, boot_now());
-        if !may_resume || !has_retry() {
+        self.record.set_outcome(Outcome::BrokenOff);
+        let has_retry_budget =
+            || self.gateway.retries.borrow_mut().spend(&self.routed.service, boot_now());
+        if !may_resume || !has_retry_budget() {
             return Err(reason.into());
         }
-        self.events.drop_part();
-        let last = self.events.last_id().or(self.job.call.resume_after.as_deref());
+        self.events.discard_partial();
+        let last = self.events.last_id().or(self.routed.metadata.resume_after.as_deref());
         let last = last.map(str::to_string);
-        let resumed =
-            attempt(&self.gateway, &self.job, &self.tried, last.as_deref(), None, &mut self.record)
-                .await;
+        let resumed = attempt(
+            &self.gateway,
+            &self.routed,
+            &self.tried,
+            last.as_deref(),
+            None,
+            &mut self.record,
+        )
+        .await;
         match resumed {
-            Ok(answered) if answered.answer.status() == StatusCode::OK => {
-                self.tried.push(answered.target.clone());
-                self.source = Some(Source::new(answered));
+            Ok(received) if received.response.status() == StatusCode::OK => {
+                self.tried.push(received.target.clone());
+                self.source = Some(Source::new(received));
                 Ok(())
             }
-            Ok(answered) => Err(format!("resumed with {}", answered.answer.status()).into()),
-            Err(Missed::Unplaced(why)) => Err(format!("no engine to resume at: {why:?}").into()),
-            Err(missed) => Err(format!("not resumed: {missed:?}").into()),
+            Ok(received) => {
+                Err(format!("stream resumed with status {}", received.response.status()).into())
+            }
+            Err(AttemptError::NoTarget(why)) => {
+                Err(format!("no target to resume the stream at: {why:?}").into())
+            }
+            Err(error) => Err(format!("stream not resumed: {error:?}").into()),
         }
     }
 }
 
 impl Source {
-    fn new(answered: Answered) -> Source {
-        let Answered { target, answer, outcome, mut connection, at_target, sent_at } = answered;
-        connection.set_idle_timeout(outcome.idle_timeout);
-        Source { target, body: answer.into_body(), outcome, connection, at_target, sent_at }
+    fn new(received: TargetResponse) -> Source {
+        let TargetResponse {
+            target,
+            response,
+            response_metadata,
+            mut connection,
+            in_flight,
+            sent_at,
+        } = received;
+        connection.set_idle_timeout(response_metadata.idle_timeout);
+        Source {
+            target,
+            body: response.into_body(),
+            response_metadata,
+            connection,
+            in_flight,
+            sent_at,
+        }
     }
 }
 
-/// Relays a body that is no stream of events and too long to be taken as a whole.
-pub fn raw(gateway: Rc<Gateway>, job: Job, answered: Answered, record: Record) -> AnswerBody {
-    let status = answered.answer.status();
-    let source = Source::new(answered);
-    in_parts(stream::unfold(Some((gateway, job, source, record)), move |state| async move {
-        let (gateway, job, mut source, mut record) = state?;
-        let error: RelayError = match timeout_at(job.ends_at, source.body.frame()).await {
+/// Streams a body that is not an event stream and may be too long to be buffered.
+pub fn relay_body(
+    gateway: Rc<Gateway>,
+    routed: RoutedRequest,
+    received: TargetResponse,
+    record: RequestRecord,
+) -> ResponseBody {
+    let status = received.response.status();
+    let source = Source::new(received);
+    stream_body(stream::unfold(Some((gateway, routed, source, record)), move |state| async move {
+        let (gateway, routed, mut source, mut record) = state?;
+        let error: RelayError = match timeout_at(routed.deadline, source.body.frame()).await {
             Ok(None) => {
-                record.end(Ended::Relayed(status.as_u16()));
+                record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
-                    gateway.answered_whole(&job);
+                    gateway.record_success(&routed);
                 }
                 return None;
             }
             Ok(Some(Ok(frame))) => {
-                record.first_part();
-                return Some((Ok(frame), Some((gateway, job, source, record))));
+                record.first_part_sent();
+                return Some((Ok(frame), Some((gateway, routed, source, record))));
             }
             Ok(Some(Err(error))) => error.into(),
             Err(_) => "its time is over".into(),
         };
-        record.failed(&source.target, &error.to_string());
-        record.end(Ended::BrokenOff);
-        if Instant::now() < job.ends_at {
-            examine::broke_off(&gateway, &job, &source.target, source.sent_at, &mut record).await;
+        record.attempt_failed(&source.target, &error.to_string());
+        record.set_outcome(Outcome::BrokenOff);
+        if Instant::now() < routed.deadline {
+            termination::report_broken_run(
+                &gateway,
+                &routed,
+                &source.target,
+                source.sent_at,
+                &mut record,
+            )
+            .await;
         }
         Some((Err(error), None))
     }))
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles one request of a caller: routing, attempts at targets, and the response.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -12,98 +12,100 @@
 use rand::RngExt;
 use tokio::time::Instant;
 
-use super::answer::{Answer, Refusal, refuse, whole};
-use super::attempt::{Answered, Missed, attempt};
-use super::call::Call;
-use super::examine;
-use super::job::Job;
-use super::place::NoChoice;
-use super::rank::Rank;
-use super::record::{Ended, Record};
+use super::attempt::{AttemptError, TargetResponse, attempt};
+use super::metadata::RequestMetadata;
+use super::priority::Priority;
 use super::relay::{self, EventRelay};
+use super::request_record::{Outcome, RequestRecord};
+use super::response::{GatewayResponse, Refusal, full_body, refusal_response};
+use super::routed_request::RoutedRequest;
 use super::state::{Confirmation, Gateway};
+use super::target_selection::NoTarget;
+use super::termination;
 use crate::clock::boot_now;
 use crate::deployment::{Rejection, RunPolicy, Table};
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
 
-/// A refused caller comes back after this at the least: about what an engine needs for a prompt.
-const COME_BACK_AFTER: Duration = Duration::from_millis(200);
-/// Refused callers spread their return over this time, so that they don't come as a wave.
-const COME_BACK_SPREAD: Duration = Duration::from_millis(600);
-/// A request that may be repeated waits this many objectives for the first part of its answer
-/// before another target is asked.
-const OBJECTIVES_TO_WAIT: u32 = 2;
-/// A prompt waits at least this long: asking another engine costs reading it twice, and in a queue
-/// that would only make the queue longer. Callers wait for two seconds or more.
-const LEAST_PROMPT_WAIT: Duration = Duration::from_millis(1_500);
-/// Until an entry knows a deployment and targets after all hosts lost power: an election takes up to
-/// a second, and news some ten milliseconds.
-const START_TAKES: Duration = Duration::from_millis(1_200);
-/// A caller waits for that for at most this part of its time: it may still come back elsewhere.
-const START_PART: u32 = 3;
-/// Names the cache that accounts without a wall of their own share.
-const SHARED_CACHE: &str = "all";
+/// Shortest `Retry-After` of a refusal: about the time that an engine needs for one prompt.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Random addition to `Retry-After`, so that refused callers don't all return at the same time.
+const RETRY_AFTER_JITTER: Duration = Duration::from_millis(600);
+/// A request that may be repeated waits this multiple of the route's objective for the head of the
+/// response before it is sent to another target.
+const OBJECTIVES_BEFORE_RETRY: u32 = 2;
+/// Shortest such wait for a prompt. A retry makes a second engine read the whole prompt, which
+/// lengthens the queues if the engines are overloaded.
+const MIN_PROMPT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a request waits for an entry that has just started and has no deployment or targets
+/// yet. Covers an election of the replicas' leader after all hosts have lost power.
+const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1_200);
+/// Such a request waits for at most its deadline divided by this, so that its caller can retry.
+const STARTUP_WAIT_DIVISOR: u32 = 3;
+/// Cache scope of all requests whose account is not isolated.
+const SHARED_CACHE_SCOPE: &str = "all";
 
-/// Answers a request.
-pub async fn answer(gateway: Rc<Gateway>, request: Request<Incoming>) -> Answer {
-    let begun = boot_now();
+/// Handles a request and returns the response for its caller.
+pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
+    let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let call = headers::decode_call(&head.uri, &head.headers);
-    let mut record = Record::new(&gateway, &call, begun);
-    let mut answer = match admit(&gateway, head, call, body, arrived, &mut record).await {
-        Ok(job) => serve(&gateway, job, record).await,
-        Err((refusal, id)) => refused(refusal, &id, &record),
+    let metadata = headers::decode_call(&head.uri, &head.headers);
+    let mut record = RequestRecord::new(&gateway, &metadata, started_at);
+    let mut response = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
+        Ok(routed) => serve(&gateway, routed, record).await,
+        Err((refusal, id)) => refuse(refusal, &id, &record),
     };
     if gateway.stopping.get() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-/// Finds the route, takes the body, and works out what all attempts share.
+/// Routes the request and reads its body.
 async fn admit(
     gateway: &Gateway,
     head: http::request::Parts,
-    call: Call,
+    metadata: RequestMetadata,
     body: Incoming,
     arrived: Instant,
-    record: &mut Record,
-) -> Result<Job, (Refusal, String)> {
-    let patience = patience_at_start(call.deadline);
-    gateway.until_deployed(patience).await;
-    let table = match table_for(gateway, &call, record).await {
+    record: &mut RequestRecord,
+) -> Result<RoutedRequest, (Refusal, String)> {
+    let max_wait = startup_wait(metadata.deadline);
+    gateway.wait_for_deployment(max_wait).await;
+    let table = match confirmed_table(gateway, &metadata, record).await {
         Ok(table) => table,
-        Err(refusal) => return Err((refusal, call.id)),
+        Err(refusal) => return Err((refusal, metadata.id)),
     };
-    let mut job = job(&table, head, call, arrived, record)?;
-    let (version, most) = (table.deployment().version, table.deployment().bounds.body_bytes);
+    let mut routed = route_request(&table, head, metadata, arrived, record)?;
+    let (version, max_bytes) = (table.deployment().version, table.deployment().bounds.body_bytes);
     drop(table);
-    gateway.until_served(&job.service, patience.saturating_sub(arrived.elapsed())).await;
-    job.body = match read_body(body, most).await {
+    gateway.wait_for_service(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
+    routed.body = match read_body(body, max_bytes).await {
         Ok(body) => body,
-        // Its beginning is gone, so that it can't be taken by a later deployment that allows more.
+        // The body is partly consumed, so the request can't be checked against a later deployment
+        // with a larger limit.
         Err(Refusal::BodyTooLarge) if gateway.confirm(version).await != Confirmation::Newest => {
-            return Err((Refusal::Unconfirmed, job.call.id));
+            return Err((Refusal::Unconfirmed, routed.metadata.id));
         }
-        Err(refusal) => return Err((refusal, job.call.id)),
+        Err(refusal) => return Err((refusal, routed.metadata.id)),
     };
-    Ok(job)
+    Ok(routed)
 }
 
-/// The table by which a request is routed, or refused for good: only by the newest deployment.
-async fn table_for(
+/// Returns a routing table that has a route and account for the request, or else the table of the
+/// confirmed newest deployment, by which the request may be rejected for good.
+async fn confirmed_table(
     gateway: &Gateway,
-    call: &Call,
-    record: &mut Record,
+    metadata: &RequestMetadata,
+    record: &mut RequestRecord,
 ) -> Result<Rc<Table>, Refusal> {
     loop {
         let table = gateway.table().ok_or(Refusal::NotReady)?;
         let version = table.deployment().version;
-        record.looked_up(version);
-        if table.find(&call.host, &call.path, call.key.as_deref()).is_ok() {
+        record.set_version(version);
+        if table.find(&metadata.host, &metadata.path, metadata.key.as_deref()).is_ok() {
             return Ok(table);
         }
         match gateway.confirm(version).await {
@@ -114,191 +116,215 @@
     }
 }
 
-/// How long a caller is kept waiting by an entry that has just started and knows nothing yet: a
-/// refusal would send it to another entry, which may have just started, too.
-pub fn patience_at_start(deadline: Option<Duration>) -> Duration {
-    deadline.map_or(START_TAKES, |deadline| START_TAKES.min(deadline / START_PART))
+/// How long a request waits at an entry that has just started and knows no deployment yet. The
+/// other entries may have just started too, so that an immediate retry there would also fail.
+pub fn startup_wait(deadline: Option<Duration>) -> Duration {
+    deadline
+        .map_or(MAX_STARTUP_WAIT, |deadline| MAX_STARTUP_WAIT.min(deadline / STARTUP_WAIT_DIVISOR))
 }
 
-/// Works out what all attempts share, but for the body.
-fn job(
+/// Finds the route, account and service of a request. The body is added later.
+fn route_request(
     table: &Table,
     head: http::request::Parts,
-    call: Call,
+    metadata: RequestMetadata,
     arrived: Instant,
-    record: &mut Record,
-) -> Result<Job, (Refusal, String)> {
-    let found = match table.find(&call.host, &call.path, call.key.as_deref()) {
+    record: &mut RequestRecord,
+) -> Result<RoutedRequest, (Refusal, String)> {
+    let found = match table.find(&metadata.host, &metadata.path, metadata.key.as_deref()) {
         Ok(found) => found,
-        Err(Rejection::NoRoute) => return Err((Refusal::NoRoute, call.id)),
-        Err(Rejection::UnknownKey) => return Err((Refusal::UnknownKey, call.id)),
+        Err(Rejection::NoRoute) => return Err((Refusal::NoRoute, metadata.id)),
+        Err(Rejection::UnknownKey) => return Err((Refusal::UnknownKey, metadata.id)),
     };
     let route = found.route.clone();
-    let rank = Rank::of(found.account, &route);
-    record.routed(&route.name, rank);
+    let priority = Priority::of(found.account, &route);
+    record.set_route(&route.name, priority);
     let mut random = rand::rng();
     let Some(service) = route.pick(random.random()).cloned() else {
-        return Err((Refusal::NoTarget, call.id));
+        return Err((Refusal::NoTarget, metadata.id));
     };
     let isolated = found.account.filter(|account| account.is_isolated);
-    let most = call.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-    Ok(Job {
+    let timeout = metadata.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    Ok(RoutedRequest {
         method: head.method,
         uri: origin_form(&head.uri),
         headers: head.headers,
         body: Bytes::new(),
         account: found.account.map(|account| account.id.clone()),
-        cache_wall: isolated
-            .map_or_else(|| SHARED_CACHE.to_string(), |account| format!("only:{}", account.id)),
-        rank,
+        cache_scope: isolated.map_or_else(
+            || SHARED_CACHE_SCOPE.to_string(),
+            |account| format!("only:{}", account.id),
+        ),
+        priority,
         service,
         arrived,
-        ends_at: arrived + most,
-        drawn: random.random(),
+        deadline: arrived + timeout,
+        tie_breaker: random.random(),
         fingerprint: OnceCell::new(),
         route,
-        call,
+        metadata,
     })
 }
 
-/// Path and query alone: what a caller sends to a server, not to a proxy.
+/// Reduces the target of a request to origin form: path and query only.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     uri.path_and_query().cloned().map(http::Uri::from).unwrap_or_default()
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    match Limited::new(body, most).collect().await {
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
+    match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::BodyTooLarge),
         Err(_) => Err(Refusal::Malformed),
     }
 }
 
-async fn serve(gateway: &Rc<Gateway>, job: Job, mut record: Record) -> Answer {
-    gateway.retries.borrow_mut().sent(&job.service, boot_now());
+async fn serve(
+    gateway: &Rc<Gateway>,
+    routed: RoutedRequest,
+    mut record: RequestRecord,
+) -> GatewayResponse {
+    gateway.retries.borrow_mut().sent(&routed.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
-    let resume_after = job.call.resume_after.clone();
+    let resume_after = routed.metadata.resume_after.clone();
     loop {
-        let patience = patience(&job, tried.len());
-        let tried_now =
-            attempt(gateway, &job, &tried, resume_after.as_deref(), patience, &mut record).await;
-        let (missed, target) = match tried_now {
-            Ok(answered) => {
-                let target = answered.target.clone();
+        let response_timeout = first_response_timeout(&routed, tried.len());
+        let tried_now = attempt(
+            gateway,
+            &routed,
+            &tried,
+            resume_after.as_deref(),
+            response_timeout,
+            &mut record,
+        )
+        .await;
+        let (attempt_refusal, target) = match tried_now {
+            Ok(received) => {
+                let target = received.target.clone();
                 tried.push(target);
-                let wants_another = answered.answer.status().is_server_error()
-                    && job.route.policy == RunPolicy::Idempotent;
-                if !(wants_another && may_try_again(gateway, &job, &tried)) {
-                    return relay_answer(gateway, job, record, tried, answered).await;
+                let wants_another = received.response.status().is_server_error()
+                    && routed.route.policy == RunPolicy::Idempotent;
+                if !(wants_another && may_retry(gateway, &routed, &tried)) {
+                    return relay_response(gateway, routed, record, tried, received).await;
                 }
                 may_have_run = true;
                 continue;
             }
-            Err(Missed::Unplaced(why)) => {
+            Err(AttemptError::NoTarget(why)) => {
                 let refusal = match (may_have_run, why) {
                     (true, _) => Refusal::Broken,
-                    (false, NoChoice::Busy(come_back)) => Refusal::Busy(come_back),
-                    (false, NoChoice::NoTarget(SelectionError::OldWeights)) => Refusal::OldWeights,
-                    (false, NoChoice::NoTarget(_)) => Refusal::NoTarget,
+                    (false, NoTarget::Busy(retry_after)) => Refusal::Busy(retry_after),
+                    (false, NoTarget::Selection(SelectionError::OldWeights)) => Refusal::OldWeights,
+                    (false, NoTarget::Selection(_)) => Refusal::NoTarget,
                 };
-                return refused(refusal, &job.call.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::Held(left)) => {
+            Err(AttemptError::Held(left)) => {
                 let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
-                return refused(refusal, &job.call.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::TooLate) => {
+            Err(AttemptError::TooLate) => {
                 let refusal = if may_have_run { Refusal::TimedOut } else { Refusal::TooLate };
-                return refused(refusal, &job.call.id, &record);
+                return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(Missed::NotRun(target)) => (Refusal::NoTarget, target),
-            Err(Missed::MayHaveRun(target)) => (Refusal::Broken, target),
-            Err(Missed::TimedOut(target)) => (Refusal::TimedOut, target),
+            Err(AttemptError::NotRun(target)) => (Refusal::NoTarget, target),
+            Err(AttemptError::MayHaveRun(target)) => (Refusal::Broken, target),
+            Err(AttemptError::TimedOut(target)) => (Refusal::TimedOut, target),
         };
         tried.push(target);
-        may_have_run |= missed != Refusal::NoTarget;
-        let refusal = match (may_have_run, missed) {
+        may_have_run |= attempt_refusal != Refusal::NoTarget;
+        let refusal = match (may_have_run, attempt_refusal) {
             (true, Refusal::NoTarget) => Refusal::Broken,
-            (_, missed) => missed,
+            (_, attempt_refusal) => attempt_refusal,
         };
-        let may_repeat = !may_have_run || job.route.policy.may_repeat();
-        if !may_repeat || !may_try_again(gateway, &job, &tried) {
-            return refused(refusal, &job.call.id, &record);
+        let may_repeat = !may_have_run || routed.route.policy.may_repeat();
+        if !may_repeat || !may_retry(gateway, &routed, &tried) {
+            return refuse(refusal, &routed.metadata.id, &record);
         }
     }
 }
 
-/// How long the first of several possible targets is waited for.
-fn patience(job: &Job, tried: usize) -> Option<Duration> {
-    let has_another = (tried as u32) + 1 < job.route.attempts && job.route.policy.may_repeat();
-    let wait = job.route.objective * OBJECTIVES_TO_WAIT;
-    let least = if job.call.prompt.is_some() { LEAST_PROMPT_WAIT } else { Duration::ZERO };
+/// How long to wait for the head of the response before another target is tried; `None` if this is
+/// the last target.
+fn first_response_timeout(routed: &RoutedRequest, tried: usize) -> Option<Duration> {
+    let has_another =
+        (tried as u32) + 1 < routed.route.attempts && routed.route.policy.may_repeat();
+    let wait = routed.route.objective * OBJECTIVES_BEFORE_RETRY;
+    let least = if routed.metadata.prompt.is_some() { MIN_PROMPT_TIMEOUT } else { Duration::ZERO };
     (has_another && !wait.is_zero()).then(|| wait.max(least))
 }
 
-fn may_try_again(gateway: &Gateway, job: &Job, tried: &[TargetStart]) -> bool {
-    (tried.len() as u32) < job.route.attempts.max(2)
-        && Instant::now() < job.ends_at
-        && gateway.retries.borrow_mut().spend(&job.service, boot_now())
+fn may_retry(gateway: &Gateway, routed: &RoutedRequest, tried: &[TargetStart]) -> bool {
+    (tried.len() as u32) < routed.route.attempts.max(2)
+        && Instant::now() < routed.deadline
+        && gateway.retries.borrow_mut().spend(&routed.service, boot_now())
 }
 
-async fn relay_answer(
+async fn relay_response(
     gateway: &Rc<Gateway>,
-    job: Job,
-    mut record: Record,
+    routed: RoutedRequest,
+    mut record: RequestRecord,
     tried: Vec<TargetStart>,
-    answered: Answered,
-) -> Answer {
-    let status = answered.answer.status();
-    let values = headers::for_caller(answered.answer.headers());
-    let is_stream = job.route.policy.is_stream() && status == StatusCode::OK;
+    received: TargetResponse,
+) -> GatewayResponse {
+    let status = received.response.status();
+    let values = headers::for_caller(received.response.headers());
+    let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
-        EventRelay::new(gateway.clone(), job, record, tried, answered).into_body()
-    } else if relay::is_short(answered.answer.body()) {
-        let Answered { target, answer, outcome, mut connection, at_target, sent_at } = answered;
-        match relay::read_whole(answer.into_body(), job.ends_at).await {
+        EventRelay::new(gateway.clone(), routed, record, tried, received).into_body()
+    } else if relay::fits_buffer(received.response.body()) {
+        let TargetResponse {
+            target,
+            response,
+            response_metadata,
+            mut connection,
+            in_flight,
+            sent_at,
+        } = received;
+        match relay::read_buffered(response.into_body(), routed.deadline).await {
             Ok(bytes) => {
-                drop(at_target);
-                record.first_part();
-                record.end(Ended::Relayed(status.as_u16()));
+                drop(in_flight);
+                record.first_part_sent();
+                record.set_outcome(Outcome::Relayed(status.as_u16()));
                 if status.is_success() {
                     gateway.fleet.borrow_mut().succeeded(&target);
-                    gateway.answered_whole(&job);
+                    gateway.record_success(&routed);
                 }
-                connection.set_idle_timeout(outcome.idle_timeout);
-                if !outcome.closes {
-                    gateway.give_back(&target, connection);
+                connection.set_idle_timeout(response_metadata.idle_timeout);
+                if !response_metadata.closes {
+                    gateway.return_connection(&target, connection);
                 }
-                whole(bytes)
+                full_body(bytes)
             }
             Err(error) => {
-                record.failed(&target, &error.to_string());
-                drop((at_target, connection));
-                if Instant::now() < job.ends_at {
-                    examine::broke_off(gateway, &job, &target, sent_at, &mut record).await;
+                record.attempt_failed(&target, &error.to_string());
+                drop((in_flight, connection));
+                if Instant::now() < routed.deadline {
+                    termination::report_broken_run(gateway, &routed, &target, sent_at, &mut record)
+                        .await;
                 }
-                return refused(Refusal::Broken, &job.call.id, &record);
+                return refuse(Refusal::Broken, &routed.metadata.id, &record);
             }
         }
     } else {
-        relay::raw(gateway.clone(), job, answered, record)
+        relay::relay_body(gateway.clone(), routed, received, record)
     };
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    *answer.headers_mut() = values;
-    answer
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    *response.headers_mut() = values;
+    response
 }
 
-fn refused(refusal: Refusal, id: &str, record: &Record) -> Answer {
-    let spread = COME_BACK_SPREAD.mul_f64(rand::rng().random());
-    let come_back = match refusal {
-        Refusal::Busy(come_back) | Refusal::Held(come_back) => come_back,
-        // Another entry may know more.
+fn refuse(refusal: Refusal, id: &str, record: &RequestRecord) -> GatewayResponse {
+    let jitter = RETRY_AFTER_JITTER.mul_f64(rand::rng().random());
+    let retry_after = match refusal {
+        Refusal::Busy(retry_after) | Refusal::Held(retry_after) => retry_after,
+        // Another entry may have a later deployment, so the caller can retry there at once.
         Refusal::Unconfirmed => Duration::ZERO,
-        _ => COME_BACK_AFTER + spread,
+        _ => MIN_RETRY_AFTER + jitter,
     };
-    let answer = refuse(refusal, id, come_back);
-    record.end(Ended::Refused(answer.status().as_u16(), refusal.name()));
-    answer
+    let response = refusal_response(refusal, id, retry_after);
+    record.set_outcome(Outcome::Refused(response.status().as_u16(), refusal.name()));
+    response
 }
--- /dev/null
+++ b/src/gateway/request_record.rs
@@ -0,0 +1,174 @@
+//! Collects what happens to a request and logs it as one line at the end.
+
+use std::cell::Cell;
+use std::fmt::Write;
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::metadata::{RequestMetadata, ResponseMetadata};
+use super::priority::Priority;
+use super::state::Gateway;
+use super::target_selection::SelectedTarget;
+use crate::clock::{BootTime, boot_now};
+use crate::deployment::document::DeploymentVersion;
+use crate::ids::TargetStart;
+use crate::quarantine::Fingerprint;
+use crate::telemetry::metrics::label;
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Outcome {
+    /// The caller disconnected before the response was complete.
+    #[default]
+    CallerLeft,
+    /// The target's response was relayed completely, with this status.
+    Relayed(u16),
+    /// The entry itself responded, with this status and reason.
+    Refused(u16, &'static str),
+    /// The response was cut short while it was relayed.
+    BrokenOff,
+}
+
+impl Outcome {
+    /// Values of the `ending` and `reason` metric labels.
+    fn labels(self) -> (&'static str, &'static str) {
+        match self {
+            Outcome::CallerLeft => ("caller_left", ""),
+            Outcome::Relayed(200..=299) => ("relayed", ""),
+            Outcome::Relayed(_) => ("relayed", "failure of the target"),
+            Outcome::Refused(_, reason) => ("refused", reason),
+            Outcome::BrokenOff => ("broken_off", ""),
+        }
+    }
+
+    fn is_success(self) -> bool {
+        matches!(self, Outcome::Relayed(200..=299))
+    }
+}
+
+/// The record of one request. Dropping it updates the metrics and writes the log line.
+pub struct RequestRecord {
+    gateway: Rc<Gateway>,
+    id: String,
+    started_at: BootTime,
+    route: String,
+    version: DeploymentVersion,
+    /// The scheduler level, 0 first.
+    priority: u8,
+    attempts: String,
+    /// The fingerprint, once it has been logged for a failed or quarantined run.
+    fingerprint: Option<Fingerprint>,
+    first_part: Option<Duration>,
+    outcome: Cell<Outcome>,
+}
+
+impl RequestRecord {
+    /// Starts the record of a request that has just arrived.
+    pub fn new(
+        gateway: &Rc<Gateway>,
+        metadata: &RequestMetadata,
+        started_at: BootTime,
+    ) -> RequestRecord {
+        gateway.active_requests.set(gateway.active_requests.get() + 1);
+        RequestRecord {
+            gateway: gateway.clone(),
+            id: metadata.id.clone(),
+            started_at,
+            route: String::new(),
+            version: 0,
+            priority: 0,
+            attempts: String::new(),
+            fingerprint: None,
+            first_part: None,
+            outcome: Cell::new(Outcome::CallerLeft),
+        }
+    }
+
+    /// Sets the version of the deployment that routes the request.
+    pub fn set_version(&mut self, version: DeploymentVersion) {
+        self.version = version;
+    }
+
+    /// Sets the route and the priority.
+    pub fn set_route(&mut self, route: &str, priority: Priority) {
+        self.route = route.to_string();
+        self.priority = priority.scheduler_level();
+    }
+
+    /// Records the selection of a target.
+    pub fn target_selected(&mut self, selected: &SelectedTarget, is_reused: bool) {
+        let at_ms = self.elapsed().as_millis();
+        let (target, trace) = (&selected.target, &selected.trace);
+        // Writing to a string can't fail.
+        let _ = write!(self.attempts, " at_ms={at_ms} target={target} {trace} reused={is_reused}");
+    }
+
+    /// Records that the head of a response has arrived, with the load that the target reports.
+    pub fn response_received(&mut self, response_metadata: &ResponseMetadata) {
+        let at_ms = self.elapsed().as_millis();
+        let _ = write!(self.attempts, " answered_ms={at_ms}");
+        if let Some(load) = response_metadata.load {
+            let _ = write!(self.attempts, " running={} waiting={}", load.running, load.waiting);
+        }
+    }
+
+    /// Records that an attempt at a target failed.
+    pub fn attempt_failed(&mut self, target: &TargetStart, reason: &str) {
+        let at_ms = self.elapsed().as_millis();
+        self.gateway.metrics.missed.add(1, &[label("reason", reason)]);
+        let _ = write!(self.attempts, " at_ms={at_ms} failed={target} reason={reason:?}");
+    }
+
+    /// Sets the fingerprint, by which the log lines of a caller's retries can be found.
+    pub fn set_fingerprint(&mut self, fingerprint: Fingerprint) {
+        if self.fingerprint.replace(fingerprint).is_none() {
+            let _ = write!(self.attempts, " fingerprint={fingerprint}");
+        }
+    }
+
+    /// Records the time to the first data of the response body.
+    pub fn first_part_sent(&mut self) {
+        if self.first_part.is_none() {
+            self.first_part = Some(self.elapsed());
+        }
+    }
+
+    /// Sets how the request ended.
+    pub fn set_outcome(&self, outcome: Outcome) {
+        self.outcome.set(outcome);
+    }
+
+    /// Time since the request arrived.
+    pub fn elapsed(&self) -> Duration {
+        boot_now().saturating_sub(self.started_at)
+    }
+}
+
+impl Drop for RequestRecord {
+    fn drop(&mut self) {
+        self.gateway.active_requests.set(self.gateway.active_requests.get().saturating_sub(1));
+        let outcome = self.outcome.get();
+        let (ending, reason) = outcome.labels();
+        self.gateway.metrics.ended(&self.route, ending, reason);
+        if let Some(first) = self.first_part {
+            let route = [label("route", &self.route)];
+            self.gateway.metrics.first_part_s.record(first.as_secs_f64(), &route);
+        }
+        if !self.gateway.log_limiter.should_log(&self.id, outcome.is_success(), boot_now()) {
+            return;
+        }
+        let first_ms = self.first_part.map_or(-1, |first| first.as_millis() as i64);
+        let age_ms = self.gateway.state_age_ms();
+        log::info!(
+            "event=request id={} route={} rank={} version={} age_ms={age_ms} took_ms={} \
+             first_ms={first_ms} ended={:?}{}",
+            self.id,
+            self.route,
+            self.priority,
+            self.version,
+            self.elapsed().as_millis(),
+            outcome,
+            self.attempts
+        );
+    }
+}
--- /dev/null
+++ b/src/gateway/routed_request.rs
@@ -0,0 +1,57 @@
+//! A request after routing.
+
+use std::cell::OnceCell;
+
+use bytes::Bytes;
+use http::{HeaderMap, Method, Uri};
+use tokio::time::Instant;
+
+use super::metadata::RequestMetadata;
+use super::priority::Priority;
+use crate::deployment::Route;
+use crate::ids::{AccountId, ServiceId};
+use crate::quarantine::Fingerprint;
+
+/// A routed request, shared by all its attempts.
+pub struct RoutedRequest {
+    /// Metadata from the caller's headers.
+    pub metadata: RequestMetadata,
+    /// The HTTP method.
+    pub method: Method,
+    /// Path and query, as the caller sent them.
+    pub uri: Uri,
+    /// The caller's headers.
+    pub headers: HeaderMap,
+    /// The complete body.
+    pub body: Bytes,
+    /// The route that matches the request.
+    pub route: Route,
+    /// The account of the caller's key, if any.
+    pub account: Option<AccountId>,
+    /// Requests with equal scopes may share cached prompt parts.
+    pub cache_scope: String,
+    /// Its priority among other requests.
+    pub priority: Priority,
+    /// The service whose targets can run it.
+    pub service: ServiceId,
+    /// When the head of the request arrived.
+    pub arrived: Instant,
+    /// When the caller or the route gives up on it.
+    pub deadline: Instant,
+    /// Random number that decides between equally good targets.
+    pub tie_breaker: u64,
+    /// Cached result of `fingerprint()`.
+    pub fingerprint: OnceCell<Fingerprint>,
+}
+
+impl RoutedRequest {
+    /// Identifies the request across retries by its caller. Must not be called before the body is
+    /// complete.
+    pub fn fingerprint(&self) -> Fingerprint {
+        *self.fingerprint.get_or_init(|| {
+            let path = self.uri.path_and_query().map_or("", |path| path.as_str());
+            let account = self.account.as_deref();
+            Fingerprint::of(account, self.method.as_str(), &self.metadata.host, path, &self.body)
+        })
+    }
+}
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -1,4 +1,4 @@
-//! Subscribes to updates of two replicas at a time, and turns to others when one falls silent.
+//! Subscribes to the updates of replicas, and replaces replicas that fall silent.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -8,9 +8,9 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-use super::examine;
 use super::state::Gateway;
-use super::subscriptions::Subscription;
+use super::subscription_policy::Subscription;
+use super::termination;
 use crate::clock::boot_now;
 use crate::control::frames::{self, FollowTargets, FromSubscriber, Introduction, Update, encode};
 use crate::control::publisher::HEARTBEAT_EVERY;
@@ -19,21 +19,21 @@
 use crate::quarantine::Revision;
 use crate::scheduler::weights;
 
-/// Replicas that an entry subscribes to at a time: one may be cut off from its leader just when a deployment
-/// is published.
+/// Number of concurrent subscriptions. With one, a new deployment would be delayed if its replica
+/// were cut off from the leader at that time.
 const SUBSCRIPTIONS_AT_ONCE: usize = 2;
-/// A replica that has sent nothing for this long is left for another one: three heartbeats.
-const SILENT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
-/// Longest time to connect.
+/// A subscription without updates for this long, which is three heartbeats, is ended.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
+/// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Requests to a replica that wait to be written.
-const REQUESTS: usize = 4;
-/// Leaving targets that are named in a line of the log.
-const LEAVING_LOGGED: usize = 8;
-/// Pause between replicas.
-const NEXT_AFTER: Duration = Duration::from_millis(50);
+/// Capacity of the queue of requests to a replica.
+const REQUEST_QUEUE_LEN: usize = 4;
+/// Number of leaving targets that are named in a log line.
+const MAX_LOGGED_LEAVING: usize = 8;
+/// Delay before the next subscription after one has failed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Subscribes to replicas for as long as the process lives.
+/// Starts the tasks that maintain the subscriptions.
 pub fn start(gateway: &Rc<Gateway>, tasks: &Essentials) {
     for _ in 0..SUBSCRIPTIONS_AT_ONCE {
         tasks.spawn("subscription", keep_subscribed(gateway.clone()));
@@ -43,13 +43,13 @@
 async fn keep_subscribed(gateway: Rc<Gateway>) {
     let mut last = None;
     loop {
-        let begun = {
+        let subscription = {
             let replicas = gateway.replicas.borrow();
             let mut subscriptions = gateway.subscriptions.borrow_mut();
             subscriptions.begin(&replicas, last, boot_now(), &mut rand::rng())
         };
-        let mut pause = NEXT_AFTER;
-        if let Some(mut subscription) = begun {
+        let mut pause = RECONNECT_DELAY;
+        if let Some(mut subscription) = subscription {
             let replica = subscription.replica;
             let ended = subscribe(&gateway, &mut subscription).await;
             gateway.subscriptions.borrow_mut().end(subscription, ended.is_err(), boot_now());
@@ -58,7 +58,7 @@
                 Ok(()) => pause = Duration::ZERO,
                 Err(error) => {
                     let reason = error.to_string();
-                    let age_ms = gateway.belief_age_ms();
+                    let age_ms = gateway.state_age_ms();
                     log::info!(
                         "event=subscription_lost replica={replica} reason={reason:?} age_ms={age_ms}"
                     );
@@ -69,18 +69,18 @@
     }
 }
 
-/// Takes updates of one replica until it falls silent, or another one is closer.
+/// Receives updates of one replica until it fails, falls silent, or a local replica is available.
 async fn subscribe(gateway: &Gateway, subscription: &mut Subscription) -> std::io::Result<()> {
     let replica = subscription.replica;
     let to = SocketAddr::new(replica, gateway.host.peer_port);
-    let stream = net::connect(to, CONNECT_TIMEOUT, SILENT).await?;
+    let stream = net::connect(to, CONNECT_TIMEOUT, SILENCE_TIMEOUT).await?;
     let (read, mut write) = stream.into_split();
-    let (requests, requested) = mpsc::channel(REQUESTS);
+    let (requests, requested) = mpsc::channel(REQUEST_QUEUE_LEN);
     let introduction = Introduction::Entry {
         name: gateway.host.name.clone(),
         failure_domain: gateway.host.failure_domain.clone(),
         deployment: gateway.table().map_or(0, |table| table.deployment().version),
-        named: weights::ages(&gateway.named_since.borrow(), boot_now()),
+        named: weights::ages(&gateway.rollouts.borrow(), boot_now()),
     };
     write.write_all(&encode(&introduction)).await?;
     tokio::select! {
@@ -89,18 +89,18 @@
     }
 }
 
-/// Sends a replica what is asked of it, and what is known here of requests under which targets end.
+/// Sends requests, and news of the quarantine, to a replica.
 async fn send(
     gateway: &Gateway,
     mut write: OwnedWriteHalf,
     mut requested: mpsc::Receiver<FollowTargets>,
 ) -> std::io::Result<()> {
     let mut quarantine = gateway.quarantine.subscribe();
-    // A replica that has started again knows only what it is sent.
+    // A restarted replica may have lost its quarantine, so it gets all reports at first.
     quarantine.mark_changed();
     let mut sent = Revision::default();
     let mut confirm = gateway.confirm_requests.subscribe();
-    // A replica that was just turned to may know what the one before did not.
+    // Repeats the last request for a confirmation, as the previous replica may not have answered.
     if *confirm.borrow() > 0 {
         confirm.mark_changed();
     }
@@ -108,7 +108,7 @@
         let frame = tokio::select! {
             request = requested.recv() => match request {
                 Some(request) => FromSubscriber::FollowTargets(request),
-                // The subscription has ended.
+                // The receiving half has ended.
                 None => return Ok(()),
             },
             changed = confirm.changed() => {
@@ -139,7 +139,8 @@
     let replica = subscription.replica;
     let mut read = BufReader::new(read);
     loop {
-        let update: Update = tokio::time::timeout(SILENT, frames::read(&mut read)).await??;
+        let update: Update =
+            tokio::time::timeout(SILENCE_TIMEOUT, frames::read(&mut read)).await??;
         let is_heartbeat = matches!(update, Update::Heartbeat { .. });
         if let Update::RosterNamed { name, .. } = &update {
             subscription.observe_name(*name, boot_now());
@@ -147,17 +148,17 @@
         let known = gateway.roster_name();
         gateway.observe(update).map_err(std::io::Error::other)?;
         if gateway.roster_name() != known {
-            examine::compare_with_list(gateway);
+            termination::record_unlisted(gateway);
             log_roster(gateway, replica);
         }
-        // By then the replica has sent where replicas are.
+        // Replicas send their failure domains before the first heartbeat.
         if is_heartbeat {
             let now = boot_now();
             let replicas = gateway.replicas.borrow().clone();
-            if gateway.subscriptions.borrow().should_move(subscription, &replicas, now) {
+            if gateway.subscriptions.borrow().should_switch(subscription, &replicas, now) {
                 return Ok(());
             }
-            let held = gateway.held_targets();
+            let held = gateway.held_roster();
             let request =
                 gateway.subscriptions.borrow_mut().request(subscription, held, &replicas, now);
             if let Some(request) = request {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Logs which list of targets is in use from now on, and who leaves by it.
+/// Logs the roster that is now in use and the targets that are leaving.
 fn log_roster(gateway: &Gateway, replica: IpAddr) {
     let (name, leaving) = (gateway.roster_name(), gateway.leaving());
     log::info!(
@@ -175,6 +176,6 @@
         name.number,
         name.digest,
         leaving.len(),
-        &leaving[..leaving.len().min(LEAVING_LOGGED)]
+        &leaving[..leaving.len().min(MAX_LOGGED_LEAVING)]
     );
 }
--- /dev/null
+++ b/src/gateway/target_selection.rs
@@ -0,0 +1,185 @@
+//! Selects targets: prompts are placed by the scheduler if it is available, others by the entry.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::routed_request::RoutedRequest;
+use super::state::Gateway;
+use crate::clock::{BootTime, boot_now};
+use crate::control::frames::SchedulerError;
+use crate::fleet::placement;
+use crate::ids::TargetStart;
+use crate::scheduler::weights::{BEGINS_WITHIN, OldWeights, RolloutHistory};
+use crate::scheduler::{Placed, PlacementError, PlacementRequest};
+
+/// How long to wait for a placed prompt's target to appear in a roster that has only been received
+/// in part.
+const LISTED_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// The target of one attempt.
+pub struct SelectedTarget {
+    /// The target itself.
+    pub target: TargetStart,
+    /// The placement, if the scheduler selected the target.
+    pub placed: Option<Placed>,
+    /// The weights that the engine must run.
+    pub weight_version: Option<u64>,
+    /// The reasons for the selection as key=value pairs, for the log.
+    pub trace: String,
+}
+
+/// Why no target was selected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NoTarget {
+    /// The entry's own selection found no suitable target.
+    Selection(placement::SelectionError),
+    /// No target will have capacity in time. The caller may retry after this time.
+    Busy(Duration),
+}
+
+/// Selects a target that is not in `avoid`.
+///
+/// # Errors
+/// If there is none.
+pub async fn select_target(
+    gateway: &Rc<Gateway>,
+    routed: &RoutedRequest,
+    avoid: &[TargetStart],
+) -> Result<SelectedTarget, NoTarget> {
+    if let Some(request) = placement_request(gateway, routed, avoid) {
+        let outcome = gateway.scheduler.place(request).await;
+        if let Some(Ok(placed)) = &outcome {
+            gateway.wait_for_target(&placed.target, LISTED_TIMEOUT).await;
+        }
+        match outcome {
+            Some(Ok(placed)) if gateway.fleet.borrow().get(&placed.target).is_some() => {
+                return Ok(from_placement(placed));
+            }
+            Some(Ok(placed)) => gateway.scheduler.return_placement(&placed),
+            Some(Err(SchedulerError::Placement(PlacementError::Busy(retry_after)))) => {
+                return Err(NoTarget::Busy(retry_after));
+            }
+            Some(Err(_)) | None => {}
+        }
+    }
+    select_locally(gateway, routed, avoid)
+}
+
+fn from_placement(placed: Placed) -> SelectedTarget {
+    let trace = format!(
+        "by=scheduler weights={} running={} ahead_ms={} resident_tokens={} fetched_tokens={} \
+         again_nowhere_whole={} again_link_full={} again_link_slow={} expected_ms={} waited_ms={} \
+         saves={}",
+        placed.weight_version.map_or("-".to_string(), |version| version.to_string()),
+        placed.trace.running,
+        placed.trace.ahead_ms,
+        placed.trace.resident_tokens,
+        placed.trace.fetched_tokens,
+        placed.trace.read_again.nowhere_whole_tokens,
+        placed.trace.read_again.link_full_tokens,
+        placed.trace.read_again.link_slow_tokens,
+        placed.trace.expected_ms,
+        placed.trace.waited_ms,
+        placed.save.iter().flatten().count(),
+    );
+    let weight_version = placed.weight_version;
+    SelectedTarget { target: placed.target.clone(), placed: Some(placed), weight_version, trace }
+}
+
+fn select_locally(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    avoid: &[TargetStart],
+) -> Result<SelectedTarget, NoTarget> {
+    let criteria = placement::Criteria {
+        service: &routed.service,
+        prompt: routed.metadata.prompt.as_ref(),
+        cache_wall: &routed.cache_scope,
+        tried: avoid,
+        drawn: routed.tie_breaker,
+        named: &gateway.rollouts.borrow(),
+        old_weights: gateway.host.periods.old_weights,
+    };
+    let choice = placement::choose(&gateway.fleet.borrow(), &criteria, boot_now());
+    let choice = choice.map_err(NoTarget::Selection)?;
+    if routed.metadata.prompt.is_some() {
+        gateway.metrics.placed_alone.add(1, &[]);
+    }
+    let trace = format!(
+        "by=entry load={:.1} home={} expected_ms={}{}",
+        choice.load,
+        choice.home,
+        choice.expected.as_millis(),
+        weights_trace(gateway, routed, choice.weight_version),
+    );
+    let weight_version = choice.weight_version;
+    Ok(SelectedTarget { target: choice.target, placed: None, weight_version, trace })
+}
+
+/// Whether a prompt may still start on the weights for which its target was selected.
+pub fn may_start_on_weights(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    selected: &SelectedTarget,
+) -> bool {
+    let Some(prompt) = &routed.metadata.prompt else { return true };
+    let old_weights = gateway.host.periods.old_weights;
+    let old_weights = match selected.placed {
+        // This bound starts when the scheduler does, which the entry does not know.
+        Some(_) => OldWeights { within: None, ..old_weights },
+        None => old_weights,
+    };
+    let rollouts = gateway.rollouts.borrow();
+    let (history, has) = (rollouts.get(&prompt.model), selected.weight_version);
+    old_weights.cost_ms(history, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
+}
+
+/// Describes the selected and the newest announced weights, and how long ago the first version was
+/// announced that the engine lacks.
+fn weights_trace(gateway: &Gateway, routed: &RoutedRequest, expected: Option<u64>) -> String {
+    let Some(prompt) = &routed.metadata.prompt else { return String::new() };
+    let rollouts = gateway.rollouts.borrow();
+    let history = rollouts.get(&prompt.model);
+    let missed_since = history.and_then(|history| history.missed_since(expected));
+    let age = missed_since.map(|since| boot_now().saturating_sub(since).as_millis());
+    let shown = |number: Option<u128>| number.map_or("-".to_string(), |number| number.to_string());
+    format!(
+        " weights={} named={} missed_ms={}",
+        shown(expected.map(u128::from)),
+        shown(history.and_then(RolloutHistory::newest).map(u128::from)),
+        shown(age)
+    )
+}
+
+/// Builds the placement request; `None` if the request is not a prompt.
+fn placement_request(
+    gateway: &Gateway,
+    routed: &RoutedRequest,
+    avoid: &[TargetStart],
+) -> Option<PlacementRequest> {
+    let prompt = routed.metadata.prompt.as_ref()?;
+    let now = boot_now();
+    let fleet = gateway.fleet.borrow();
+    let suspects = fleet
+        .live(&routed.service)
+        .filter(|state| !state.health.admits(state.running, now))
+        .map(|state| state.listed.start.clone());
+    let mut avoid: Vec<TargetStart> = avoid.iter().cloned().chain(suspects).collect();
+    // If most targets seem unhealthy, the cause is probably this entry's own network.
+    if avoid.len() * 2 > fleet.live(&routed.service).count() {
+        avoid.truncate(routed.route.attempts as usize);
+    }
+    Some(PlacementRequest {
+        service: routed.service.clone(),
+        model: prompt.model.clone(),
+        wall: routed.cache_scope.clone(),
+        parts: prompt.parts.clone(),
+        prompt_tokens: prompt.prompt_tokens,
+        output_tokens: prompt.output_tokens,
+        priority: routed.priority.scheduler_level(),
+        objective: routed.route.objective,
+        time_left: routed.deadline.saturating_duration_since(tokio::time::Instant::now()),
+        waited: routed.arrived.elapsed(),
+        avoid,
+    })
+}
--- /dev/null
+++ b/src/gateway/termination.rs
@@ -0,0 +1,115 @@
+//! Detects whether a target has terminated when a run there fails, and reports the runs to the
+//! quarantine.
+
+use std::io::ErrorKind;
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::pool::Connection;
+use super::request_record::RequestRecord;
+use super::routed_request::RoutedRequest;
+use super::state::Gateway;
+use crate::clock::{BootTime, boot_now};
+use crate::ids::TargetStart;
+use crate::quarantine::evidence::{BrokenRun, Finding};
+use crate::quarantine::share;
+use crate::telemetry::metrics::label;
+
+/// Delay before a target that accepted a connection is probed again. A terminating process may
+/// close its connections before its listener.
+const SECOND_PROBE_DELAY: Duration = Duration::from_millis(250);
+/// How long a request waits for the result of a probe before it is retried elsewhere.
+const PROBE_WAIT: Duration = Duration::from_millis(50);
+/// Number of runs whose fingerprints are logged for a terminated target.
+const MAX_LOGGED_RUNS: usize = 64;
+
+/// Records that a run, sent to a target at `sent_at`, failed there. Probes the target and waits
+/// shortly for the result, so that a retry takes a new quarantine into account.
+pub async fn report_broken_run(
+    gateway: &Rc<Gateway>,
+    routed: &RoutedRequest,
+    target: &TargetStart,
+    sent_at: BootTime,
+    record: &mut RequestRecord,
+) {
+    let run = BrokenRun { fingerprint: routed.fingerprint(), sent_at, broke_at: boot_now() };
+    record.set_fingerprint(run.fingerprint);
+    // The termination of a leaving target is planned.
+    if gateway.fleet.borrow().was_told_to_leave(target) {
+        return;
+    }
+    let finding = gateway.broken_runs.borrow_mut().broke_off(target, run);
+    match finding {
+        Finding::HasEnded => quarantine_runs(gateway, target, &[run], "known"),
+        Finding::MustExamine => {
+            tokio::task::spawn_local(probe(gateway.clone(), target.clone()));
+            wait_for_probe(gateway).await;
+        }
+        Finding::IsExamined => wait_for_probe(gateway).await,
+    }
+}
+
+async fn wait_for_probe(gateway: &Gateway) {
+    // The request proceeds without the result after the timeout.
+    let _ = tokio::time::timeout(PROBE_WAIT, gateway.probe_finished.notified()).await;
+}
+
+async fn probe(gateway: Rc<Gateway>, target: TargetStart) {
+    if is_listening(&gateway, &target).await {
+        tokio::time::sleep(SECOND_PROBE_DELAY).await;
+        if is_listening(&gateway, &target).await {
+            gateway.broken_runs.borrow_mut().listens(&target);
+        }
+    }
+}
+
+/// Whether a target is listening, which is assumed unless it refuses a connection.
+async fn is_listening(gateway: &Gateway, target: &TargetStart) -> bool {
+    let address = gateway.fleet.borrow().get(target).map(|state| state.listed.address);
+    let refuses = match address {
+        Some(address) => match Connection::open(address).await {
+            Ok(connection) => {
+                gateway.return_connection(target, connection);
+                false
+            }
+            Err(error) => error.kind() == ErrorKind::ConnectionRefused,
+        },
+        None => false,
+    };
+    if refuses {
+        record_termination(gateway, target, "refuses connections");
+    }
+    gateway.probe_finished.notify_waiters();
+    !refuses
+}
+
+/// Records evidence that a target has terminated, and reports its failed runs to the quarantine.
+pub fn record_termination(gateway: &Gateway, target: &TargetStart, evidence: &str) {
+    let runs = gateway.broken_runs.borrow_mut().has_ended(target, boot_now());
+    if !runs.is_empty() {
+        quarantine_runs(gateway, target, &runs, evidence);
+    }
+}
+
+/// Records the termination of targets with failed runs that are no longer in the roster although
+/// they were never leaving. To be called after each change of the roster.
+pub fn record_unlisted(gateway: &Gateway) {
+    let is_unlisted = |target: &&TargetStart| {
+        !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
+    };
+    let terminated: Vec<TargetStart> =
+        gateway.broken_runs.borrow().doubted().filter(is_unlisted).cloned().collect();
+    terminated.iter().for_each(|target| record_termination(gateway, target, "is listed no more"));
+}
+
+fn quarantine_runs(gateway: &Gateway, target: &TargetStart, runs: &[BrokenRun], evidence: &str) {
+    let shown: Vec<String> =
+        runs.iter().take(MAX_LOGGED_RUNS).map(|run| run.fingerprint.to_string()).collect();
+    log::warn!(
+        "event=target_ended target={target} evidence={evidence:?} runs={} fingerprints={}",
+        runs.len(),
+        shown.join(",")
+    );
+    gateway.metrics.targets_ended.add(1, &[label("evidence", evidence)]);
+    share::change(&gateway.quarantine, |known| known.ended_under(runs, target, boot_now()));
+}
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -8,7 +8,7 @@
 use kumquatpost::control::frames::{NumberedRoster, Update};
 use kumquatpost::deployment::Deployment;
 use kumquatpost::fleet::Listed;
-use kumquatpost::gateway::request::patience_at_start;
+use kumquatpost::gateway::request::startup_wait;
 use kumquatpost::gateway::server;
 use kumquatpost::gateway::state::Gateway;
 use kumquatpost::platform::settings;
@@ -97,7 +97,7 @@
 
     pub fn hears_list(&self, number: u64, targets: Vec<Listed>) {
         let roster = NumberedRoster::new(number, Arc::new(roster(targets)));
-        self.gateway.observe_list(roster);
+        self.gateway.observe_roster(roster);
     }
 
     pub async fn call(&self, path: &str, id: &str) -> Got {
@@ -167,7 +167,7 @@
     first.slots = 48;
     let entry = entry(unhurried(), vec![first, second]).await;
     // The second looks busy, so that the first is chosen.
-    let busy = kumquatpost::gateway::call::TargetLoad { running: 40, waiting: 0, slots: 48 };
+    let busy = kumquatpost::gateway::metadata::TargetLoad { running: 40, waiting: 0, slots: 48 };
     // A report counts in full until then.
     let now = kumquatpost::clock::boot_now() + LONG;
     entry.gateway.fleet.borrow_mut().reported(&start("i-2"), busy, now);
@@ -228,7 +228,7 @@
         let entry = Rc::new(new_entry().await);
         let caller = entry.clone();
         let asked = tokio::task::spawn_local(async move { caller.call("/once/a", "r1").await });
-        while entry.gateway.answering.get() == 0 && !asked.is_finished() {
+        while entry.gateway.active_requests.get() == 0 && !asked.is_finished() {
             tokio::task::yield_now().await;
         }
         entry.hears(unhurried(), vec![target("i-1", "app", one.address)]);
@@ -242,7 +242,7 @@
     // in all, others 2.5 s and more.
     let expected = [(Some(900), 300), (Some(1_500), 500), (Some(10_000), 1_200), (None, 1_200)];
     for (deadline_ms, waits_ms) in expected {
-        assert_eq!(patience_at_start(deadline_ms.map(ms)), ms(waits_ms));
+        assert_eq!(startup_wait(deadline_ms.map(ms)), ms(waits_ms));
     }
 }
 
@@ -418,7 +418,7 @@
             eventually(|| one.seen() == 1).await;
             drop(stream);
             eventually(|| one.left.get() == 1).await;
-            eventually(|| entry.gateway.answering.get() == 0).await;
+            eventually(|| entry.gateway.active_requests.get() == 0).await;
             let fleet = entry.gateway.fleet.borrow();
             assert_eq!(fleet.get(&start("i-1")).expect("listed").running, 0);
         });
