--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -25,8 +25,8 @@
 use crate::peer::auth::CODE_BYTES;
 use crate::peer::message::{Answer, Ask, Frame, Heard, Renew};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
-use crate::route::residency::MOST_BLOCKS;
-use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
+use crate::route::residency::MAX_TRACKED_BLOCKS;
+use crate::route::{EngineView, RouteRequest, Router, View, decide};
 use crate::whereabouts::{Catalog, Kept, Position, Seen, Written};
 
 /// Length and code before each frame.
@@ -101,35 +101,35 @@
 
 fn engine_view() -> EngineView {
     let mut engine = EngineView::new("model-12", "http://10.0.0.1:8000", "domain-1", 1);
-    engine.take_report(report(), NOW);
+    engine.apply_report(report(), NOW);
     engine
 }
 
 pub(super) fn decide_us(candidates: usize) -> f64 {
     let prompt = "word ".repeat(CONTEXT_BLOCKS as usize * BLOCK_TOKENS);
     let chain = Chain::new(&owner(), &prompt);
-    let mut view = View { nodes: 8, ..View::default() };
+    let mut view = View { live_nodes: 8, ..View::default() };
     for number in 0..candidates {
         let mut engine = engine_view();
         // Each engine has some other contexts; a few have this one.
-        engine.residency.expect(&[number as u128]);
+        engine.residency.expect_resident(&[number as u128]);
         if number % 50 == 0 {
-            engine.residency.expect(&chain.keys);
+            engine.residency.expect_resident(&chain.keys);
         }
         view.engines.insert(format!("engine-{number}"), engine);
     }
     let version = "v1".to_string();
     let prices = Prices::default();
     median_us(9, 200.min(200_000 / candidates.max(1)).max(5), |number| {
-        let ask = RouteAsk {
+        let request = RouteRequest {
             model: "model-12",
             weight_version: &version,
             chain: &chain,
-            kept: &[],
-            avoid: &[],
-            draw: number as u64,
+            stored_prefixes: &[],
+            excluded_engines: &[],
+            request_number: number as u64,
         };
-        std::hint::black_box(decide(Policy::Cost, &prices, &view, &ask, NOW));
+        std::hint::black_box(decide(Policy::Cost, &prices, &view, &request, NOW));
     })
 }
 
@@ -414,7 +414,7 @@
     let text = serde_json::to_string(&list).unwrap_or_default();
     median_us(5, 3, |_| {
         if let Ok(list) = serde_json::from_str(&text) {
-            std::hint::black_box(router.take_list(list));
+            std::hint::black_box(router.apply_list(list));
         }
     })
 }
@@ -426,8 +426,8 @@
                 let mut engine = engine_view();
                 // Each remembers as much as it may.
                 let keys: Vec<u128> =
-                    (0..MOST_BLOCKS as u128).map(|block| (number << 32) | block).collect();
-                engine.residency.expect(&keys);
+                    (0..MAX_TRACKED_BLOCKS as u128).map(|block| (number << 32) | block).collect();
+                engine.residency.expect_resident(&keys);
                 engine
             })
             .collect::<Vec<EngineView>>()
--- a/src/capacity/roles.rs
+++ b/src/capacity/roles.rs
@@ -3,7 +3,7 @@
 use super::costs::append_wire_bytes;
 use super::size::TwoYears;
 use super::slopes::Slopes;
-use crate::route::residency::MOST_BLOCKS;
+use crate::route::residency::MAX_TRACKED_BLOCKS;
 
 /// Share of requests that are marked not repeatable, assumed.
 const CLAIMED_SHARE: f64 = 0.02;
@@ -138,13 +138,13 @@
         messages_per_s: 0.0,
         bytes_per_s: 0.0,
         core: core(requests * decide_us),
-        memory_bytes: slopes.engine_view_bytes.each / MOST_BLOCKS as f64 * ALL_BLOCKS,
+        memory_bytes: slopes.engine_view_bytes.each / MAX_TRACKED_BLOCKS as f64 * ALL_BLOCKS,
         control: true,
         set_aside: false,
         formula: format!(
             "{requests:.1} decisions/s × {decide_us:.1} µs at {WATCHED_PER_MODEL:.0} candidates; \
              memory of {ALL_BLOCKS:.0} remembered blocks × {:.0} bytes",
-            slopes.engine_view_bytes.each / MOST_BLOCKS as f64
+            slopes.engine_view_bytes.each / MAX_TRACKED_BLOCKS as f64
         ),
         mechanism: "pure decision over the watched engines of one model",
     }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -235,8 +235,8 @@
             .map(|(id, engine)| {
                 let report = engine.fresh_report(now);
                 json!({"target": id, "takes_work": engine.takes_work,
-                       "suspect": engine.health.is_suspect(), "running": engine.running,
-                       "trust": engine.residency.trust(),
+                       "suspect": engine.health.is_unhealthy(), "running": engine.running,
+                       "trust": engine.residency.confidence(),
                        "weights": report.and_then(|report| report.weight_version.clone())})
             })
             .collect();
--- a/src/entry/prompts.rs
+++ b/src/entry/prompts.rs
@@ -157,8 +157,8 @@
     };
     let weight_version = {
         let mut router = node.router.lock();
-        let draw = router.draw();
-        router.version_for(&asked.model, &model, draw, call.came_at)
+        let request_number = router.next_request_number();
+        router.choose_weight_version(&asked.model, &model, request_number, call.came_at)
     };
     let prefix = match shape {
         Shape::Chat => "chatcmpl",
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -20,7 +20,7 @@
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
 use crate::node::quarantining::BrokenAt;
-use crate::route::{Ask, Dispatch, Ended, NoEngine};
+use crate::route::{Dispatch, DispatchOutcome, NoEngine, RouteRequest};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
 
@@ -74,9 +74,9 @@
 /// Why one dispatch gave no whole answer.
 enum Broken {
     /// The engine failed or did not run it: another one may be tried.
-    TryAnother(Ended, Refusal),
+    TryAnother(DispatchOutcome, Refusal),
     /// Nothing more can be done.
-    Final(Ended, Refusal),
+    Final(DispatchOutcome, Refusal),
 }
 
 impl Run {
@@ -126,11 +126,11 @@
     /// Why there is no whole answer.
     pub async fn to_end(&mut self) -> Result<Whole, Refusal> {
         self.kept = self.node.kept_of(&self.prompt.chain).await;
-        self.node.router.lock().earn_retry();
+        self.node.router.lock().deposit_retry();
         loop {
             self.attempt += 1;
             let dispatch = match self.choose() {
-                Err(NoDispatch::NoEngine(NoEngine::NoneTakesWork))
+                Err(NoDispatch::NoEngine(NoEngine::NoneAvailable))
                     if self.turn_to_others().await =>
                 {
                     self.choose()
@@ -141,12 +141,12 @@
             self.last_target = Some(dispatch.engine().clone());
             let sent_at = boot_now();
             let (ended, result) = match self.dispatch(&dispatch).await {
-                Ok(whole) => (Ended::Whole(whole.usage), Ok(whole)),
+                Ok(whole) => (DispatchOutcome::Completed(whole.usage), Ok(whole)),
                 Err(Broken::TryAnother(ended, refusal)) => (ended, Err((true, refusal))),
                 Err(Broken::Final(ended, refusal)) => (ended, Err((false, refusal))),
             };
             self.book(&dispatch, ended);
-            if ended == Ended::Failed {
+            if ended == DispatchOutcome::Failed {
                 self.examine(&dispatch, sent_at).await;
             }
             match result {
@@ -172,7 +172,7 @@
 
     /// The engine may have ended under this prompt, and others would.
     async fn examine(&self, dispatch: &Dispatch, sent_at: BootTime) {
-        let news = dispatch.news();
+        let news = dispatch.announcement();
         let broken = BrokenAt {
             target: &news.engine,
             incarnation: news.incarnation,
@@ -194,8 +194,8 @@
         let Some(model) = config.config.models.get(model_id) else { return false };
         let version = {
             let mut router = self.node.router.lock();
-            let draw = router.draw();
-            router.version_for(model_id, model, draw, boot_now())
+            let request_number = router.next_request_number();
+            router.choose_weight_version(model_id, model, request_number, boot_now())
         };
         if version == self.prompt.weight_version {
             return false;
@@ -221,32 +221,32 @@
         let deadline = if has_begun { BootTime::MAX } else { call.deadline };
         let now = boot_now();
         let mut router = self.node.router.lock();
-        let draw = router.draw();
-        let ask = Ask {
+        let request_number = router.next_request_number();
+        let request = RouteRequest {
             model: &self.prompt.model_id,
             weight_version: &self.prompt.weight_version,
             chain: &self.prompt.chain,
-            kept: &self.kept,
-            avoid: &self.avoid,
-            draw,
+            stored_prefixes: &self.kept,
+            excluded_engines: &self.avoid,
+            request_number,
         };
         let prices = &call.config.config.prices;
-        let begun = router.begin(self.prompt.policy, prices, &ask, deadline, now);
+        let begun = router.start_dispatch(self.prompt.policy, prices, &request, deadline, now);
         drop(router);
         let dispatch = begun.map_err(NoDispatch::NoEngine)?;
-        self.node.tell_dispatched(&dispatch.news());
+        self.node.tell_dispatched(&dispatch.announcement());
         Ok(dispatch)
     }
 
     fn no_dispatch(&self, reason: NoDispatch) -> Refusal {
         let refusal = match reason {
             NoDispatch::Refused(refusal) => refusal,
-            NoDispatch::NoEngine(NoEngine::NoneTakesWork) => {
+            NoDispatch::NoEngine(NoEngine::NoneAvailable) => {
                 let message =
                     format!("no engine of model {:?} takes work now", self.prompt.model_id);
                 Refusal::not_run(Code::NoTarget, message).after(NO_TARGET_RETRY)
             }
-            NoDispatch::NoEngine(NoEngine::TooLate(late)) => {
+            NoDispatch::NoEngine(NoEngine::DeadlineExceeded(late)) => {
                 let message = "no engine would give the first token by the deadline";
                 Refusal::not_run(Code::Deadline, message).after(late)
             }
@@ -255,7 +255,7 @@
     }
 
     async fn dispatch(&mut self, dispatch: &Dispatch) -> Result<Whole, Broken> {
-        let refused = |refusal| Broken::Final(Ended::Cancelled, refusal);
+        let refused = |refusal| Broken::Final(DispatchOutcome::Cancelled, refusal);
         if let Some(held) = &mut self.held {
             held.dispatch().map_err(refused)?;
         }
@@ -281,17 +281,17 @@
                     held.not_run();
                 }
                 let refusal = Refusal::not_run(Code::TargetFailed, reason).after(NO_TARGET_RETRY);
-                return Err(Broken::TryAnother(Ended::Refused, refusal));
+                return Err(Broken::TryAnother(DispatchOutcome::Refused, refusal));
             }
             Err(CallError::Rejected(reason)) => {
                 self.may_have_run = true;
                 let refusal = Refusal::may_have_run(Code::BadRequest, reason);
-                return Err(Broken::Final(Ended::Cancelled, refusal));
+                return Err(Broken::Final(DispatchOutcome::Cancelled, refusal));
             }
             Err(CallError::MayHaveRun(reason)) => {
                 self.may_have_run = true;
                 let refusal = Refusal::may_have_run(Code::TargetFailed, reason);
-                return Err(Broken::TryAnother(Ended::Failed, refusal));
+                return Err(Broken::TryAnother(DispatchOutcome::Failed, refusal));
             }
         };
         self.may_have_run = true;
@@ -325,12 +325,12 @@
         match stopped {
             Stopped::CallerGone => {
                 let refusal = Refusal::may_have_run(Code::AnswerBroken, "the caller hung up");
-                Err(Broken::Final(Ended::Cancelled, refusal))
+                Err(Broken::Final(DispatchOutcome::Cancelled, refusal))
             }
             Stopped::Fault(Fault::Diverged) => {
                 let message = "a restarted answer differs from what was sent already";
                 let refusal = Refusal::may_have_run(Code::AnswerBroken, message);
-                Err(Broken::Final(Ended::Failed, refusal))
+                Err(Broken::Final(DispatchOutcome::Failed, refusal))
             }
             Stopped::Fault(fault) => {
                 log::warn!(
@@ -351,9 +351,9 @@
     fn try_another(&self, dispatch: &Dispatch, reason: &str) -> Broken {
         let refusal = Refusal::may_have_run(Code::AnswerBroken, reason);
         if self.relay.text().is_empty() || dispatch.reproducible {
-            Broken::TryAnother(Ended::Failed, refusal)
+            Broken::TryAnother(DispatchOutcome::Failed, refusal)
         } else {
-            Broken::Final(Ended::Failed, refusal)
+            Broken::Final(DispatchOutcome::Failed, refusal)
         }
     }
 
@@ -394,29 +394,29 @@
         if sent.is_err() && call.repeatable { Err(Stopped::CallerGone) } else { Ok(()) }
     }
 
-    fn may_retry(&self, ended: Ended) -> bool {
+    fn may_retry(&self, ended: DispatchOutcome) -> bool {
         if self.attempt >= MAX_ATTEMPTS {
             return false;
         }
         // What provably did not run may be sent elsewhere, repeatable or not.
-        if ended == Ended::Refused {
+        if ended == DispatchOutcome::Refused {
             return true;
         }
-        self.prompt.call.repeatable && self.node.router.lock().spend_retry()
+        self.prompt.call.repeatable && self.node.router.lock().try_spend_retry()
     }
 
-    fn book(&self, dispatch: &Dispatch, ended: Ended) {
-        self.node.router.lock().end(dispatch, &self.prompt.chain, ended, boot_now());
+    fn book(&self, dispatch: &Dispatch, ended: DispatchOutcome) {
+        self.node.router.lock().finish_dispatch(dispatch, &self.prompt.chain, ended, boot_now());
         let outcome = match ended {
-            Ended::Whole(usage) => {
+            DispatchOutcome::Completed(usage) => {
                 self.node.metrics.prompt_tokens.add(usage.prompt_tokens, &[]);
                 let reused = usage.prompt_tokens_details.cached_tokens;
                 self.node.metrics.reused_tokens.add(reused, &[]);
                 "whole"
             }
-            Ended::Refused => "refused",
-            Ended::Failed => "failed",
-            Ended::Cancelled => "cancelled",
+            DispatchOutcome::Refused => "refused",
+            DispatchOutcome::Failed => "failed",
+            DispatchOutcome::Cancelled => "cancelled",
         };
         let labels = [label("target", dispatch.engine()), label("outcome", outcome)];
         self.node.metrics.dispatches.add(1, &labels);
@@ -428,8 +428,8 @@
     }
 
     /// What was believed of the context and what proved true, for whoever tunes the decision.
-    fn log_reuse(&self, dispatch: &Dispatch, ended: Ended) {
-        let Ended::Whole(usage) = ended else { return };
+    fn log_reuse(&self, dispatch: &Dispatch, ended: DispatchOutcome) {
+        let DispatchOutcome::Completed(usage) = ended else { return };
         let kept = self.kept.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
         let imported = dispatch.decision.import.as_ref().map_or(0, |import| import.object.blocks);
         log::debug!(
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -98,7 +98,7 @@
                 may_have_run = true;
                 last = failed(&instance, error.reason(), may_have_run);
                 examine(node, call, &instance, sent_at, &error).await;
-                if !node.router.lock().spend_retry() {
+                if !node.router.lock().try_spend_retry() {
                     break;
                 }
             }
@@ -169,7 +169,7 @@
 /// Instances that take work, in an order that differs from call to call.
 fn instances(node: &Node, service: &str) -> Vec<Target> {
     let mut router = node.router.lock();
-    let turn = router.draw() as usize;
+    let turn = router.next_request_number() as usize;
     let mut instances: Vec<Target> =
         router.targets().instances(service).into_iter().cloned().collect();
     if !instances.is_empty() {
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -9,4 +9,4 @@
 
 pub use listing::{Listing, UnreadableEntry};
 pub use roster::{Listed, Presence, Remembered, Roster, RosterChange};
-pub use view::{Dispatch, Fault, FleetView, TargetState};
+pub use view::{Dispatch, FailureCause, FleetView, TargetState};
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -9,7 +9,7 @@
 use crate::clock::BootTime;
 use crate::gateway::call::TargetLoad;
 use crate::ids::{ModelId, ServiceId, TargetId, TargetStart};
-pub use crate::route::health::Fault;
+pub use crate::route::health::FailureCause;
 use crate::route::health::Health;
 
 /// A reported load counts for less and less, and for nothing after this time: about how long a
@@ -144,21 +144,21 @@
     /// Records a sound answer.
     pub fn succeeded(&mut self, target: &TargetStart) {
         if let Some(state) = self.targets.get_mut(target) {
-            state.health.succeeded();
+            state.health.record_success();
         }
     }
 
     /// Records a failure.
-    pub fn failed(&mut self, target: &TargetStart, fault: Fault, now: BootTime) {
+    pub fn failed(&mut self, target: &TargetStart, cause: FailureCause, now: BootTime) {
         if let Some(state) = self.targets.get_mut(target) {
-            state.health.failed(fault, now);
+            state.health.record_failure(cause, now);
         }
     }
 
     /// Records that a target can't be reached.
     pub fn unreachable(&mut self, target: &TargetStart, now: BootTime) {
         if let Some(state) = self.targets.get_mut(target) {
-            state.health.unreachable(now);
+            state.health.record_unreachable(now);
         }
     }
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -18,7 +18,7 @@
 use super::record::Record;
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
-use crate::fleet::Fault;
+use crate::fleet::FailureCause;
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
@@ -131,14 +131,14 @@
                 record.failed(&target, &reason);
                 at_target.ends(End::Failed);
                 drop(at_target);
-                gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
+                gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 examine::broke_off(gateway, job, &target, sent_at, record).await;
                 return Err(Missed::MayHaveRun(target));
             }
             Err(_) => {
                 record.failed(&target, "no answer in time");
                 at_target.ends(End::Failed);
-                gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
+                gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 return Err(Missed::TimedOut(target));
             }
         };
@@ -259,7 +259,7 @@
     }
     if answer.status().is_server_error() {
         at_target.ends(End::Failed);
-        gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
+        gateway.fleet.borrow_mut().failed(target, FailureCause::Target, now);
     }
     Ok(answered)
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -20,7 +20,7 @@
 use super::record::{Ended, Record};
 use super::state::{AtTarget, Gateway};
 use crate::clock::{BootTime, boot_now};
-use crate::fleet::Fault;
+use crate::fleet::FailureCause;
 use crate::ids::TargetStart;
 use crate::scheduler::End;
 
@@ -184,7 +184,11 @@
         if let Some(mut source) = self.source.take() {
             source.at_target.ends(End::Failed);
             self.record.failed(&source.target, &reason);
-            self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
+            self.gateway.fleet.borrow_mut().failed(
+                &source.target,
+                FailureCause::Target,
+                boot_now(),
+            );
             let (target, sent_at) = (source.target.clone(), source.sent_at);
             // Closes the connection, which ends the run there.
             drop(source);
--- a/src/membership/shell.rs
+++ b/src/membership/shell.rs
@@ -12,7 +12,7 @@
 use crate::ids::NodeId;
 use crate::peer::Links;
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
-use crate::route::targets::Leaving;
+use crate::route::targets::LeavingTarget;
 
 /// Largest datagram that is read.
 const DATAGRAM_BYTES: usize = 60_000;
@@ -23,7 +23,7 @@
     /// Nodes that are not taken for dead, this one first.
     pub live: Vec<Member>,
     /// Targets that other nodes saw leaving; whoever takes them empties the list.
-    pub heard_leaving: Vec<Leaving>,
+    pub heard_leaving: Vec<LeavingTarget>,
 }
 
 /// The actor.
@@ -44,7 +44,7 @@
 pub struct Datagram(pub Vec<u8>);
 
 /// This node saw a target leaving.
-pub struct TellLeaving(pub Leaving);
+pub struct TellLeaving(pub LeavingTarget);
 
 impl Membership {
     /// The actor, not started yet.
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::BootTime;
 use crate::ids::{DomainId, NodeId};
-use crate::route::targets::Leaving;
+use crate::route::targets::LeavingTarget;
 
 /// Nodes asked to probe one that did not answer.
 const INDIRECT_PROBES: usize = 3;
@@ -66,7 +66,7 @@
     /// Of a node.
     Member(Member),
     /// Of a target that leaves.
-    Leaving(Leaving),
+    Leaving(LeavingTarget),
 }
 
 /// A packet.
@@ -117,7 +117,7 @@
     relayed: Vec<(u64, NodeId, u64)>,
     /// News with the number of packets that still carry each.
     spreading: Vec<(Item, u32)>,
-    heard_leaving: Vec<Leaving>,
+    heard_leaving: Vec<LeavingTarget>,
 }
 
 #[derive(Clone, Debug)]
@@ -188,12 +188,12 @@
     }
 
     /// Spreads the news that a target leaves.
-    pub fn tell_leaving(&mut self, leaving: Leaving) {
+    pub fn tell_leaving(&mut self, leaving: LeavingTarget) {
         self.spread(Item::Leaving(leaving));
     }
 
     /// Targets that other nodes saw leaving, since the last call.
-    pub fn take_heard_leaving(&mut self) -> Vec<Leaving> {
+    pub fn take_heard_leaving(&mut self) -> Vec<LeavingTarget> {
         std::mem::take(&mut self.heard_leaving)
     }
 
@@ -375,7 +375,7 @@
         }
     }
 
-    fn learn_leaving(&mut self, leaving: Leaving) {
+    fn learn_leaving(&mut self, leaving: LeavingTarget) {
         let known = self.spreading.iter().any(|(item, _)| *item == Item::Leaving(leaving.clone()));
         if !known {
             self.heard_leaving.push(leaving);
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -29,7 +29,7 @@
     }
 
     fn dispatched(&self, dispatched: &Dispatched) {
-        self.router.lock().take_dispatched(dispatched, boot_now());
+        self.router.lock().record_peer_dispatch(dispatched, boot_now());
     }
 
     fn answer(self: Arc<Node>, from: NodeId, ask: Ask) -> BoxFuture<'static, Answer> {
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -102,7 +102,7 @@
         let stores = router.view().stores.iter();
         stores
             .filter(|(_, store)| store.takes_work && store.health.admits(0, now))
-            .map(|(id, store)| (id.clone(), store.fill()))
+            .map(|(id, store)| (id.clone(), store.used_fraction()))
             .collect()
     }
 
--- a/src/node/watching.rs
+++ b/src/node/watching.rs
@@ -8,7 +8,7 @@
 use super::{Node, every};
 use crate::clock::boot_now;
 use crate::membership::shell::TellLeaving;
-use crate::route::targets::Leaving;
+use crate::route::targets::LeavingTarget;
 
 impl Node {
     /// Reads the platform's list, and what other nodes saw leaving, again and again.
@@ -33,10 +33,10 @@
 
     async fn read_platform(self: &Arc<Node>, etag: &mut String) {
         let heard = std::mem::take(&mut self.known.lock().heard_leaving);
-        let mut news = self.router.lock().take_leaving(&heard);
+        let mut news = self.router.lock().apply_leaving(&heard);
         match self.client.targets(&self.settings.platform_url, etag).await {
             Ok(Some((list, new_etag))) => {
-                news.extend(self.router.lock().take_list(list));
+                news.extend(self.router.lock().apply_list(list));
                 *etag = new_etag;
             }
             Ok(None) => {}
@@ -48,7 +48,7 @@
         }
     }
 
-    async fn tell_leaving(&self, leaving: Leaving) {
+    async fn tell_leaving(&self, leaving: LeavingTarget) {
         log::info!(
             "event=target_leaving target={} incarnation={}",
             leaving.target,
@@ -61,12 +61,14 @@
         let nodes = self.known.lock().live.len();
         let (engines, stores) = {
             let mut router = self.router.lock();
-            router.set_nodes(nodes);
+            router.set_live_nodes(nodes);
             let engines: Vec<(String, String, u64)> = router
                 .view()
                 .engines
                 .iter()
-                .map(|(id, engine)| (id.clone(), engine.url.clone(), engine.residency.last_event()))
+                .map(|(id, engine)| {
+                    (id.clone(), engine.url.clone(), engine.residency.last_event_seq())
+                })
                 .collect();
             let stores: Vec<(String, String)> =
                 router.view().stores.iter().map(|(id, s)| (id.clone(), s.url.clone())).collect();
@@ -76,7 +78,7 @@
             engines.iter().map(|(id, url, last_event)| self.read_engine(id, url, *last_event));
         let reading_stores = stores.iter().map(|(id, url)| self.read_store(id, url));
         tokio::join!(join_all(reading_engines), join_all(reading_stores));
-        let capacity = self.router.lock().capacity(boot_now());
+        let capacity = self.router.lock().request_capacity(boot_now());
         self.places.set_capacity(capacity);
     }
 
@@ -86,11 +88,11 @@
         let now = boot_now();
         let mut router = self.router.lock();
         match load {
-            Ok(report) => router.take_load(id, report, now),
-            Err(_) => router.engine_failed(id, now),
+            Ok(report) => router.apply_load_report(id, report, now),
+            Err(_) => router.record_engine_failure(id, now),
         }
         if let Ok(events) = events {
-            router.take_events(id, &events);
+            router.apply_cache_events(id, &events);
         }
     }
 
@@ -98,8 +100,8 @@
         let report = self.client.store(url).await;
         let now = boot_now();
         match report {
-            Ok(report) => self.router.lock().take_store(id, report, now),
-            Err(_) => self.router.lock().store_failed(id, now),
+            Ok(report) => self.router.lock().apply_store_report(id, report, now),
+            Err(_) => self.router.lock().record_store_failure(id, now),
         }
     }
 }
--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -9,19 +9,19 @@
 use crate::ids::{TargetId, WeightVersion};
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
-/// Engines whose cost differs by less than this count as equal; one of them is drawn.
-const EQUAL_WITHIN: Duration = Duration::from_micros(500);
-/// A full batch frees a place about this often for each of its places.
-const PLACE_HELD: Duration = Duration::from_millis(100);
+/// Engines whose cost differs by less than this count as equal; one of them is index.
+const COST_TIE_TOLERANCE: Duration = Duration::from_micros(500);
+/// A full batch frees a place about this often for each of its batch_slots.
+const BATCH_SLOT_INTERVAL: Duration = Duration::from_millis(100);
 /// Assumed until an engine has reported its rate.
-const ASSUMED_TOKENS_PER_S: f64 = 10_000.0;
+const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 10_000.0;
 
 const MEBIBYTE: f64 = 1_048_576.0;
 const KILOTOKEN: f64 = 1_000.0;
 
 /// A request as far as routing sees it.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// The model.
     pub model: &'a str,
     /// The weight version that must answer.
@@ -29,11 +29,11 @@
     /// The prompt.
     pub chain: &'a Chain,
     /// Prefixes of it that stores hold, with the store of each.
-    pub kept: &'a [(TargetId, KeptObject)],
+    pub stored_prefixes: &'a [(TargetId, KeptObject)],
     /// Engines that must not be used, since they failed this request before.
-    pub avoid: &'a [TargetId],
-    /// A number that is random for each request: draws between equals.
-    pub draw: u64,
+    pub excluded_engines: &'a [TargetId],
+    /// A number that is random for each request: draws between tied.
+    pub request_number: u64,
 }
 
 /// What to do with a request.
@@ -48,7 +48,7 @@
     /// Tokens that it must prefill, if all goes as believed.
     pub prefill_tokens: u64,
     /// Estimated time to first token.
-    pub first_token: Duration,
+    pub time_to_first_token: Duration,
 }
 
 /// An import of a kept prefix.
@@ -65,56 +65,63 @@
     policy: Policy,
     prices: &Prices,
     view: &View,
-    ask: &Ask<'_>,
+    request: &RouteRequest<'_>,
     now: BootTime,
 ) -> Option<Decision> {
     let candidates: Vec<(&TargetId, &EngineView)> =
-        view.engines.iter().filter(|(id, engine)| may_take(id, engine, ask, now)).collect();
+        view.engines.iter().filter(|(id, engine)| is_eligible(id, engine, request, now)).collect();
     let chosen = match policy {
         Policy::RoundRobin => {
-            let position = ask.draw as usize % candidates.len().max(1);
+            let position = request.request_number as usize % candidates.len().max(1);
             candidates.get(position).copied()
         }
-        Policy::LeastLoad => least(&candidates, ask.draw, |_, engine| waiting(engine, now)),
+        Policy::LeastLoad => {
+            least_cost(&candidates, request.request_number, |_, engine| estimated_wait(engine, now))
+        }
         Policy::PrefixSticky => {
-            let root = ask.chain.root().unwrap_or(u128::from(ask.draw));
-            candidates.iter().copied().max_by_key(|(id, _)| rendezvous(root, id))
+            let root = request.chain.root().unwrap_or(u128::from(request.request_number));
+            candidates.iter().copied().max_by_key(|(id, _)| rendezvous_weight(root, id))
         }
-        Policy::Cost => return cheapest(&candidates, prices, view, ask, now),
+        Policy::Cost => return cheapest(&candidates, prices, view, request, now),
     };
     let (id, engine) = chosen?;
-    Some(plan(id, engine, None, ask, now).into_decision())
+    Some(plan_for_engine(id, engine, None, request, now).into_decision())
 }
 
-fn may_take(id: &TargetId, engine: &EngineView, ask: &Ask<'_>, now: BootTime) -> bool {
+fn is_eligible(
+    id: &TargetId,
+    engine: &EngineView,
+    request: &RouteRequest<'_>,
+    now: BootTime,
+) -> bool {
     engine.takes_work
-        && engine.model == ask.model
-        && !ask.avoid.contains(id)
+        && engine.model == request.model
+        && !request.excluded_engines.contains(id)
         && engine.health.admits(engine.running, now)
         && engine.fresh_report(now).is_some_and(|report| {
-            report.weight_version.as_ref() == Some(ask.weight_version)
+            report.weight_version.as_ref() == Some(request.weight_version)
                 && report.incarnation == engine.incarnation
         })
 }
 
 /// A way to run a request on one engine, with what it costs.
-struct Plan<'p> {
+struct EnginePlan<'p> {
     engine: &'p TargetId,
-    import: Option<&'p Usable>,
+    import: Option<&'p UsableImport>,
     resident_blocks: usize,
     prefill_tokens: f64,
-    first_token_s: f64,
+    time_to_first_token_s: f64,
     cost_s: f64,
 }
 
-impl Plan<'_> {
+impl EnginePlan<'_> {
     fn into_decision(self) -> Decision {
         Decision {
             engine: self.engine.clone(),
-            import: self.import.map(|usable| usable.import.clone()),
+            import: self.import.map(|import| import.import.clone()),
             resident_blocks: self.resident_blocks,
             prefill_tokens: self.prefill_tokens.round() as u64,
-            first_token: Duration::from_secs_f64(self.first_token_s),
+            time_to_first_token: Duration::from_secs_f64(self.time_to_first_token_s),
         }
     }
 }
@@ -123,15 +130,19 @@
     candidates: &[(&TargetId, &EngineView)],
     prices: &Prices,
     view: &View,
-    ask: &Ask<'_>,
+    request: &RouteRequest<'_>,
     now: BootTime,
 ) -> Option<Decision> {
-    let imports = usable_imports(view, ask, now);
-    let mut plans: Vec<Plan> = Vec::with_capacity(candidates.len());
+    let imports = usable_imports(view, request, now);
+    let mut plans: Vec<EnginePlan> = Vec::with_capacity(candidates.len());
     for (id, engine) in candidates {
-        let mut best = priced(plan(id, engine, None, ask, now), prices);
+        let mut best =
+            with_resource_prices(plan_for_engine(id, engine, None, request, now), prices);
         for import in &imports {
-            let other = priced(plan(id, engine, Some(import), ask, now), prices);
+            let other = with_resource_prices(
+                plan_for_engine(id, engine, Some(import), request, now),
+                prices,
+            );
             if other.cost_s < best.cost_s {
                 best = other;
             }
@@ -139,24 +150,24 @@
         plans.push(best);
     }
     let least = plans.iter().map(|plan| plan.cost_s).min_by(f64::total_cmp)?;
-    let limit = least + EQUAL_WITHIN.as_secs_f64();
-    let equals: Vec<Plan> = plans.into_iter().filter(|plan| plan.cost_s <= limit).collect();
-    let drawn = ask.draw as usize % equals.len().max(1);
-    equals.into_iter().nth(drawn).map(Plan::into_decision)
+    let limit = least + COST_TIE_TOLERANCE.as_secs_f64();
+    let tied: Vec<EnginePlan> = plans.into_iter().filter(|plan| plan.cost_s <= limit).collect();
+    let index = request.request_number as usize % tied.len().max(1);
+    tied.into_iter().nth(index).map(EnginePlan::into_decision)
 }
 
 /// An import that can be had now, and how long it takes.
-struct Usable {
+struct UsableImport {
     import: Import,
     transfer: Duration,
 }
 
-fn usable_imports(view: &View, ask: &Ask<'_>, now: BootTime) -> Vec<Usable> {
+fn usable_imports(view: &View, request: &RouteRequest<'_>, now: BootTime) -> Vec<UsableImport> {
     let mut usable = Vec::new();
-    for (store_id, object) in ask.kept {
+    for (store_id, object) in request.stored_prefixes {
         let blocks = object.blocks as usize;
         // The key must be one of this very prompt's; anything else is somebody else's.
-        if blocks == 0 || ask.chain.keys.get(blocks - 1) != Some(&object.key) {
+        if blocks == 0 || request.chain.keys.get(blocks - 1) != Some(&object.key) {
             continue;
         }
         let Some(store) = view.stores.get(store_id) else { continue };
@@ -165,45 +176,45 @@
         }
         let Some(transfer) = store.transfer_time(object.size_bytes, now) else { continue };
         let import = Import { store: store_id.clone(), object: object.clone() };
-        usable.push(Usable { import, transfer });
+        usable.push(UsableImport { import, transfer });
     }
     usable
 }
 
-fn plan<'p>(
+fn plan_for_engine<'p>(
     id: &'p TargetId,
     engine: &EngineView,
-    import: Option<&'p Usable>,
-    ask: &Ask<'_>,
+    import: Option<&'p UsableImport>,
+    request: &RouteRequest<'_>,
     now: BootTime,
-) -> Plan<'p> {
-    let resident = engine.residency.resident(&ask.chain.keys);
-    let believed = resident as f64 * engine.residency.trust();
-    let imported = import.map_or(0, |usable| usable.import.object.blocks as usize);
-    let reused_blocks = believed.max(imported as f64);
-    let reused = (reused_blocks * BLOCK_TOKENS as f64).min(ask.chain.tokens as f64);
-    let prefill_tokens = ask.chain.tokens as f64 - reused;
+) -> EnginePlan<'p> {
+    let resident = engine.residency.resident_blocks(&request.chain.keys);
+    let expected_resident = resident as f64 * engine.residency.confidence();
+    let imported = import.map_or(0, |import| import.import.object.blocks as usize);
+    let reused_blocks = expected_resident.max(imported as f64);
+    let reused = (reused_blocks * BLOCK_TOKENS as f64).min(request.chain.tokens as f64);
+    let prefill_tokens = request.chain.tokens as f64 - reused;
     let rate = engine
         .fresh_report(now)
-        .map_or(ASSUMED_TOKENS_PER_S, |report| report.prefill_tokens_per_s)
+        .map_or(DEFAULT_PREFILL_TOKENS_PER_S, |report| report.prefill_tokens_per_s)
         .max(1.0);
-    let transfer = import.map_or(Duration::ZERO, |usable| usable.transfer);
+    let transfer = import.map_or(Duration::ZERO, |import| import.transfer);
     // The import runs while others prefill, so the longer of the two waits counts.
-    let wait = waiting(engine, now).max(transfer);
-    let first_token_s = wait.as_secs_f64() + prefill_tokens / rate;
-    Plan {
+    let wait = estimated_wait(engine, now).max(transfer);
+    let time_to_first_token_s = wait.as_secs_f64() + prefill_tokens / rate;
+    EnginePlan {
         engine: id,
         import,
         resident_blocks: resident,
         prefill_tokens,
-        first_token_s,
-        cost_s: first_token_s,
+        time_to_first_token_s,
+        cost_s: time_to_first_token_s,
     }
 }
 
-fn priced<'p>(mut plan: Plan<'p>, prices: &Prices) -> Plan<'p> {
+fn with_resource_prices<'p>(mut plan: EnginePlan<'p>, prices: &Prices) -> EnginePlan<'p> {
     let link_mib =
-        plan.import.map_or(0.0, |usable| usable.import.object.size_bytes as f64 / MEBIBYTE);
+        plan.import.map_or(0.0, |import| import.import.object.size_bytes as f64 / MEBIBYTE);
     let recomputed = plan.prefill_tokens / KILOTOKEN;
     plan.cost_s += link_mib * prices.link_s_per_mib;
     plan.cost_s += recomputed * prices.recompute_s_per_kilotoken;
@@ -211,29 +222,29 @@
 }
 
 /// How long a request that is sent now waits before its own prefill starts.
-fn waiting(engine: &EngineView, now: BootTime) -> Duration {
+fn estimated_wait(engine: &EngineView, now: BootTime) -> Duration {
     let report = engine.fresh_report(now);
-    let rate = report.map_or(ASSUMED_TOKENS_PER_S, |report| report.prefill_tokens_per_s).max(1.0);
+    let rate =
+        report.map_or(DEFAULT_PREFILL_TOKENS_PER_S, |report| report.prefill_tokens_per_s).max(1.0);
     let prefill = Duration::from_secs_f64(engine.queued_tokens(now) as f64 / rate);
-    let places = report.map_or(1, |report| report.max_batch).max(1);
-    let over = (engine.requests(now) + 1).saturating_sub(places);
-    prefill + PLACE_HELD * over / places
+    let batch_slots = report.map_or(1, |report| report.max_batch).max(1);
+    let excess = (engine.estimated_requests(now) + 1).saturating_sub(batch_slots);
+    prefill + BATCH_SLOT_INTERVAL * excess / batch_slots
 }
 
-fn least<'v>(
+fn least_cost<'v>(
     candidates: &[(&'v TargetId, &'v EngineView)],
-    draw: u64,
+    request_number: u64,
     cost: impl Fn(&TargetId, &EngineView) -> Duration,
 ) -> Option<(&'v TargetId, &'v EngineView)> {
     let least = candidates.iter().map(|(id, engine)| cost(id, engine)).min()?;
-    let limit = least + EQUAL_WITHIN;
-    let equals: Vec<_> =
-        candidates.iter().filter(|(id, engine)| cost(id, engine) <= limit).collect();
-    equals.get(draw as usize % equals.len().max(1)).map(|chosen| **chosen)
+    let limit = least + COST_TIE_TOLERANCE;
+    let tied: Vec<_> = candidates.iter().filter(|(id, engine)| cost(id, engine) <= limit).collect();
+    tied.get(request_number as usize % tied.len().max(1)).map(|chosen| **chosen)
 }
 
 /// Rendezvous weight of a target for a key: each key goes to the target with the highest.
-pub fn rendezvous(key: u128, id: &str) -> u64 {
+pub fn rendezvous_weight(key: u128, id: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&key.to_le_bytes());
     hasher.update(id.as_bytes());
--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -7,17 +7,17 @@
 /// Failures in a row that eject a target.
 const FAILURES_TO_EJECT: u32 = 3;
 /// First ejection; each one in a row doubles it.
-const FIRST_EJECTION: Duration = Duration::from_millis(500);
+const INITIAL_EJECTION: Duration = Duration::from_millis(500);
 /// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 /// Requests at a time while a target is on trial.
-const TRIAL_RUNNING: u32 = 1;
+const MAX_TRIAL_REQUESTS: u32 = 1;
 /// Successes on trial that end it.
-const TRIAL_SUCCESSES: u32 = 3;
+const SUCCESSES_TO_RECOVER: u32 = 3;
 
-/// Whose fault a failed request was.
+/// Whose cause a failed request was.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum FailureCause {
     /// The target's: it broke, hung or could not be reached.
     Target,
     /// The caller's or nobody's: a wrong request, a cancel, a refusal for good reason.
@@ -50,22 +50,22 @@
     pub fn admits(&self, running: u32, now: BootTime) -> bool {
         match self.state {
             State::Healthy { .. } => true,
-            State::Ejected { until } => now >= until && running < TRIAL_RUNNING,
-            State::Trial { .. } => running < TRIAL_RUNNING,
+            State::Ejected { until } => now >= until && running < MAX_TRIAL_REQUESTS,
+            State::Trial { .. } => running < MAX_TRIAL_REQUESTS,
         }
     }
 
     /// Whether it is ejected or on trial.
-    pub fn is_suspect(&self) -> bool {
+    pub fn is_unhealthy(&self) -> bool {
         !matches!(self.state, State::Healthy { .. })
     }
 
     /// Records a whole answer.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.state = match self.state {
             State::Healthy { .. } => State::Healthy { failures: 0 },
             State::Ejected { .. } => State::Trial { successes: 1 },
-            State::Trial { successes } if successes + 1 >= TRIAL_SUCCESSES => {
+            State::Trial { successes } if successes + 1 >= SUCCESSES_TO_RECOVER => {
                 self.ejections = 0;
                 State::Healthy { failures: 0 }
             }
@@ -74,8 +74,8 @@
     }
 
     /// Records a failure.
-    pub fn failed(&mut self, fault: Fault, now: BootTime) {
-        if fault == Fault::Other {
+    pub fn record_failure(&mut self, cause: FailureCause, now: BootTime) {
+        if cause == FailureCause::Other {
             return;
         }
         self.state = match self.state {
@@ -89,7 +89,7 @@
     }
 
     /// Records that it can't be reached: no more requests are risked to be sure of that.
-    pub fn unreachable(&mut self, now: BootTime) {
+    pub fn record_unreachable(&mut self, now: BootTime) {
         self.state = match self.state {
             State::Ejected { until } if now < until => State::Ejected { until },
             _ => self.eject(now),
@@ -97,8 +97,8 @@
     }
 
     fn eject(&mut self, now: BootTime) -> State {
-        let doubled = FIRST_EJECTION.saturating_mul(1 << self.ejections.min(10));
+        let duration = INITIAL_EJECTION.saturating_mul(1 << self.ejections.min(10));
         self.ejections += 1;
-        State::Ejected { until: now + doubled.min(LONGEST_EJECTION) }
+        State::Ejected { until: now + duration.min(MAX_EJECTION) }
     }
 }
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -10,10 +10,10 @@
 pub mod targets;
 pub mod view;
 
-pub use decide::{Ask, Decision, Import, decide};
+pub use decide::{Decision, Import, RouteRequest, decide};
 pub use health::Health;
 pub use residency::Residency;
 pub use retry::RetryBudget;
-pub use router::{Dispatch, Ended, NoEngine, Router};
+pub use router::{Dispatch, DispatchOutcome, NoEngine, Router};
 pub use targets::Targets;
 pub use view::{EngineView, StoreView, View};
--- a/src/route/retry.rs
+++ b/src/route/retry.rs
@@ -1,9 +1,9 @@
 //! A budget for retries, so that failures don't multiply the load.
 
 /// Retries earned by each request that is sent for the first time.
-const EARNED: f64 = 0.2;
+const RETRIES_PER_REQUEST: f64 = 0.2;
 /// Retries that may be saved up.
-const SAVED: f64 = 20.0;
+const MAX_SAVED_RETRIES: f64 = 20.0;
 
 /// Retries that a node may still make.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,18 +13,18 @@
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { tokens: SAVED }
+        RetryBudget { tokens: MAX_SAVED_RETRIES }
     }
 }
 
 impl RetryBudget {
     /// Records a request that is sent for the first time.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(SAVED);
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
     /// Takes one retry from the budget; false if there is none.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::decide::{Ask, Decision, decide, rendezvous};
-use super::health::Fault;
+use super::decide::{Decision, RouteRequest, decide, rendezvous_weight};
+use super::health::FailureCause;
 use super::retry::RetryBudget;
-use super::targets::{Leaving, Targets};
+use super::targets::{LeavingTarget, Targets};
 use super::view::{EngineView, StoreView, View};
 use crate::clock::BootTime;
 use crate::config::{Model, Policy, Prices};
@@ -16,24 +16,24 @@
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
 /// Blocks remembered for all engines together: about 93 bytes each.
-const ALL_BLOCKS: usize = 131_072;
+const MAX_TRACKED_BLOCKS_TOTAL: usize = 131_072;
 
 /// Routing state of one node.
 #[derive(Clone, Debug)]
 pub struct Router {
     node_id: NodeId,
-    watched_engines: usize,
+    watched_engines_per_model: usize,
     targets: Targets,
     view: View,
-    budget: RetryBudget,
-    decisions: u64,
+    retry_budget: RetryBudget,
+    last_request_number: u64,
 }
 
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ended {
+pub enum DispatchOutcome {
     /// With a whole answer.
-    Whole(Usage),
+    Completed(Usage),
     /// The target did not run it, for a good reason.
     Refused,
     /// The target failed it.
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEngine {
     /// None of its model and version takes work now.
-    NoneTakesWork,
+    NoneAvailable,
     /// The best one would give the first token so much after the deadline.
-    TooLate(Duration),
+    DeadlineExceeded(Duration),
 }
 
 /// A dispatch that runs; hand it back to `end`.
@@ -66,15 +66,15 @@
 }
 
 impl Router {
-    /// A router that knows no target yet and watches at most `watched_engines` of each model.
-    pub fn new(node_id: NodeId, watched_engines: usize) -> Router {
+    /// A router that knows no target yet and watches at most `watched_engines_per_model` of each model.
+    pub fn new(node_id: NodeId, watched_engines_per_model: usize) -> Router {
         Router {
             node_id,
-            watched_engines,
+            watched_engines_per_model,
             targets: Targets::default(),
-            view: View { nodes: 1, ..View::default() },
-            budget: RetryBudget::default(),
-            decisions: node_id.wrapping_mul(7),
+            view: View { live_nodes: 1, ..View::default() },
+            retry_budget: RetryBudget::default(),
+            last_request_number: node_id.wrapping_mul(7),
         }
     }
 
@@ -89,17 +89,17 @@
     }
 
     /// Records how many nodes are live.
-    pub fn set_nodes(&mut self, nodes: usize) {
-        self.view.nodes = nodes.max(1);
+    pub fn set_live_nodes(&mut self, live_nodes: usize) {
+        self.view.live_nodes = live_nodes.max(1);
     }
 
     /// Takes the platform's list. Returns the targets newly seen leaving.
-    pub fn take_list(&mut self, list: TargetList) -> Vec<Leaving> {
-        let news = self.targets.take(list);
-        let watched = self.watched();
+    pub fn apply_list(&mut self, list: TargetList) -> Vec<LeavingTarget> {
+        let newly_leaving = self.targets.apply_list(list);
+        let watched = self.engines_to_watch();
         self.view.engines.retain(|id, _| watched.iter().any(|target| target.id == *id));
         for target in &watched {
-            self.place_engine(target);
+            self.watch_engine(target);
         }
         let stores: Vec<Target> =
             self.targets.iter().filter(|target| target.role == Role::Store).cloned().collect();
@@ -115,55 +115,56 @@
                 .entry(store.id.clone())
                 .or_insert_with(|| StoreView::new(&store.url, &store.failure_domain));
         }
-        let blocks = ALL_BLOCKS / self.view.engines.len().max(1);
+        let blocks = MAX_TRACKED_BLOCKS_TOTAL / self.view.engines.len().max(1);
         for engine in self.view.engines.values_mut() {
             engine.residency.set_capacity(blocks);
         }
-        self.refresh_leaving();
-        news
+        self.refresh_takes_work();
+        newly_leaving
     }
 
     /// Records targets that another node saw leaving. Returns those that were news.
-    pub fn take_leaving(&mut self, leaving: &[Leaving]) -> Vec<Leaving> {
-        let news = leaving.iter().filter(|one| self.targets.leave(one)).cloned().collect();
-        self.refresh_leaving();
-        news
+    pub fn apply_leaving(&mut self, leaving: &[LeavingTarget]) -> Vec<LeavingTarget> {
+        let newly_leaving =
+            leaving.iter().filter(|one| self.targets.mark_leaving(one)).cloned().collect();
+        self.refresh_takes_work();
+        newly_leaving
     }
 
     /// Takes an engine's load report that was read at `now`.
-    pub fn take_load(&mut self, id: &str, report: LoadReport, now: BootTime) {
+    pub fn apply_load_report(&mut self, id: &str, report: LoadReport, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(id) {
             let at = now.saturating_sub(Duration::from_millis(report.age_ms));
-            engine.take_report(report, at);
+            engine.apply_report(report, at);
         }
     }
 
     /// Takes the news that another node sent a request to an engine.
-    pub fn take_dispatched(&mut self, dispatched: &Dispatched, now: BootTime) {
+    pub fn record_peer_dispatch(&mut self, dispatched: &Dispatched, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(&dispatched.engine)
             && engine.incarnation == dispatched.incarnation
         {
-            engine.note_dispatch(dispatched.prefill_tokens, now);
+            engine.record_dispatch(dispatched.prefill_tokens, now);
         }
         if let Some(Importing { store, size_bytes }) = &dispatched.import
             && let Some(store) = self.view.stores.get_mut(store)
         {
-            store.note_transfer(*size_bytes, now);
+            store.record_transfer(*size_bytes, now);
         }
     }
 
     /// Takes an engine's cache events.
-    pub fn take_events(&mut self, id: &str, events: &CacheEvents) {
+    pub fn apply_cache_events(&mut self, id: &str, events: &CacheEvents) {
         if let Some(engine) = self.view.engines.get_mut(id) {
-            engine.residency.take(events);
+            engine.residency.apply_events(events);
         }
     }
 
     /// Takes a store's report that was read at `now`.
-    pub fn take_store(&mut self, id: &str, report: StoreReport, now: BootTime) {
+    pub fn apply_store_report(&mut self, id: &str, report: StoreReport, now: BootTime) {
         if let Some(store) = self.view.stores.get_mut(id) {
-            store.health.succeeded();
-            store.take_report(report, now);
+            store.health.record_success();
+            store.apply_report(report, now);
         }
     }
 
@@ -173,48 +174,48 @@
     }
 
     /// Records that a store could not be asked.
-    pub fn store_failed(&mut self, id: &str, now: BootTime) {
+    pub fn record_store_failure(&mut self, id: &str, now: BootTime) {
         if let Some(store) = self.view.stores.get_mut(id) {
-            store.health.failed(Fault::Target, now);
+            store.health.record_failure(FailureCause::Target, now);
         }
     }
 
     /// Records that an engine could not be asked for its report.
-    pub fn engine_failed(&mut self, id: &str, now: BootTime) {
+    pub fn record_engine_failure(&mut self, id: &str, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(id) {
-            engine.health.failed(Fault::Target, now);
+            engine.health.record_failure(FailureCause::Target, now);
         }
     }
 
     /// A number for the next request that differs from one to the next.
-    pub fn draw(&mut self) -> u64 {
-        self.decisions = self.decisions.wrapping_add(1);
-        self.decisions
+    pub fn next_request_number(&mut self) -> u64 {
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        self.last_request_number
     }
 
     /// Decides and books the dispatch. `deadline` is when the first token is due.
     ///
     /// # Errors
     /// Why no engine gets the request; nothing is booked then.
-    pub fn begin(
+    pub fn start_dispatch(
         &mut self,
         policy: Policy,
         prices: &Prices,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
         deadline: BootTime,
         now: BootTime,
     ) -> Result<Dispatch, NoEngine> {
         let decision =
-            decide(policy, prices, &self.view, ask, now).ok_or(NoEngine::NoneTakesWork)?;
-        let late = (now + decision.first_token).saturating_sub(deadline);
+            decide(policy, prices, &self.view, request, now).ok_or(NoEngine::NoneAvailable)?;
+        let late = (now + decision.time_to_first_token).saturating_sub(deadline);
         if !late.is_zero() {
-            return Err(NoEngine::TooLate(late));
+            return Err(NoEngine::DeadlineExceeded(late));
         }
-        let engine = self.view.engines.get_mut(&decision.engine).ok_or(NoEngine::NoneTakesWork)?;
+        let engine = self.view.engines.get_mut(&decision.engine).ok_or(NoEngine::NoneAvailable)?;
         engine.running += 1;
-        engine.note_dispatch(decision.prefill_tokens, now);
+        engine.record_dispatch(decision.prefill_tokens, now);
         // Known before the engine says so: the next request with this context goes there too.
-        engine.residency.expect(&ask.chain.keys);
+        engine.residency.expect_resident(&request.chain.keys);
         let dispatch = Dispatch {
             url: engine.url.clone(),
             store_url: None,
@@ -222,47 +223,59 @@
             incarnation: engine.incarnation,
             decision,
         };
-        Ok(self.book_import(dispatch, now))
+        Ok(self.reserve_import(dispatch, now))
     }
 
     /// Books a dispatch's end.
-    pub fn end(&mut self, dispatch: &Dispatch, chain: &Chain, ended: Ended, now: BootTime) {
+    pub fn finish_dispatch(
+        &mut self,
+        dispatch: &Dispatch,
+        chain: &Chain,
+        outcome: DispatchOutcome,
+        now: BootTime,
+    ) {
         let Some(engine) = self.view.engines.get_mut(&dispatch.decision.engine) else { return };
         if engine.incarnation != dispatch.incarnation {
             return;
         }
         engine.running = engine.running.saturating_sub(1);
-        match ended {
-            Ended::Whole(usage) => {
-                engine.health.succeeded();
+        match outcome {
+            DispatchOutcome::Completed(usage) => {
+                engine.health.record_success();
                 let details = usage.prompt_tokens_details;
                 let resident = details.cached_tokens.saturating_sub(details.imported_tokens);
                 let found = resident as usize / BLOCK_TOKENS;
                 let believed = dispatch.decision.resident_blocks;
-                engine.residency.proved(&chain.keys, believed, found);
+                engine.residency.record_result(&chain.keys, believed, found);
             }
-            Ended::Refused => engine.residency.withdraw(&chain.keys),
-            Ended::Failed => {
-                engine.residency.withdraw(&chain.keys);
-                engine.health.failed(Fault::Target, now);
+            DispatchOutcome::Refused => engine.residency.remove_prefix(&chain.keys),
+            DispatchOutcome::Failed => {
+                engine.residency.remove_prefix(&chain.keys);
+                engine.health.record_failure(FailureCause::Target, now);
             }
-            Ended::Cancelled => {}
+            DispatchOutcome::Cancelled => {}
         }
     }
 
     /// Records a request that is sent for the first time.
-    pub fn earn_retry(&mut self) {
-        self.budget.earn();
+    pub fn deposit_retry(&mut self) {
+        self.retry_budget.deposit();
     }
 
-    /// Takes one retry from the budget; false if there is none.
-    pub fn spend_retry(&mut self) -> bool {
-        self.budget.spend()
+    /// Takes one retry from the retry_budget; false if there is none.
+    pub fn try_spend_retry(&mut self) -> bool {
+        self.retry_budget.try_spend()
     }
 
     /// The weight version for a new request: of those in service, each in proportion to the
     /// engines that have it.
-    pub fn version_for(&self, id: &str, model: &Model, draw: u64, now: BootTime) -> WeightVersion {
+    pub fn choose_weight_version(
+        &self,
+        id: &str,
+        model: &Model,
+        request_number: u64,
+        now: BootTime,
+    ) -> WeightVersion {
         let Some(next) = &model.next_version else { return model.weight_version.clone() };
         let engines = self.view.engines.values();
         let versions: Vec<&WeightVersion> = engines
@@ -271,14 +284,14 @@
             .filter(|version| model.serves(version))
             .collect();
         let has_next = versions.iter().filter(|version| **version == next).count();
-        let drawn = draw as usize % versions.len().max(1);
-        if drawn < has_next { next.clone() } else { model.weight_version.clone() }
+        let index = request_number as usize % versions.len().max(1);
+        if index < has_next { next.clone() } else { model.weight_version.clone() }
     }
 
     /// Requests that this node may run at once on the engines of all models: its share of twice
     /// their batches, so that the next one is there when a place gets free.
-    pub fn capacity(&self, now: BootTime) -> usize {
-        let places: usize = self
+    pub fn request_capacity(&self, now: BootTime) -> usize {
+        let batch_slots: usize = self
             .view
             .engines
             .values()
@@ -286,17 +299,17 @@
             .filter_map(|engine| engine.fresh_report(now))
             .map(|report| report.max_batch as usize * 2)
             .sum();
-        places.div_ceil(self.view.nodes).max(1)
+        batch_slots.div_ceil(self.view.live_nodes).max(1)
     }
 
-    /// The engines that this node watches: of each model those with the highest rendezvous weight
+    /// The engines that this node watches: of each model those with the highest rendezvous_weight weight
     /// for this node, so that all nodes together watch all engines.
-    fn watched(&self) -> Vec<Target> {
+    fn engines_to_watch(&self) -> Vec<Target> {
         let mut engines: Vec<(u64, &Target)> = self
             .targets
             .iter()
             .filter(|target| matches!(target.role, Role::Engine { .. }))
-            .map(|target| (rendezvous(self.node_id.into(), &target.id), target))
+            .map(|target| (rendezvous_weight(self.node_id.into(), &target.id), target))
             .collect();
         engines.sort_by_key(|(weight, _)| std::cmp::Reverse(*weight));
         let mut of_model: std::collections::BTreeMap<&str, usize> = Default::default();
@@ -306,13 +319,13 @@
                 let Role::Engine { model } = &target.role else { return false };
                 let watched = of_model.entry(model).or_default();
                 *watched += 1;
-                *watched <= self.watched_engines
+                *watched <= self.watched_engines_per_model
             })
             .map(|(_, target)| target.clone())
             .collect()
     }
 
-    fn place_engine(&mut self, target: &Target) {
+    fn watch_engine(&mut self, target: &Target) {
         let Role::Engine { model } = &target.role else { return };
         let known = self.view.engines.get(&target.id).map(|engine| engine.incarnation);
         if known != Some(target.incarnation) {
@@ -322,7 +335,7 @@
         }
     }
 
-    fn refresh_leaving(&mut self) {
+    fn refresh_takes_work(&mut self) {
         for target in self.targets.iter() {
             let takes_work = self.targets.takes_work(target);
             if let Some(engine) = self.view.engines.get_mut(&target.id) {
@@ -334,11 +347,11 @@
         }
     }
 
-    fn book_import(&mut self, mut dispatch: Dispatch, now: BootTime) -> Dispatch {
+    fn reserve_import(&mut self, mut dispatch: Dispatch, now: BootTime) -> Dispatch {
         if let Some(import) = &dispatch.decision.import
             && let Some(store) = self.view.stores.get_mut(&import.store)
         {
-            store.note_transfer(import.object.size_bytes, now);
+            store.record_transfer(import.object.size_bytes, now);
             dispatch.store_url = Some(store.url.clone());
         }
         dispatch
@@ -347,7 +360,7 @@
 
 impl Dispatch {
     /// What other nodes are told of it.
-    pub fn news(&self) -> Dispatched {
+    pub fn announcement(&self) -> Dispatched {
         Dispatched {
             engine: self.decision.engine.clone(),
             incarnation: self.incarnation,
--- a/src/route/targets.rs
+++ b/src/route/targets.rs
@@ -9,7 +9,7 @@
 
 /// A target that some node saw leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct LeavingTarget {
     /// The target.
     pub target: TargetId,
     /// The start of it that leaves; a later start is live again.
@@ -26,15 +26,15 @@
 
 impl Targets {
     /// Takes the platform's list. Returns the targets newly seen leaving.
-    pub fn take(&mut self, list: TargetList) -> Vec<Leaving> {
+    pub fn apply_list(&mut self, list: TargetList) -> Vec<LeavingTarget> {
         let mut listed = BTreeMap::new();
-        let mut news = Vec::new();
+        let mut newly_leaving = Vec::new();
         for target in list.targets {
             if target.presence == Presence::Leaving {
                 let leaving =
-                    Leaving { target: target.id.clone(), incarnation: target.incarnation };
-                if self.leave(&leaving) {
-                    news.push(leaving);
+                    LeavingTarget { target: target.id.clone(), incarnation: target.incarnation };
+                if self.mark_leaving(&leaving) {
+                    newly_leaving.push(leaving);
                 }
             }
             // An older answer of the list that comes late must not bring back an old incarnation.
@@ -46,11 +46,11 @@
             }
         }
         self.listed = listed;
-        news
+        newly_leaving
     }
 
     /// Records that a target leaves, seen here or by another node. False if it was known.
-    pub fn leave(&mut self, leaving: &Leaving) -> bool {
+    pub fn mark_leaving(&mut self, leaving: &LeavingTarget) -> bool {
         let known = self.leaving.entry(leaving.target.clone()).or_default();
         if *known >= leaving.incarnation {
             return false;
@@ -60,9 +60,9 @@
     }
 
     /// Everything known to be leaving, for other nodes.
-    pub fn leaving(&self) -> Vec<Leaving> {
+    pub fn leaving(&self) -> Vec<LeavingTarget> {
         let known = self.leaving.iter().map(|(target, incarnation)| (target.clone(), *incarnation));
-        known.map(|(target, incarnation)| Leaving { target, incarnation }).collect()
+        known.map(|(target, incarnation)| LeavingTarget { target, incarnation }).collect()
     }
 
     /// A listed target.
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -11,7 +11,7 @@
 use crate::ids::{DomainId, Incarnation, ModelId, TargetId};
 
 /// A load report older than this says nothing any more.
-pub const REPORT_VALID: Duration = Duration::from_secs(3);
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
 /// Everything that a decision reads.
 #[derive(Clone, Debug, Default)]
@@ -21,7 +21,7 @@
     /// Stores by id.
     pub stores: BTreeMap<TargetId, StoreView>,
     /// Live nodes, this one among them; at least 1.
-    pub nodes: usize,
+    pub live_nodes: usize,
 }
 
 /// One engine as this node sees it.
@@ -91,20 +91,20 @@
     /// The report, if it is young enough to mean anything.
     pub fn fresh_report(&self, now: BootTime) -> Option<&LoadReport> {
         let (at, report) = self.report.as_ref()?;
-        (now.saturating_sub(*at) < REPORT_VALID).then_some(report)
+        (now.saturating_sub(*at) < MAX_REPORT_AGE).then_some(report)
     }
 
     /// Records a dispatch by this or another node, of so many tokens to prefill.
-    pub fn note_dispatch(&mut self, prefill_tokens: u64, now: BootTime) {
+    pub fn record_dispatch(&mut self, prefill_tokens: u64, now: BootTime) {
         // Without reports, for example of a dead engine, only the last few seconds count.
-        while self.unreported.front().is_some_and(|(sent, _)| *sent + REPORT_VALID < now) {
+        while self.unreported.front().is_some_and(|(sent, _)| *sent + MAX_REPORT_AGE < now) {
             self.unreported.pop_front();
         }
         self.unreported.push_back((now, prefill_tokens));
     }
 
     /// Takes a report that was true at `at`.
-    pub fn take_report(&mut self, report: LoadReport, at: BootTime) {
+    pub fn apply_report(&mut self, report: LoadReport, at: BootTime) {
         while self.unreported.front().is_some_and(|(sent, _)| *sent <= at) {
             self.unreported.pop_front();
         }
@@ -130,7 +130,7 @@
     }
 
     /// Requests running or waiting there: the reported ones and this node's later ones.
-    pub fn requests(&self, now: BootTime) -> u32 {
+    pub fn estimated_requests(&self, now: BootTime) -> u32 {
         let reported =
             self.fresh_report(now).map_or(self.running, |report| report.running + report.waiting);
         reported + self.unreported.len() as u32
@@ -155,7 +155,7 @@
     pub fn transfer_time(&self, bytes: u64, now: BootTime) -> Option<Duration> {
         let (reported_at, report) = self.report.as_ref()?;
         let rate = report.link_bytes_per_s;
-        if now.saturating_sub(*reported_at) >= REPORT_VALID || rate <= 0.0 {
+        if now.saturating_sub(*reported_at) >= MAX_REPORT_AGE || rate <= 0.0 {
             return None;
         }
         let took = |bytes: u64| Duration::from_secs_f64(bytes as f64 / rate);
@@ -168,21 +168,21 @@
     }
 
     /// Records a transfer that starts now.
-    pub fn note_transfer(&mut self, bytes: u64, now: BootTime) {
-        while self.unreported.front().is_some_and(|(at, _)| *at + REPORT_VALID < now) {
+    pub fn record_transfer(&mut self, bytes: u64, now: BootTime) {
+        while self.unreported.front().is_some_and(|(at, _)| *at + MAX_REPORT_AGE < now) {
             self.unreported.pop_front();
         }
         self.unreported.push_back((now, bytes));
     }
 
     /// Takes a report that was read at `now`.
-    pub fn take_report(&mut self, report: StoreReport, now: BootTime) {
+    pub fn apply_report(&mut self, report: StoreReport, now: BootTime) {
         self.unreported.clear();
         self.report = Some((now, report));
     }
 
     /// Share of its capacity that is used, of 1; 1 if unknown.
-    pub fn fill(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         match &self.report {
             Some((_, report)) if report.capacity_bytes > 0 => {
                 report.used_bytes as f64 / report.capacity_bytes as f64
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -20,7 +20,7 @@
 use super::weights::Weights;
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
-use crate::fleet::{Fault, Presence};
+use crate::fleet::{FailureCause, Presence};
 use crate::gateway::call::Part;
 use crate::ids::{ServiceId, TargetStart};
 
@@ -470,10 +470,10 @@
 
 fn observe_end(engine: &mut Engine, end: End, now: BootTime) {
     match end {
-        End::Whole => engine.health.succeeded(),
+        End::Whole => engine.health.record_success(),
         End::Left | End::NotRun => {}
-        End::Unreachable => engine.health.unreachable(now),
-        End::Failed => engine.health.failed(Fault::Target, now),
+        End::Unreachable => engine.health.record_unreachable(now),
+        End::Failed => engine.health.record_failure(FailureCause::Target, now),
         End::OtherWeights(version) => engine.set_weights(version),
         End::Replaced => engine.listed.presence = Presence::Leaving,
     }
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -89,5 +89,5 @@
 /// Whether other engines may fetch from an engine: one that can't be reached costs them some hundred
 /// milliseconds.
 fn is_fetchable(engine: &Engine) -> bool {
-    engine.listed.presence == Presence::Live && !engine.health.is_suspect()
+    engine.listed.presence == Presence::Live && !engine.health.is_unhealthy()
 }
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kumquatpost::fleet::placement::{Criteria, SelectionError, choose};
-use kumquatpost::fleet::{Fault, FleetView};
+use kumquatpost::fleet::{FailureCause, FleetView};
 use kumquatpost::gateway::call::{Part, Prompt};
 use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
 
@@ -95,7 +95,7 @@
         assert_eq!(choice.target, id(1));
     }
     for _ in 0..3 {
-        view.failed(&id(1), Fault::Target, ms(1));
+        view.failed(&id(1), FailureCause::Target, ms(1));
     }
     assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoneSound));
     assert!(choose(&view, &ask(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -4,7 +4,7 @@
 
 use kumquatpost::control::frames::{NumberedRoster, encode};
 use kumquatpost::control::weights::next_loads;
-use kumquatpost::fleet::{Fault, FleetView, Listed, Presence, Roster};
+use kumquatpost::fleet::{FailureCause, FleetView, Listed, Presence, Roster};
 use kumquatpost::gateway::call::TargetLoad;
 use kumquatpost::ids::{ServiceId, TargetStart};
 
@@ -278,7 +278,7 @@
     let dispatch = view.begin(&first, 500);
     let load = TargetLoad { running: 30, waiting: 9, slots: 48 };
     view.reported(&first, load, ms(0));
-    (0..3).for_each(|_| view.failed(&first, Fault::Target, ms(0)));
+    (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(0)));
     view.replaced(&first);
     view.take(&roster([reborn("i-1", 2)]));
     let is_new = |view: &FleetView| {
@@ -291,7 +291,7 @@
     is_new(&view);
     // What is heard of the earlier one from here on.
     view.reported(&first, load, ms(1));
-    (0..3).for_each(|_| view.failed(&first, Fault::Target, ms(1)));
+    (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(1)));
     view.unreachable(&first, ms(1));
     view.replaced(&first);
     is_new(&view);
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -8,7 +8,7 @@
 };
 use kumquatpost::peer::message::Dispatched;
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
-use kumquatpost::route::{Ask, Decision, EngineView, Router, StoreView, View, decide};
+use kumquatpost::route::{Decision, EngineView, RouteRequest, Router, StoreView, View, decide};
 
 const NOW: Duration = Duration::from_secs(100);
 const BLOCKS: usize = 20;
@@ -34,7 +34,7 @@
         reproducible: true,
         ..LoadReport::default()
     };
-    engine.take_report(report, NOW);
+    engine.apply_report(report, NOW);
     engine
 }
 
@@ -47,7 +47,7 @@
 
 fn view(engines: Vec<(&str, EngineView)>) -> View {
     let engines = engines.into_iter().map(|(id, engine)| (id.to_string(), engine)).collect();
-    View { engines, stores: [("s".to_string(), store(0))].into(), nodes: 1 }
+    View { engines, stores: [("s".to_string(), store(0))].into(), live_nodes: 1 }
 }
 
 fn kept(chain: &Chain, blocks: usize) -> (String, KeptObject) {
@@ -62,13 +62,24 @@
     ("s".to_string(), object)
 }
 
-fn ask<'a>(chain: &'a Chain, version: &'a String, kept: &'a [(String, KeptObject)]) -> Ask<'a> {
-    Ask { model: "mechanic", weight_version: version, chain, kept, avoid: &[], draw: 0 }
+fn request<'a>(
+    chain: &'a Chain,
+    version: &'a String,
+    stored_prefixes: &'a [(String, KeptObject)],
+) -> RouteRequest<'a> {
+    RouteRequest {
+        model: "mechanic",
+        weight_version: version,
+        chain,
+        stored_prefixes,
+        excluded_engines: &[],
+        request_number: 0,
+    }
 }
 
 fn cost(view: &View, kept: &[(String, KeptObject)]) -> Option<Decision> {
     let (chain, version) = (chain(), "v1".to_string());
-    decide(Policy::Cost, &Prices::default(), view, &ask(&chain, &version, kept), NOW)
+    decide(Policy::Cost, &Prices::default(), view, &request(&chain, &version, kept), NOW)
 }
 
 #[test]
@@ -93,13 +104,17 @@
             change(&mut bad);
             let view = view(vec![("bad", bad), ("good", engine(90_000))]);
             let (chain, version) = (chain(), "v1".to_string());
-            for draw in 0..4 {
-                let ask = Ask { draw, ..ask(&chain, &version, &[]) };
-                let chosen = decide(policy, &Prices::default(), &view, &ask, NOW).expect("one");
+            for request_number in 0..4 {
+                let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
+                let chosen = decide(policy, &Prices::default(), &view, &request, NOW).expect("one");
                 assert_eq!(chosen.engine, "good", "{policy:?}: {what}");
-                let avoid = ["good".to_string()];
-                let ask = Ask { avoid: &avoid, ..ask };
-                assert_eq!(decide(policy, &Prices::default(), &view, &ask, NOW), None, "{what}");
+                let excluded_engines = ["good".to_string()];
+                let request = RouteRequest { excluded_engines: &excluded_engines, ..request };
+                assert_eq!(
+                    decide(policy, &Prices::default(), &view, &request, NOW),
+                    None,
+                    "{what}"
+                );
             }
         }
     }
@@ -116,7 +131,7 @@
     ];
     for (what, queued_resident, queued_idle, expected) in cases {
         let mut resident = engine(queued_resident);
-        resident.residency.expect(&chain.keys);
+        resident.residency.expect_resident(&chain.keys);
         let view = view(vec![("idle", engine(queued_idle)), ("resident", resident)]);
         assert_eq!(cost(&view, &[]).expect("one").engine, expected, "{what}");
     }
@@ -139,7 +154,7 @@
         "unknown link"
     );
     let mut resident = engine(0);
-    resident.residency.expect(&chain.keys);
+    resident.residency.expect_resident(&chain.keys);
     let there = view(vec![("a", resident)]);
     assert_eq!(cost(&there, std::slice::from_ref(&all)).expect("one").import, None, "resident");
     let foreign = ("s".to_string(), KeptObject { key: 1, ..all.1.clone() });
@@ -148,7 +163,7 @@
     assert_eq!(cost(&idle(), &[moved]).expect("one").import, None, "another place of the chain");
     let pricey = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
     let (version, kept) = ("v1".to_string(), [all]);
-    let decision = decide(Policy::Cost, &pricey, &idle(), &ask(&chain, &version, &kept), NOW);
+    let decision = decide(Policy::Cost, &pricey, &idle(), &request(&chain, &version, &kept), NOW);
     assert_eq!(decision.expect("one").import, None, "the link is too dear");
 }
 
@@ -161,7 +176,7 @@
     engine.unreported.push_back((at(20), 700));
     assert_eq!(engine.queued_tokens(at(50)), 1_000 + 5_000 + 700 - 500);
     let (_, report) = engine.report.clone().expect("a report");
-    engine.take_report(report, at(15));
+    engine.apply_report(report, at(15));
     assert_eq!(engine.queued_tokens(at(50)), 1_000 + 700 - 350);
     assert_eq!(engine.queued_tokens(at(1_000)), 0, "all of it is done by then");
 }
@@ -173,7 +188,7 @@
     let mut store = store(50);
     let time = |store: &StoreView, ms| store.transfer_time(20_000_000, at(ms));
     assert_eq!(time(&store, 0), Some(Duration::from_millis(70)));
-    store.note_transfer(100_000_000, at(30));
+    store.record_transfer(100_000_000, at(30));
     assert_eq!(time(&store, 30), Some(Duration::from_millis(140)));
     assert_eq!(time(&store, 140), Some(Duration::from_millis(30)));
     assert_eq!(time(&store, 400), Some(Duration::from_millis(20)), "all of it is done");
@@ -192,9 +207,9 @@
         (Policy::PrefixSticky, 1),
     ] {
         let chosen: std::collections::BTreeSet<String> = (0..60)
-            .map(|draw| {
-                let ask = Ask { draw, ..ask(&chain, &version, &[]) };
-                decide(policy, &Prices::default(), &view, &ask, NOW).expect("one").engine
+            .map(|request_number| {
+                let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
+                decide(policy, &Prices::default(), &view, &request, NOW).expect("one").engine
             })
             .collect();
         assert_eq!(chosen.len(), different, "{policy:?}");
@@ -213,11 +228,11 @@
         checks_fencing: true,
     };
     let mut router = Router::new(1, 64);
-    router.take_list(TargetList { targets: vec![target] });
+    router.apply_list(TargetList { targets: vec![target] });
     let queued = |router: &Router| router.view().engines["e"].queued_tokens(NOW);
     let mut tell = |engine: &str, incarnation| {
         let engine = engine.to_string();
-        router.take_dispatched(
+        router.record_peer_dispatch(
             &Dispatched { engine, incarnation, prefill_tokens: 700, import: None },
             NOW,
         );
@@ -230,7 +245,7 @@
         let now = NOW + Duration::from_secs(second);
         let news =
             Dispatched { engine: "e".into(), incarnation: 2, prefill_tokens: 1, import: None };
-        router.take_dispatched(&news, now);
+        router.record_peer_dispatch(&news, now);
     }
     assert!(router.view().engines["e"].unreported.len() < 10, "bounded without reports");
 }
--- a/tests/logic/swim.rs
+++ b/tests/logic/swim.rs
@@ -6,7 +6,7 @@
 
 use kumquatpost::ids::NodeId;
 use kumquatpost::membership::{Member, Packet, Status, Swim, SwimTiming};
-use kumquatpost::route::targets::Leaving;
+use kumquatpost::route::targets::LeavingTarget;
 
 const TIMING: SwimTiming = SwimTiming { probe: Duration::from_millis(500) };
 const STEP: Duration = Duration::from_millis(50);
@@ -123,7 +123,7 @@
 fn news_of_a_leaving_target_reach_everybody_in_seconds() {
     let mut net = Net::new(8);
     net.run(Duration::from_secs(5));
-    let leaving = Leaving { target: "engine-1".into(), incarnation: 1 };
+    let leaving = LeavingTarget { target: "engine-1".into(), incarnation: 1 };
     let mut heard = BTreeSet::from([4]);
     net.nodes.get_mut(&4).expect("a node").tell_leaving(leaving.clone());
     for _ in 0..60 {
