--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -15,8 +15,8 @@
 use crate::edge::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
-use crate::lease::Grantor;
-use crate::limits::shares::{Demand, Share, Shares};
+use crate::lease::LeaseGrantor;
+use crate::limits::shares::{GrantedShare, ShareAllocator, ShareRequest};
 use crate::log::disk::Disk;
 use crate::log::state::{Command, State};
 use crate::log::{Answered, Entry, Message, Payload, Persist};
@@ -308,14 +308,14 @@
 }
 
 pub(super) fn grant_us(leases: usize) -> f64 {
-    let mut grantor = Grantor::new(Duration::from_secs(3), NOW);
+    let mut grantor = LeaseGrantor::new(Duration::from_secs(3), NOW);
     for child in 0..leases as u64 {
         grantor.grant(child, 1, Duration::from_secs(3), NOW);
     }
     median_us(9, 500, |number| {
         let child = (number % leases) as NodeId;
         std::hint::black_box(grantor.grant(child, 2, Duration::from_secs(3), NOW));
-        std::hint::black_box(grantor.floor(2, NOW));
+        std::hint::black_box(grantor.min_acked(2, NOW));
     })
 }
 
@@ -458,24 +458,25 @@
 }
 
 pub(super) fn share_us(holders: usize) -> f64 {
-    let mut shares = Shares::new(Duration::from_secs(3));
-    let ask = |demand: usize| Demand {
+    let mut shares = ShareAllocator::new(Duration::from_secs(3));
+    let ask = |demand: usize| ShareRequest {
         account: "account-1234".into(),
         demand: demand as u32,
         limit: 10_000,
         nodes: 1_500,
     };
     for node in 0..holders {
-        shares.ask(node as NodeId, &ask(20), NOW);
+        shares.grant(node as NodeId, &ask(20), NOW);
     }
     median_us(9, 500, |number| {
-        std::hint::black_box(shares.ask((number % holders) as NodeId, &ask(number % 40), NOW));
+        std::hint::black_box(shares.grant((number % holders) as NodeId, &ask(number % 40), NOW));
     })
 }
 
 pub(super) fn share_wire_bytes(asks: usize) -> f64 {
-    let demand = Demand { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
-    let share = Share { share: 20, lasts: Duration::from_secs(3) };
+    let demand =
+        ShareRequest { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
+    let share = GrantedShare { share: 20, lasts: Duration::from_secs(3) };
     let frames =
         [Frame::Ask(1_000_000, Ask::Share(demand)), Frame::Answer(1_000_000, Answer::Share(share))];
     (frames.iter().map(wire_bytes).sum::<usize>() * asks) as f64
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -10,7 +10,7 @@
 pub type Digest = [u8; 16];
 
 /// Longest answer that is kept for a caller who sends the request again.
-pub const OUTCOME_BODY_BYTES: usize = 64 << 10;
+pub const MAX_OUTCOME_BODY_BYTES: usize = 64 << 10;
 
 /// Names a request of an account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -53,12 +53,12 @@
     /// When it was made, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// How far it got.
-    pub progress: Progress,
+    pub progress: ClaimState,
 }
 
 /// How far a claim got.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Progress {
+pub enum ClaimState {
     /// Its holder may run the request.
     Held,
     /// Nothing was run; anybody may claim it anew.
@@ -69,7 +69,7 @@
 
 /// What came of claiming.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimAnswer {
+pub enum ClaimResult {
     /// The claimer alone may run the request, once.
     Granted,
     /// Somebody holds it and may have run it.
@@ -106,21 +106,21 @@
         digest: Digest,
         token: ClaimToken,
         at_ms: u64,
-    ) -> ClaimAnswer {
+    ) -> ClaimResult {
         self.now_ms = self.now_ms.max(at_ms);
-        self.forget_old();
+        self.remove_expired();
         if let Some(claim) = self.by_key.get(&key) {
             match &claim.progress {
-                Progress::Released if claim.token == token => return ClaimAnswer::Withdrawn,
-                Progress::Released => {}
-                _ if claim.digest != digest => return ClaimAnswer::IdReused,
-                Progress::Held if claim.token == token => return ClaimAnswer::Granted,
-                Progress::Held => return ClaimAnswer::Held(claim.token),
-                Progress::Recorded(outcome) => return ClaimAnswer::Ran(outcome.clone()),
+                ClaimState::Released if claim.token == token => return ClaimResult::Withdrawn,
+                ClaimState::Released => {}
+                _ if claim.digest != digest => return ClaimResult::IdReused,
+                ClaimState::Held if claim.token == token => return ClaimResult::Granted,
+                ClaimState::Held => return ClaimResult::Held(claim.token),
+                ClaimState::Recorded(outcome) => return ClaimResult::Ran(outcome.clone()),
             }
         }
-        self.insert(key, Claim { digest, token, at_ms: self.now_ms, progress: Progress::Held });
-        ClaimAnswer::Granted
+        self.insert(key, Claim { digest, token, at_ms: self.now_ms, progress: ClaimState::Held });
+        ClaimResult::Granted
     }
 
     /// Gives a claim back. False if it is not held by `token`; if it is not known at all, a claim
@@ -128,16 +128,16 @@
     pub fn release(&mut self, key: &ClaimKey, token: ClaimToken) -> bool {
         if !self.by_key.contains_key(key) {
             let (digest, at_ms) = (Digest::default(), self.now_ms);
-            let released = Claim { digest, token, at_ms, progress: Progress::Released };
+            let released = Claim { digest, token, at_ms, progress: ClaimState::Released };
             self.insert(key.clone(), released);
             return false;
         }
-        self.advance(key, token, Progress::Released)
+        self.set_state_if_held(key, token, ClaimState::Released)
     }
 
     /// Records what came of a claimed request. False if it is not held by `token`.
     pub fn record(&mut self, key: &ClaimKey, token: ClaimToken, outcome: Outcome) -> bool {
-        self.advance(key, token, Progress::Recorded(outcome))
+        self.set_state_if_held(key, token, ClaimState::Recorded(outcome))
     }
 
     /// A claim.
@@ -172,9 +172,14 @@
         self.now_ms = now_ms;
     }
 
-    fn advance(&mut self, key: &ClaimKey, token: ClaimToken, progress: Progress) -> bool {
+    fn set_state_if_held(
+        &mut self,
+        key: &ClaimKey,
+        token: ClaimToken,
+        progress: ClaimState,
+    ) -> bool {
         match self.by_key.get_mut(key) {
-            Some(claim) if claim.token == token && claim.progress == Progress::Held => {
+            Some(claim) if claim.token == token && claim.progress == ClaimState::Held => {
                 claim.progress = progress;
                 true
             }
@@ -190,7 +195,7 @@
         self.by_key.insert(key, claim);
     }
 
-    fn forget_old(&mut self) {
+    fn remove_expired(&mut self) {
         while let Some((at_ms, key)) = self.by_time.first().cloned()
             && at_ms + self.retention_ms < self.now_ms
         {
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -13,8 +13,8 @@
 use crate::edge::chat::Shape;
 use crate::http::{self, BodyError, Request, Response};
 use crate::ids::{AccountId, KindId, RequestId};
-use crate::limits::Wants;
-use crate::limits::admission::Reason;
+use crate::limits::AdmissionRequest;
+use crate::limits::admission::RefusalReason;
 use crate::node::Node;
 use crate::node::places::Place;
 use crate::quarantine::Fingerprint;
@@ -180,17 +180,17 @@
     pub async fn take_place(&self, node: &Arc<Node>) -> Result<Place, Refusal> {
         let account = self.config.config.accounts.get(&self.account);
         let limit = account.map_or(1, |account| account.max_running);
-        let wants = Wants {
+        let request = AdmissionRequest {
             account: self.account.clone(),
             weight: account.map_or(1, |account| account.weight),
             account_limit: node.share_of(&self.account, limit).await,
             priority: self.kind.priority,
             deadline: self.deadline,
         };
-        let place = node.places.take(wants).await.map_err(|refused| {
+        let place = node.places.take(request).await.map_err(|refused| {
             let (code, message) = match refused.reason {
-                Reason::QueueFull => (Code::QueueFull, "too many requests wait already"),
-                Reason::Deadline => (Code::Deadline, "it would wait past its deadline"),
+                RefusalReason::QueueFull => (Code::QueueFull, "too many requests wait already"),
+                RefusalReason::Deadline => (Code::Deadline, "it would wait past its deadline"),
             };
             Refusal::not_run(code, message).after(refused.retry_after)
         })?;
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -5,7 +5,7 @@
 
 use super::callers::Call;
 use super::{Code, Refusal};
-use crate::claims::{ClaimAnswer, ClaimKey, ClaimToken, Digest, OUTCOME_BODY_BYTES, Outcome};
+use crate::claims::{ClaimKey, ClaimResult, ClaimToken, Digest, MAX_OUTCOME_BODY_BYTES, Outcome};
 use crate::clock::{BootTime, boot_now};
 use crate::log::state::{Command, Reply};
 use crate::node::Node;
@@ -75,21 +75,21 @@
         }
     };
     match answer {
-        ClaimAnswer::Granted => Ok(Claimed::Mine(held)),
-        ClaimAnswer::Ran(outcome) => {
+        ClaimResult::Granted => Ok(Claimed::Mine(held)),
+        ClaimResult::Ran(outcome) => {
             held.forget();
             Ok(Claimed::Ran(outcome))
         }
-        ClaimAnswer::Held(_) => {
+        ClaimResult::Held(_) => {
             held.forget();
             let message = "a request with this id is running, or its outcome is unknown";
             Err(Refusal::may_have_run(Code::AlreadyClaimed, message).after(STILL_RUNNING_RETRY))
         }
-        ClaimAnswer::IdReused => {
+        ClaimResult::IdReused => {
             held.forget();
             Err(Refusal::not_run(Code::IdReused, "this id belongs to a request with other content"))
         }
-        ClaimAnswer::Withdrawn => {
+        ClaimResult::Withdrawn => {
             let refusal = Refusal::not_run(Code::NoLeader, "the claim came too late");
             Err(refusal.after(STILL_RUNNING_RETRY))
         }
@@ -120,7 +120,7 @@
     /// Records what came of the request.
     pub async fn record(mut self, mut outcome: Outcome) {
         self.state = HeldState::Settled;
-        if outcome.body.as_ref().is_some_and(|body| body.len() > OUTCOME_BODY_BYTES) {
+        if outcome.body.as_ref().is_some_and(|body| body.len() > MAX_OUTCOME_BODY_BYTES) {
             outcome.body = None;
         }
         let (key, token) = (self.key.clone(), self.token);
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -7,20 +7,20 @@
 use crate::ids::AccountId;
 
 /// Shortest and longest Retry-After that is worked out.
-const RETRY_AFTER_RANGE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
+const RETRY_AFTER_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 /// Weight of the newest finished request in the rate.
-const RATE_STEP: f64 = 0.05;
+const FINISH_INTERVAL_SMOOTHING: f64 = 0.05;
 /// One place of this many goes to the request that waits longest, so that none starves.
-const OLDEST_FIRST_ONE_IN: u64 = 16;
+const OLDEST_FIRST_PERIOD: u64 = 16;
 /// Assumed time between two finished requests until some have finished.
-const ASSUMED_INTERVAL: Duration = Duration::from_millis(20);
+const INITIAL_FINISH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Names a waiting request.
 pub type Ticket = u64;
 
 /// A request that wants to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wants {
+pub struct AdmissionRequest {
     /// Whose it is.
     pub account: AccountId,
     /// The account's share of a full queue; at least 1.
@@ -35,27 +35,27 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum AdmissionResult {
     /// It runs now. `finish` must be called.
     Run,
     /// It waits; `start_next` names it later, or `expire` does.
     Wait(Ticket),
     /// It was given up on at once.
-    Refused(Refused),
+    Refused(AdmissionRefusal),
 }
 
 /// Why a request was given up on, and when to come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct AdmissionRefusal {
     /// Why.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// When a later try makes sense.
     pub retry_after: Duration,
 }
 
 /// Why a request was given up on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum RefusalReason {
     /// The queue is full.
     QueueFull,
     /// It would have waited past its deadline.
@@ -67,48 +67,48 @@
 pub struct Admission {
     /// Most that run at once.
     capacity: usize,
-    queue_len: usize,
+    max_waiting: usize,
     running: usize,
     waiting: usize,
     /// Invariant: `waiting` is the number of requests in here; no queue in it is empty.
-    queues: BTreeMap<u8, BTreeMap<AccountId, VecDeque<Waiting>>>,
-    accounts: BTreeMap<AccountId, Account>,
+    queues: BTreeMap<u8, BTreeMap<AccountId, VecDeque<QueuedRequest>>>,
+    accounts: BTreeMap<AccountId, AccountUsage>,
     next_ticket: Ticket,
-    picks: u64,
-    interval: Duration,
+    dequeues: u64,
+    finish_interval: Duration,
     last_finish: Option<BootTime>,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedRequest {
     ticket: Ticket,
     weight: u32,
     deadline: BootTime,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct AccountUsage {
     running: u32,
     waiting: u32,
     /// Most that may run.
     limit: u32,
     /// Places taken so far, divided by the weight.
-    served: f64,
+    weighted_starts: f64,
 }
 
 impl Admission {
-    /// An idle node that lets `capacity` requests run and `queue_len` wait.
-    pub fn new(capacity: usize, queue_len: usize) -> Admission {
+    /// An idle node that lets `capacity` requests run and `max_waiting` wait.
+    pub fn new(capacity: usize, max_waiting: usize) -> Admission {
         Admission {
             capacity,
-            queue_len,
+            max_waiting,
             running: 0,
             waiting: 0,
             queues: BTreeMap::new(),
             accounts: BTreeMap::new(),
             next_ticket: 1,
-            picks: 0,
-            interval: ASSUMED_INTERVAL,
+            dequeues: 0,
+            finish_interval: INITIAL_FINISH_INTERVAL,
             last_finish: None,
         }
     }
@@ -142,31 +142,31 @@
 
     /// When a request that is refused now should come back.
     pub fn retry_after(&self) -> Duration {
-        let (shortest, longest) = RETRY_AFTER_RANGE;
+        let (shortest, longest) = RETRY_AFTER_BOUNDS;
         self.expected_wait(self.waiting).clamp(shortest, longest)
     }
 
     /// Takes a request.
-    pub fn offer(&mut self, wants: Wants, now: BootTime) -> Offer {
-        let account = self.accounts.entry(wants.account.clone()).or_default();
-        account.limit = wants.account_limit;
+    pub fn admit(&mut self, request: AdmissionRequest, now: BootTime) -> AdmissionResult {
+        let account = self.accounts.entry(request.account.clone()).or_default();
+        account.limit = request.account_limit;
         let account_free = account.running < account.limit;
         if self.running < self.capacity && account_free && self.waiting == 0 {
-            self.start(&wants.account, wants.weight);
-            return Offer::Run;
+            self.record_start(&request.account, request.weight);
+            return AdmissionResult::Run;
         }
-        if self.waiting >= self.queue_len {
-            return self.refuse(Reason::QueueFull);
+        if self.waiting >= self.max_waiting {
+            return self.refuse(RefusalReason::QueueFull);
         }
-        let ahead = self.ahead_of(wants.priority);
+        let ahead = self.waiting_ahead_of(request.priority);
         let blocked_by_capacity = self.running >= self.capacity;
-        if blocked_by_capacity && now + self.expected_wait(ahead) >= wants.deadline {
-            return self.refuse(Reason::Deadline);
+        if blocked_by_capacity && now + self.expected_wait(ahead) >= request.deadline {
+            return self.refuse(RefusalReason::Deadline);
         }
-        if now >= wants.deadline {
-            return self.refuse(Reason::Deadline);
+        if now >= request.deadline {
+            return self.refuse(RefusalReason::Deadline);
         }
-        Offer::Wait(self.enqueue(wants))
+        AdmissionResult::Wait(self.enqueue(request))
     }
 
     /// The next request that may run now, if any. `finish` must be called for it.
@@ -174,14 +174,14 @@
         if self.running >= self.capacity || self.waiting == 0 {
             return None;
         }
-        self.picks += 1;
-        let (priority, account) = if self.picks.is_multiple_of(OLDEST_FIRST_ONE_IN) {
-            self.oldest().or_else(|| self.first())?
+        self.dequeues += 1;
+        let (priority, account) = if self.dequeues.is_multiple_of(OLDEST_FIRST_PERIOD) {
+            self.longest_waiting().or_else(|| self.next_by_priority())?
         } else {
-            self.first()?
+            self.next_by_priority()?
         };
-        let waiting = self.take(priority, &account, None)?;
-        self.start(&account, waiting.weight);
+        let waiting = self.remove_waiting(priority, &account, None)?;
+        self.record_start(&account, waiting.weight);
         Some(waiting.ticket)
     }
 
@@ -193,21 +193,22 @@
         }
         if let Some(last) = self.last_finish {
             let newest = now.saturating_sub(last).as_secs_f64();
-            let smoothed = self.interval.as_secs_f64();
-            self.interval = Duration::from_secs_f64(smoothed + RATE_STEP * (newest - smoothed));
+            let smoothed = self.finish_interval.as_secs_f64();
+            self.finish_interval =
+                Duration::from_secs_f64(smoothed + FINISH_INTERVAL_SMOOTHING * (newest - smoothed));
         }
         self.last_finish = Some(now);
-        self.forget_idle_accounts();
+        self.remove_idle_accounts();
     }
 
     /// Takes a request that gave up out of the queue. False if it isn't waiting.
-    pub fn withdraw(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let place = self.queues.iter().find_map(|(priority, accounts)| {
-            let holds = |queue: &VecDeque<Waiting>| queue.iter().any(|w| w.ticket == ticket);
+            let holds = |queue: &VecDeque<QueuedRequest>| queue.iter().any(|w| w.ticket == ticket);
             accounts.iter().find(|(_, q)| holds(q)).map(|(account, _)| (*priority, account.clone()))
         });
         place.is_some_and(|(priority, account)| {
-            self.take(priority, &account, Some(ticket)).is_some()
+            self.remove_waiting(priority, &account, Some(ticket)).is_some()
         })
     }
 
@@ -221,40 +222,45 @@
             .filter(|waiting| waiting.deadline <= now)
             .map(|waiting| waiting.ticket)
             .collect();
-        late.into_iter().filter(|ticket| self.withdraw(*ticket)).collect()
+        late.into_iter().filter(|ticket| self.cancel(*ticket)).collect()
     }
 
-    fn refuse(&self, reason: Reason) -> Offer {
-        Offer::Refused(Refused { reason, retry_after: self.retry_after() })
+    fn refuse(&self, reason: RefusalReason) -> AdmissionResult {
+        AdmissionResult::Refused(AdmissionRefusal { reason, retry_after: self.retry_after() })
     }
 
     fn expected_wait(&self, ahead: usize) -> Duration {
-        self.interval.saturating_mul(u32::try_from(ahead + 1).unwrap_or(u32::MAX))
+        self.finish_interval.saturating_mul(u32::try_from(ahead + 1).unwrap_or(u32::MAX))
     }
 
-    fn ahead_of(&self, priority: u8) -> usize {
+    fn waiting_ahead_of(&self, priority: u8) -> usize {
         let before = self.queues.range(..=priority);
         before.flat_map(|(_, accounts)| accounts.values()).map(VecDeque::len).sum()
     }
 
-    fn enqueue(&mut self, wants: Wants) -> Ticket {
+    fn enqueue(&mut self, request: AdmissionRequest) -> Ticket {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.waiting += 1;
         // An account that was idle must not have saved up places.
-        let floor = self.least_served();
-        let account = self.accounts.entry(wants.account.clone()).or_default();
-        account.served = account.served.max(floor);
+        let floor = self.min_weighted_starts();
+        let account = self.accounts.entry(request.account.clone()).or_default();
+        account.weighted_starts = account.weighted_starts.max(floor);
         account.waiting += 1;
         let queue =
-            self.queues.entry(wants.priority).or_default().entry(wants.account).or_default();
-        queue.push_back(Waiting { ticket, weight: wants.weight.max(1), deadline: wants.deadline });
+            self.queues.entry(request.priority).or_default().entry(request.account).or_default();
+        queue.push_back(QueuedRequest {
+            ticket,
+            weight: request.weight.max(1),
+            deadline: request.deadline,
+        });
         ticket
     }
 
-    fn least_served(&self) -> f64 {
+    fn min_weighted_starts(&self) -> f64 {
         let waiting = self.queues.values().flat_map(BTreeMap::keys);
-        let served = waiting.filter_map(|id| self.accounts.get(id)).map(|account| account.served);
+        let served =
+            waiting.filter_map(|id| self.accounts.get(id)).map(|account| account.weighted_starts);
         served.min_by(f64::total_cmp).unwrap_or(0.0)
     }
 
@@ -263,9 +269,9 @@
     }
 
     /// The first priority with a request that may run, and in it the account served least.
-    fn first(&self) -> Option<(u8, AccountId)> {
+    fn next_by_priority(&self) -> Option<(u8, AccountId)> {
         self.queues.iter().find_map(|(priority, accounts)| {
-            let served = |id: &AccountId| self.accounts.get(id).map_or(0.0, |a| a.served);
+            let served = |id: &AccountId| self.accounts.get(id).map_or(0.0, |a| a.weighted_starts);
             accounts
                 .iter()
                 .filter(|(id, _)| self.may_run(id))
@@ -274,7 +280,7 @@
         })
     }
 
-    fn oldest(&self) -> Option<(u8, AccountId)> {
+    fn longest_waiting(&self) -> Option<(u8, AccountId)> {
         let places = self.queues.iter().flat_map(|(priority, accounts)| {
             accounts.iter().map(move |(id, queue)| (*priority, id, queue))
         });
@@ -284,12 +290,12 @@
             .map(|(priority, id, _)| (priority, id.clone()))
     }
 
-    fn take(
+    fn remove_waiting(
         &mut self,
         priority: u8,
         account: &AccountId,
         ticket: Option<Ticket>,
-    ) -> Option<Waiting> {
+    ) -> Option<QueuedRequest> {
         let accounts = self.queues.get_mut(&priority)?;
         let queue = accounts.get_mut(account)?;
         let position = match ticket {
@@ -310,14 +316,14 @@
         Some(waiting)
     }
 
-    fn start(&mut self, account: &AccountId, weight: u32) {
+    fn record_start(&mut self, account: &AccountId, weight: u32) {
         self.running += 1;
         let account = self.accounts.entry(account.clone()).or_default();
         account.running += 1;
-        account.served += 1.0 / f64::from(weight.max(1));
+        account.weighted_starts += 1.0 / f64::from(weight.max(1));
     }
 
-    fn forget_idle_accounts(&mut self) {
+    fn remove_idle_accounts(&mut self) {
         if self.waiting == 0 {
             self.accounts.retain(|_, account| account.running > 0);
         }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -3,4 +3,4 @@
 pub mod admission;
 pub mod shares;
 
-pub use admission::{Admission, Offer, Refused, Ticket, Wants};
+pub use admission::{Admission, AdmissionRefusal, AdmissionRequest, AdmissionResult, Ticket};
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::claims::{Claim, ClaimAnswer, ClaimKey, ClaimToken, Claims, Digest, Outcome};
+use crate::claims::{Claim, ClaimKey, ClaimResult, ClaimToken, Claims, Digest, Outcome};
 use crate::config::{Book, Numbered, Update};
 use crate::ids::ConfigNumber;
 
@@ -81,7 +81,7 @@
     /// Of a patch.
     Patch(PatchAnswer),
     /// Of a claim.
-    Claim(ClaimAnswer),
+    Claim(ClaimResult),
     /// Of a release or record: whether the claim was the sender's.
     Done(bool),
     /// Of a fence.
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -9,7 +9,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::config::{Book, Numbered, Update};
 use crate::ids::{ConfigNumber, NodeId};
-use crate::lease::{Grantor, Holder};
+use crate::lease::{HeldLease, LeaseGrantor};
 use crate::peer::message::{Answer, Ask, Renew};
 
 /// A renewal that is not answered within this time is sent elsewhere.
@@ -22,18 +22,18 @@
 
 /// A node's lease, its configuration, and the leases that it granted as a relay.
 pub struct Fresh {
-    holder: Holder,
+    holder: HeldLease,
     book: Book,
-    grantor: Grantor,
+    grantor: LeaseGrantor,
 }
 
 impl Fresh {
     /// A node that has just started: no lease, no configuration.
     pub fn new(lease: Duration, now: BootTime) -> Fresh {
         Fresh {
-            holder: Holder::default(),
+            holder: HeldLease::default(),
             book: Book::default(),
-            grantor: Grantor::new(lease, now),
+            grantor: LeaseGrantor::new(lease, now),
         }
     }
 
@@ -50,7 +50,7 @@
     /// The number that this node has, and the one that all nodes below it have.
     fn numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
         let has = self.book.number();
-        (has, self.grantor.floor(has, now))
+        (has, self.grantor.min_acked(has, now))
     }
 
     /// Takes a grant that answers the renewal sent at `sent_at`. False if it can't be used.
@@ -65,7 +65,7 @@
         if self.book.take(update).is_err() || self.book.number() < number || lasts.is_zero() {
             return false;
         }
-        self.holder.granted(sent_at, lasts);
+        self.holder.extend(sent_at, lasts);
         true
     }
 
--- a/src/node/places.rs
+++ b/src/node/places.rs
@@ -10,8 +10,8 @@
 use super::Node;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::AccountId;
-use crate::limits::admission::Reason;
-use crate::limits::{Admission, Offer, Refused, Ticket, Wants};
+use crate::limits::admission::RefusalReason;
+use crate::limits::{Admission, AdmissionRefusal, AdmissionRequest, AdmissionResult, Ticket};
 
 /// How often waiting requests are looked at for their deadlines.
 const EXPIRE_PERIOD: Duration = Duration::from_millis(20);
@@ -25,7 +25,7 @@
 
 struct Inner {
     admission: Admission,
-    waiting: HashMap<Ticket, oneshot::Sender<Result<(), Refused>>>,
+    waiting: HashMap<Ticket, oneshot::Sender<Result<(), AdmissionRefusal>>>,
 }
 
 /// A place; dropping it lets the next request run.
@@ -39,7 +39,7 @@
     inner: Arc<Mutex<Inner>>,
     ticket: Ticket,
     account: AccountId,
-    receiver: oneshot::Receiver<Result<(), Refused>>,
+    receiver: oneshot::Receiver<Result<(), AdmissionRefusal>>,
 }
 
 impl Places {
@@ -87,15 +87,15 @@
     ///
     /// # Errors
     /// Why the request was given up on, at once.
-    pub async fn take(&self, wants: Wants) -> Result<Place, Refused> {
-        let account = wants.account.clone();
+    pub async fn take(&self, request: AdmissionRequest) -> Result<Place, AdmissionRefusal> {
+        let account = request.account.clone();
         let place = || Place { inner: self.inner.clone(), account: account.clone() };
         let mut waiting = {
             let mut inner = self.inner.lock();
-            match inner.admission.offer(wants, boot_now()) {
-                Offer::Run => return Ok(place()),
-                Offer::Refused(refused) => return Err(refused),
-                Offer::Wait(ticket) => {
+            match inner.admission.admit(request, boot_now()) {
+                AdmissionResult::Run => return Ok(place()),
+                AdmissionResult::Refused(refused) => return Err(refused),
+                AdmissionResult::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
                     inner.waiting.insert(ticket, sender);
                     let (inner, account) = (self.inner.clone(), account.clone());
@@ -110,7 +110,7 @@
             Ok(Err(refused)) => Err(refused),
             Err(_) => {
                 let retry_after = self.retry_after();
-                Err(Refused { reason: Reason::Deadline, retry_after })
+                Err(AdmissionRefusal { reason: RefusalReason::Deadline, retry_after })
             }
         }
     }
@@ -120,7 +120,7 @@
         let retry_after = inner.admission.retry_after();
         for ticket in inner.admission.expire(now) {
             if let Some(waiting) = inner.waiting.remove(&ticket) {
-                let refused = Refused { reason: Reason::Deadline, retry_after };
+                let refused = AdmissionRefusal { reason: RefusalReason::Deadline, retry_after };
                 // The caller may have hung up.
                 let _ = waiting.send(Err(refused));
             }
@@ -150,7 +150,7 @@
     fn drop(&mut self) {
         let mut inner = self.inner.lock();
         inner.waiting.remove(&self.ticket);
-        inner.admission.withdraw(self.ticket);
+        inner.admission.cancel(self.ticket);
         if let Ok(Ok(())) = self.receiver.try_recv() {
             // It had been given a place already, which nobody will take now.
             inner.admission.finish(&self.account, boot_now());
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -7,7 +7,7 @@
 use super::{Node, every};
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{AccountId, BlockKey, NodeId};
-use crate::limits::shares::{Demand, Share, Shares, base};
+use crate::limits::shares::{GrantedShare, ShareAllocator, ShareRequest, base_share};
 use crate::peer::message::{Answer, Ask};
 use crate::whereabouts::{NodePlace, owners};
 
@@ -23,7 +23,7 @@
 /// Shares that this node holds and those that it granted as an owner.
 pub struct Sharing {
     held: HashMap<AccountId, Held>,
-    granted: Shares,
+    granted: ShareAllocator,
     /// Live nodes as they were known within the last lease, oldest first. An account that another
     /// node owned by one of these may have leases of that owner outstanding.
     places: VecDeque<(BootTime, Vec<NodePlace>)>,
@@ -41,7 +41,11 @@
 impl Sharing {
     /// Nothing held, nothing granted.
     pub fn new(lease: Duration) -> Sharing {
-        Sharing { held: HashMap::new(), granted: Shares::new(lease), places: VecDeque::new() }
+        Sharing {
+            held: HashMap::new(),
+            granted: ShareAllocator::new(lease),
+            places: VecDeque::new(),
+        }
     }
 
     fn note_places(&mut self, places: Vec<NodePlace>, now: BootTime) {
@@ -49,7 +53,7 @@
             self.places.push_back((now, places));
         }
         // The one before the oldest change within a lease still counts.
-        let lease = self.granted.lease();
+        let lease = self.granted.lease_duration();
         while self.places.get(1).is_some_and(|(since, _)| *since + lease <= now) {
             self.places.pop_front();
         }
@@ -61,7 +65,7 @@
         let started = self.places.front().map_or(now, |(since, _)| *since);
         let always = self.places.iter().all(|(_, known)| owners(root, known).first() == Some(&me));
         // At this node's start, an earlier start of it may have granted leases.
-        always && started + self.granted.lease() <= now
+        always && started + self.granted.lease_duration() <= now
     }
 }
 
@@ -85,7 +89,7 @@
         let nodes = self.known.lock().live.len() as u32;
         let sharing = self.sharing.lock();
         let usable = sharing.held.get(account).filter(|held| held.ends > now);
-        usable.map_or(base(limit, nodes), |held| held.share).min(limit)
+        usable.map_or(base_share(limit, nodes), |held| held.share).min(limit)
     }
 
     async fn ask_for_share(self: &Arc<Node>, account: &str, limit: u32, demand: u32) {
@@ -100,9 +104,9 @@
             sharing.held.entry(account.to_string()).or_insert(nothing).asked_at = asked_at;
         }
         let demand = demand.saturating_mul(HEADROOM);
-        let ask = Demand { account: account.to_string(), demand, limit, nodes };
-        if let Ok(Answer::Share(Share { share, lasts })) =
-            self.links.ask(owner, Ask::Share(ask), ASK_TIMEOUT).await
+        let request = ShareRequest { account: account.to_string(), demand, limit, nodes };
+        if let Ok(Answer::Share(GrantedShare { share, lasts })) =
+            self.links.ask(owner, Ask::Share(request), ASK_TIMEOUT).await
         {
             let held = Held { share, ends: asked_at + lasts, asked_at, limit };
             self.sharing.lock().held.insert(account.to_string(), held);
@@ -111,7 +115,7 @@
     }
 
     /// Grants a share as an owner, under this node's own freshness lease.
-    pub(super) fn grant_share(&self, node: NodeId, demand: &Demand) -> Answer {
+    pub(super) fn grant_share(&self, node: NodeId, demand: &ShareRequest) -> Answer {
         if self.in_force().is_none() {
             return Answer::Unable;
         }
@@ -122,7 +126,7 @@
         if !sharing.is_settled_owner(&demand.account, self.settings.node_id, now) {
             return Answer::Unable;
         }
-        Answer::Share(sharing.granted.ask(node, demand, now))
+        Answer::Share(sharing.granted.grant(node, demand, now))
     }
 
     /// Renews shares that are in use, and forgets the others, again and again.
@@ -140,7 +144,7 @@
         let in_use: Vec<(AccountId, u32)> = {
             let mut sharing = self.sharing.lock();
             sharing.note_places(places, now);
-            sharing.granted.forget(now);
+            sharing.granted.remove_expired(now);
             let demand = |account: &str| self.places.demand(account);
             sharing.held.retain(|account, held| held.ends > now || demand(account) > 0);
             let held = sharing.held.iter();
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Update;
 use crate::ids::{BlockKey, ConfigNumber, Incarnation, NodeId, TargetId};
-use crate::limits::shares::{Demand, Share};
+use crate::limits::shares::{GrantedShare, ShareRequest};
 use crate::log::Message;
 use crate::log::raft::Change;
 use crate::log::state::{Command, Reply};
@@ -70,7 +70,7 @@
     /// An export ended.
     Written(Written),
     /// Asks the owner of an account for a share of its limit.
-    Share(Demand),
+    Share(ShareRequest),
     /// For the operators' pages.
     Status,
 }
@@ -126,7 +126,7 @@
     /// It would be worth exporting this.
     Export(Option<crate::whereabouts::ExportPlan>),
     /// A share of an account's limit.
-    Share(Share),
+    Share(GrantedShare),
     /// Done.
     Done,
     /// For the operators' pages, as JSON text.
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -12,7 +12,7 @@
 use crate::clock::{BootTime, boot_now, unix_ms};
 use crate::config::Update;
 use crate::ids::{ConfigNumber, NodeId};
-use crate::lease::Grantor;
+use crate::lease::LeaseGrantor;
 use crate::log::disk::Disk;
 use crate::log::driver::{Driver, Output};
 use crate::log::raft::{Change, ChangeError, NotLeader, Raft, RaftStatus, ReadId};
@@ -35,7 +35,7 @@
     metrics: Arc<Metrics>,
     lease: Duration,
     /// Leases granted; `None` while this replica does not surely lead.
-    grantor: Option<Grantor>,
+    grantor: Option<LeaseGrantor>,
     /// The term that `grantor` is for.
     grantor_term: Term,
     decisions: BTreeMap<Index, (Term, Waiter)>,
@@ -230,12 +230,12 @@
     }
 
     /// The grantor, if this replica surely leads at `now`.
-    fn leading_grantor(&mut self, now: BootTime) -> Option<&mut Grantor> {
+    fn leading_grantor(&mut self, now: BootTime) -> Option<&mut LeaseGrantor> {
         if !self.driver.raft.holds_leadership(now) {
             return None;
         }
         if self.grantor.is_none() || self.grantor_term != self.driver.raft.term() {
-            self.grantor = Some(Grantor::new(self.lease, now));
+            self.grantor = Some(LeaseGrantor::new(self.lease, now));
             self.grantor_term = self.driver.raft.term();
         }
         self.grantor.as_mut()
@@ -244,7 +244,7 @@
     fn track_in_force(&mut self, now: BootTime) {
         let number = self.state.config().number;
         let Some(grantor) = self.leading_grantor(now) else { return };
-        let floor = grantor.floor(number, now);
+        let floor = grantor.min_acked(number, now);
         self.in_force = self.in_force.max(floor);
         while let Some((number, accepted_at)) = self.not_in_force.first_key_value()
             && *number <= floor
--- a/tests/logic/admission.rs
+++ b/tests/logic/admission.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use kumquatpost::limits::admission::Reason;
-use kumquatpost::limits::{Admission, Offer, Ticket, Wants};
+use kumquatpost::limits::admission::RefusalReason;
+use kumquatpost::limits::{Admission, AdmissionRequest, AdmissionResult, Ticket};
 
 const NOW: Duration = Duration::from_secs(100);
 
-fn wants(account: &str, priority: u8) -> Wants {
-    Wants {
+fn request(account: &str, priority: u8) -> AdmissionRequest {
+    AdmissionRequest {
         account: account.into(),
         weight: 1,
         account_limit: 100,
@@ -17,9 +17,9 @@
     }
 }
 
-fn ticket(offer: Offer) -> Ticket {
+fn ticket(offer: AdmissionResult) -> Ticket {
     match offer {
-        Offer::Wait(ticket) => ticket,
+        AdmissionResult::Wait(ticket) => ticket,
         other => panic!("{other:?}"),
     }
 }
@@ -27,7 +27,7 @@
 /// A node with one place, which is taken.
 fn busy(queue_len: usize) -> Admission {
     let mut admission = Admission::new(1, queue_len);
-    assert_eq!(admission.offer(wants("other", 3), NOW), Offer::Run);
+    assert_eq!(admission.admit(request("other", 3), NOW), AdmissionResult::Run);
     admission
 }
 
@@ -40,10 +40,12 @@
 #[test]
 fn a_full_queue_refuses_at_once_and_says_when_to_come_back() {
     let mut admission = busy(2);
-    ticket(admission.offer(wants("a", 3), NOW));
-    ticket(admission.offer(wants("a", 3), NOW));
-    let Offer::Refused(refused) = admission.offer(wants("a", 0), NOW) else { panic!("refused") };
-    assert_eq!(refused.reason, Reason::QueueFull);
+    ticket(admission.admit(request("a", 3), NOW));
+    ticket(admission.admit(request("a", 3), NOW));
+    let AdmissionResult::Refused(refused) = admission.admit(request("a", 0), NOW) else {
+        panic!("refused")
+    };
+    assert_eq!(refused.reason, RefusalReason::QueueFull);
     assert!(refused.retry_after >= Duration::from_secs(1));
     assert_eq!(admission.waiting(), 2);
 }
@@ -51,8 +53,8 @@
 #[test]
 fn a_higher_priority_goes_first() {
     let mut admission = busy(10);
-    let low = ticket(admission.offer(wants("a", 5), NOW));
-    let high = ticket(admission.offer(wants("b", 0), NOW));
+    let low = ticket(admission.admit(request("a", 5), NOW));
+    let high = ticket(admission.admit(request("b", 0), NOW));
     assert_eq!(next_after(&mut admission, "other"), Some(high));
     assert_eq!(next_after(&mut admission, "b"), Some(low));
     assert_eq!(next_after(&mut admission, "a"), None);
@@ -63,12 +65,12 @@
     let mut admission = busy(100);
     let mut owner = std::collections::HashMap::new();
     for _ in 0..12 {
-        owner.insert(ticket(admission.offer(wants("large", 3), NOW)), "large");
+        owner.insert(ticket(admission.admit(request("large", 3), NOW)), "large");
     }
     for _ in 0..4 {
-        let heavy = Wants { weight: 3, ..wants("heavy", 3) };
-        owner.insert(ticket(admission.offer(wants("small", 3), NOW)), "small");
-        owner.insert(ticket(admission.offer(heavy, NOW)), "heavy");
+        let heavy = AdmissionRequest { weight: 3, ..request("heavy", 3) };
+        owner.insert(ticket(admission.admit(request("small", 3), NOW)), "small");
+        owner.insert(ticket(admission.admit(heavy, NOW)), "heavy");
     }
     let mut order = Vec::new();
     let mut ended = "other";
@@ -85,11 +87,11 @@
 #[test]
 fn no_request_starves_behind_a_stream_of_higher_priority() {
     let mut admission = busy(1_000);
-    let low = ticket(admission.offer(wants("a", 7), NOW));
+    let low = ticket(admission.admit(request("a", 7), NOW));
     let mut ended = "other";
     for turn in 0..100 {
-        ticket(admission.offer(wants("b", 0), NOW));
-        ticket(admission.offer(wants("b", 0), NOW));
+        ticket(admission.admit(request("b", 0), NOW));
+        ticket(admission.admit(request("b", 0), NOW));
         if next_after(&mut admission, ended) == Some(low) {
             return;
         }
@@ -101,11 +103,11 @@
 #[test]
 fn an_account_runs_no_more_than_its_limit_and_does_not_block_others() {
     let mut admission = Admission::new(10, 10);
-    let limited = Wants { account_limit: 1, ..wants("a", 0) };
-    assert_eq!(admission.offer(limited.clone(), NOW), Offer::Run);
-    let second = ticket(admission.offer(limited, NOW));
+    let limited = AdmissionRequest { account_limit: 1, ..request("a", 0) };
+    assert_eq!(admission.admit(limited.clone(), NOW), AdmissionResult::Run);
+    let second = ticket(admission.admit(limited, NOW));
     assert_eq!(admission.start_next(), None, "its limit is reached");
-    let other = ticket(admission.offer(wants("b", 5), NOW));
+    let other = ticket(admission.admit(request("b", 5), NOW));
     assert_eq!(admission.start_next(), Some(other));
     assert_eq!(next_after(&mut admission, "a"), Some(second));
 }
@@ -114,26 +116,28 @@
 fn what_can_not_make_its_deadline_is_refused_not_parked() {
     let mut admission = busy(1_000);
     for _ in 0..100 {
-        ticket(admission.offer(wants("a", 3), NOW));
+        ticket(admission.admit(request("a", 3), NOW));
     }
-    let soon = Wants { deadline: NOW + Duration::from_millis(100), ..wants("b", 3) };
-    let offer = admission.offer(soon.clone(), NOW);
-    assert!(matches!(offer, Offer::Refused(refused) if refused.reason == Reason::Deadline));
+    let soon = AdmissionRequest { deadline: NOW + Duration::from_millis(100), ..request("b", 3) };
+    let offer = admission.admit(soon.clone(), NOW);
+    assert!(
+        matches!(offer, AdmissionResult::Refused(refused) if refused.reason == RefusalReason::Deadline)
+    );
     // Nothing of its priority waits ahead of a more urgent one.
-    let urgent = Wants { priority: 0, ..soon };
-    let waiting = ticket(admission.offer(urgent, NOW));
+    let urgent = AdmissionRequest { priority: 0, ..soon };
+    let waiting = ticket(admission.admit(urgent, NOW));
     assert_eq!(admission.expire(NOW + Duration::from_millis(99)), Vec::<Ticket>::new());
     assert_eq!(admission.expire(NOW + Duration::from_millis(100)), vec![waiting]);
-    assert!(!admission.withdraw(waiting), "it is gone");
+    assert!(!admission.cancel(waiting), "it is gone");
     assert_eq!(admission.waiting(), 100);
 }
 
 #[test]
 fn a_request_that_gives_up_leaves_no_trace() {
     let mut admission = busy(10);
-    let first = ticket(admission.offer(wants("a", 3), NOW));
-    let second = ticket(admission.offer(wants("a", 3), NOW));
-    assert!(admission.withdraw(first));
+    let first = ticket(admission.admit(request("a", 3), NOW));
+    let second = ticket(admission.admit(request("a", 3), NOW));
+    assert!(admission.cancel(first));
     assert_eq!(next_after(&mut admission, "other"), Some(second));
     assert_eq!((admission.running(), admission.waiting()), (1, 0));
 }
--- a/tests/logic/claims.rs
+++ b/tests/logic/claims.rs
@@ -1,6 +1,6 @@
 //! Claims: a request marked not repeatable runs at most once.
 
-use kumquatpost::claims::{ClaimAnswer, ClaimKey, ClaimToken, Claims, Outcome};
+use kumquatpost::claims::{ClaimKey, ClaimResult, ClaimToken, Claims, Outcome};
 
 const RETENTION_MS: u64 = 1_000;
 
@@ -29,9 +29,9 @@
 
 #[test]
 fn at_most_one_claimer_may_run_a_request() {
-    use ClaimAnswer::{Granted, Held, IdReused, Ran, Withdrawn};
+    use ClaimResult::{Granted, Held, IdReused, Ran, Withdrawn};
     let held = |node| Held(token(node, 0));
-    let cases: Vec<(&str, Vec<Do>, ClaimAnswer)> = vec![
+    let cases: Vec<(&str, Vec<Do>, ClaimResult)> = vec![
         ("the first", vec![Do::Claim(1, A, 0)], Granted),
         ("resent by the same claimer", vec![Do::Claim(1, A, 0), Do::Claim(1, A, 1)], Granted),
         ("a second one", vec![Do::Claim(1, A, 0), Do::Claim(2, A, 1)], held(1)),
@@ -98,8 +98,8 @@
 #[test]
 fn accounts_do_not_share_ids() {
     let mut claims = Claims::new(RETENTION_MS);
-    assert_eq!(claims.claim(key("anna", "1"), A, token(1, 0), 0), ClaimAnswer::Granted);
-    assert_eq!(claims.claim(key("bibek", "1"), B, token(2, 0), 0), ClaimAnswer::Granted);
+    assert_eq!(claims.claim(key("anna", "1"), A, token(1, 0), 0), ClaimResult::Granted);
+    assert_eq!(claims.claim(key("bibek", "1"), B, token(2, 0), 0), ClaimResult::Granted);
 }
 
 #[test]
--- a/tests/logic/lease.rs
+++ b/tests/logic/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatpost::lease::{Grantor, Holder};
+use kumquatpost::lease::{HeldLease, LeaseGrantor};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -16,40 +16,40 @@
 
 #[test]
 fn a_lease_counts_from_when_the_renewal_was_sent() {
-    let mut holder = Holder::default();
+    let mut holder = HeldLease::default();
     assert!(!holder.is_fresh(ms(0)));
     // Sent at 1 s, answered at 2.5 s: it still ends before 4 s.
-    holder.granted(ms(1_000), LEASE);
+    holder.extend(ms(1_000), LEASE);
     assert!(holder.is_fresh(ms(2_500)));
     assert!(!holder.is_fresh(ms(4_000)), "also after a freeze, since the clock ran on");
     // An older answer that comes late takes nothing back.
-    holder.granted(ms(500), LEASE);
+    holder.extend(ms(500), LEASE);
     assert!(holder.is_fresh(ms(3_900)));
 }
 
 #[test]
 fn a_new_grantor_assumes_a_full_lease_outstanding_everywhere() {
-    let grantor = Grantor::new(LEASE, ms(1_000));
-    assert_eq!(grantor.floor(9, ms(3_999)), 0);
-    assert_eq!(grantor.floor(9, ms(4_000)), 9);
+    let grantor = LeaseGrantor::new(LEASE, ms(1_000));
+    assert_eq!(grantor.min_acked(9, ms(3_999)), 0);
+    assert_eq!(grantor.min_acked(9, ms(4_000)), 9);
 }
 
 #[test]
 fn a_number_is_in_force_when_older_leases_have_acknowledged_or_ended() {
-    let mut grantor = Grantor::new(LEASE, ms(0));
+    let mut grantor = LeaseGrantor::new(LEASE, ms(0));
     grantor.grant(1, 7, LEASE, ms(10_000));
     grantor.grant(2, 8, LEASE, ms(10_000));
-    assert_eq!(grantor.floor(8, ms(10_001)), 7);
+    assert_eq!(grantor.min_acked(8, ms(10_001)), 7);
     grantor.grant(1, 8, LEASE, ms(11_000));
-    assert_eq!(grantor.floor(8, ms(11_001)), 8, "acknowledged");
+    assert_eq!(grantor.min_acked(8, ms(11_001)), 8, "acknowledged");
     grantor.grant(3, 5, LEASE, ms(12_000));
-    assert_eq!(grantor.floor(8, ms(14_999)), 5);
-    assert_eq!(grantor.floor(8, ms(15_000)), 8, "ended");
+    assert_eq!(grantor.min_acked(8, ms(14_999)), 5);
+    assert_eq!(grantor.min_acked(8, ms(15_000)), 8, "ended");
 }
 
 #[test]
 fn a_grantor_without_a_lease_grants_none() {
-    let mut grantor = Grantor::new(LEASE, ms(0));
+    let mut grantor = LeaseGrantor::new(LEASE, ms(0));
     assert_eq!(grantor.grant(1, 7, Duration::ZERO, ms(10_000)), Duration::ZERO);
     assert_eq!(grantor.grant(1, 7, ms(400), ms(10_000)), ms(400), "never longer than its own");
     assert_eq!(grantor.children(ms(10_399)).count(), 1);
@@ -58,16 +58,16 @@
 
 /// A node below a relay below the leader, each with its own clock.
 struct Node {
-    holder: Holder,
-    grantor: Grantor,
+    holder: HeldLease,
+    grantor: LeaseGrantor,
     number: u64,
     rate: f64,
 }
 
 impl Node {
     fn new(rate: f64, now: Duration) -> Node {
-        let grantor = Grantor::new(LEASE, now.mul_f64(rate));
-        Node { holder: Holder::default(), grantor, number: 0, rate }
+        let grantor = LeaseGrantor::new(LEASE, now.mul_f64(rate));
+        Node { holder: HeldLease::default(), grantor, number: 0, rate }
     }
 
     fn clock(&self, now: Duration) -> Duration {
@@ -119,7 +119,7 @@
         let child = random.random_range(1..nodes.len());
         let parent = if child <= 2 { 0 } else { random.random_range(0..=2) };
         let sent_at = nodes[child].clock(now);
-        let acked = nodes[child].grantor.floor(nodes[child].number, sent_at);
+        let acked = nodes[child].grantor.min_acked(nodes[child].number, sent_at);
         let delay = |random: &mut SmallRng| ms(random.random_range(1..2_500));
         if random.random_bool(0.8) {
             let arrives = now + delay(&mut random);
@@ -144,11 +144,11 @@
             // As a node does: never an older number, and the number before the lease.
             if number >= node.number {
                 node.number = number;
-                node.holder.granted(sent_at, lasts);
+                node.holder.extend(sent_at, lasts);
             }
         }
         let clock = nodes[0].clock(now);
-        let in_force = nodes[0].grantor.floor(newest, clock);
+        let in_force = nodes[0].grantor.min_acked(newest, clock);
         for (id, node) in nodes.iter().enumerate().skip(1) {
             assert!(
                 !node.is_fresh(now) || node.number >= in_force,
--- a/tests/logic/shares.rs
+++ b/tests/logic/shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use kumquatpost::limits::shares::{Demand, Shares, base};
+use kumquatpost::limits::shares::{ShareAllocator, ShareRequest, base_share};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -12,8 +12,8 @@
 const LEASE: Duration = Duration::from_secs(3);
 const NOW: Duration = Duration::from_secs(100);
 
-fn demand(demand: u32, limit: u32) -> Demand {
-    Demand { account: "anna".into(), demand, limit, nodes: 8 }
+fn demand(demand: u32, limit: u32) -> ShareRequest {
+    ShareRequest { account: "anna".into(), demand, limit, nodes: 8 }
 }
 
 #[test]
@@ -25,19 +25,19 @@
         ("two alike, the first asked first", vec![(1, 20), (2, 20)], vec![20, 20]),
     ];
     for (what, asks, expected) in cases {
-        let mut shares = Shares::new(LEASE);
+        let mut shares = ShareAllocator::new(LEASE);
         let got: Vec<u32> =
-            asks.iter().map(|(node, d)| shares.ask(*node, &demand(*d, 64), NOW).share).collect();
+            asks.iter().map(|(node, d)| shares.grant(*node, &demand(*d, 64), NOW).share).collect();
         assert_eq!(got, expected, "{what}");
     }
     // A node that took all gives up its part by and by.
-    let mut shares = Shares::new(LEASE);
-    assert_eq!(shares.ask(1, &demand(100, 64), NOW).share, 50);
-    assert_eq!(shares.ask(2, &demand(100, 64), NOW).share, 2, "nothing is left yet");
-    assert_eq!(shares.ask(1, &demand(100, 64), NOW).share, 26, "half of what two may share");
+    let mut shares = ShareAllocator::new(LEASE);
+    assert_eq!(shares.grant(1, &demand(100, 64), NOW).share, 50);
+    assert_eq!(shares.grant(2, &demand(100, 64), NOW).share, 2, "nothing is left yet");
+    assert_eq!(shares.grant(1, &demand(100, 64), NOW).share, 26, "half of what two may share");
     let later = NOW + LEASE;
-    shares.ask(1, &demand(100, 64), later - Duration::from_millis(1));
-    assert_eq!(shares.ask(2, &demand(100, 64), later).share, 26);
+    shares.grant(1, &demand(100, 64), later - Duration::from_millis(1));
+    assert_eq!(shares.grant(2, &demand(100, 64), later).share, 26);
 }
 
 proptest! {
@@ -50,22 +50,22 @@
     #[test]
     fn all_nodes_together_never_pass_the_limit(seed in any::<u64>(), limit in 8_u32..100) {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut shares = Shares::new(LEASE);
+        let mut shares = ShareAllocator::new(LEASE);
         let mut now = NOW;
         // What each node uses: its last received share, until it ends.
         let mut used: BTreeMap<u64, (u32, Duration)> = BTreeMap::new();
         for _ in 0..200 {
             now += Duration::from_millis(random.random_range(0..1_500));
             let node = random.random_range(1..=8);
-            let asked = Demand { demand: random.random_range(0..120), ..demand(0, limit) };
-            let got = shares.ask(node, &asked, now);
+            let asked = ShareRequest { demand: random.random_range(0..120), ..demand(0, limit) };
+            let got = shares.grant(node, &asked, now);
             if random.random_bool(0.7) {
                 used.insert(node, (got.share, now + got.lasts));
             }
             let total: u32 = (1..=8)
                 .map(|node| match used.get(&node) {
                     Some((share, ends)) if *ends > now => *share,
-                    _ => base(limit, 8),
+                    _ => base_share(limit, 8),
                 })
                 .sum();
             prop_assert!(total <= limit, "{total} of {limit}");
