--- a/src/control/kept_quarantine.rs
+++ b/src/control/kept_quarantine.rs
@@ -24,7 +24,7 @@
         Ok(reports) => {
             log::info!("event=quarantine_restored requests={}", reports.len());
             // All of it is news.
-            let _ = quarantine.observe(reports, boot_now());
+            let _ = quarantine.merge_reports(reports, boot_now());
         }
         Err(reason) => log::info!("event=quarantine_not_restored reason={reason:?}"),
     }
@@ -40,7 +40,7 @@
     while quarantine.changed().await.is_ok() {
         let (news, all, revision) = {
             let known = quarantine.borrow_and_update();
-            let suspects = |since| known.suspects_since(since, boot_now());
+            let suspects = |since| known.suspect_reports_since(since, boot_now());
             (suspects(written), suspects(Revision::default()), known.revision())
         };
         if news.is_empty() {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -252,7 +252,7 @@
     /// Adds requests under which several targets have ended.
     fn add_quarantine(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let known = shared.quarantine.borrow();
-        let reports = known.suspects_since(self.quarantine, boot_now());
+        let reports = known.suspect_reports_since(self.quarantine, boot_now());
         self.quarantine = known.revision();
         if !reports.is_empty() {
             bytes.extend_from_slice(&encode(&Update::Quarantine(reports)));
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -203,7 +203,7 @@
             ToReplica::QuarantineDigest(digest) => {
                 let known = self.shared.quarantine.borrow();
                 if known.digest() != digest {
-                    let reports = known.changed_since(Revision::default(), now);
+                    let reports = known.reports_since(Revision::default(), now);
                     self.shared.links.send(ip, encode(&ToReplica::Quarantine(reports)));
                 }
             }
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -21,7 +21,7 @@
 use crate::fleet::{Roster, RosterChange};
 use crate::ids::{DomainId, NodeId, TargetStart};
 use crate::log::Term;
-use crate::quarantine::{Quarantine, Report, Revision, share};
+use crate::quarantine::{Quarantine, Report, Revision, notify};
 use crate::scheduler::weights::{self, RolloutHistories};
 
 /// Lists of one term are numbered after those of all earlier terms: replicas that have all started
@@ -239,7 +239,9 @@
 
     /// Takes what another process knows of requests under which targets have ended.
     pub fn observe_quarantine(&self, reports: Vec<Report>) {
-        share::change(&self.quarantine, |known| known.observe(reports, boot_now()));
+        notify::update_and_notify(&self.quarantine, |known| {
+            known.merge_reports(reports, boot_now())
+        });
         let revision = self.quarantine.borrow().suspects_revision();
         self.suspects.send_if_modified(|known| std::mem::replace(known, revision) != revision);
     }
--- a/src/gateway/examine.rs
+++ b/src/gateway/examine.rs
@@ -10,8 +10,8 @@
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
-use crate::quarantine::evidence::{BrokenRun, Finding};
-use crate::quarantine::share;
+use crate::quarantine::broken_runs::{BrokenRun, TargetCheck};
+use crate::quarantine::notify;
 use crate::telemetry::metrics::label;
 
 /// A target that still listened is looked at once more after this time: it may close its connections
@@ -38,14 +38,14 @@
     if gateway.fleet.borrow().was_told_to_leave(target) {
         return;
     }
-    let finding = gateway.broken_runs.borrow_mut().broke_off(target, run);
-    match finding {
-        Finding::HasEnded => ended_under(gateway, target, &[run], "known"),
-        Finding::MustExamine => {
+    let check = gateway.broken_runs.borrow_mut().record_broken_run(target, run);
+    match check {
+        TargetCheck::TargetEnded => ended_under(gateway, target, &[run], "known"),
+        TargetCheck::StartCheck => {
             tokio::task::spawn_local(examine(gateway.clone(), target.clone()));
             wait(gateway).await;
         }
-        Finding::IsExamined => wait(gateway).await,
+        TargetCheck::CheckInProgress => wait(gateway).await,
     }
 }
 
@@ -58,7 +58,7 @@
     if listens(&gateway, &target).await {
         tokio::time::sleep(AGAIN_AFTER).await;
         if listens(&gateway, &target).await {
-            gateway.broken_runs.borrow_mut().listens(&target);
+            gateway.broken_runs.borrow_mut().mark_listening(&target);
         }
     }
 }
@@ -85,7 +85,7 @@
 
 /// There is evidence that a target has ended.
 pub fn has_ended(gateway: &Gateway, target: &TargetStart, evidence: &str) {
-    let runs = gateway.broken_runs.borrow_mut().has_ended(target, boot_now());
+    let runs = gateway.broken_runs.borrow_mut().mark_ended(target, boot_now());
     if !runs.is_empty() {
         ended_under(gateway, target, &runs, evidence);
     }
@@ -98,7 +98,7 @@
         !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
     };
     let ended: Vec<TargetStart> =
-        gateway.broken_runs.borrow().doubted().filter(gone).cloned().collect();
+        gateway.broken_runs.borrow().unresolved_targets().filter(gone).cloned().collect();
     ended.iter().for_each(|target| has_ended(gateway, target, "is listed no more"));
 }
 
@@ -111,5 +111,7 @@
         shown.join(",")
     );
     gateway.metrics.targets_ended.add(1, &[label("evidence", evidence)]);
-    share::change(&gateway.quarantine, |known| known.ended_under(runs, target, boot_now()));
+    notify::update_and_notify(&gateway.quarantine, |known| {
+        known.record_target_end(runs, target, boot_now())
+    });
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -27,8 +27,8 @@
 use crate::host::HostSettings;
 use crate::ids::TargetStart;
 use crate::log::Term;
-use crate::quarantine::evidence::BrokenRuns;
-use crate::quarantine::{Quarantine, share};
+use crate::quarantine::broken_runs::BrokenRuns;
+use crate::quarantine::{Quarantine, notify};
 use crate::scheduler::weights::{self, RolloutHistories};
 use crate::scheduler::{End, PlacementEvent, TicketId};
 use crate::telemetry::roles::EntryMetrics;
@@ -306,7 +306,9 @@
                 weights::observe_ages(&mut self.named_since.borrow_mut(), named, boot_now());
             }
             Update::Quarantine(reports) => {
-                share::change(&self.quarantine, |known| known.observe(reports, boot_now()));
+                notify::update_and_notify(&self.quarantine, |known| {
+                    known.merge_reports(reports, boot_now())
+                });
             }
             Update::Domains(domains) => self.subscriptions.borrow_mut().observe_domains(domains),
             Update::RosterPiece(piece) => self.observe_piece(&piece)?,
@@ -342,7 +344,7 @@
     /// A request got a whole answer.
     pub fn answered_whole(&self, job: &Job) {
         let run = job.fingerprint();
-        self.quarantine.send_if_modified(|known| known.answered_whole(run, boot_now()));
+        self.quarantine.send_if_modified(|known| known.record_completion(run, boot_now()));
     }
 
     /// The host of the replica that leads, and the term in which it does.
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -118,7 +118,7 @@
             changed = quarantine.changed() => {
                 changed.map_err(std::io::Error::other)?;
                 let known = quarantine.borrow_and_update();
-                let reports = known.changed_since(sent, boot_now());
+                let reports = known.reports_since(sent, boot_now());
                 sent = known.revision();
                 if reports.is_empty() {
                     continue;
--- a/src/node/quarantining.rs
+++ b/src/node/quarantining.rs
@@ -12,8 +12,8 @@
 use crate::ids::{Incarnation, NodeId, TargetId, TargetStart};
 use crate::net;
 use crate::peer::message::Heard;
-use crate::quarantine::evidence::{BrokenRun, BrokenRuns, Finding};
-use crate::quarantine::{Fingerprint, Observed, Quarantine, Report, Revision};
+use crate::quarantine::broken_runs::{BrokenRun, BrokenRuns, TargetCheck};
+use crate::quarantine::{Fingerprint, MergeResult, Quarantine, Report, Revision};
 
 /// Longest time to find out whether a target still listens.
 const EXAMINE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -65,7 +65,7 @@
 
     /// A request got a whole answer.
     pub fn answered_whole(&self, request: Fingerprint) {
-        self.quarantining.lock().known.answered_whole(request, boot_now());
+        self.quarantining.lock().known.record_completion(request, boot_now());
     }
 
     /// A run broke off: finds out whether its target has ended.
@@ -74,27 +74,27 @@
         // Both only name a start.
         let start = TargetStart { id: target.clone(), born_ms: Some(incarnation as i64) };
         let run = BrokenRun { fingerprint, sent_at, broke_at: boot_now() };
-        let finding = self.quarantining.lock().broken.broke_off(&start, run);
-        if finding != Finding::HasEnded && !refuses_connections(url).await {
-            self.quarantining.lock().broken.listens(&start);
+        let check = self.quarantining.lock().broken.record_broken_run(&start, run);
+        if check != TargetCheck::TargetEnded && !refuses_connections(url).await {
+            self.quarantining.lock().broken.mark_listening(&start);
             return;
         }
-        let observed = {
+        let merged = {
             let mut quarantining = self.quarantining.lock();
-            let mut runs = quarantining.broken.has_ended(&start, boot_now());
-            if finding == Finding::HasEnded {
+            let mut runs = quarantining.broken.mark_ended(&start, boot_now());
+            if check == TargetCheck::TargetEnded {
                 runs.push(run);
             }
             log::warn!("event=target_ended target={start} runs={}", runs.len());
-            quarantining.known.ended_under(&runs, &start, boot_now())
+            quarantining.known.record_target_end(&runs, &start, boot_now())
         };
-        log_held(&observed);
+        log_held(&merged);
     }
 
     /// Takes what another node knows.
     pub(super) fn observe_quarantine(&self, reports: Vec<Report>) {
-        let observed = self.quarantining.lock().known.observe(reports, boot_now());
-        log_held(&observed);
+        let merged = self.quarantining.lock().known.merge_reports(reports, boot_now());
+        log_held(&merged);
     }
 
     /// What to tell a node that grants leases: news, what it was heard to say, and the revision up to which it
@@ -103,7 +103,7 @@
         let quarantining = self.quarantining.lock();
         let Grantor { told, heard } =
             quarantining.grantors.get(&grantor).copied().unwrap_or_default();
-        let news = quarantining.known.changed_since(told, boot_now());
+        let news = quarantining.known.reports_since(told, boot_now());
         (news, heard, quarantining.known.revision())
     }
 
@@ -131,7 +131,7 @@
         let is_of_this_start = heard.boot == quarantining.boot;
         let since = if is_of_this_start { heard.revision } else { Revision::default() };
         let told = Heard { boot: quarantining.boot, revision: quarantining.known.revision() };
-        (quarantining.known.suspects_since(since, boot_now()), told)
+        (quarantining.known.suspect_reports_since(since, boot_now()), told)
     }
 }
 
@@ -143,8 +143,8 @@
     }
 }
 
-fn log_held(observed: &Observed) {
-    for fingerprint in &observed.held {
+fn log_held(merged: &MergeResult) {
+    for fingerprint in &merged.held {
         log::warn!("event=request_held fingerprint={fingerprint}");
     }
 }
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/broken_runs.rs
@@ -13,9 +13,9 @@
 
 /// Broken runs wait for evidence of their target's end for this long: one that has ended stays on the
 /// platform's list for some seconds.
-const EVIDENCE_WITHIN: Duration = Duration::from_secs(10);
+const EVIDENCE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Runs of one target that wait for evidence, at the most: more than any engine runs at once.
-const MOST_RUNS: usize = 512;
+const MAX_RUNS_PER_TARGET: usize = 512;
 
 /// A run of a request that broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,86 +31,90 @@
 /// Runs that broke off, by target.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
-    targets: HashMap<TargetStart, Broken>,
+    targets: HashMap<TargetStart, TargetRuns>,
 }
 
 #[derive(Clone, Debug)]
-struct Broken {
+struct TargetRuns {
     /// Runs for which there is no evidence yet, one of each request.
     runs: Vec<BrokenRun>,
     /// When the last one broke off, or the target was found to have ended.
-    at: BootTime,
+    last_event_at: BootTime,
     state: State,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// It is being looked whether the target still listens.
-    Examined,
+    Checking,
     /// It listened when it was last looked.
-    Listens,
+    Listening,
     /// It has ended.
     Ended,
 }
 
 /// What is known of a target when a run there breaks off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum TargetCheck {
     /// It has ended, and this run was there.
-    HasEnded,
+    TargetEnded,
     /// Somebody must look whether it still listens.
-    MustExamine,
+    StartCheck,
     /// Somebody looks.
-    IsExamined,
+    CheckInProgress,
 }
 
 impl BrokenRuns {
     /// A run broke off at a target.
-    pub fn broke_off(&mut self, target: &TargetStart, run: BrokenRun) -> Finding {
-        self.forget(run.broke_at);
-        let new = || Broken { runs: Vec::new(), at: run.broke_at, state: State::Listens };
+    pub fn record_broken_run(&mut self, target: &TargetStart, run: BrokenRun) -> TargetCheck {
+        self.remove_expired(run.broke_at);
+        let new = || TargetRuns {
+            runs: Vec::new(),
+            last_event_at: run.broke_at,
+            state: State::Listening,
+        };
         let broken = self.targets.entry(target.clone()).or_insert_with(new);
-        broken.at = run.broke_at;
+        broken.last_event_at = run.broke_at;
         if broken.state == State::Ended {
-            return Finding::HasEnded;
+            return TargetCheck::TargetEnded;
         }
-        let has_room = broken.runs.len() < MOST_RUNS;
+        let has_room = broken.runs.len() < MAX_RUNS_PER_TARGET;
         match broken.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint) {
             // The target has stood the begin of the earlier one.
             Some(known) => known.sent_at = known.sent_at.min(run.sent_at),
             None if has_room => broken.runs.push(run),
             None => {}
         }
-        match std::mem::replace(&mut broken.state, State::Examined) {
-            State::Examined => Finding::IsExamined,
-            State::Listens | State::Ended => Finding::MustExamine,
+        match std::mem::replace(&mut broken.state, State::Checking) {
+            State::Checking => TargetCheck::CheckInProgress,
+            State::Listening | State::Ended => TargetCheck::StartCheck,
         }
     }
 
     /// A target has accepted a connection.
-    pub fn listens(&mut self, target: &TargetStart) {
+    pub fn mark_listening(&mut self, target: &TargetStart) {
         if let Some(broken) = self.targets.get_mut(target)
-            && broken.state == State::Examined
+            && broken.state == State::Checking
         {
-            broken.state = State::Listens;
+            broken.state = State::Listening;
         }
     }
 
     /// There is evidence that a target has ended. Returns the runs that broke off there, if that is news.
-    pub fn has_ended(&mut self, target: &TargetStart, now: BootTime) -> Vec<BrokenRun> {
-        self.forget(now);
+    pub fn mark_ended(&mut self, target: &TargetStart, now: BootTime) -> Vec<BrokenRun> {
+        self.remove_expired(now);
         let Some(broken) = self.targets.get_mut(target) else { return Vec::new() };
         broken.state = State::Ended;
         std::mem::take(&mut broken.runs)
     }
 
     /// Targets with runs for which there is no evidence yet.
-    pub fn doubted(&self) -> impl Iterator<Item = &TargetStart> {
-        let doubted = self.targets.iter().filter(|(_, broken)| broken.state != State::Ended);
-        doubted.map(|(target, _)| target)
+    pub fn unresolved_targets(&self) -> impl Iterator<Item = &TargetStart> {
+        let unresolved = self.targets.iter().filter(|(_, broken)| broken.state != State::Ended);
+        unresolved.map(|(target, _)| target)
     }
 
-    fn forget(&mut self, now: BootTime) {
-        self.targets.retain(|_, broken| now < broken.at + EVIDENCE_WITHIN);
+    fn remove_expired(&mut self, now: BootTime) {
+        self.targets.retain(|_, broken| now < broken.last_event_at + EVIDENCE_TIMEOUT);
     }
 }
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -5,10 +5,10 @@
 //! is forgotten, so that it doesn't matter who tells whom, how often, or in which order: no leader is needed,
 //! and a process that starts again is told by any other.
 
-mod book;
-pub mod evidence;
+pub mod broken_runs;
 mod fingerprint;
-pub mod share;
+pub mod notify;
+mod state;
 
-pub use book::{Observed, Quarantine, Report, Revision};
 pub use fingerprint::Fingerprint;
+pub use state::{MergeResult, Quarantine, Report, Revision};
--- a/src/quarantine/share.rs
+++ b/src/quarantine/notify.rs
@@ -2,19 +2,19 @@
 
 use tokio::sync::watch;
 
-use super::{Observed, Quarantine};
+use super::{MergeResult, Quarantine};
 
 /// Changes what a process knows, tells those who wait for news, and logs which requests are held from now
 /// on.
-pub fn change(
+pub fn update_and_notify(
     quarantine: &watch::Sender<Quarantine>,
-    change: impl FnOnce(&mut Quarantine) -> Observed,
+    update: impl FnOnce(&mut Quarantine) -> MergeResult,
 ) {
     let mut held = Vec::new();
     quarantine.send_if_modified(|known| {
-        let observed = change(known);
-        held = observed.held;
-        observed.is_news
+        let merged = update(known);
+        held = merged.held;
+        merged.changed
     });
     for fingerprint in held {
         log::warn!("event=request_held fingerprint={fingerprint}");
--- a/tests/logic/broken_runs.rs
+++ b/tests/logic/broken_runs.rs
@@ -3,7 +3,7 @@
 use kumquatpost::clock::BootTime;
 use kumquatpost::ids::TargetStart;
 use kumquatpost::quarantine::Fingerprint;
-use kumquatpost::quarantine::evidence::{BrokenRun, BrokenRuns, Finding};
+use kumquatpost::quarantine::broken_runs::{BrokenRun, BrokenRuns, TargetCheck};
 
 fn s(s: u64) -> BootTime {
     BootTime::from_secs(s)
@@ -22,33 +22,33 @@
 #[test]
 fn one_look_serves_all_runs_that_broke_off_and_each_counts_once() {
     let mut broken = BrokenRuns::default();
-    assert_eq!(broken.broke_off(&target("a"), run("one", 1)), Finding::MustExamine);
-    assert_eq!(broken.broke_off(&target("a"), run("two", 1)), Finding::IsExamined);
-    assert_eq!(broken.broke_off(&target("a"), run("two", 1)), Finding::IsExamined);
-    assert_eq!(broken.broke_off(&target("b"), run("three", 1)), Finding::MustExamine);
-    assert_eq!(broken.has_ended(&target("a"), s(1)), [run("one", 1), run("two", 1)]);
-    assert_eq!(broken.has_ended(&target("a"), s(1)), [], "that is no news");
-    assert_eq!(broken.broke_off(&target("a"), run("late", 2)), Finding::HasEnded);
-    assert_eq!(broken.doubted().collect::<Vec<_>>(), [&target("b")]);
+    assert_eq!(broken.record_broken_run(&target("a"), run("one", 1)), TargetCheck::StartCheck);
+    assert_eq!(broken.record_broken_run(&target("a"), run("two", 1)), TargetCheck::CheckInProgress);
+    assert_eq!(broken.record_broken_run(&target("a"), run("two", 1)), TargetCheck::CheckInProgress);
+    assert_eq!(broken.record_broken_run(&target("b"), run("three", 1)), TargetCheck::StartCheck);
+    assert_eq!(broken.mark_ended(&target("a"), s(1)), [run("one", 1), run("two", 1)]);
+    assert_eq!(broken.mark_ended(&target("a"), s(1)), [], "that is no news");
+    assert_eq!(broken.record_broken_run(&target("a"), run("late", 2)), TargetCheck::TargetEnded);
+    assert_eq!(broken.unresolved_targets().collect::<Vec<_>>(), [&target("b")]);
 }
 
 #[test]
 fn a_target_that_listens_is_looked_at_again_with_the_next_run_that_breaks_off() {
     let mut broken = BrokenRuns::default();
-    broken.broke_off(&target("a"), run("one", 1));
-    broken.listens(&target("a"));
-    assert_eq!(broken.broke_off(&target("a"), run("two", 2)), Finding::MustExamine);
+    broken.record_broken_run(&target("a"), run("one", 1));
+    broken.mark_listening(&target("a"));
+    assert_eq!(broken.record_broken_run(&target("a"), run("two", 2)), TargetCheck::StartCheck);
     // The first broke off shortly before, while the target was going down.
-    assert_eq!(broken.has_ended(&target("a"), s(2)), [run("one", 1), run("two", 2)]);
+    assert_eq!(broken.mark_ended(&target("a"), s(2)), [run("one", 1), run("two", 2)]);
 }
 
 #[test]
 fn evidence_that_comes_long_after_says_nothing_of_the_run() {
     let mut broken = BrokenRuns::default();
-    broken.broke_off(&target("a"), run("one", 1));
-    broken.listens(&target("a"));
-    assert_eq!(broken.has_ended(&target("a"), s(60)), []);
-    assert_eq!(broken.has_ended(&target("nobody asked"), s(60)), []);
+    broken.record_broken_run(&target("a"), run("one", 1));
+    broken.mark_listening(&target("a"));
+    assert_eq!(broken.mark_ended(&target("a"), s(60)), []);
+    assert_eq!(broken.mark_ended(&target("nobody asked"), s(60)), []);
 }
 
 #[test]
@@ -76,7 +76,7 @@
     let mut broken = BrokenRuns::default();
     let long = run("one", 3);
     let short = BrokenRun { sent_at: s(3), ..long };
-    broken.broke_off(&target("a"), short);
-    broken.broke_off(&target("a"), long);
-    assert_eq!(broken.has_ended(&target("a"), s(3)), [long]);
+    broken.record_broken_run(&target("a"), short);
+    broken.record_broken_run(&target("a"), long);
+    assert_eq!(broken.mark_ended(&target("a"), s(3)), [long]);
 }
--- a/tests/logic/quarantine.rs
+++ b/tests/logic/quarantine.rs
@@ -4,7 +4,7 @@
 
 use kumquatpost::clock::BootTime;
 use kumquatpost::ids::TargetStart;
-use kumquatpost::quarantine::evidence::BrokenRun;
+use kumquatpost::quarantine::broken_runs::BrokenRun;
 use kumquatpost::quarantine::{Fingerprint, Quarantine, Report};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -30,11 +30,11 @@
 }
 
 fn ends(known: &mut Quarantine, fingerprint: Fingerprint, on: u64, now: BootTime) {
-    let _ = known.ended_under(&[run(fingerprint, now)], &target(on), now);
+    let _ = known.record_target_end(&[run(fingerprint, now)], &target(on), now);
 }
 
 fn all(known: &Quarantine, now: BootTime) -> Vec<Report> {
-    known.changed_since(0, now)
+    known.reports_since(0, now)
 }
 
 #[test]
@@ -42,9 +42,9 @@
     let (mut known, now, asked) = (Quarantine::default(), 100 * MINUTE, request("alpha", 1));
     for (number, held) in [(1, false), (2, false), (3, true)] {
         let at = now + ms(200 * number);
-        let observed = known.ended_under(&[run(asked, at)], &target(number), at);
+        let merged = known.record_target_end(&[run(asked, at)], &target(number), at);
         assert_eq!(known.held_for(asked, at).is_some(), held, "after {number}");
-        assert_eq!(observed.held, if held { vec![asked] } else { vec![] });
+        assert_eq!(merged.held, if held { vec![asked] } else { vec![] });
     }
     assert_eq!(known.held_for(asked, now + ms(600)), Some(10 * MINUTE));
     assert_eq!(known.held_for(request("beta", 1), now + ms(600)), None, "another account's");
@@ -75,7 +75,7 @@
     for number in 0..3 {
         let at = now + ms(10 * number);
         let run = BrokenRun { fingerprint: asked, sent_at: at - ms(5), broke_at: at };
-        let _ = known.ended_under(&[run], &target(number), at);
+        let _ = known.record_target_end(&[run], &target(number), at);
     }
     assert!(known.held_for(asked, now + ms(40)).is_some());
 }
@@ -87,10 +87,10 @@
     for number in 0..2 {
         ends(&mut here, asked, number, now + ms(300 * number));
     }
-    let _ = there.observe(all(&here, now), now);
-    assert!(there.answered_whole(asked, now + ms(700)));
-    assert!(!there.answered_whole(asked, now + ms(701)), "that is no news");
-    let _ = here.observe(all(&there, now + ms(800)), now + ms(800));
+    let _ = there.merge_reports(all(&here, now), now);
+    assert!(there.record_completion(asked, now + ms(700)));
+    assert!(!there.record_completion(asked, now + ms(701)), "that is no news");
+    let _ = here.merge_reports(all(&there, now + ms(800)), now + ms(800));
     ends(&mut here, asked, 7, now + ms(900));
     ends(&mut here, asked, 8, now + ms(1_200));
     assert_eq!(here.held_for(asked, now + ms(1_200)), None, "two since");
@@ -106,24 +106,24 @@
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     for number in 0..3 {
         let run = run(asked, now + ms(1_000 * number));
-        let _ = here.ended_under(&[run], &target(number), now + ms(4_000));
+        let _ = here.record_target_end(&[run], &target(number), now + ms(4_000));
     }
     assert!(here.held_for(asked, now + ms(4_000)).is_some(), "nothing speaks for it here");
-    there.answered_whole(asked, now + ms(2_500));
-    let _ = there.observe(all(&here, now + ms(4_000)), now + ms(4_000));
+    there.record_completion(asked, now + ms(2_500));
+    let _ = there.merge_reports(all(&here, now + ms(4_000)), now + ms(4_000));
     assert_eq!(there.held_for(asked, now + ms(4_000)), None);
-    let _ = here.observe(all(&there, now + ms(4_001)), now + ms(4_001));
+    let _ = here.merge_reports(all(&there, now + ms(4_001)), now + ms(4_001));
     assert_eq!(here.held_for(asked, now + ms(4_001)), None, "it is told");
     // The other way round: the ends are told to whom it has been answered by.
-    there.answered_whole(asked, now + ms(5_000));
-    let _ = there.ended_under(&[run(asked, now + ms(4_900))], &target(9), now + ms(7_000));
+    there.record_completion(asked, now + ms(5_000));
+    let _ = there.record_target_end(&[run(asked, now + ms(4_900))], &target(9), now + ms(7_000));
     assert!(all(&there, now + ms(7_000)).iter().all(|r| r.ends.iter().all(|end| end.is_cleared)));
 }
 
 /// A run that was sent once the end before had been seen, and lasted so long.
 fn ends_after(known: &mut Quarantine, asked: Fingerprint, on: u64, at: BootTime, lasted: Duration) {
     let run = BrokenRun { fingerprint: asked, sent_at: at - lasted, broke_at: at };
-    let _ = known.ended_under(&[run], &target(on), at);
+    let _ = known.record_target_end(&[run], &target(on), at);
 }
 
 /// Seen in a soak: each frequent request had run at four engines that ended within a second under another one,
@@ -188,7 +188,7 @@
     assert!(known.held_for(frequent, at).is_some_and(|left| left <= ms(2_000)));
     assert_eq!(known.held_for(ending, at), None);
     // The frequent one is answered, and the other one is to blame.
-    known.answered_whole(frequent, at + ms(2_100));
+    known.record_completion(frequent, at + ms(2_100));
     assert_eq!(known.held_for(frequent, at + ms(2_100)), None);
     assert!(known.held_for(ending, at + ms(2_100)).is_some_and(|left| left > 9 * MINUTE));
 }
@@ -208,7 +208,7 @@
     }
     let at = now + ms(1_800);
     assert!(known.held_for(frequent, at).is_some_and(|left| left <= ms(2_000)));
-    known.answered_whole(frequent, at + ms(2_100));
+    known.record_completion(frequent, at + ms(2_100));
     assert_eq!(known.held_for(frequent, at + ms(2_100)), None);
     assert!(known.held_for(ending, at + ms(2_100)).is_some_and(|left| left > 9 * MINUTE));
 }
@@ -221,7 +221,7 @@
     let now = 100 * MINUTE;
     let (ending, frequent) = (request("alpha", 1), request("alpha", 2));
     let mut known = Quarantine::default();
-    known.answered_whole(frequent, now);
+    known.record_completion(frequent, now);
     for number in 0..6 {
         let at = now + ms(300 * (number + 1));
         if number < 4 {
@@ -304,7 +304,7 @@
         ends(&mut known, asked, number, now + ms(300 * number));
     }
     let mut booted = Quarantine::default();
-    let _ = booted.observe(all(&known, now + MINUTE), ms(900));
+    let _ = booted.merge_reports(all(&known, now + MINUTE), ms(900));
     let left = booted.held_for(asked, ms(900)).expect("it is held");
     assert_eq!(left, known.held_for(asked, now + MINUTE).expect("it is held"));
 }
@@ -314,11 +314,11 @@
     let (mut known, now) = (Quarantine::default(), 100 * MINUTE);
     let victims: Vec<BrokenRun> =
         (0..48).map(|number| run(request("alpha", number), now)).collect();
-    let _ = known.ended_under(&victims, &target(1), now);
-    assert_eq!(known.suspects_since(0, now), []);
+    let _ = known.record_target_end(&victims, &target(1), now);
+    assert_eq!(known.suspect_reports_since(0, now), []);
     let before = known.revision();
     ends(&mut known, request("alpha", 5), 2, now + ms(300));
-    let told = known.suspects_since(before, now + ms(300));
+    let told = known.suspect_reports_since(before, now + ms(300));
     assert_eq!(told.iter().map(|told| told.fingerprint).collect::<Vec<_>>(), [request("alpha", 5)]);
 }
 
@@ -355,19 +355,19 @@
                     ends(&mut processes[who], request("alpha", number), on, now);
                 }
                 Seen::Whole { request: number } => {
-                    processes[who].answered_whole(request("alpha", number), now);
+                    processes[who].record_completion(request("alpha", number), now);
                 }
             }
             if let Some((from, to)) = tells {
                 let reports = all(&processes[from], now);
-                let _ = processes[to].observe(reports, now + ms(3));
+                let _ = processes[to].merge_reports(reports, now + ms(3));
             }
         }
         for _ in 0..2 {
             for from in 0..3 {
                 let reports = all(&processes[from], now);
                 for process in &mut processes {
-                    let _ = process.observe(reports.clone(), now + ms(2));
+                    let _ = process.merge_reports(reports.clone(), now + ms(2));
                 }
             }
         }
@@ -412,12 +412,12 @@
         }
         let (ends_at, count) = self.engines[engine];
         if now + takes <= ends_at {
-            self.known.answered_whole(asked, now + takes);
+            self.known.record_completion(asked, now + takes);
             return (now + takes, true);
         }
         let start = target(engine as u64 * 1_000_000 + count);
         let run = BrokenRun { fingerprint: asked, sent_at: now, broke_at: ends_at };
-        let _ = self.known.ended_under(&[run], &start, ends_at);
+        let _ = self.known.record_target_end(&[run], &start, ends_at);
         (ends_at, false)
     }
 
