--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -24,10 +24,10 @@
 use crate::orders::{EngineState, Planner};
 use crate::peer::auth::CODE_BYTES;
 use crate::peer::message::{Answer, Ask, Frame, Heard, Renew};
+use crate::prefix_catalog::{AnsweredPrompt, Catalog, ExportOutcome, Position, PrefixLocation};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MAX_TRACKED_BLOCKS;
 use crate::route::{EngineView, RouteRequest, Router, View, decide};
-use crate::whereabouts::{Catalog, Kept, Position, Seen, Written};
 
 /// Length and code before each frame.
 const FRAME_OVERHEAD_BYTES: usize = 4 + CODE_BYTES;
@@ -141,10 +141,10 @@
     })
 }
 
-fn seen(number: u128, blocks: u32) -> Seen {
+fn seen(number: u128, blocks: u32) -> AnsweredPrompt {
     let key = |blocks: u32| (number << 32) | u128::from(blocks);
     let positions = (1..=blocks).map(|n| Position { blocks: n, key: key(n) }).collect();
-    Seen { root: key(1), positions }
+    AnsweredPrompt { root: key(1), positions }
 }
 
 fn fills() -> BTreeMap<String, f64> {
@@ -156,16 +156,19 @@
     let mut catalog = Catalog::new(contexts * 2, 1);
     for number in 0..contexts as u128 {
         let seen = seen(number, CONTEXT_BLOCKS);
-        if let Some(plan) = catalog.seen(&seen, &fills(), NOW) {
-            let kept = Kept { store: plan.store.clone(), object: object(&seen, plan.generation) };
+        if let Some(plan) = catalog.record_answer(&seen, &fills(), NOW) {
+            let kept = PrefixLocation {
+                store: plan.store.clone(),
+                object: object(&seen, plan.generation),
+            };
             let (root, key, generation) = (plan.root, plan.position.key, plan.generation);
-            catalog.written(&Written { root, key, generation, kept: Some(kept) }, NOW);
+            catalog.record_export(&ExportOutcome { root, key, generation, kept: Some(kept) }, NOW);
         }
     }
     catalog
 }
 
-fn object(seen: &Seen, generation: u64) -> KeptObject {
+fn object(seen: &AnsweredPrompt, generation: u64) -> KeptObject {
     let last = seen.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
     KeptObject {
         root: seen.root,
@@ -183,7 +186,7 @@
     median_us(9, 1_000, |number| {
         let seen = seen((number * 7_919 % contexts) as u128, CONTEXT_BLOCKS);
         std::hint::black_box(catalog.lookup(seen.root, NOW));
-        std::hint::black_box(catalog.seen(&seen, &fills, NOW));
+        std::hint::black_box(catalog.record_answer(&seen, &fills, NOW));
     })
 }
 
@@ -193,7 +196,7 @@
 
 pub(super) fn context_wire_bytes(blocks: usize) -> f64 {
     let seen = seen(7, blocks as u32);
-    let kept = Kept { store: "store-0".into(), object: object(&seen, 1) };
+    let kept = PrefixLocation { store: "store-0".into(), object: object(&seen, 1) };
     let frames = [
         Frame::Ask(1_000_000, Ask::Lookup { root: seen.root }),
         Frame::Answer(1_000_000, Answer::Kept(vec![kept])),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -34,6 +34,7 @@
 pub mod peer;
 #[path = "../platform/mod.rs"]
 pub mod platform;
+pub mod prefix_catalog;
 pub mod prompt;
 pub mod quarantine;
 pub mod queries;
@@ -43,4 +44,3 @@
 pub mod scheduler;
 pub mod settings;
 pub mod telemetry;
-pub mod whereabouts;
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -13,8 +13,8 @@
 use crate::log::raft::ChangeError;
 use crate::peer::PeerHandler;
 use crate::peer::message::{Answer, Ask, Dispatched, Renew};
+use crate::prefix_catalog::AnsweredPrompt;
 use crate::replica::{self, Undecided};
-use crate::whereabouts::Seen;
 
 /// Nodes among which each dispatch is told to all others, at the most.
 const NODES_TOLD: usize = 16;
@@ -71,7 +71,7 @@
                 }
                 Ask::Seen(seen) => self.take_seen(&seen),
                 Ask::Written(written) => {
-                    self.catalog.lock().written(&written, boot_now());
+                    self.catalog.lock().record_export(&written, boot_now());
                     Answer::Done
                 }
                 Ask::Share(demand) => self.grant_share(from, &demand),
@@ -116,12 +116,12 @@
         }
     }
 
-    fn take_seen(&self, seen: &Seen) -> Answer {
+    fn take_seen(&self, seen: &AnsweredPrompt) -> Answer {
         if self.in_force().is_none() {
             return Answer::Unable;
         }
         let fills = self.store_fills();
-        Answer::Export(self.catalog.lock().seen(seen, &fills, boot_now()))
+        Answer::Export(self.catalog.lock().record_answer(seen, &fills, boot_now()))
     }
 }
 
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -9,9 +9,9 @@
 use crate::edge::api::ExportOrder;
 use crate::ids::{BlockKey, NodeId, TargetId};
 use crate::peer::message::{Answer, Ask};
+use crate::prefix_catalog::{AnsweredPrompt, ExportOutcome, ExportPlan, PrefixLocation, owners};
 use crate::prompt::Chain;
 use crate::telemetry::metrics::label;
-use crate::whereabouts::{ExportPlan, Kept, Seen, Written, owners};
 
 /// A lookup that is not answered within this time is done without.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(25);
@@ -43,28 +43,32 @@
 
     /// Tells the owners that a prompt was answered by an engine, and exports if that is worth it.
     pub fn note_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
-        let Some(seen) = Seen::of(chain) else { return };
+        let Some(seen) = AnsweredPrompt::from_chain(chain) else { return };
         let node = self.clone();
         tokio::spawn(async move { node.tell_owners(seen, engine_url).await });
     }
 
-    async fn tell_owners(self: Arc<Node>, seen: Seen, engine_url: String) {
+    async fn tell_owners(self: Arc<Node>, seen: AnsweredPrompt, engine_url: String) {
         let owners = owners(seen.root, &self.node_places());
         let Some(first) = owners.first() else { return };
         let told = self.links.ask(*first, Ask::Seen(seen.clone()), NOTE_TIMEOUT).await;
         let Ok(Answer::Export(Some(plan))) = told else { return };
         let kept = self.export(&plan, &engine_url).await;
-        let written =
-            Written { root: plan.root, key: plan.position.key, generation: plan.generation, kept };
+        let written = ExportOutcome {
+            root: plan.root,
+            key: plan.position.key,
+            generation: plan.generation,
+            kept,
+        };
         self.tell_written(*first, written).await;
     }
 
-    async fn tell_written(self: &Arc<Node>, owner: NodeId, written: Written) {
+    async fn tell_written(self: &Arc<Node>, owner: NodeId, written: ExportOutcome) {
         // If the owner is gone, its successor finds the copy in the store's inventory.
         drop(self.links.ask(owner, Ask::Written(written), NOTE_TIMEOUT).await);
     }
 
-    async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<Kept> {
+    async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<PrefixLocation> {
         let store_url = self.export_url(&plan.store)?;
         let order = ExportOrder {
             store_url,
@@ -77,7 +81,7 @@
         match self.client.export(engine_url, &order).await {
             Ok(object) => {
                 self.metrics.link_bytes.add(object.size_bytes, &[label("direction", "export")]);
-                Some(Kept { store: plan.store.clone(), object })
+                Some(PrefixLocation { store: plan.store.clone(), object })
             }
             Err(error) => {
                 log::debug!("event=export_failed error={:?}", error.to_string());
@@ -132,14 +136,15 @@
         let places = self.node_places();
         let me = self.settings.node_id;
         // Only the first owner frees; the second one is ready to take its place.
-        let decides = |root: BlockKey| owners(root, &places).first() == Some(&me);
-        let orders = self.catalog.lock().tick(&self.store_fills(), decides, boot_now());
+        let is_first_owner = |root: BlockKey| owners(root, &places).first() == Some(&me);
+        let orders =
+            self.catalog.lock().free_orders(&self.store_fills(), is_first_owner, boot_now());
         for order in orders {
             let Some(url) = self.store_url(&order.store) else { continue };
             let freed =
                 self.client.free(&url, order.key, order.generation, order.owner_epoch).await;
             match freed {
-                Ok(()) => self.catalog.lock().freed(&order),
+                Ok(()) => self.catalog.lock().record_freed(&order),
                 Err(error) => log::debug!("event=free_failed error={:?}", error.to_string()),
             }
         }
@@ -149,14 +154,14 @@
         let places = self.node_places();
         let me = self.settings.node_id;
         let owns = |root: BlockKey| owners(root, &places).contains(&me);
-        self.catalog.lock().hand_over(owns);
+        self.catalog.lock().remove_unowned(owns);
         let stores: Vec<(TargetId, String)> = {
             let router = self.router.lock();
             router.view().stores.iter().map(|(id, store)| (id.clone(), store.url.clone())).collect()
         };
         for (store, url) in stores {
             if let Ok(inventory) = self.client.inventory(&url).await {
-                self.catalog.lock().rebuild(&store, &inventory.objects, owns, boot_now());
+                self.catalog.lock().apply_inventory(&store, &inventory.objects, owns, boot_now());
             }
         }
     }
@@ -167,7 +172,7 @@
 }
 
 /// Whether a kept object is a beginning of this very prompt.
-fn is_of(chain: &Chain, kept: &Kept) -> bool {
+fn is_of(chain: &Chain, kept: &PrefixLocation) -> bool {
     let blocks = kept.object.blocks as usize;
     blocks > 0 && chain.keys.get(blocks - 1) == Some(&kept.object.key)
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -38,12 +38,12 @@
 use crate::membership::{Member, Status, Swim, SwimTiming, shell};
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
 use crate::peer::{Links, PeerKey};
+use crate::prefix_catalog::{Catalog, NodeLocation};
 use crate::replica::{self, Replica, ReplicaStatus};
 use crate::route::Router;
 use crate::settings::Settings;
 use crate::telemetry::burn::Burn;
 use crate::telemetry::metrics::Metrics;
-use crate::whereabouts::{Catalog, NodePlace};
 use freshness::Fresh;
 use places::Places;
 use quarantining::Quarantining;
@@ -203,8 +203,8 @@
     }
 
     /// Live nodes and their failure domains.
-    pub fn node_places(&self) -> Vec<NodePlace> {
-        let place = |member: &Member| NodePlace {
+    pub fn node_places(&self) -> Vec<NodeLocation> {
+        let place = |member: &Member| NodeLocation {
             node: member.node,
             failure_domain: member.failure_domain.clone(),
         };
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -9,7 +9,7 @@
 use crate::ids::{AccountId, BlockKey, NodeId};
 use crate::limits::shares::{GrantedShare, ShareAllocator, ShareRequest, base_share};
 use crate::peer::message::{Answer, Ask};
-use crate::whereabouts::{NodePlace, owners};
+use crate::prefix_catalog::{NodeLocation, owners};
 
 /// A request waits no longer than this for a share.
 const ASK_TIMEOUT: Duration = Duration::from_millis(25);
@@ -26,7 +26,7 @@
     granted: ShareAllocator,
     /// Live nodes as they were known within the last lease, oldest first. An account that another
     /// node owned by one of these may have leases of that owner outstanding.
-    places: VecDeque<(BootTime, Vec<NodePlace>)>,
+    places: VecDeque<(BootTime, Vec<NodeLocation>)>,
 }
 
 #[derive(Clone, Copy)]
@@ -48,7 +48,7 @@
         }
     }
 
-    fn note_places(&mut self, places: Vec<NodePlace>, now: BootTime) {
+    fn note_places(&mut self, places: Vec<NodeLocation>, now: BootTime) {
         if self.places.back().is_none_or(|(_, known)| *known != places) {
             self.places.push_back((now, places));
         }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -8,8 +8,8 @@
 use crate::log::Message;
 use crate::log::raft::Change;
 use crate::log::state::{Command, Reply};
+use crate::prefix_catalog::{AnsweredPrompt, ExportOutcome, PrefixLocation};
 use crate::quarantine::{Report, Revision};
-use crate::whereabouts::{Kept, Seen, Written};
 
 /// One frame of a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,9 +66,9 @@
         root: BlockKey,
     },
     /// A prompt was answered.
-    Seen(Seen),
+    Seen(AnsweredPrompt),
     /// An export ended.
-    Written(Written),
+    Written(ExportOutcome),
     /// Asks the owner of an account for a share of its limit.
     Share(ShareRequest),
     /// For the operators' pages.
@@ -122,9 +122,9 @@
     /// The change of the replicas is committed, or why not.
     ReplicasChanged(Result<(), String>),
     /// What is kept.
-    Kept(Vec<Kept>),
+    Kept(Vec<PrefixLocation>),
     /// It would be worth exporting this.
-    Export(Option<crate::whereabouts::ExportPlan>),
+    Export(Option<crate::prefix_catalog::ExportPlan>),
     /// A share of an account's limit.
     Share(GrantedShare),
     /// Done.
--- a/src/whereabouts/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -6,31 +6,31 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{ExportPlan, Kept, Position, Seen, Written};
+use super::{AnsweredPrompt, ExportOutcome, ExportPlan, Position, PrefixLocation};
 use crate::clock::BootTime;
 use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
 
 /// How long a copy that was handed out is not freed: longer than a reader may take.
-pub const PIN: Duration = Duration::from_secs(30);
+pub const PIN_DURATION: Duration = Duration::from_secs(30);
 /// A write that has not ended after this time is given up.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(90);
 /// Shorter prefixes are not worth an export.
-const LEAST_BLOCKS: u32 = 4;
+const MIN_EXPORT_BLOCKS: u32 = 4;
 /// A copy that covers this share of a prompt makes another export not worth it.
-const COVERED: f64 = 0.75;
+const COVERED_SHARE: f64 = 0.75;
 /// Branches of one context that are remembered.
-const BRANCHES: usize = 16;
+const MAX_BRANCHES: usize = 16;
 /// Stores fuller than this get room made.
-const HIGH_FILL: f64 = 0.9;
+const EVICTION_FILL: f64 = 0.9;
 /// Share of this owner's copies that is freed at a time when a store is full.
-const FREED_AT_ONCE: f64 = 0.05;
+const EVICTED_SHARE: f64 = 0.05;
 /// Fullest store that still gets exports.
-const EXPORT_FILL: f64 = 0.97;
+const MAX_EXPORT_FILL: f64 = 0.97;
 /// Weight of the newest context in the learned share of contexts that return.
-const RETURN_STEP: f64 = 0.02;
+const RETURN_SHARE_SMOOTHING: f64 = 0.02;
 /// Contexts are exported at their first answer while at least this share returns.
-const LEAST_RETURN: f64 = 0.1;
+const MIN_RETURN_SHARE: f64 = 0.1;
 
 /// Kept copies of the contexts that one node owns.
 #[derive(Clone, Debug)]
@@ -39,9 +39,9 @@
     capacity: usize,
     contexts: HashMap<BlockKey, Context>,
     /// Invariant: one element for each context, with its `last_seen`.
-    by_age: BTreeSet<(BootTime, BlockKey)>,
+    by_last_seen: BTreeSet<(BootTime, BlockKey)>,
     /// Copies whose context was forgotten; they only wait to be freed.
-    orphans: Vec<Copy>,
+    orphans: Vec<StoredCopy>,
     epoch: u64,
     next_generation: u64,
     /// Share of contexts that come back, learned, of 1.
@@ -53,7 +53,7 @@
     last_seen: BootTime,
     times_seen: u32,
     branches: Vec<Branch>,
-    copies: Vec<Copy>,
+    copies: Vec<StoredCopy>,
 }
 
 /// One way in which a context was continued.
@@ -63,7 +63,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct StoredCopy {
     store: TargetId,
     object: KeptObject,
     state: CopyState,
@@ -100,7 +100,7 @@
         Catalog {
             capacity,
             contexts: HashMap::new(),
-            by_age: BTreeSet::new(),
+            by_last_seen: BTreeSet::new(),
             orphans: Vec::new(),
             epoch,
             next_generation: epoch,
@@ -118,15 +118,15 @@
         self.contexts.is_empty()
     }
 
-    /// Committed copies of a context. Each is pinned for `PIN`.
-    pub fn lookup(&mut self, root: BlockKey, now: BootTime) -> Vec<Kept> {
+    /// Committed copies of a context. Each is pinned for `PIN_DURATION`.
+    pub fn lookup(&mut self, root: BlockKey, now: BootTime) -> Vec<PrefixLocation> {
         let Some(context) = self.contexts.get_mut(&root) else { return Vec::new() };
         let committed = context.copies.iter_mut().filter(|copy| copy.state == CopyState::Committed);
         committed
             .map(|copy| {
-                copy.pinned_until = copy.pinned_until.max(now + PIN);
+                copy.pinned_until = copy.pinned_until.max(now + PIN_DURATION);
                 copy.last_used = now;
-                Kept { store: copy.store.clone(), object: copy.object.clone() }
+                PrefixLocation { store: copy.store.clone(), object: copy.object.clone() }
             })
             .collect()
     }
@@ -134,39 +134,41 @@
     /// Records that a prompt was answered. Returns an export if one is worth doing now; the copy
     /// counts as being written from then on. `fills` are the stores that can take one, with the
     /// share of each that is used.
-    pub fn seen(
+    pub fn record_answer(
         &mut self,
-        seen: &Seen,
+        prompt: &AnsweredPrompt,
         fills: &BTreeMap<TargetId, f64>,
         now: BootTime,
     ) -> Option<ExportPlan> {
-        let context = self.touch(seen.root, now);
+        let context = self.touch(prompt.root, now);
         context.times_seen += 1;
         let times_seen = context.times_seen;
-        let stem = context.take_branch(seen);
-        let target = worth_keeping(&seen.positions, stem)?;
-        if context.covers(&seen.positions, target) {
+        let shared_prefix = context.record_branch(prompt);
+        let target = export_target(&prompt.positions, shared_prefix)?;
+        if context.covers(&prompt.positions, target) {
             return None;
         }
-        self.learn_return(times_seen);
-        if times_seen == 1 && self.return_share < LEAST_RETURN {
+        self.update_return_share(times_seen);
+        if times_seen == 1 && self.return_share < MIN_RETURN_SHARE {
             return None;
         }
-        let store = emptiest(fills)?;
-        Some(self.start_write(seen.root, target, store, now))
+        let store = least_full_store(fills)?;
+        Some(self.start_write(prompt.root, target, store, now))
     }
 
     /// Records how an export ended.
-    pub fn written(&mut self, written: &Written, now: BootTime) {
-        let Some(context) = self.contexts.get_mut(&written.root) else { return };
-        let is_it = |copy: &Copy| {
-            copy.object.key == written.key && copy.object.generation == written.generation
+    pub fn record_export(&mut self, outcome: &ExportOutcome, now: BootTime) {
+        let Some(context) = self.contexts.get_mut(&outcome.root) else { return };
+        let is_same_object = |copy: &StoredCopy| {
+            copy.object.key == outcome.key && copy.object.generation == outcome.generation
+        };
+        let Some(copy) = context.copies.iter_mut().find(|copy| is_same_object(copy)) else {
+            return;
         };
-        let Some(copy) = context.copies.iter_mut().find(|copy| is_it(copy)) else { return };
         if !matches!(copy.state, CopyState::Writing { .. }) {
             return;
         }
-        match &written.kept {
+        match &outcome.kept {
             Some(kept) => {
                 copy.object = kept.object.clone();
                 copy.state = CopyState::Committed;
@@ -181,11 +183,11 @@
 
     /// Takes a store's inventory: learns of copies of contexts that this node owns, as first or
     /// second owner, and forgets those that are gone.
-    pub fn rebuild(
+    pub fn apply_inventory(
         &mut self,
         store: &TargetId,
         objects: &[KeptObject],
-        owns: impl Fn(BlockKey) -> bool,
+        is_owner: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) {
         let present: BTreeSet<(BlockKey, u64)> =
@@ -197,20 +199,20 @@
                     || present.contains(&(copy.object.key, copy.object.generation))
             });
         }
-        for object in objects.iter().filter(|object| owns(object.root)) {
-            let context = self.touch_known(object.root, now);
+        for object in objects.iter().filter(|object| is_owner(object.root)) {
+            let context = self.touch_keeping_age(object.root, now);
             let known = context.copies.iter().any(|copy| {
                 copy.store == *store
                     && copy.object.key == object.key
                     && copy.object.generation == object.generation
             });
             if !known {
-                context.copies.push(Copy {
+                context.copies.push(StoredCopy {
                     store: store.clone(),
                     object: object.clone(),
                     state: CopyState::Committed,
                     // Pins that an earlier owner granted may last that long.
-                    pinned_until: now + PIN,
+                    pinned_until: now + PIN_DURATION,
                     last_used: now,
                 });
             }
@@ -226,22 +228,22 @@
     }
 
     /// Forgets contexts that this node does not own any more. Their new owners rebuild them.
-    pub fn hand_over(&mut self, owns: impl Fn(BlockKey) -> bool) {
-        self.contexts.retain(|root, _| owns(*root));
-        self.by_age.retain(|(_, root)| owns(*root));
+    pub fn remove_unowned(&mut self, is_owner: impl Fn(BlockKey) -> bool) {
+        self.contexts.retain(|root, _| is_owner(*root));
+        self.by_last_seen.retain(|(_, root)| is_owner(*root));
     }
 
-    /// Lets time pass: what must be freed now, of the contexts that this node `decides` on. An
+    /// Lets time pass: what must be freed now, of the contexts that this node `is_owner` on. An
     /// order is repeated until `freed` is called.
-    pub fn tick(
+    pub fn free_orders(
         &mut self,
         fills: &BTreeMap<TargetId, f64>,
-        decides: impl Fn(BlockKey) -> bool,
+        is_first_owner: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) -> Vec<FreeOrder> {
         for (store, fill) in fills {
-            if *fill > HIGH_FILL {
-                self.make_room(store, &decides, now);
+            if *fill > EVICTION_FILL {
+                self.evict_least_recent(store, &is_first_owner, now);
             }
         }
         for copy in self.contexts.values_mut().flat_map(|context| &mut context.copies) {
@@ -253,7 +255,7 @@
         copies
             .chain(&self.orphans)
             .filter(|copy| copy.state == CopyState::Freeing && copy.pinned_until <= now)
-            .filter(|copy| decides(copy.object.root))
+            .filter(|copy| is_first_owner(copy.object.root))
             .map(|copy| FreeOrder {
                 store: copy.store.clone(),
                 root: copy.object.root,
@@ -265,54 +267,55 @@
     }
 
     /// Records that a store has freed an object.
-    pub fn freed(&mut self, order: &FreeOrder) {
-        let is_it = |copy: &Copy| {
+    pub fn record_freed(&mut self, order: &FreeOrder) {
+        let is_same_object = |copy: &StoredCopy| {
             copy.store == order.store
                 && copy.object.key == order.key
                 && copy.object.generation == order.generation
         };
-        self.orphans.retain(|copy| !is_it(copy));
+        self.orphans.retain(|copy| !is_same_object(copy));
         if let Some(context) = self.contexts.get_mut(&order.root) {
-            context.copies.retain(|copy| !is_it(copy));
+            context.copies.retain(|copy| !is_same_object(copy));
         }
     }
 
     fn touch(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
         if let Some(context) = self.contexts.get(&root) {
-            self.by_age.remove(&(context.last_seen, root));
+            self.by_last_seen.remove(&(context.last_seen, root));
         }
-        self.by_age.insert((now, root));
-        self.forget_beyond_capacity(root);
+        self.by_last_seen.insert((now, root));
+        self.evict_beyond_capacity(root);
         let context = self.contexts.entry(root).or_insert_with(|| Context::new(now));
         context.last_seen = now;
         context
     }
 
     /// Like `touch`, but a context that is known keeps its age.
-    fn touch_known(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
+    fn touch_keeping_age(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
         let at = self.contexts.get(&root).map_or(now, |context| context.last_seen);
         self.touch(root, at)
     }
 
-    fn forget_beyond_capacity(&mut self, keep: BlockKey) {
-        while self.by_age.len() > self.capacity {
-            let Some((_, oldest)) = self.by_age.iter().find(|(_, root)| *root != keep).copied()
+    fn evict_beyond_capacity(&mut self, keep: BlockKey) {
+        while self.by_last_seen.len() > self.capacity {
+            let Some((_, oldest)) =
+                self.by_last_seen.iter().find(|(_, root)| *root != keep).copied()
             else {
                 return;
             };
-            self.by_age.retain(|(_, root)| *root != oldest);
+            self.by_last_seen.retain(|(_, root)| *root != oldest);
             if let Some(context) = self.contexts.remove(&oldest) {
-                let freeing = |copy| Copy { state: CopyState::Freeing, ..copy };
+                let freeing = |copy| StoredCopy { state: CopyState::Freeing, ..copy };
                 self.orphans.extend(context.copies.into_iter().map(freeing));
             }
         }
     }
 
-    fn learn_return(&mut self, times_seen: u32) {
+    fn update_return_share(&mut self, times_seen: u32) {
         match times_seen {
-            1 => self.return_share -= RETURN_STEP * self.return_share,
+            1 => self.return_share -= RETURN_SHARE_SMOOTHING * self.return_share,
             // A second visit makes up for its first, which counted as one that does not return.
-            2 => self.return_share += 2.0 * RETURN_STEP * (1.0 - self.return_share),
+            2 => self.return_share += 2.0 * RETURN_SHARE_SMOOTHING * (1.0 - self.return_share),
             _ => {}
         }
     }
@@ -334,7 +337,7 @@
             size_bytes: 0,
             checksum: 0,
         };
-        let copy = Copy {
+        let copy = StoredCopy {
             store: store.clone(),
             object,
             state: CopyState::Writing { until: now + WRITE_TIMEOUT },
@@ -346,15 +349,20 @@
     }
 
     /// Marks the copies in a store that are worth least: those unused for longest.
-    fn make_room(&mut self, store: &TargetId, decides: impl Fn(BlockKey) -> bool, now: BootTime) {
-        let mut copies: Vec<&mut Copy> = self
+    fn evict_least_recent(
+        &mut self,
+        store: &TargetId,
+        is_first_owner: impl Fn(BlockKey) -> bool,
+        now: BootTime,
+    ) {
+        let mut copies: Vec<&mut StoredCopy> = self
             .contexts
             .values_mut()
             .flat_map(|context| &mut context.copies)
-            .filter(|copy| copy.store == *store && decides(copy.object.root))
+            .filter(|copy| copy.store == *store && is_first_owner(copy.object.root))
             .filter(|copy| copy.state == CopyState::Committed && copy.pinned_until <= now)
             .collect();
-        let count = (copies.len() as f64 * FREED_AT_ONCE).ceil() as usize;
+        let count = (copies.len() as f64 * EVICTED_SHARE).ceil() as usize;
         copies.sort_by_key(|copy| copy.last_used);
         for copy in copies.into_iter().take(count) {
             copy.state = CopyState::Freeing;
@@ -369,31 +377,31 @@
 
     /// Remembers how the context was continued. Returns the longest beginning that it shares
     /// with a branch that goes on differently.
-    fn take_branch(&mut self, seen: &Seen) -> Option<Position> {
-        let mut stem: Option<Position> = None;
+    fn record_branch(&mut self, prompt: &AnsweredPrompt) -> Option<Position> {
+        let mut shared_prefix: Option<Position> = None;
         let mut extends = None;
         for (index, branch) in self.branches.iter().enumerate() {
-            let common = common(&branch.positions, &seen.positions);
+            let common = longest_common(&branch.positions, &prompt.positions);
             let whole = common.map(|c| c.blocks) == branch.positions.last().map(|p| p.blocks);
             if whole {
                 extends = Some(index);
-            } else if common.map(|c| c.blocks) > stem.map(|s| s.blocks) {
-                stem = common;
+            } else if common.map(|c| c.blocks) > shared_prefix.map(|s| s.blocks) {
+                shared_prefix = common;
             }
         }
         if let Some(index) = extends {
             self.branches.remove(index);
         }
-        self.branches.push(Branch { positions: seen.positions.clone() });
-        if self.branches.len() > BRANCHES {
+        self.branches.push(Branch { positions: prompt.positions.clone() });
+        if self.branches.len() > MAX_BRANCHES {
             self.branches.remove(0);
         }
-        stem
+        shared_prefix
     }
 
     /// Whether a copy, committed or being written, makes one of `target` not worth it.
     fn covers(&self, positions: &[Position], target: Position) -> bool {
-        let needed = (f64::from(target.blocks) * COVERED) as u32;
+        let needed = (f64::from(target.blocks) * COVERED_SHARE) as u32;
         self.copies.iter().filter(|copy| copy.state != CopyState::Freeing).any(|copy| {
             copy.object.blocks >= needed
                 && positions.iter().any(|position| position.key == copy.object.key)
@@ -433,22 +441,22 @@
 }
 
 /// What is worth exporting of a prompt: its shared beginning if that is most of it, else all.
-fn worth_keeping(positions: &[Position], stem: Option<Position>) -> Option<Position> {
-    let tail = *positions.last()?;
-    let target = stem.filter(|stem| stem.blocks * 2 >= tail.blocks).unwrap_or(tail);
-    (target.blocks >= LEAST_BLOCKS).then_some(target)
+fn export_target(positions: &[Position], shared_prefix: Option<Position>) -> Option<Position> {
+    let last = *positions.last()?;
+    let target = shared_prefix.filter(|shared| shared.blocks * 2 >= last.blocks).unwrap_or(last);
+    (target.blocks >= MIN_EXPORT_BLOCKS).then_some(target)
 }
 
 /// The longest position that two chains share.
-fn common(a: &[Position], b: &[Position]) -> Option<Position> {
+fn longest_common(a: &[Position], b: &[Position]) -> Option<Position> {
     let keys: BTreeSet<BlockKey> = a.iter().map(|position| position.key).collect();
     b.iter().rev().find(|position| keys.contains(&position.key)).copied()
 }
 
-fn emptiest(fills: &BTreeMap<TargetId, f64>) -> Option<TargetId> {
+fn least_full_store(fills: &BTreeMap<TargetId, f64>) -> Option<TargetId> {
     fills
         .iter()
-        .filter(|(_, fill)| **fill < EXPORT_FILL)
+        .filter(|(_, fill)| **fill < MAX_EXPORT_FILL)
         .min_by(|a, b| a.1.total_cmp(b.1))
         .map(|(store, _)| store.clone())
 }
--- a/src/whereabouts/mod.rs
+++ b/src/prefix_catalog/mod.rs
@@ -13,7 +13,7 @@
 use crate::prompt::Chain;
 
 pub use catalog::{Catalog, FreeOrder};
-pub use owners::{NodePlace, owners};
+pub use owners::{NodeLocation, owners};
 
 /// Positions of a chain that are told to its owners, at the most.
 const MAX_POSITIONS: usize = 64;
@@ -29,7 +29,7 @@
 
 /// A kept prefix and the store that has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct PrefixLocation {
     /// The store.
     pub store: TargetId,
     /// The object.
@@ -38,7 +38,7 @@
 
 /// A prompt was answered: its whole prefix is resident somewhere now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct AnsweredPrompt {
     /// Its first block.
     pub root: BlockKey,
     /// Positions of its chain in order, the last one at or near its end.
@@ -62,7 +62,7 @@
 
 /// An export ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct ExportOutcome {
     /// The context.
     pub root: BlockKey,
     /// What was to be exported.
@@ -70,12 +70,12 @@
     /// The generation.
     pub generation: u64,
     /// What is kept now; `None` if it failed.
-    pub kept: Option<Kept>,
+    pub kept: Option<PrefixLocation>,
 }
 
-impl Seen {
+impl AnsweredPrompt {
     /// What owners are told of a prompt; `None` if it is shorter than one block.
-    pub fn of(chain: &Chain) -> Option<Seen> {
+    pub fn from_chain(chain: &Chain) -> Option<AnsweredPrompt> {
         let root = chain.root()?;
         // Strides are powers of two, so that the positions of a longer prompt are among those
         // of a shorter one with the same beginning.
@@ -88,6 +88,6 @@
             .step_by(stride)
             .map(|(index, key)| Position { blocks: index as u32 + 1, key: *key })
             .collect();
-        Some(Seen { root, positions })
+        Some(AnsweredPrompt { root, positions })
     }
 }
--- a/src/whereabouts/owners.rs
+++ b/src/prefix_catalog/owners.rs
@@ -4,7 +4,7 @@
 
 /// A live node and where it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NodePlace {
+pub struct NodeLocation {
     /// The node.
     pub node: NodeId,
     /// Its failure domain.
@@ -13,17 +13,22 @@
 
 /// The owners of a context, first the one that decides; the second is in another failure domain
 /// where there is one. Empty only if there is no node.
-pub fn owners(root: BlockKey, nodes: &[NodePlace]) -> Vec<NodeId> {
-    let weight = |place: &NodePlace| weight(root, place.node);
-    let Some(first) = nodes.iter().max_by_key(|place| weight(place)) else { return Vec::new() };
-    let elsewhere = nodes
+pub fn owners(root: BlockKey, nodes: &[NodeLocation]) -> Vec<NodeId> {
+    let weight = |location: &NodeLocation| weight(root, location.node);
+    let Some(first) = nodes.iter().max_by_key(|location| weight(location)) else {
+        return Vec::new();
+    };
+    let other_domain = nodes
         .iter()
-        .filter(|place| place.failure_domain != first.failure_domain)
-        .max_by_key(|place| weight(place));
-    let second = elsewhere.or_else(|| {
-        nodes.iter().filter(|place| place.node != first.node).max_by_key(|place| weight(place))
+        .filter(|location| location.failure_domain != first.failure_domain)
+        .max_by_key(|location| weight(location));
+    let second = other_domain.or_else(|| {
+        nodes
+            .iter()
+            .filter(|location| location.node != first.node)
+            .max_by_key(|location| weight(location))
     });
-    std::iter::once(first).chain(second).map(|place| place.node).collect()
+    std::iter::once(first).chain(second).map(|location| location.node).collect()
 }
 
 /// The key is uniform already, so a multiplicative mix with the node is enough.
--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -5,11 +5,12 @@
 
 use kumquatpost::edge::api::KeptObject;
 use kumquatpost::ids::BlockKey;
-use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
-use kumquatpost::whereabouts::catalog::{PIN, WRITE_TIMEOUT};
-use kumquatpost::whereabouts::{
-    Catalog, ExportPlan, Kept, NodePlace, Position, Seen, Written, owners,
+use kumquatpost::prefix_catalog::catalog::{PIN_DURATION, WRITE_TIMEOUT};
+use kumquatpost::prefix_catalog::{
+    AnsweredPrompt, Catalog, ExportOutcome, ExportPlan, NodeLocation, Position, PrefixLocation,
+    owners,
 };
+use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -22,16 +23,16 @@
 }
 
 /// Positions of a chain that shares its first `shared` blocks with others of the same root.
-fn seen(root: u128, shared: u32, blocks: u32, branch: u128) -> Seen {
+fn seen(root: u128, shared: u32, blocks: u32, branch: u128) -> AnsweredPrompt {
     let key = |n: u32| {
         let own = if n > shared { branch << 32 } else { 0 };
         (root << 64) | own | u128::from(n)
     };
     let positions = (1..=blocks).map(|n| Position { blocks: n, key: key(n) }).collect();
-    Seen { root: (root << 64) | 1, positions }
+    AnsweredPrompt { root: (root << 64) | 1, positions }
 }
 
-fn done(plan: &ExportPlan) -> Written {
+fn done(plan: &ExportPlan) -> ExportOutcome {
     let object = KeptObject {
         root: plan.root,
         key: plan.position.key,
@@ -40,16 +41,16 @@
         size_bytes: 1_000,
         checksum: 7,
     };
-    let kept = Some(Kept { store: plan.store.clone(), object });
-    Written { root: plan.root, key: plan.position.key, generation: plan.generation, kept }
+    let kept = Some(PrefixLocation { store: plan.store.clone(), object });
+    ExportOutcome { root: plan.root, key: plan.position.key, generation: plan.generation, kept }
 }
 
 /// A catalog in which one context of 10 blocks is kept.
-fn with_one() -> (Catalog, Seen, ExportPlan) {
+fn with_one() -> (Catalog, AnsweredPrompt, ExportPlan) {
     let mut catalog = Catalog::new(100, 1);
     let seen = seen(5, 0, 10, 1);
-    let plan = catalog.seen(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.written(&done(&plan), START);
+    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
+    catalog.record_export(&done(&plan), START);
     (catalog, seen, plan)
 }
 
@@ -58,23 +59,23 @@
     let mut catalog = Catalog::new(100, 1);
     let seen = seen(5, 0, 10, 1);
     assert!(catalog.lookup(seen.root, START).is_empty(), "unknown");
-    let plan = catalog.seen(&seen, &fills(0.1), START).expect("worth an export");
+    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
     assert!(catalog.lookup(seen.root, START).is_empty(), "being written");
-    let other = Written { generation: plan.generation + 1, ..done(&plan) };
-    catalog.written(&other, START);
+    let other = ExportOutcome { generation: plan.generation + 1, ..done(&plan) };
+    catalog.record_export(&other, START);
     assert!(catalog.lookup(seen.root, START).is_empty(), "another generation");
-    catalog.written(&done(&plan), START);
+    catalog.record_export(&done(&plan), START);
     assert_eq!(catalog.lookup(seen.root, START).len(), 1, "committed");
 
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.seen(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.written(&Written { kept: None, ..done(&plan) }, START);
-    catalog.written(&done(&plan), START);
+    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
+    catalog.record_export(&ExportOutcome { kept: None, ..done(&plan) }, START);
+    catalog.record_export(&done(&plan), START);
     assert!(catalog.lookup(seen.root, START).is_empty(), "failed, whatever comes late");
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.seen(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.tick(&fills(0.1), |_| true, START + WRITE_TIMEOUT);
-    catalog.written(&done(&plan), START + WRITE_TIMEOUT);
+    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
+    catalog.free_orders(&fills(0.1), |_| true, START + WRITE_TIMEOUT);
+    catalog.record_export(&done(&plan), START + WRITE_TIMEOUT);
     assert!(catalog.lookup(seen.root, START).is_empty(), "given up, whatever comes late");
 }
 
@@ -85,29 +86,35 @@
     assert_eq!(catalog.lookup(seen.root, read_at).len(), 1);
     let full = fills(0.95);
     assert!(
-        catalog.tick(&full, |_| true, read_at + PIN - Duration::from_millis(1)).is_empty(),
+        catalog
+            .free_orders(&full, |_| true, read_at + PIN_DURATION - Duration::from_millis(1))
+            .is_empty(),
         "pinned"
     );
-    let orders = catalog.tick(&full, |_| true, read_at + PIN);
+    let orders = catalog.free_orders(&full, |_| true, read_at + PIN_DURATION);
     assert_eq!(orders.len(), 1);
-    assert!(catalog.lookup(seen.root, read_at + PIN).is_empty(), "freeing");
-    assert_eq!(catalog.tick(&full, |_| true, read_at + PIN * 2), orders, "again until it is freed");
-    catalog.freed(&orders[0]);
-    assert!(catalog.tick(&full, |_| true, read_at + PIN * 3).is_empty());
+    assert!(catalog.lookup(seen.root, read_at + PIN_DURATION).is_empty(), "freeing");
+    assert_eq!(
+        catalog.free_orders(&full, |_| true, read_at + PIN_DURATION * 2),
+        orders,
+        "again until it is freed"
+    );
+    catalog.record_freed(&orders[0]);
+    assert!(catalog.free_orders(&full, |_| true, read_at + PIN_DURATION * 3).is_empty());
 }
 
 #[test]
 fn a_new_owner_frees_nothing_while_pins_of_an_earlier_one_may_last() {
     let mut catalog = Catalog::new(100, 1);
     let object = done(&with_one().2).kept.expect("kept").object;
-    catalog.rebuild(&"store-0".into(), std::slice::from_ref(&object), |_| true, START);
+    catalog.apply_inventory(&"store-0".into(), std::slice::from_ref(&object), |_| true, START);
     // On a copy, since a lookup pins.
     assert_eq!(catalog.clone().lookup(object.root, START).len(), 1, "found in the inventory");
-    for second in 0..PIN.as_secs() {
+    for second in 0..PIN_DURATION.as_secs() {
         let at = START + Duration::from_secs(second);
-        assert!(catalog.tick(&fills(0.99), |_| true, at).is_empty(), "after {second} s");
+        assert!(catalog.free_orders(&fills(0.99), |_| true, at).is_empty(), "after {second} s");
     }
-    assert_eq!(catalog.tick(&fills(0.99), |_| true, START + PIN).len(), 1);
+    assert_eq!(catalog.free_orders(&fills(0.99), |_| true, START + PIN_DURATION).len(), 1);
 }
 
 #[test]
@@ -115,15 +122,15 @@
     let (mut catalog, seen, plan) = with_one();
     let object = done(&plan).kept.expect("kept").object;
     let foreign = KeptObject { root: 77, ..object.clone() };
-    catalog.rebuild(&"store-0".into(), &[object, foreign], |root| root != 77, START);
+    catalog.apply_inventory(&"store-0".into(), &[object, foreign], |root| root != 77, START);
     assert_eq!(catalog.len(), 1);
-    catalog.rebuild(&"store-0".into(), &[], |_| true, START);
+    catalog.apply_inventory(&"store-0".into(), &[], |_| true, START);
     assert!(catalog.lookup(seen.root, START).is_empty(), "the store started again, empty");
     let (mut catalog, seen, _) = with_one();
     catalog.drop_store(&"store-0".into());
     assert!(catalog.lookup(seen.root, START).is_empty(), "the store died");
     let (mut catalog, seen, _) = with_one();
-    catalog.hand_over(|_| false);
+    catalog.remove_unowned(|_| false);
     assert!(catalog.lookup(seen.root, START).is_empty(), "another node owns it");
 }
 
@@ -131,26 +138,39 @@
 fn what_is_worth_an_export() {
     let mut catalog = Catalog::new(100, 1);
     let empty = fills(0.1);
-    assert!(catalog.seen(&seen(1, 0, 3, 1), &empty, START).is_none(), "too short");
-    assert!(catalog.seen(&seen(2, 0, 10, 1), &BTreeMap::new(), START).is_none(), "no store");
-    assert!(catalog.seen(&seen(3, 0, 10, 1), &fills(0.99), START).is_none(), "the store is full");
-    let first = catalog.seen(&seen(4, 0, 20, 1), &empty, START).expect("all of it");
+    assert!(catalog.record_answer(&seen(1, 0, 3, 1), &empty, START).is_none(), "too short");
+    assert!(
+        catalog.record_answer(&seen(2, 0, 10, 1), &BTreeMap::new(), START).is_none(),
+        "no store"
+    );
+    assert!(
+        catalog.record_answer(&seen(3, 0, 10, 1), &fills(0.99), START).is_none(),
+        "the store is full"
+    );
+    let first = catalog.record_answer(&seen(4, 0, 20, 1), &empty, START).expect("all of it");
     assert_eq!(first.position.blocks, 20);
-    assert!(catalog.seen(&seen(4, 0, 20, 1), &empty, START).is_none(), "being written already");
-    catalog.written(&done(&first), START);
-    assert!(catalog.seen(&seen(4, 0, 24, 1), &empty, START).is_none(), "most of it is kept");
-    let longer = catalog.seen(&seen(4, 0, 40, 1), &empty, START).expect("it has grown");
-    catalog.written(&done(&longer), START);
+    assert!(
+        catalog.record_answer(&seen(4, 0, 20, 1), &empty, START).is_none(),
+        "being written already"
+    );
+    catalog.record_export(&done(&first), START);
+    assert!(
+        catalog.record_answer(&seen(4, 0, 24, 1), &empty, START).is_none(),
+        "most of it is kept"
+    );
+    let longer = catalog.record_answer(&seen(4, 0, 40, 1), &empty, START).expect("it has grown");
+    catalog.record_export(&done(&longer), START);
     let kept = catalog.lookup(longer.root, START);
     assert_eq!(kept.len(), 1, "the shorter one is freed");
     assert_eq!(kept[0].object.blocks, 40);
     // Two continuations of one guideline set: what they share is kept.
-    let first = catalog.seen(&seen(9, 16, 18, 1), &empty, START).expect("all of it");
-    catalog.written(&done(&first), START);
-    let second = catalog.seen(&seen(9, 16, 18, 2), &empty, START).expect("the shared beginning");
+    let first = catalog.record_answer(&seen(9, 16, 18, 1), &empty, START).expect("all of it");
+    catalog.record_export(&done(&first), START);
+    let second =
+        catalog.record_answer(&seen(9, 16, 18, 2), &empty, START).expect("the shared beginning");
     assert_eq!(second.position.blocks, 16);
-    catalog.written(&done(&second), START);
-    assert!(catalog.seen(&seen(9, 16, 18, 3), &empty, START).is_none(), "covered for all");
+    catalog.record_export(&done(&second), START);
+    assert!(catalog.record_answer(&seen(9, 16, 18, 3), &empty, START).is_none(), "covered for all");
 }
 
 #[test]
@@ -158,26 +178,27 @@
     let mut catalog = Catalog::new(10, 1);
     for root in 1..=30 {
         let now = START + Duration::from_secs(root as u64);
-        if let Some(plan) = catalog.seen(&seen(root, 0, 8, 1), &fills(0.1), now) {
-            catalog.written(&done(&plan), now);
+        if let Some(plan) = catalog.record_answer(&seen(root, 0, 8, 1), &fills(0.1), now) {
+            catalog.record_export(&done(&plan), now);
         }
     }
     assert_eq!(catalog.len(), 10);
-    let orders = catalog.tick(&fills(0.1), |_| true, START + PIN * 3);
+    let orders = catalog.free_orders(&fills(0.1), |_| true, START + PIN_DURATION * 3);
     assert_eq!(orders.len(), 20, "no room is lost in the store");
 }
 
 #[test]
 fn owners_are_two_in_different_domains_and_move_little() {
-    let places: Vec<NodePlace> =
-        (1..=9).map(|node| NodePlace { node, failure_domain: format!("d{}", node % 3) }).collect();
+    let places: Vec<NodeLocation> = (1..=9)
+        .map(|node| NodeLocation { node, failure_domain: format!("d{}", node % 3) })
+        .collect();
     let mut moved = 0;
     for root in 0..1_000_u128 {
         let root = BlockKey::from_le_bytes(*blake3_16(root));
         let before = owners(root, &places);
         assert_eq!(before.len(), 2);
         assert_ne!(before[0] % 3, before[1] % 3);
-        let without: Vec<NodePlace> = places.iter().filter(|p| p.node != 4).cloned().collect();
+        let without: Vec<NodeLocation> = places.iter().filter(|p| p.node != 4).cloned().collect();
         let after = owners(root, &without);
         if before[0] == 4 {
             moved += 1;
@@ -244,7 +265,7 @@
                 0 | 1 => {
                     let blocks = random.random_range(4..30);
                     let seen = seen(root, 8, blocks, random.random_range(1..3));
-                    writing.extend(catalog.seen(&seen, &fills(0.2), now));
+                    writing.extend(catalog.record_answer(&seen, &fills(0.2), now));
                 }
                 2 if !writing.is_empty() => {
                     let plan = writing.remove(random.random_range(0..writing.len()));
@@ -254,25 +275,25 @@
                     } else {
                         whole.insert((plan.position.key, plan.generation));
                     }
-                    catalog.written(&written, now);
+                    catalog.record_export(&written, now);
                 }
                 3 => {
                     for kept in catalog.lookup((root << 64) | 1, now) {
                         let name = (kept.object.key, kept.object.generation);
                         prop_assert!(whole.contains(&name), "handed out what is not whole");
-                        readers.push((name.0, name.1, now + PIN));
+                        readers.push((name.0, name.1, now + PIN_DURATION));
                     }
                 }
                 _ => {
                     let fill = if random.random_bool(0.5) { 0.95 } else { 0.2 };
-                    for order in catalog.tick(&fills(fill), |_| true, now) {
+                    for order in catalog.free_orders(&fills(fill), |_| true, now) {
                         let read = readers.iter().any(|(key, generation, until)| {
                             *key == order.key && *generation == order.generation && *until > now
                         });
                         prop_assert!(!read, "freed under a reader");
                         if random.random_bool(0.7) {
                             whole.remove(&(order.key, order.generation));
-                            catalog.freed(&order);
+                            catalog.record_freed(&order);
                         }
                     }
                 }
@@ -284,7 +305,7 @@
 #[test]
 fn a_second_owner_frees_nothing() {
     let (mut catalog, seen, _) = with_one();
-    let late = START + PIN * 2;
-    assert!(catalog.tick(&fills(0.99), |_| false, late).is_empty());
+    let late = START + PIN_DURATION * 2;
+    assert!(catalog.free_orders(&fills(0.99), |_| false, late).is_empty());
     assert_eq!(catalog.lookup(seen.root, late).len(), 1);
 }
