--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -1,4 +1,4 @@
-//! The decision: which engine runs a request, and whether it imports a kept prefix first.
+//! Engine selection: which engine runs a request, and whether it imports a stored prefix first.
 
 use std::time::Duration;
 
@@ -9,58 +9,54 @@
 use crate::ids::{TargetId, WeightVersion};
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
-/// Engines whose cost differs by less than this count as equal; one of them is index.
+/// Engines whose costs differ by no more than this are tied; the request number picks one of them.
 const COST_TIE_TOLERANCE: Duration = Duration::from_micros(500);
-/// A full batch frees a place about this often for each of its batch_slots.
-const BATCH_SLOT_INTERVAL: Duration = Duration::from_millis(100);
-/// Assumed until an engine has reported its rate.
+/// Assumed time for which a request occupies a batch slot.
+const BATCH_SLOT_HOLD_TIME: Duration = Duration::from_millis(100);
+/// Used while an engine has no fresh report of its prefill rate.
 const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 10_000.0;
 
 const MEBIBYTE: f64 = 1_048_576.0;
 const KILOTOKEN: f64 = 1_000.0;
 
-/// A request as far as routing sees it.
+/// The properties of a request that routing depends on.
 #[derive(Clone, Debug)]
 pub struct RouteRequest<'a> {
-    /// The model.
     pub model: &'a str,
-    /// The weight version that must answer.
+    /// Only engines that have loaded this version are eligible.
     pub weight_version: &'a WeightVersion,
-    /// The prompt.
+    /// Block keys of the prompt.
     pub chain: &'a Chain,
-    /// Prefixes of it that stores hold, with the store of each.
+    /// Prefixes of the prompt that are held in stores, each with its store.
     pub stored_prefixes: &'a [(TargetId, KeptObject)],
-    /// Engines that must not be used, since they failed this request before.
+    /// Engines that already failed this request.
     pub excluded_engines: &'a [TargetId],
-    /// A number that is random for each request: draws between tied.
+    /// Differs from one request to the next; picks one of several tied engines.
     pub request_number: u64,
 }
 
-/// What to do with a request.
+/// The result of engine selection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decision {
-    /// The engine.
     pub engine: TargetId,
-    /// What it imports first, if that is worth it.
+    /// The prefix to import before the prefill, if that lowers the cost.
     pub import: Option<Import>,
-    /// Blocks that are believed to be resident there.
+    /// Leading prompt blocks expected to be in the engine's cache.
     pub resident_blocks: usize,
-    /// Tokens that it must prefill, if all goes as believed.
+    /// Expected number of tokens to prefill.
     pub prefill_tokens: u64,
-    /// Estimated time to first token.
+    /// Estimated.
     pub time_to_first_token: Duration,
 }
 
-/// An import of a kept prefix.
+/// An import of a prefix from a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Import {
-    /// The store.
     pub store: TargetId,
-    /// The object.
     pub object: KeptObject,
 }
 
-/// Chooses an engine; `None` if no engine may take the request.
+/// Chooses an engine by the given policy. Returns `None` if no engine is eligible.
 pub fn decide(
     policy: Policy,
     prices: &Prices,
@@ -104,7 +100,7 @@
         })
 }
 
-/// A way to run a request on one engine, with what it costs.
+/// One way to run a request, on one engine and with or without an import, and its cost.
 struct EnginePlan<'p> {
     engine: &'p TargetId,
     import: Option<&'p UsableImport>,
@@ -156,7 +152,7 @@
     tied.into_iter().nth(index).map(EnginePlan::into_decision)
 }
 
-/// An import that can be had now, and how long it takes.
+/// An import that is possible now, with the expected duration of its transfer.
 struct UsableImport {
     import: Import,
     transfer: Duration,
@@ -166,7 +162,7 @@
     let mut usable = Vec::new();
     for (store_id, object) in request.stored_prefixes {
         let blocks = object.blocks as usize;
-        // The key must be one of this very prompt's; anything else is somebody else's.
+        // The object may belong to another prompt: import it only if its key is in this chain.
         if blocks == 0 || request.chain.keys.get(blocks - 1) != Some(&object.key) {
             continue;
         }
@@ -199,7 +195,7 @@
         .map_or(DEFAULT_PREFILL_TOKENS_PER_S, |report| report.prefill_tokens_per_s)
         .max(1.0);
     let transfer = import.map_or(Duration::ZERO, |import| import.transfer);
-    // The import runs while others prefill, so the longer of the two waits counts.
+    // The transfer overlaps with the time in the engine's queue, so only the longer one counts.
     let wait = estimated_wait(engine, now).max(transfer);
     let time_to_first_token_s = wait.as_secs_f64() + prefill_tokens / rate;
     EnginePlan {
@@ -221,7 +217,7 @@
     plan
 }
 
-/// How long a request that is sent now waits before its own prefill starts.
+/// Estimates how long a request sent now waits for its own prefill to start.
 fn estimated_wait(engine: &EngineView, now: BootTime) -> Duration {
     let report = engine.fresh_report(now);
     let rate =
@@ -229,7 +225,7 @@
     let prefill = Duration::from_secs_f64(engine.queued_tokens(now) as f64 / rate);
     let batch_slots = report.map_or(1, |report| report.max_batch).max(1);
     let excess = (engine.estimated_requests(now) + 1).saturating_sub(batch_slots);
-    prefill + BATCH_SLOT_INTERVAL * excess / batch_slots
+    prefill + BATCH_SLOT_HOLD_TIME * excess / batch_slots
 }
 
 fn least_cost<'v>(
@@ -243,7 +239,7 @@
     tied.get(request_number as usize % tied.len().max(1)).map(|chosen| **chosen)
 }
 
-/// Rendezvous weight of a target for a key: each key goes to the target with the highest.
+/// Weight for rendezvous hashing: each key is assigned to the target with the highest weight.
 pub fn rendezvous_weight(key: u128, id: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&key.to_le_bytes());
--- a/src/route/health.rs
+++ b/src/route/health.rs
@@ -1,26 +1,25 @@
-//! Health of one target: ejection after failures and return in steps.
+//! Health of one target: ejection after consecutive failures, and gradual readmission.
 
 use std::time::Duration;
 
 use crate::clock::BootTime;
 
-/// Failures in a row that eject a target.
+/// Consecutive failures after which a target is ejected.
 const FAILURES_TO_EJECT: u32 = 3;
-/// First ejection; each one in a row doubles it.
+/// Length of the first ejection; each further one without a recovery in between doubles it.
 const INITIAL_EJECTION: Duration = Duration::from_millis(500);
-/// Longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(30);
-/// Requests at a time while a target is on trial.
+/// Concurrent requests from this process to a target on trial.
 const MAX_TRIAL_REQUESTS: u32 = 1;
-/// Successes on trial that end it.
+/// Successes on trial after which a target is healthy again.
 const SUCCESSES_TO_RECOVER: u32 = 3;
 
-/// Whose cause a failed request was.
+/// Whether a failed request counts against the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// The target's: it broke, hung or could not be reached.
+    /// The target crashed, hung or was unreachable.
     Target,
-    /// The caller's or nobody's: a wrong request, a cancel, a refusal for good reason.
+    /// Not the target's fault: an invalid request, a cancellation or a legitimate refusal.
     Other,
 }
 
@@ -31,11 +30,11 @@
     Trial { successes: u32 },
 }
 
-/// Health of one target as one node sees it.
+/// Health of one target as seen by this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
     state: State,
-    /// Ejections since the last return.
+    /// Ejections since the target was last healthy.
     ejections: u32,
 }
 
@@ -46,7 +45,8 @@
 }
 
 impl Health {
-    /// Whether a request may be sent now, with `running` of ours running there.
+    /// Whether a request may be sent now; `running` is the number of this process's requests that
+    /// run there.
     pub fn admits(&self, running: u32, now: BootTime) -> bool {
         match self.state {
             State::Healthy { .. } => true,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Whether it is ejected or on trial.
+    /// Whether the target is ejected or on trial.
     pub fn is_unhealthy(&self) -> bool {
         !matches!(self.state, State::Healthy { .. })
     }
 
-    /// Records a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&mut self) {
         self.state = match self.state {
             State::Healthy { .. } => State::Healthy { failures: 0 },
@@ -73,7 +73,7 @@
         };
     }
 
-    /// Records a failure.
+    /// Records a failed request. Only failures caused by the target count.
     pub fn record_failure(&mut self, cause: FailureCause, now: BootTime) {
         if cause == FailureCause::Other {
             return;
@@ -82,13 +82,13 @@
             State::Healthy { failures } if failures + 1 < FAILURES_TO_EJECT => {
                 State::Healthy { failures: failures + 1 }
             }
-            // A late failure of a request from before the ejection doesn't lengthen it.
+            // Requests sent before the ejection may still fail; they don't prolong it.
             State::Ejected { until } if now < until => State::Ejected { until },
             _ => self.eject(now),
         };
     }
 
-    /// Records that it can't be reached: no more requests are risked to be sure of that.
+    /// Ejects the target at once, without waiting for further failures.
     pub fn record_unreachable(&mut self, now: BootTime) {
         self.state = match self.state {
             State::Ejected { until } if now < until => State::Ejected { until },
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,6 +1,7 @@
-//! Routing: which engine runs a request, and what becomes of a target that fails.
+//! Routing: engine selection, target health and retry limits.
 //!
-//! Everything here is free of I/O and fed `now`; `crate::node` reads reports and sends requests.
+//! The code here does no I/O and is passed the current time. `crate::node` polls reports and sends
+//! requests.
 
 pub mod decide;
 pub mod health;
--- a/src/route/residency.rs
+++ b/src/route/residency.rs
@@ -1,4 +1,5 @@
-//! What is known of the prefixes in one engine's cache, from late and gapped events.
+//! Estimates which prefix blocks are in one engine's cache, from cache events that may be late or
+//! missing.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +8,21 @@
 use crate::edge::api::{CacheChange, CacheEvents};
 use crate::ids::{BlockKey, Incarnation};
 
-/// Blocks remembered for one engine, at the most; the longest unused go first.
+/// Largest number of blocks tracked per engine; the least recently used are dropped first.
 pub const MAX_TRACKED_BLOCKS: usize = 16_384;
-/// Weight of the newest proof in the confidence.
+/// Weight of the newest sample in the moving average.
 const CONFIDENCE_SMOOTHING: f64 = 0.1;
-/// Trust never falls below this, so that it can recover.
+/// Keeps engines with a poor record in use, so that their confidence can recover.
 const MIN_CONFIDENCE: f64 = 0.2;
-/// What a gap in the events takes off the confidence, for each missing event, at the most.
+/// Deducted from the confidence for each missing event.
 const GAP_PENALTY: f64 = 0.002;
 
-/// Prefix blocks believed to be resident in one engine.
+/// Prefix blocks expected to be in one engine's cache.
 #[derive(Clone, Debug)]
 pub struct Residency {
     incarnation: Incarnation,
     last_event_seq: u64,
-    /// Share of believed tokens that proved to be resident, of 1.
+    /// Moving average of the fraction of expected tokens that were found in the cache, from 0 to 1.
     confidence: f64,
     capacity: usize,
     by_key: FxHashMap<BlockKey, u64>,
@@ -45,41 +46,41 @@
 }
 
 impl Residency {
-    /// Number of the last event taken; the next read asks for later ones.
+    /// Sequence number of the last applied event; the next read asks for later ones.
     pub fn last_event_seq(&self) -> u64 {
         self.last_event_seq
     }
 
-    /// How far a believed prefix can be relied on, of 1.
+    /// How reliable the expected prefixes are, from 0 to 1.
     pub fn confidence(&self) -> f64 {
         self.confidence
     }
 
-    /// Changes how many blocks are remembered.
+    /// Sets the number of tracked blocks, at most `MAX_TRACKED_BLOCKS`.
     pub fn set_capacity(&mut self, blocks: usize) {
         self.capacity = blocks.min(MAX_TRACKED_BLOCKS);
         self.evict_beyond_capacity();
     }
 
-    /// Number of blocks remembered.
+    /// Number of tracked blocks.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no block is tracked.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Blocks of the prefix believed to be resident from its start.
+    /// Number of leading blocks of `keys` that are expected to be in the cache.
     pub fn resident_blocks(&self, keys: &[BlockKey]) -> usize {
         keys.iter().take_while(|key| self.by_key.contains_key(key)).count()
     }
 
-    /// Takes events that were read.
+    /// Applies cache events. Events that were already applied are skipped.
     pub fn apply_events(&mut self, read: &CacheEvents) {
         if read.incarnation != self.incarnation {
-            // It started again with an empty cache.
+            // The engine restarted, so its cache is empty.
             let (incarnation, capacity) = (read.incarnation, self.capacity);
             *self = Residency { incarnation, capacity, ..Residency::default() };
         }
@@ -97,25 +98,25 @@
         }
     }
 
-    /// Records that a request with this prefix was sent there: it will be resident soon.
+    /// Records that a request with this prefix was sent to the engine, which will cache it.
     pub fn expect_resident(&mut self, keys: &[BlockKey]) {
         for key in keys.iter().rev() {
             self.insert(*key);
         }
     }
 
-    /// Records how much of a believed prefix proved to be resident.
-    pub fn record_result(&mut self, keys: &[BlockKey], believed: usize, found: usize) {
-        if believed > 0 {
-            let share = (found as f64 / believed as f64).min(1.0);
+    /// Records how much of a prefix was found in the cache, compared with what was expected.
+    pub fn record_result(&mut self, keys: &[BlockKey], expected: usize, found: usize) {
+        if expected > 0 {
+            let share = (found as f64 / expected as f64).min(1.0);
             self.confidence += CONFIDENCE_SMOOTHING * (share - self.confidence);
             self.confidence = self.confidence.clamp(MIN_CONFIDENCE, 1.0);
         }
-        // The whole prompt is resident now, whatever was before.
+        // The engine has cached the whole prompt by now.
         self.expect_resident(keys);
     }
 
-    /// Records that a request did not run there after all.
+    /// Drops a prefix whose request did not run on the engine.
     pub fn remove_prefix(&mut self, keys: &[BlockKey]) {
         for key in keys {
             self.remove(key);
--- a/src/route/retry.rs
+++ b/src/route/retry.rs
@@ -1,11 +1,11 @@
-//! A budget for retries, so that failures don't multiply the load.
+//! A retry budget, so that failures don't multiply the load.
 
-/// Retries earned by each request that is sent for the first time.
+/// Retries allowed per first attempt, on average.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Retries that may be saved up.
+/// Largest number of unused retries that can accumulate.
 const MAX_SAVED_RETRIES: f64 = 20.0;
 
-/// Retries that a node may still make.
+/// A token bucket of retries that is filled by first attempts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
@@ -18,12 +18,12 @@
 }
 
 impl RetryBudget {
-    /// Records a request that is sent for the first time.
+    /// Records a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Takes one retry from the budget; false if there is none.
+    /// Takes one retry from the budget. Returns false if it is empty.
     pub fn try_spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -1,4 +1,4 @@
-//! A node's routing state: targets, their reports, and the bookkeeping around each decision.
+//! Routing state of a node: known targets, their reports, and accounting for running dispatches.
 
 use std::time::Duration;
 
@@ -15,10 +15,9 @@
 use crate::peer::message::{Dispatched, Importing};
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
-/// Blocks remembered for all engines together: about 93 bytes each.
+/// Largest number of blocks tracked for all engines together; each takes about 93 bytes.
 const MAX_TRACKED_BLOCKS_TOTAL: usize = 131_072;
 
-/// Routing state of one node.
 #[derive(Clone, Debug)]
 pub struct Router {
     node_id: NodeId,
@@ -32,41 +31,42 @@
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DispatchOutcome {
-    /// With a whole answer.
+    /// The answer was complete.
     Completed(Usage),
-    /// The target did not run it, for a good reason.
+    /// The target refused the request without running it.
     Refused,
-    /// The target failed it.
+    /// The target failed.
     Failed,
-    /// The caller gave it up.
+    /// The caller cancelled the request.
     Cancelled,
 }
 
-/// Why no engine gets a request.
+/// Why a request got no engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEngine {
-    /// None of its model and version takes work now.
+    /// No engine with the model and weight version accepts requests now.
     NoneAvailable,
-    /// The best one would give the first token so much after the deadline.
+    /// Even the best engine would miss the deadline for the first token, by this much.
     DeadlineExceeded(Duration),
 }
 
-/// A dispatch that runs; hand it back to `end`.
+/// A dispatch in progress. Pass it to `finish_dispatch` when it ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// What was decided.
     pub decision: Decision,
-    /// The engine's base URL.
+    /// Base URL of the engine.
     pub url: String,
-    /// The base URL of the store to import from.
+    /// Base URL of the store to import from.
     pub store_url: Option<String>,
-    /// Whether the engine may be asked again for the same text.
+    /// Whether the engine gives equal answers to equal requests, so that an interrupted one may be
+    /// repeated.
     pub reproducible: bool,
     incarnation: Incarnation,
 }
 
 impl Router {
-    /// A router that knows no target yet and watches at most `watched_engines_per_model` of each model.
+    /// Creates a router without targets that tracks at most `watched_engines_per_model` engines of
+    /// each model.
     pub fn new(node_id: NodeId, watched_engines_per_model: usize) -> Router {
         Router {
             node_id,
@@ -78,22 +78,22 @@
         }
     }
 
-    /// What decisions read.
+    /// The state that engine selection reads.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// The known targets.
     pub fn targets(&self) -> &Targets {
         &self.targets
     }
 
-    /// Records how many nodes are live.
+    /// Sets the number of live nodes.
     pub fn set_live_nodes(&mut self, live_nodes: usize) {
         self.view.live_nodes = live_nodes.max(1);
     }
 
-    /// Takes the platform's list. Returns the targets newly seen leaving.
+    /// Applies the platform's target list. Returns targets that were not known to be leaving
+    /// before.
     pub fn apply_list(&mut self, list: TargetList) -> Vec<LeavingTarget> {
         let newly_leaving = self.targets.apply_list(list);
         let watched = self.engines_to_watch();
@@ -123,7 +123,7 @@
         newly_leaving
     }
 
-    /// Records targets that another node saw leaving. Returns those that were news.
+    /// Records targets that another node saw leaving. Returns those that this node didn't know of.
     pub fn apply_leaving(&mut self, leaving: &[LeavingTarget]) -> Vec<LeavingTarget> {
         let newly_leaving =
             leaving.iter().filter(|one| self.targets.mark_leaving(one)).cloned().collect();
@@ -131,7 +131,7 @@
         newly_leaving
     }
 
-    /// Takes an engine's load report that was read at `now`.
+    /// Applies an engine's load report, received at `now`.
     pub fn apply_load_report(&mut self, id: &str, report: LoadReport, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(id) {
             let at = now.saturating_sub(Duration::from_millis(report.age_ms));
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Takes the news that another node sent a request to an engine.
+    /// Records that another node sent a request to an engine.
     pub fn record_peer_dispatch(&mut self, dispatched: &Dispatched, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(&dispatched.engine)
             && engine.incarnation == dispatched.incarnation
@@ -153,14 +153,14 @@
         }
     }
 
-    /// Takes an engine's cache events.
+    /// Applies an engine's cache events.
     pub fn apply_cache_events(&mut self, id: &str, events: &CacheEvents) {
         if let Some(engine) = self.view.engines.get_mut(id) {
             engine.residency.apply_events(events);
         }
     }
 
-    /// Takes a store's report that was read at `now`.
+    /// Applies a store's report, received at `now`.
     pub fn apply_store_report(&mut self, id: &str, report: StoreReport, now: BootTime) {
         if let Some(store) = self.view.stores.get_mut(id) {
             store.health.record_success();
@@ -168,35 +168,35 @@
         }
     }
 
-    /// A store as this node sees it.
+    /// Mutable view of a store.
     pub fn store_mut(&mut self, id: &str) -> Option<&mut StoreView> {
         self.view.stores.get_mut(id)
     }
 
-    /// Records that a store could not be asked.
+    /// Records that a store's report could not be fetched.
     pub fn record_store_failure(&mut self, id: &str, now: BootTime) {
         if let Some(store) = self.view.stores.get_mut(id) {
             store.health.record_failure(FailureCause::Target, now);
         }
     }
 
-    /// Records that an engine could not be asked for its report.
+    /// Records that an engine's report could not be fetched.
     pub fn record_engine_failure(&mut self, id: &str, now: BootTime) {
         if let Some(engine) = self.view.engines.get_mut(id) {
             engine.health.record_failure(FailureCause::Target, now);
         }
     }
 
-    /// A number for the next request that differs from one to the next.
+    /// Returns a number that differs from that of the previous request.
     pub fn next_request_number(&mut self) -> u64 {
         self.last_request_number = self.last_request_number.wrapping_add(1);
         self.last_request_number
     }
 
-    /// Decides and books the dispatch. `deadline` is when the first token is due.
+    /// Selects an engine and reserves capacity on it. `deadline` is for the first token.
     ///
     /// # Errors
-    /// Why no engine gets the request; nothing is booked then.
+    /// Returns why no engine was selected; then nothing is reserved.
     pub fn start_dispatch(
         &mut self,
         policy: Policy,
@@ -214,7 +214,8 @@
         let engine = self.view.engines.get_mut(&decision.engine).ok_or(NoEngine::NoneAvailable)?;
         engine.running += 1;
         engine.record_dispatch(decision.prefill_tokens, now);
-        // Known before the engine says so: the next request with this context goes there too.
+        // Recorded before the engine reports it, so that the next request with this context is
+        // routed there too.
         engine.residency.expect_resident(&request.chain.keys);
         let dispatch = Dispatch {
             url: engine.url.clone(),
@@ -226,7 +227,7 @@
         Ok(self.reserve_import(dispatch, now))
     }
 
-    /// Books a dispatch's end.
+    /// Releases what a dispatch reserved, and updates the engine's health and expected cache.
     pub fn finish_dispatch(
         &mut self,
         dispatch: &Dispatch,
@@ -257,18 +258,18 @@
         }
     }
 
-    /// Records a request that is sent for the first time.
+    /// Records a first attempt in the retry budget.
     pub fn deposit_retry(&mut self) {
         self.retry_budget.deposit();
     }
 
-    /// Takes one retry from the retry_budget; false if there is none.
+    /// Takes one retry from the budget. Returns false if it is empty.
     pub fn try_spend_retry(&mut self) -> bool {
         self.retry_budget.try_spend()
     }
 
-    /// The weight version for a new request: of those in service, each in proportion to the
-    /// engines that have it.
+    /// Chooses the weight version for a new request. During a rollout, each version that the model
+    /// serves is chosen in proportion to the number of engines that have loaded it.
     pub fn choose_weight_version(
         &self,
         id: &str,
@@ -288,8 +289,8 @@
         if index < has_next { next.clone() } else { model.weight_version.clone() }
     }
 
-    /// Requests that this node may run at once on the engines of all models: its share of twice
-    /// their batches, so that the next one is there when a place gets free.
+    /// Number of requests that this node may run at once on all engines: its share of twice their
+    /// batch sizes, so that a request is ready whenever a batch slot is freed.
     pub fn request_capacity(&self, now: BootTime) -> usize {
         let batch_slots: usize = self
             .view
@@ -302,8 +303,8 @@
         batch_slots.div_ceil(self.view.live_nodes).max(1)
     }
 
-    /// The engines that this node watches: of each model those with the highest rendezvous_weight weight
-    /// for this node, so that all nodes together watch all engines.
+    /// For each model, the engines with the highest rendezvous weight for this node. Together, the
+    /// nodes watch all engines.
     fn engines_to_watch(&self) -> Vec<Target> {
         let mut engines: Vec<(u64, &Target)> = self
             .targets
@@ -359,7 +360,7 @@
 }
 
 impl Dispatch {
-    /// What other nodes are told of it.
+    /// The message that tells other nodes about this dispatch.
     pub fn announcement(&self) -> Dispatched {
         Dispatched {
             engine: self.decision.engine.clone(),
@@ -372,7 +373,7 @@
         }
     }
 
-    /// The engine.
+    /// The selected engine.
     pub fn engine(&self) -> &TargetId {
         &self.decision.engine
     }
--- a/src/route/targets.rs
+++ b/src/route/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that a node may send to, from the platform's lagging list.
+//! Known targets, from the platform's list, which may be out of date.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,21 @@
 /// A target that some node saw leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeavingTarget {
-    /// The target.
     pub target: TargetId,
-    /// The start of it that leaves; a later start is live again.
+    /// The leaving incarnation; later ones are not affected.
     pub incarnation: Incarnation,
 }
 
-/// All targets that are known.
 #[derive(Clone, Debug, Default)]
 pub struct Targets {
     listed: BTreeMap<TargetId, Target>,
-    /// Highest incarnation seen leaving, by target. Never taken back.
+    /// Highest incarnation seen leaving, by target. Never decreases.
     leaving: BTreeMap<TargetId, Incarnation>,
 }
 
 impl Targets {
-    /// Takes the platform's list. Returns the targets newly seen leaving.
+    /// Applies the platform's target list. Returns targets that were not known to be leaving
+    /// before.
     pub fn apply_list(&mut self, list: TargetList) -> Vec<LeavingTarget> {
         let mut listed = BTreeMap::new();
         let mut newly_leaving = Vec::new();
@@ -37,7 +36,7 @@
                     newly_leaving.push(leaving);
                 }
             }
-            // An older answer of the list that comes late must not bring back an old incarnation.
+            // An older list may arrive late; it must not bring back an earlier incarnation.
             let newest = self.listed.get(&target.id).map_or(0, |known| known.incarnation);
             if target.incarnation >= newest {
                 listed.insert(target.id.clone(), target);
@@ -49,7 +48,8 @@
         newly_leaving
     }
 
-    /// Records that a target leaves, seen here or by another node. False if it was known.
+    /// Records that a target is leaving, as seen here or by another node. Returns false if that was
+    /// already known.
     pub fn mark_leaving(&mut self, leaving: &LeavingTarget) -> bool {
         let known = self.leaving.entry(leaving.target.clone()).or_default();
         if *known >= leaving.incarnation {
@@ -59,28 +59,27 @@
         true
     }
 
-    /// Everything known to be leaving, for other nodes.
+    /// All targets known to be leaving, to be sent to other nodes.
     pub fn leaving(&self) -> Vec<LeavingTarget> {
         let known = self.leaving.iter().map(|(target, incarnation)| (target.clone(), *incarnation));
         known.map(|(target, incarnation)| LeavingTarget { target, incarnation }).collect()
     }
 
-    /// A listed target.
     pub fn get(&self, id: &str) -> Option<&Target> {
         self.listed.get(id)
     }
 
-    /// Whether new work may be sent to a target.
+    /// Whether new requests may be sent to a target.
     pub fn takes_work(&self, target: &Target) -> bool {
         self.leaving.get(&target.id).is_none_or(|leaving| *leaving < target.incarnation)
     }
 
-    /// All listed targets.
+    /// Iterates over all listed targets.
     pub fn iter(&self) -> impl Iterator<Item = &Target> {
         self.listed.values()
     }
 
-    /// Instances of a service that take work.
+    /// Instances of a service that accept requests.
     pub fn instances(&self, service: &str) -> Vec<&Target> {
         self.iter()
             .filter(|target| matches!(&target.role, Role::Service { service: s } if s == service))
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of engines and stores when it decides.
+//! The state of engines and stores as one node sees it.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -10,64 +10,57 @@
 use crate::edge::api::{LoadReport, StoreReport};
 use crate::ids::{DomainId, Incarnation, ModelId, TargetId};
 
-/// A load report older than this says nothing any more.
+/// Reports older than this are ignored.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
 
-/// Everything that a decision reads.
+/// All input of engine selection except the request.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Engines by id.
     pub engines: BTreeMap<TargetId, EngineView>,
-    /// Stores by id.
     pub stores: BTreeMap<TargetId, StoreView>,
-    /// Live nodes, this one among them; at least 1.
+    /// Number of live nodes including this one; at least 1.
     pub live_nodes: usize,
 }
 
-/// One engine as this node sees it.
+/// An engine as this node sees it.
 #[derive(Clone, Debug)]
 pub struct EngineView {
-    /// Its model.
     pub model: ModelId,
-    /// Its base URL.
+    /// Base URL.
     pub url: String,
-    /// Its failure domain.
     pub failure_domain: DomainId,
-    /// The start of it that this view is of.
+    /// The incarnation that this state belongs to.
     pub incarnation: Incarnation,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub takes_work: bool,
-    /// Its last load report and when that was true, on this node's clock.
+    /// The last load report and the time at which it was accurate, on this node's clock.
     pub report: Option<(BootTime, LoadReport)>,
-    /// Health as this node sees it.
     pub health: Health,
-    /// What is believed to be in its cache.
+    /// Blocks expected to be in its cache.
     pub residency: Residency,
-    /// This node's requests that run there.
+    /// Requests from this node that run there.
     pub running: u32,
-    /// Times and prefill tokens of this node's dispatches that the report can't know of yet.
+    /// Times and prefill tokens of dispatches that the report does not include yet.
     pub unreported: VecDeque<(BootTime, u64)>,
 }
 
-/// One store as this node sees it.
+/// A store as this node sees it.
 #[derive(Clone, Debug)]
 pub struct StoreView {
-    /// Its base URL.
+    /// Base URL.
     pub url: String,
-    /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub takes_work: bool,
-    /// Its last report and when it was read.
+    /// The last report and when it was received.
     pub report: Option<(BootTime, StoreReport)>,
-    /// Health as this node sees it.
     pub health: Health,
-    /// Times and bytes of transfers that started after the report.
+    /// Start times and bytes of transfers that began after the report.
     pub unreported: VecDeque<(BootTime, u64)>,
 }
 
 impl EngineView {
-    /// A new engine of which nothing is known yet.
+    /// Creates the state of an engine that has not reported yet.
     pub fn new(
         model: &str,
         url: &str,
@@ -88,22 +81,22 @@
         }
     }
 
-    /// The report, if it is young enough to mean anything.
+    /// The last report, unless it is too old.
     pub fn fresh_report(&self, now: BootTime) -> Option<&LoadReport> {
         let (at, report) = self.report.as_ref()?;
         (now.saturating_sub(*at) < MAX_REPORT_AGE).then_some(report)
     }
 
-    /// Records a dispatch by this or another node, of so many tokens to prefill.
+    /// Records a dispatch by this or another node.
     pub fn record_dispatch(&mut self, prefill_tokens: u64, now: BootTime) {
-        // Without reports, for example of a dead engine, only the last few seconds count.
+        // Without reports, for example from a crashed engine, the queue would grow without bound.
         while self.unreported.front().is_some_and(|(sent, _)| *sent + MAX_REPORT_AGE < now) {
             self.unreported.pop_front();
         }
         self.unreported.push_back((now, prefill_tokens));
     }
 
-    /// Takes a report that was true at `at`.
+    /// Applies a report that was accurate at `at`.
     pub fn apply_report(&mut self, report: LoadReport, at: BootTime) {
         while self.unreported.front().is_some_and(|(sent, _)| *sent <= at) {
             self.unreported.pop_front();
@@ -111,8 +104,8 @@
         self.report = Some((at, report));
     }
 
-    /// Prefill tokens waiting there: the reported ones and the later dispatches, less what the
-    /// engine has prefilled since at its rate.
+    /// Estimates the prefill tokens queued at the engine: the reported ones and those of later
+    /// dispatches, less what it has processed since at its reported rate.
     pub fn queued_tokens(&self, now: BootTime) -> u64 {
         let Some((reported_at, report)) = &self.report else {
             return self.unreported.iter().map(|(_, tokens)| tokens).sum();
@@ -129,7 +122,8 @@
         drain(queued, now) as u64
     }
 
-    /// Requests running or waiting there: the reported ones and this node's later ones.
+    /// Estimates the requests that run or wait at the engine: the reported ones and later
+    /// dispatches.
     pub fn estimated_requests(&self, now: BootTime) -> u32 {
         let reported =
             self.fresh_report(now).map_or(self.running, |report| report.running + report.waiting);
@@ -138,7 +132,7 @@
 }
 
 impl StoreView {
-    /// A new store of which nothing is known yet.
+    /// Creates the state of a store that has not reported yet.
     pub fn new(url: &str, failure_domain: &str) -> StoreView {
         StoreView {
             url: url.to_string(),
@@ -150,8 +144,8 @@
         }
     }
 
-    /// How long a transfer of `bytes` that starts now would take; `None` if that is unknown. The
-    /// link works off what waits for it, the reported backlog and the later transfers.
+    /// Estimates how long a transfer of `bytes` that starts now would take, after the reported
+    /// backlog and the transfers that began since. Returns `None` without a fresh report.
     pub fn transfer_time(&self, bytes: u64, now: BootTime) -> Option<Duration> {
         let (reported_at, report) = self.report.as_ref()?;
         let rate = report.link_bytes_per_s;
@@ -175,13 +169,13 @@
         self.unreported.push_back((now, bytes));
     }
 
-    /// Takes a report that was read at `now`.
+    /// Applies a report received at `now`.
     pub fn apply_report(&mut self, report: StoreReport, now: BootTime) {
         self.unreported.clear();
         self.report = Some((now, report));
     }
 
-    /// Share of its capacity that is used, of 1; 1 if unknown.
+    /// Fraction of the capacity in use, from 0 to 1; 1 if unknown.
     pub fn used_fraction(&self) -> f64 {
         match &self.report {
             Some((_, report)) if report.capacity_bytes > 0 => {
