--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: who may run a request marked not repeatable, and what came of it.
+//! Claims on non-repeatable requests: which node may run one, and its recorded outcome.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,79 +6,75 @@
 
 use crate::ids::{AccountId, NodeId, RequestId};
 
-/// Digest of a request's content: the same id with another digest is another request.
+/// Digest of a request's content, to detect that a request id was reused for other content.
 pub type Digest = [u8; 16];
 
-/// Longest answer that is kept for a caller who sends the request again.
+/// Longest response body that is stored for repeated requests.
 pub const MAX_OUTCOME_BODY_BYTES: usize = 64 << 10;
 
-/// Names a request of an account.
+/// Identifies a request of an account.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The account.
     pub account: AccountId,
-    /// Its id for the request.
+    /// The id that the caller chose.
     pub request_id: RequestId,
 }
 
-/// Names one attempt of a node to claim a request.
+/// Identifies one attempt of a node to claim a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimToken {
-    /// The node.
     pub node: NodeId,
-    /// Tells this start of the node from others.
+    /// Distinguishes restarts of the node.
     pub boot: u64,
-    /// Counts the node's claims since its start.
+    /// Number of the claim since the node started.
     pub count: u64,
 }
 
-/// What came of a request.
+/// The response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// HTTP status of the answer.
+    /// HTTP status.
     pub status: u16,
-    /// Its content type.
     pub content_type: String,
-    /// Its body; `None` if it was too long to keep.
+    /// `None` if it was longer than `MAX_OUTCOME_BODY_BYTES`.
     pub body: Option<Vec<u8>>,
 }
 
-/// A claim.
+/// A claim on a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Digest of the request's content.
     pub digest: Digest,
-    /// Who holds or held it.
+    /// The attempt that made the claim.
     pub token: ClaimToken,
     /// When it was made, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// How far it got.
     pub progress: ClaimState,
 }
 
-/// How far a claim got.
+/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
     /// Its holder may run the request.
     Held,
-    /// Nothing was run; anybody may claim it anew.
+    /// The request was not run; it can be claimed again.
     Released,
-    /// It ran to its end.
+    /// The request ran, with this outcome.
     Recorded(Outcome),
 }
 
-/// What came of claiming.
+/// The result of claiming a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimResult {
-    /// The claimer alone may run the request, once.
+    /// Only the claimant may run the request, once.
     Granted,
-    /// Somebody holds it and may have run it.
+    /// Another attempt holds the claim and may have run the request.
     Held(ClaimToken),
-    /// It ran; this came of it.
+    /// The request already ran.
     Ran(Outcome),
-    /// The id belongs to a request with other content.
+    /// The id was already used for a request with other content.
     IdReused,
-    /// The claimer itself gave this claim back before.
+    /// The same attempt already released its claim.
     Withdrawn,
 }
 
@@ -87,19 +83,19 @@
 pub struct Claims {
     retention_ms: u64,
     by_key: BTreeMap<ClaimKey, Claim>,
-    /// Invariant: one element for each claim, with its time.
+    /// Invariant: one element per claim, with its time.
     by_time: BTreeSet<(u64, ClaimKey)>,
-    /// The latest time of any command. Never falls.
+    /// The latest time of any command. Never decreases.
     now_ms: u64,
 }
 
 impl Claims {
-    /// No claims yet; each is forgotten `retention_ms` after it was made.
+    /// Creates an empty set of claims. Each claim is removed `retention_ms` after it was made.
     pub fn new(retention_ms: u64) -> Claims {
         Claims { retention_ms, ..Claims::default() }
     }
 
-    /// Claims a request.
+    /// Claims a request for the attempt `token`.
     pub fn claim(
         &mut self,
         key: ClaimKey,
@@ -123,8 +119,8 @@
         ClaimResult::Granted
     }
 
-    /// Gives a claim back. False if it is not held by `token`; if it is not known at all, a claim
-    /// by `token` that comes later is refused.
+    /// Releases a claim. Returns false if it is not held by `token`. If the request was never
+    /// claimed, a delayed claim by `token` will be refused.
     pub fn release(&mut self, key: &ClaimKey, token: ClaimToken) -> bool {
         if !self.by_key.contains_key(key) {
             let (digest, at_ms) = (Digest::default(), self.now_ms);
@@ -135,27 +131,24 @@
         self.set_state_if_held(key, token, ClaimState::Released)
     }
 
-    /// Records what came of a claimed request. False if it is not held by `token`.
+    /// Records the outcome of a claimed request. Returns false if the claim is not held by `token`.
     pub fn record(&mut self, key: &ClaimKey, token: ClaimToken, outcome: Outcome) -> bool {
         self.set_state_if_held(key, token, ClaimState::Recorded(outcome))
     }
 
-    /// A claim.
     pub fn get(&self, key: &ClaimKey) -> Option<&Claim> {
         self.by_key.get(key)
     }
 
-    /// All claims, in the order of their keys.
+    /// Iterates over all claims in the order of their keys.
     pub fn iter(&self) -> impl Iterator<Item = (&ClaimKey, &Claim)> {
         self.by_key.iter()
     }
 
-    /// Number of claims.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether there is no claim.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
@@ -165,7 +158,7 @@
         self.now_ms
     }
 
-    /// Replaces all claims.
+    /// Replaces all claims, for example from a snapshot.
     pub fn restore(&mut self, claims: Vec<(ClaimKey, Claim)>, now_ms: u64) {
         self.by_time = claims.iter().map(|(key, claim)| (claim.at_ms, key.clone())).collect();
         self.by_key = claims.into_iter().collect();
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,8 +1,8 @@
-//! Freshness leases: a node admits requests only while it knows that its configuration number is
-//! not older than what is in force.
+//! Freshness leases: a node admits requests only while it holds a lease, which ensures that its
+//! configuration is current.
 //!
-//! A lease counts from the moment at which its holder sent the renewal, on the boot clock. A relay
-//! grants leases that end no later than its own, so every lease is nested in one of the leader's.
+//! A lease starts when its holder sent the renewal, on the boot clock. A relay grants leases that
+//! expire no later than its own, so every lease is covered by one of the leader's.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,54 +10,54 @@
 use crate::clock::BootTime;
 use crate::ids::{ConfigNumber, NodeId};
 
-/// What of a lease is given up for clocks that run at different rates: one part in this many.
+/// Leases are shortened by one part in this many, as clocks run at different rates.
 const CLOCK_DRIFT_DIVISOR: u32 = 50;
 
-/// The lease that a node holds.
+/// The lease that this node holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HeldLease {
-    /// When it ends. Never moves back.
+    /// Never decreases.
     expires_at: BootTime,
 }
 
 impl HeldLease {
-    /// Whether the lease holds at `now`.
+    /// Whether the lease is valid at `now`.
     pub fn is_fresh(&self, now: BootTime) -> bool {
         now < self.expires_at
     }
 
-    /// How long it still duration.
+    /// Time until the lease expires.
     pub fn remaining(&self, now: BootTime) -> Duration {
         self.expires_at.saturating_sub(now)
     }
 
-    /// Takes a grant that answers the renewal sent at `sent_at`.
+    /// Applies a grant in response to the renewal sent at `sent_at`.
     pub fn extend(&mut self, sent_at: BootTime, duration: Duration) {
         let drift_adjusted = duration - duration / CLOCK_DRIFT_DIVISOR;
         self.expires_at = self.expires_at.max(sent_at + drift_adjusted);
     }
 }
 
-/// Leases granted to others, by the leader or a relay.
+/// Leases granted to other nodes by the leader or a relay.
 #[derive(Clone, Debug)]
 pub struct LeaseGrantor {
     lease_duration: Duration,
-    /// Until then, leases granted before this process knew of them may be outstanding.
+    /// Until this time, leases granted by a predecessor may still be valid.
     unknown_leases_until: BootTime,
     children: BTreeMap<NodeId, GrantedLease>,
 }
 
-/// One lease granted to another node.
+/// A lease granted to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct GrantedLease {
-    /// All nodes below it have applied at least this number.
+    /// The node and all nodes below it have applied at least this number.
     acked: ConfigNumber,
-    /// When the lease has ended everywhere below it.
+    /// When the lease has expired on the node and all nodes below it.
     expires_at: BootTime,
 }
 
 impl LeaseGrantor {
-    /// A grantor that has just become one: a full lease may be outstanding everywhere.
+    /// Creates a new grantor. Its predecessor may have just granted a full lease to any node.
     pub fn new(lease_duration: Duration, now: BootTime) -> LeaseGrantor {
         LeaseGrantor {
             lease_duration,
@@ -66,8 +66,9 @@
         }
     }
 
-    /// Grants a lease to `child`, whose nodes have all applied `acked`; `own_remaining` is what is
-    /// left of the grantor's own lease. Returns how long the lease duration; zero is a refusal.
+    /// Grants a lease to `child`; `acked` has been applied by `child` and all nodes below it, and
+    /// `own_remaining` is what is left of the grantor's own lease. Returns the duration of the
+    /// lease; zero means that it was refused.
     pub fn grant(
         &mut self,
         child: NodeId,
@@ -82,14 +83,15 @@
         }
         let previous_expiry =
             self.children.get(&child).map_or(BootTime::ZERO, |granted| granted.expires_at);
-        // A renewal that overtook an older one may report less; the lower number is the safe one
-        // only while it can still be true, and numbers never fall, so the newest report counts.
+        // Renewals may arrive out of order, so `acked` may decrease here. That is safe: applied
+        // numbers never decrease, so an older report only understates them.
         self.children
             .insert(child, GrantedLease { acked, expires_at: previous_expiry.max(now + duration) });
         duration
     }
 
-    /// The number that every node below with an unexpired lease has applied; `own` is this node's.
+    /// The configuration number that all nodes with a valid lease have applied, or 0 if that is
+    /// unknown; `own` is the number of this node.
     pub fn min_acked(&self, own: ConfigNumber, now: BootTime) -> ConfigNumber {
         if now < self.unknown_leases_until {
             return 0;
@@ -98,7 +100,7 @@
         live.map(|granted| granted.acked).fold(own, ConfigNumber::min)
     }
 
-    /// Nodes with an unexpired lease.
+    /// Nodes with a valid lease.
     pub fn children(&self, now: BootTime) -> impl Iterator<Item = NodeId> + '_ {
         self.children.iter().filter(move |(_, granted)| granted.expires_at > now).map(|(id, _)| *id)
     }
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -1,4 +1,5 @@
-//! Admission at one node: strict bounds, priority, then fairness between accounts.
+//! Admission control at one node: a bounded queue, served by priority and then fairly between
+//! accounts.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -6,71 +7,70 @@
 use crate::clock::BootTime;
 use crate::ids::AccountId;
 
-/// Shortest and longest Retry-After that is worked out.
+/// Shortest and longest suggested retry delay.
 const RETRY_AFTER_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
-/// Weight of the newest finished request in the rate.
+/// Weight of the newest sample in the moving average of the time between finished requests.
 const FINISH_INTERVAL_SMOOTHING: f64 = 0.05;
-/// One place of this many goes to the request that waits longest, so that none starves.
+/// Every this many dequeues, the request that has waited longest goes first, so that low priorities
+/// don't starve.
 const OLDEST_FIRST_PERIOD: u64 = 16;
-/// Assumed time between two finished requests until some have finished.
+/// Assumed time between two finished requests until two have finished.
 const INITIAL_FINISH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 pub type Ticket = u64;
 
-/// A request that wants to run.
+/// A request to be admitted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Whose it is.
     pub account: AccountId,
-    /// The account's share of a full queue; at least 1.
+    /// Relative share of the capacity among accounts that have waiting requests; at least 1.
     pub weight: u32,
-    /// Requests of the account that may run on this node at once, from now on.
+    /// Requests of the account that may run on this node at once, replacing the previous limit.
     pub account_limit: u32,
-    /// 0 goes first.
+    /// Lower values go first.
     pub priority: u8,
-    /// When its answer is due.
+    /// The request is given up if it can't start before this time.
     pub deadline: BootTime,
 }
 
-/// What becomes of a request.
+/// The result of admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
-    /// It runs now. `finish` must be called.
+    /// The request runs now. Call `finish` when it ends.
     Run,
-    /// It waits; `start_next` names it later, or `expire` does.
+    /// The request is queued until `start_next` or `expire` returns its ticket.
     Wait(Ticket),
-    /// It was given up on at once.
+    /// The request was not queued.
     Refused(AdmissionRefusal),
 }
 
-/// Why a request was given up on, and when to come back.
+/// Why a request was refused, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// Why.
     pub reason: RefusalReason,
-    /// When a later try makes sense.
+    /// Suggested delay before a retry.
     pub retry_after: Duration,
 }
 
-/// Why a request was given up on.
+/// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The queue is full.
     QueueFull,
-    /// It would have waited past its deadline.
+    /// It would not start before its deadline.
     Deadline,
 }
 
-/// Requests that run and wait at one node.
+/// Running and waiting requests of one node.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    /// Most that run at once.
+    /// Largest number of running requests.
     capacity: usize,
     max_waiting: usize,
     running: usize,
     waiting: usize,
-    /// Invariant: `waiting` is the number of requests in here; no queue in it is empty.
+    /// Waiting requests by priority and account. Invariant: holds `waiting` requests, and no empty
+    /// queue.
     queues: BTreeMap<u8, BTreeMap<AccountId, VecDeque<QueuedRequest>>>,
     accounts: BTreeMap<AccountId, AccountUsage>,
     next_ticket: Ticket,
@@ -90,14 +90,15 @@
 struct AccountUsage {
     running: u32,
     waiting: u32,
-    /// Most that may run.
+    /// Largest number of running requests.
     limit: u32,
-    /// Places taken so far, divided by the weight.
+    /// Started requests, each divided by its weight.
     weighted_starts: f64,
 }
 
 impl Admission {
-    /// An idle node that lets `capacity` requests run and `max_waiting` wait.
+    /// Creates the state of an idle node that runs up to `capacity` requests and queues up to
+    /// `max_waiting`.
     pub fn new(capacity: usize, max_waiting: usize) -> Admission {
         Admission {
             capacity,
@@ -113,40 +114,40 @@
         }
     }
 
-    /// Changes how many may run. Running requests are never stopped for it.
+    /// Sets how many requests may run. Running requests are never stopped.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity.max(1);
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Changes how many requests of an account may run.
+    /// Sets how many requests of an account may run.
     pub fn set_account_limit(&mut self, account: &str, limit: u32) {
         if let Some(account) = self.accounts.get_mut(account) {
             account.limit = limit;
         }
     }
 
-    /// Requests of an account that run or wait.
+    /// Number of running and waiting requests of an account.
     pub fn demand(&self, account: &str) -> u32 {
         self.accounts.get(account).map_or(0, |account| account.running + account.waiting)
     }
 
-    /// When a request that is refused now should come back.
+    /// Suggested retry delay for a request that is refused now.
     pub fn retry_after(&self) -> Duration {
         let (shortest, longest) = RETRY_AFTER_BOUNDS;
         self.expected_wait(self.waiting).clamp(shortest, longest)
     }
 
-    /// Takes a request.
+    /// Starts, queues or refuses a request.
     pub fn admit(&mut self, request: AdmissionRequest, now: BootTime) -> AdmissionResult {
         let account = self.accounts.entry(request.account.clone()).or_default();
         account.limit = request.account_limit;
@@ -169,7 +170,7 @@
         AdmissionResult::Wait(self.enqueue(request))
     }
 
-    /// The next request that may run now, if any. `finish` must be called for it.
+    /// Starts the next waiting request that may run. Call `finish` when it ends.
     pub fn start_next(&mut self) -> Option<Ticket> {
         if self.running >= self.capacity || self.waiting == 0 {
             return None;
@@ -201,7 +202,7 @@
         self.remove_idle_accounts();
     }
 
-    /// Takes a request that gave up out of the queue. False if it isn't waiting.
+    /// Removes a request from the queue. Returns false if it is not waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let place = self.queues.iter().find_map(|(priority, accounts)| {
             let holds = |queue: &VecDeque<QueuedRequest>| queue.iter().any(|w| w.ticket == ticket);
@@ -212,7 +213,7 @@
         })
     }
 
-    /// Takes out the requests whose deadline has come; each must be answered at once.
+    /// Removes all requests whose deadline has passed; the caller must answer them.
     pub fn expire(&mut self, now: BootTime) -> Vec<Ticket> {
         let late: Vec<Ticket> = self
             .queues
@@ -242,7 +243,7 @@
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.waiting += 1;
-        // An account that was idle must not have saved up places.
+        // An idle account must not accumulate credit, or it would block the others when it returns.
         let floor = self.min_weighted_starts();
         let account = self.accounts.entry(request.account.clone()).or_default();
         account.weighted_starts = account.weighted_starts.max(floor);
@@ -268,7 +269,8 @@
         self.accounts.get(account).is_some_and(|account| account.running < account.limit)
     }
 
-    /// The first priority with a request that may run, and in it the account served least.
+    /// Of the highest priority with a request that may run, the account with the fewest weighted
+    /// starts.
     fn next_by_priority(&self) -> Option<(u8, AccountId)> {
         self.queues.iter().find_map(|(priority, accounts)| {
             let served = |id: &AccountId| self.accounts.get(id).map_or(0.0, |a| a.weighted_starts);
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits: how many requests run and wait at a node, and who goes next.
+//! Limits on running and waiting requests at a node, and on an account over all nodes.
 
 pub mod admission;
 pub mod shares;
--- a/src/limits/shares.rs
+++ b/src/limits/shares.rs
@@ -1,7 +1,7 @@
-//! Shares of an account's limit: one owner leases them to nodes in proportion to demand.
+//! Distributes an account's limit over the nodes: one owner leases shares in proportion to demand.
 //!
-//! A node without a lease runs a small base of the account's requests. The owner keeps that free for
-//! each such node, so the limit holds over all nodes whoever asks.
+//! A node without a lease may run a small base share. The owner reserves one for each such node, so
+//! that the limit holds over all nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,58 +9,57 @@
 use crate::clock::BootTime;
 use crate::ids::{AccountId, NodeId};
 
-/// One part in this many of a limit is the base of all nodes together.
+/// The base shares of all nodes together are the limit divided by this.
 const BASE_SHARE_DIVISOR: u32 = 4;
 
-/// Requests of an account that each of `nodes` nodes may run without a lease. At least 1, so with
-/// more nodes than the limit the limit may be passed.
+/// Requests of an account that each of `nodes` nodes may run without a lease. At least 1, so the
+/// limit can be exceeded if there are more nodes than the limit allows requests.
 pub fn base_share(limit: u32, nodes: u32) -> u32 {
     (limit / (BASE_SHARE_DIVISOR * nodes.max(1))).max(1)
 }
 
-/// Shares that one owner has leased.
+/// The shares leased by one owner.
 #[derive(Clone, Debug)]
 pub struct ShareAllocator {
     lease_duration: Duration,
     accounts: BTreeMap<AccountId, BTreeMap<NodeId, ShareLease>>,
 }
 
-/// What one node may use of an account's limit.
+/// The lease of one node on an account's limit.
 #[derive(Clone, Copy, Debug)]
 struct ShareLease {
     share: u32,
     expires_at: BootTime,
-    /// What it asked for.
+    /// The demand that the node reported.
     demand: u32,
-    /// A larger larger_previous share: the node uses it until it has the answer with the smaller one,
-    /// which may be lost.
+    /// An earlier, larger share and its expiry. The node may use it until then, as the response
+    /// with the smaller one may be lost.
     larger_previous: Option<(u32, BootTime)>,
 }
 
-/// What a node asks for.
+/// A node's request for a share of an account's limit.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ShareRequest {
-    /// The account.
     pub account: AccountId,
-    /// Requests of it that run or wait at the node.
+    /// Requests of the account that run or wait at the node.
     pub demand: u32,
     /// The account's limit over all nodes.
     pub limit: u32,
-    /// Live nodes.
+    /// Number of live nodes.
     pub nodes: u32,
 }
 
-/// A leased share, counted from when the node asked.
+/// A leased share. The lease starts when the node sent its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct GrantedShare {
     /// Requests of the account that the node may run at once.
     pub share: u32,
-    /// How long.
+    /// Duration of the lease.
     pub lasts: Duration,
 }
 
 impl ShareLease {
-    /// What the node may be using at `now`.
+    /// The largest share that the node may be using at `now`.
     fn in_use(&self, now: BootTime) -> u32 {
         let previous = self
             .larger_previous
@@ -69,7 +68,7 @@
         if self.expires_at > now { self.share.max(previous) } else { previous }
     }
 
-    /// When nothing of it can be in use any more.
+    /// When the current share and the larger earlier one have both expired.
     fn fully_expires_at(&self) -> BootTime {
         self.larger_previous
             .map_or(self.expires_at, |(_, expires_at)| expires_at.max(self.expires_at))
@@ -81,18 +80,18 @@
 }
 
 impl ShareAllocator {
-    /// An owner that has leased nothing yet.
+    /// Creates an owner without leases.
     pub fn new(lease_duration: Duration) -> ShareAllocator {
         ShareAllocator { lease_duration, accounts: BTreeMap::new() }
     }
 
-    /// How long a lease lasts.
+    /// Duration of each lease.
     pub fn lease_duration(&self) -> Duration {
         self.lease_duration
     }
 
-    /// Leases a share to a node; it replaces the node's larger_previous one. An owner that has just become
-    /// one must not call it while leases of an larger_previous owner may be outstanding.
+    /// Leases a share to a node, replacing its previous one. A new owner must not call this until
+    /// all leases of its predecessor have expired.
     pub fn grant(&mut self, node: NodeId, request: &ShareRequest, now: BootTime) -> GrantedShare {
         let base = base_share(request.limit, request.nodes);
         let leases = self.accounts.entry(request.account.clone()).or_default();
@@ -105,7 +104,7 @@
         let total_demand = u64::from(other_demand) + u64::from(request.demand);
         let proportional =
             (u64::from(pool) * u64::from(request.demand) / total_demand.max(1)) as u32;
-        // Nobody gets more than it asks for, so that a later demand finds room.
+        // No node gets more than it asks for, so that later demand can be met.
         let share = proportional.min(request.demand).min(pool.saturating_sub(taken)).max(base);
         let larger_previous = previous
             .map(|p| (p.in_use(now), p.fully_expires_at()))
@@ -118,13 +117,14 @@
         GrantedShare { share, lasts: self.lease_duration }
     }
 
-    /// Shares of an account that may be in use, without those of nodes that hold no lease.
+    /// Total of the leased shares of an account that may be in use. Base shares of nodes without a
+    /// lease are not included.
     pub fn in_use(&self, account: &str, now: BootTime) -> u32 {
         let leases = self.accounts.get(account).into_iter().flat_map(BTreeMap::values);
         leases.map(|leased| leased.in_use(now)).sum()
     }
 
-    /// Forgets what has run out.
+    /// Removes expired leases.
     pub fn remove_expired(&mut self, now: BootTime) {
         for leases in self.accounts.values_mut() {
             leases.retain(|_, leased| !leased.is_expired(now));
