--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -142,7 +142,7 @@
     ("freed under a reader", "src/prefix_catalog/catalog.rs",
      ".filter(|copy| copy.state == CopyState::Freeing && copy.pinned_until <= now)", ".filter(|copy| copy.state == CopyState::Freeing)", "logic", "catalog"),
     ("a new owner frees at once", "src/prefix_catalog/catalog.rs",
-     "                    // Pins that an earlier owner granted may last that long.\n                    pinned_until: now + PIN_DURATION,",
+     "                    // The previous owner may have pinned the copy just now.\n                    pinned_until: now + PIN_DURATION,",
      "                    pinned_until: now,", "logic", "catalog"),
     ("a late write counts", "src/prefix_catalog/catalog.rs",
      "if !matches!(copy.state, CopyState::Writing { .. }) {", "if false {", "logic", "catalog"),
--- a/src/prefix_catalog/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -1,7 +1,7 @@
-//! What one owner knows of its contexts: the kept copies, their states and pins.
+//! Catalog of the stored copies of the contexts that one node owns, with their states and pins.
 //!
-//! A copy goes from writing to committed to freeing to gone, never back. Only committed copies
-//! are handed out, each with a pin; a copy is freed only once its pins have run out.
+//! A copy is first written, then committed, then freed; it never goes back. Only committed copies
+//! are returned by a lookup, which pins them; a copy is freed only after its pins have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -11,40 +11,40 @@
 use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
 
-/// How long a copy that was handed out is not freed: longer than a reader may take.
+/// How long a copy returned by a lookup is not freed; longer than any import takes.
 pub const PIN_DURATION: Duration = Duration::from_secs(30);
-/// A write that has not ended after this time is given up.
+/// A write that has not finished after this time is abandoned.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Shorter prefixes are not worth an export.
+/// Shorter prefixes are not exported.
 const MIN_EXPORT_BLOCKS: u32 = 4;
-/// A copy that covers this share of a prompt makes another export not worth it.
+/// A prompt is not exported if an existing copy covers this fraction of it.
 const COVERED_SHARE: f64 = 0.75;
-/// Branches of one context that are remembered.
+/// Largest number of branches tracked per context.
 const MAX_BRANCHES: usize = 16;
-/// Stores fuller than this get room made.
+/// Copies are evicted from stores whose used fraction exceeds this.
 const EVICTION_FILL: f64 = 0.9;
-/// Share of this owner's copies that is freed at a time when a store is full.
+/// Fraction of this owner's copies in a full store that is evicted at a time.
 const EVICTED_SHARE: f64 = 0.05;
-/// Fullest store that still gets exports.
+/// Stores whose used fraction reaches this get no exports.
 const MAX_EXPORT_FILL: f64 = 0.97;
-/// Weight of the newest context in the learned share of contexts that return.
+/// Weight of the newest sample in the moving average of `return_share`.
 const RETURN_SHARE_SMOOTHING: f64 = 0.02;
-/// Contexts are exported at their first answer while at least this share returns.
+/// If a smaller share of contexts returns, a context is exported only from its second answer on.
 const MIN_RETURN_SHARE: f64 = 0.1;
 
-/// Kept copies of the contexts that one node owns.
+/// Stored copies of the contexts that one node owns.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     /// Largest number of contexts.
     capacity: usize,
     contexts: HashMap<BlockKey, Context>,
-    /// Invariant: one element for each context, with its `last_seen`.
+    /// Invariant: one element per context, with its `last_seen`.
     by_last_seen: BTreeSet<(BootTime, BlockKey)>,
-    /// Copies whose context was forgotten; they only wait to be freed.
+    /// Copies of evicted contexts, waiting to be freed.
     orphans: Vec<StoredCopy>,
     epoch: u64,
     next_generation: u64,
-    /// Share of contexts that come back, learned, of 1.
+    /// Moving average of the share of contexts that return, from 0 to 1.
     return_share: f64,
 }
 
@@ -56,7 +56,7 @@
     copies: Vec<StoredCopy>,
 }
 
-/// One way in which a context was continued.
+/// One continuation of a context.
 #[derive(Clone, Debug)]
 struct Branch {
     positions: Vec<Position>,
@@ -78,24 +78,20 @@
     Freeing,
 }
 
-/// Tells a store to free an object.
+/// An order to a store to free an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FreeOrder {
-    /// The store.
     pub store: TargetId,
-    /// The context.
+    /// The context, named by the key of its first block.
     pub root: BlockKey,
-    /// The object.
     pub key: BlockKey,
-    /// Its generation.
     pub generation: u64,
-    /// The owner's epoch.
     pub owner_epoch: u64,
 }
 
 impl Catalog {
-    /// An empty catalog of an owner that has just started. `epoch` must be greater than that of
-    /// any earlier owner; generations count from it.
+    /// Creates an empty catalog. `epoch` must be greater than that of any earlier owner;
+    /// generations are counted from it.
     pub fn new(capacity: usize, epoch: u64) -> Catalog {
         Catalog {
             capacity,
@@ -113,12 +109,11 @@
         self.contexts.len()
     }
 
-    /// Whether there is no context.
     pub fn is_empty(&self) -> bool {
         self.contexts.is_empty()
     }
 
-    /// Committed copies of a context. Each is pinned for `PIN_DURATION`.
+    /// Returns the committed copies of a context and pins each for `PIN_DURATION`.
     pub fn lookup(&mut self, root: BlockKey, now: BootTime) -> Vec<PrefixLocation> {
         let Some(context) = self.contexts.get_mut(&root) else { return Vec::new() };
         let committed = context.copies.iter_mut().filter(|copy| copy.state == CopyState::Committed);
@@ -131,9 +126,8 @@
             .collect()
     }
 
-    /// Records that a prompt was answered. Returns an export if one is worth doing now; the copy
-    /// counts as being written from then on. `fills` are the stores that can take one, with the
-    /// share of each that is used.
+    /// Records an answered prompt. Returns an export if one is worthwhile; its copy is then in the
+    /// state of being written. `fills` maps each store that accepts exports to the fraction in use.
     pub fn record_answer(
         &mut self,
         prompt: &AnsweredPrompt,
@@ -156,7 +150,7 @@
         Some(self.start_write(prompt.root, target, store, now))
     }
 
-    /// Records how an export ended.
+    /// Records the result of an export.
     pub fn record_export(&mut self, outcome: &ExportOutcome, now: BootTime) {
         let Some(context) = self.contexts.get_mut(&outcome.root) else { return };
         let is_same_object = |copy: &StoredCopy| {
@@ -176,13 +170,13 @@
                 let blocks = copy.object.blocks;
                 context.free_superseded(blocks);
             }
-            // It may be half written: free it, so that the store's room comes back.
+            // The store may hold a partial write; free it.
             None => copy.state = CopyState::Freeing,
         }
     }
 
-    /// Takes a store's inventory: learns of copies of contexts that this node owns, as first or
-    /// second owner, and forgets those that are gone.
+    /// Applies a store's inventory: adds copies of contexts that this node owns, as first or second
+    /// owner, and removes copies that the store no longer holds.
     pub fn apply_inventory(
         &mut self,
         store: &TargetId,
@@ -211,7 +205,7 @@
                     store: store.clone(),
                     object: object.clone(),
                     state: CopyState::Committed,
-                    // Pins that an earlier owner granted may last that long.
+                    // The previous owner may have pinned the copy just now.
                     pinned_until: now + PIN_DURATION,
                     last_used: now,
                 });
@@ -219,7 +213,7 @@
         }
     }
 
-    /// Forgets all copies in a store that is gone.
+    /// Removes all copies in a store that no longer exists.
     pub fn drop_store(&mut self, store: &TargetId) {
         for context in self.contexts.values_mut() {
             context.copies.retain(|copy| copy.store != *store);
@@ -227,14 +221,15 @@
         self.orphans.retain(|copy| copy.store != *store);
     }
 
-    /// Forgets contexts that this node does not own any more. Their new owners rebuild them.
+    /// Removes contexts that this node no longer owns. The new owners learn of them from the
+    /// inventories.
     pub fn remove_unowned(&mut self, is_owner: impl Fn(BlockKey) -> bool) {
         self.contexts.retain(|root, _| is_owner(*root));
         self.by_last_seen.retain(|(_, root)| is_owner(*root));
     }
 
-    /// Lets time pass: what must be freed now, of the contexts that this node `is_owner` on. An
-    /// order is repeated until `freed` is called.
+    /// Returns the objects to free now, among the contexts whose first owner is this node. An order
+    /// is repeated until `record_freed` is called.
     pub fn free_orders(
         &mut self,
         fills: &BTreeMap<TargetId, f64>,
@@ -290,7 +285,7 @@
         context
     }
 
-    /// Like `touch`, but a context that is known keeps its age.
+    /// Like `touch`, but keeps the age of a known context.
     fn touch_keeping_age(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
         let at = self.contexts.get(&root).map_or(now, |context| context.last_seen);
         self.touch(root, at)
@@ -314,7 +309,7 @@
     fn update_return_share(&mut self, times_seen: u32) {
         match times_seen {
             1 => self.return_share -= RETURN_SHARE_SMOOTHING * self.return_share,
-            // A second visit makes up for its first, which counted as one that does not return.
+            // The first visit was counted as one without a return; this corrects it.
             2 => self.return_share += 2.0 * RETURN_SHARE_SMOOTHING * (1.0 - self.return_share),
             _ => {}
         }
@@ -348,7 +343,7 @@
         ExportPlan { root, position, generation, owner_epoch: self.epoch, store }
     }
 
-    /// Marks the copies in a store that are worth least: those unused for longest.
+    /// Marks the least recently used copies in a store as to be freed.
     fn evict_least_recent(
         &mut self,
         store: &TargetId,
@@ -375,8 +370,8 @@
         Context { last_seen: now, times_seen: 0, branches: Vec::new(), copies: Vec::new() }
     }
 
-    /// Remembers how the context was continued. Returns the longest beginning that it shares
-    /// with a branch that goes on differently.
+    /// Records a continuation of the context. Returns the longest prefix that it shares with a
+    /// branch that continues differently.
     fn record_branch(&mut self, prompt: &AnsweredPrompt) -> Option<Position> {
         let mut shared_prefix: Option<Position> = None;
         let mut extends = None;
@@ -399,7 +394,7 @@
         shared_prefix
     }
 
-    /// Whether a copy, committed or being written, makes one of `target` not worth it.
+    /// Whether an existing copy, committed or being written, makes a copy of `target` unnecessary.
     fn covers(&self, positions: &[Position], target: Position) -> bool {
         let needed = (f64::from(target.blocks) * COVERED_SHARE) as u32;
         self.copies.iter().filter(|copy| copy.state != CopyState::Freeing).any(|copy| {
@@ -408,7 +403,7 @@
         })
     }
 
-    /// Frees committed copies of shorter prefixes that a copy of `blocks` blocks contains.
+    /// Frees committed copies of shorter prefixes that are contained in a copy of `blocks` blocks.
     fn free_superseded(&mut self, blocks: u32) {
         let Some(branch) = self.branches.iter().find(|branch| {
             branch.positions.iter().any(|position| {
@@ -431,7 +426,7 @@
             .flat_map(|other| other.positions.iter().map(|position| position.key))
             .collect();
         for copy in &mut self.copies {
-            // A beginning that other branches share is worth keeping for itself.
+            // A prefix shared with other branches is still useful by itself.
             let only_here = keys.contains(&copy.object.key) && !shared.contains(&copy.object.key);
             if only_here && copy.state == CopyState::Committed {
                 copy.state = CopyState::Freeing;
@@ -440,14 +435,15 @@
     }
 }
 
-/// What is worth exporting of a prompt: its shared beginning if that is most of it, else all.
+/// The prefix of a prompt to export: the shared prefix if it is at least half of the prompt,
+/// otherwise the whole prompt.
 fn export_target(positions: &[Position], shared_prefix: Option<Position>) -> Option<Position> {
     let last = *positions.last()?;
     let target = shared_prefix.filter(|shared| shared.blocks * 2 >= last.blocks).unwrap_or(last);
     (target.blocks >= MIN_EXPORT_BLOCKS).then_some(target)
 }
 
-/// The longest position that two chains share.
+/// The longest prefix that two chains share.
 fn longest_common(a: &[Position], b: &[Position]) -> Option<Position> {
     let keys: BTreeSet<BlockKey> = a.iter().map(|position| position.key).collect();
     b.iter().rev().find(|position| keys.contains(&position.key)).copied()
--- a/src/prefix_catalog/mod.rs
+++ b/src/prefix_catalog/mod.rs
@@ -1,7 +1,8 @@
-//! Whereabouts of returning contexts: what stores keep of each, what to keep, what to free.
+//! Catalog of stored prefixes: where copies of each context are, which prefixes to export, and
+//! which copies to free.
 //!
-//! Each context has two owners in different failure domains. The state is soft: a new owner
-//! rebuilds it from the stores' inventories.
+//! Each context has two owners, in different failure domains if possible. The catalog is not
+//! persisted: a new owner rebuilds it from the stores' inventories.
 
 pub mod catalog;
 pub mod owners;
@@ -15,70 +16,65 @@
 pub use catalog::{Catalog, FreeOrder};
 pub use owners::{NodeLocation, owners};
 
-/// Positions of a chain that are told to its owners, at the most.
+/// Largest number of positions of a chain that are sent to its owners.
 const MAX_POSITIONS: usize = 64;
 
-/// One position of a chain.
+/// A prefix of a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// Blocks from the start.
+    /// Length in blocks.
     pub blocks: u32,
-    /// Key of that prefix.
     pub key: BlockKey,
 }
 
-/// A kept prefix and the store that has it.
+/// A stored prefix and the store that holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixLocation {
-    /// The store.
     pub store: TargetId,
-    /// The object.
     pub object: KeptObject,
 }
 
-/// A prompt was answered: its whole prefix is resident somewhere now.
+/// A prompt that was answered, so that its whole prefix is in an engine's cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnsweredPrompt {
-    /// Its first block.
+    /// Key of its first block.
     pub root: BlockKey,
-    /// Positions of its chain in order, the last one at or near its end.
+    /// Prefixes of its chain by increasing length; the last one is at or near its end.
     pub positions: Vec<Position>,
 }
 
-/// An export that an owner finds worth doing.
+/// An export requested by an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportPlan {
-    /// The context.
+    /// The context, named by the key of its first block.
     pub root: BlockKey,
-    /// What to export.
+    /// The prefix to export.
     pub position: Position,
-    /// The generation to write.
     pub generation: u64,
-    /// The owner's epoch.
     pub owner_epoch: u64,
-    /// Where to.
+    /// The destination.
     pub store: TargetId,
 }
 
-/// An export ended.
+/// The result of an export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportOutcome {
-    /// The context.
+    /// The context, named by the key of its first block.
     pub root: BlockKey,
-    /// What was to be exported.
+    /// Key of the exported prefix.
     pub key: BlockKey,
-    /// The generation.
     pub generation: u64,
-    /// What is kept now; `None` if it failed.
+    /// `None` if the export failed.
     pub kept: Option<PrefixLocation>,
 }
 
 impl AnsweredPrompt {
-    /// What owners are told of a prompt; `None` if it is shorter than one block.
+    /// Describes a prompt for the owners of its context. Returns `None` if it is shorter than one
+    /// block.
     pub fn from_chain(chain: &Chain) -> Option<AnsweredPrompt> {
         let root = chain.root()?;
-        // Strides are powers of two, so that the positions of a longer prompt are among those
-        // of a shorter one with the same beginning.
+        // Strides are powers of two, so that prompts of different length with a common prefix have
+        // positions in common.
         let stride = chain.keys.len().div_ceil(MAX_POSITIONS).next_power_of_two();
         let positions = chain
             .keys
--- a/src/prefix_catalog/owners.rs
+++ b/src/prefix_catalog/owners.rs
@@ -1,18 +1,16 @@
-//! Which nodes own what is known of a context: rendezvous hashing over live nodes.
+//! Assigns the owners of contexts by rendezvous hashing over the live nodes.
 
 use crate::ids::{BlockKey, DomainId, NodeId};
 
-/// A live node and where it is.
+/// A live node and its failure domain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeLocation {
-    /// The node.
     pub node: NodeId,
-    /// Its failure domain.
     pub failure_domain: DomainId,
 }
 
-/// The owners of a context, first the one that decides; the second is in another failure domain
-/// where there is one. Empty only if there is no node.
+/// Returns the owners of a context. The first one decides on exports and frees; the second one is
+/// in another failure domain if possible. Empty only if there are no nodes.
 pub fn owners(root: BlockKey, nodes: &[NodeLocation]) -> Vec<NodeId> {
     let weight = |location: &NodeLocation| weight(root, location.node);
     let Some(first) = nodes.iter().max_by_key(|location| weight(location)) else {
@@ -31,7 +29,7 @@
     std::iter::once(first).chain(second).map(|location| location.node).collect()
 }
 
-/// The key is uniform already, so a multiplicative mix with the node is enough.
+/// Block keys are uniformly distributed, so a multiplicative mix with the node is sufficient.
 fn weight(root: BlockKey, node: NodeId) -> u64 {
     let mut mixed = (root as u64) ^ node.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
