--- a/src/quarantine/broken_runs.rs
+++ b/src/quarantine/broken_runs.rs
@@ -1,8 +1,9 @@
-//! Tells targets that have ended from those that only broke off some answers. Pure.
+//! Determines whether a target has terminated or only failed to complete some answers.
 //!
-//! A sick target, a lost answer and a connection that is reset look to one request like a target that has
-//! ended. What tells them apart is the target's address: it refuses connections, or another target answers
-//! there, or the list names that start no more though it never said that it leaves.
+//! To a single request, an overloaded target, a lost response and a connection reset look like a
+//! target that has terminated. A target counts as terminated if its address refuses connections, if
+//! another target answers there, or if the platform no longer lists it although it never announced
+//! that it was leaving.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,24 +12,22 @@
 use crate::clock::BootTime;
 use crate::ids::TargetStart;
 
-/// Broken runs wait for evidence of their target's end for this long: one that has ended stays on the
-/// platform's list for some seconds.
+/// How long broken runs wait for evidence that their target has terminated; the platform lists such
+/// targets for some seconds more.
 const EVIDENCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Runs of one target that wait for evidence, at the most: more than any engine runs at once.
+/// Largest number of runs tracked per target; more than an engine runs at once.
 const MAX_RUNS_PER_TARGET: usize = 512;
 
-/// A run of a request that broke off.
+/// A run of a request that ended without a complete answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BrokenRun {
-    /// What it asks.
+    /// Identifies the request's content.
     pub fingerprint: Fingerprint,
-    /// When it was sent.
     pub sent_at: BootTime,
-    /// When it broke off.
     pub broke_at: BootTime,
 }
 
-/// Runs that broke off, by target.
+/// Broken runs by target.
 #[derive(Clone, Debug, Default)]
 pub struct BrokenRuns {
     targets: HashMap<TargetStart, TargetRuns>,
@@ -36,36 +35,36 @@
 
 #[derive(Clone, Debug)]
 struct TargetRuns {
-    /// Runs for which there is no evidence yet, one of each request.
+    /// Runs whose cause is not known yet, at most one per request.
     runs: Vec<BrokenRun>,
-    /// When the last one broke off, or the target was found to have ended.
+    /// When the last run broke, or the target was found to have terminated.
     last_event_at: BootTime,
     state: State,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It is being looked whether the target still listens.
+    /// A connection attempt is in progress.
     Checking,
-    /// It listened when it was last looked.
+    /// The target accepted the last connection attempt.
     Listening,
-    /// It has ended.
+    /// The target has terminated.
     Ended,
 }
 
-/// What is known of a target when a run there breaks off.
+/// What the caller has to do after a run broke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetCheck {
-    /// It has ended, and this run was there.
+    /// Nothing: the target has terminated, so this run counts against its request.
     TargetEnded,
-    /// Somebody must look whether it still listens.
+    /// Check whether the target still accepts connections.
     StartCheck,
-    /// Somebody looks.
+    /// Wait for a check that is in progress.
     CheckInProgress,
 }
 
 impl BrokenRuns {
-    /// A run broke off at a target.
+    /// Records a run that broke.
     pub fn record_broken_run(&mut self, target: &TargetStart, run: BrokenRun) -> TargetCheck {
         self.remove_expired(run.broke_at);
         let new = || TargetRuns {
@@ -73,48 +72,48 @@
             last_event_at: run.broke_at,
             state: State::Listening,
         };
-        let broken = self.targets.entry(target.clone()).or_insert_with(new);
-        broken.last_event_at = run.broke_at;
-        if broken.state == State::Ended {
+        let entry = self.targets.entry(target.clone()).or_insert_with(new);
+        entry.last_event_at = run.broke_at;
+        if entry.state == State::Ended {
             return TargetCheck::TargetEnded;
         }
-        let has_room = broken.runs.len() < MAX_RUNS_PER_TARGET;
-        match broken.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint) {
-            // The target has stood the begin of the earlier one.
+        let has_room = entry.runs.len() < MAX_RUNS_PER_TARGET;
+        match entry.runs.iter_mut().find(|known| known.fingerprint == run.fingerprint) {
+            // The target survived the start of the earlier run, so the longer one counts.
             Some(known) => known.sent_at = known.sent_at.min(run.sent_at),
-            None if has_room => broken.runs.push(run),
+            None if has_room => entry.runs.push(run),
             None => {}
         }
-        match std::mem::replace(&mut broken.state, State::Checking) {
+        match std::mem::replace(&mut entry.state, State::Checking) {
             State::Checking => TargetCheck::CheckInProgress,
             State::Listening | State::Ended => TargetCheck::StartCheck,
         }
     }
 
-    /// A target has accepted a connection.
+    /// Records that a target accepted a connection.
     pub fn mark_listening(&mut self, target: &TargetStart) {
-        if let Some(broken) = self.targets.get_mut(target)
-            && broken.state == State::Checking
+        if let Some(entry) = self.targets.get_mut(target)
+            && entry.state == State::Checking
         {
-            broken.state = State::Listening;
+            entry.state = State::Listening;
         }
     }
 
-    /// There is evidence that a target has ended. Returns the runs that broke off there, if that is news.
+    /// Records that a target has terminated. Returns the runs that broke there, each only once.
     pub fn mark_ended(&mut self, target: &TargetStart, now: BootTime) -> Vec<BrokenRun> {
         self.remove_expired(now);
-        let Some(broken) = self.targets.get_mut(target) else { return Vec::new() };
-        broken.state = State::Ended;
-        std::mem::take(&mut broken.runs)
+        let Some(entry) = self.targets.get_mut(target) else { return Vec::new() };
+        entry.state = State::Ended;
+        std::mem::take(&mut entry.runs)
     }
 
-    /// Targets with runs for which there is no evidence yet.
+    /// Targets with broken runs whose cause is not known yet.
     pub fn unresolved_targets(&self) -> impl Iterator<Item = &TargetStart> {
-        let unresolved = self.targets.iter().filter(|(_, broken)| broken.state != State::Ended);
+        let unresolved = self.targets.iter().filter(|(_, entry)| entry.state != State::Ended);
         unresolved.map(|(target, _)| target)
     }
 
     fn remove_expired(&mut self, now: BootTime) {
-        self.targets.retain(|_, broken| now < broken.last_event_at + EVIDENCE_TIMEOUT);
+        self.targets.retain(|_, entry| now < entry.last_event_at + EVIDENCE_TIMEOUT);
     }
 }
--- a/src/quarantine/fingerprint.rs
+++ b/src/quarantine/fingerprint.rs
@@ -1,16 +1,16 @@
-//! What makes two requests the same one, whoever takes them and whatever ids they have.
+//! Fingerprints of requests, independent of request ids and of the node that receives the request.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Names what a request asks: equal for the same request that its caller sends again. Another client
-/// account's request never has it.
+/// Identifies a request's content, so that repetitions of a request can be recognized. Requests of
+/// different client accounts never share a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Of a request of an account (or of nobody known) with a method, to a host and a path, with a body.
+    /// Computes the fingerprint of a request. `account` is `None` for an unauthenticated caller.
     pub fn of(
         account: Option<&str>,
         method: &str,
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -1,9 +1,10 @@
-//! Requests under which targets end ("queries of death"): how they are told from requests that happened
-//! to run where a target ended, and how they are kept from ending more of them.
+//! Quarantine of "queries of death": requests that make targets terminate are recognized and held,
+//! that is, not sent to further targets.
 //!
-//! All processes keep what they know in a `Quarantine` and tell each other. What is known only grows until it
-//! is forgotten, so that it doesn't matter who tells whom, how often, or in which order: no leader is needed,
-//! and a process that starts again is told by any other.
+//! Many requests run on a target when it terminates, and only one of them may be the cause. Each
+//! process records what it knows in a `Quarantine` and sends reports to others. Merging reports is
+//! commutative and idempotent, so reports may be repeated or reordered, no leader is needed, and a
+//! restarted process catches up from any other.
 
 pub mod broken_runs;
 mod fingerprint;
--- a/src/quarantine/notify.rs
+++ b/src/quarantine/notify.rs
@@ -1,11 +1,10 @@
-//! How the tasks of one process share what it knows.
+//! Updates of the quarantine that the tasks of one process share.
 
 use tokio::sync::watch;
 
 use super::{MergeResult, Quarantine};
 
-/// Changes what a process knows, tells those who wait for news, and logs which requests are held from now
-/// on.
+/// Updates the quarantine, notifies its subscribers if it changed, and logs newly held requests.
 pub fn update_and_notify(
     quarantine: &watch::Sender<Quarantine>,
     update: impl FnOnce(&mut Quarantine) -> MergeResult,
--- a/src/quarantine/state.rs
+++ b/src/quarantine/state.rs
@@ -1,4 +1,7 @@
-//! Which requests targets have ended under, and which must wait for it. Pure.
+//! Records of target terminations by request, and the decision which requests are held.
+//!
+//! An "end" is the unexpected termination of a target while it ran the request. It is cleared when
+//! the request later gets a complete answer.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -13,127 +16,128 @@
 use crate::clock::BootTime;
 use crate::ids::TargetStart;
 
-/// A request under which so many targets have ended, one after the other, is held.
+/// Number of ends from which on a request is held. Ends that coincide count once.
 const ENDS_TO_HOLD: usize = 3;
-/// One end less makes a suspect: all processes hear of it, so that its next whole answer clears it,
-/// whoever relays that.
+/// Number of ends from which on a request is a suspect. Suspects are reported to all processes, so
+/// that a complete answer at any of them clears the request.
 const ENDS_TO_SUSPECT: usize = ENDS_TO_HOLD - 1;
-/// Targets that end within this time of each other count once, if the later one already ran the request: hosts
-/// that lose power together take targets along that ran the same frequent request.
+/// Ends within this time of each other count once if the request was already running on both
+/// targets: hosts that lose power together take down many targets that ran the same frequent
+/// request.
 const COINCIDENCE_WINDOW: Duration = Duration::from_millis(100);
-/// How long a request is held at first. Each further end doubles it.
+/// How long a request is held at first. Each further end doubles this.
 const INITIAL_HOLD: Duration = Duration::from_secs(600);
-/// How long a request is held while another one ran wherever targets ended under it: their next tries tell
-/// them apart.
+/// How long a request is held while another request may be to blame. The next attempts of both will
+/// show which one is.
 const UNCERTAIN_HOLD: Duration = Duration::from_secs(2);
-/// Requests whose ends differ by no more than this are not told apart by them: a target that ended for another
-/// reason makes one more.
+/// Two requests can't be distinguished if their numbers of ends differ by no more than this, as a
+/// target may have terminated for an unrelated reason.
 const RIVAL_MARGIN_ENDS: usize = 1;
-/// A request is held for this long at the most.
+/// Longest time for which a request is held.
 const MAX_HOLD: Duration = Duration::from_secs(24 * 3600);
-/// What has ended under a request is forgotten after so many times the period for which it was, or would
-/// be, held: one that ends a target again after its hold is held for longer.
+/// Ends are retained for this multiple of the hold time, so that a request that causes another end
+/// after its hold is held for longer.
 const RETENTION_HOLDS: u32 = 2;
-/// A request whose ends are all cleared is remembered for this long: reports of them may be under way.
+/// How long a request without uncleared ends is retained, as delayed reports may still mention it.
 const CLEARED_RETENTION: Duration = Duration::from_secs(60);
-/// Whole answers are remembered for this long: evidence that a target has ended comes within some seconds.
+/// How long complete answers are retained. Evidence that a target has terminated may arrive some
+/// seconds late.
 const COMPLETION_RETENTION: Duration = Duration::from_secs(15);
-/// Whole answers that are remembered: several hundred a second.
+/// Largest number of retained complete answers; enough for several hundred per second.
 const MAX_COMPLETIONS: usize = 8_192;
-/// Ends that are kept for one request, the last ones.
+/// Largest number of ends retained per request; the oldest are dropped first.
 const MAX_ENDS_PER_REQUEST: usize = 16;
-/// Requests that are kept. Beyond it those with the fewest ends go first, the oldest of them.
+/// Largest number of requests. Those with the fewest ends are evicted first, and among them the
+/// oldest.
 const MAX_REQUESTS: usize = 2_048;
-/// Requests that are compared with each other when ends are blamed on them.
+/// Largest number of suspects that are compared to assign blame.
 const MAX_RANKED_SUSPECTS: usize = 64;
-/// Room that is made then for others to come.
+/// Number of requests evicted beyond the excess, so that evictions are rare.
 const EVICTION_BATCH: usize = 256;
-/// How often it is looked what is to be forgotten.
+/// Interval between removals of expired records.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts changes of one process's book; 0 is before the first.
+/// Number of changes to one process's quarantine; 0 is before the first.
 pub type Revision = u64;
 
-/// What a process knows of requests under which targets have ended.
+/// What a process knows of requests during which targets terminated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Quarantine {
     requests: HashMap<Fingerprint, RequestRecord>,
     revision: Revision,
-    /// When it was last looked what is to be forgotten.
+    /// When expired records were last removed.
     last_cleanup_at: BootTime,
-    /// When requests last got whole answers here: evidence of a target's end may come after them.
+    /// When each request last got a complete answer here. Evidence of an earlier end may arrive
+    /// later.
     completed_at_ms: HashMap<Fingerprint, i64>,
-    /// The revision of the last change of a request that entries must hear of.
+    /// Revision of the last change to a suspect.
     suspects_revision: Revision,
-    /// Requests that are, or were, to be held.
+    /// Requests with enough attributed ends to be held; the hold may have expired.
     blamed: HashMap<Fingerprint, Blame>,
 }
 
-/// What a request is blamed for.
+/// The ends attributed to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Blame {
-    /// Ends that count.
     ends: usize,
-    /// Whether no other request, with about as many ends, explains most of these.
+    /// Whether no other request with about as many ends explains most of these.
     is_certain: bool,
 }
 
-/// One request.
+/// What is known of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct RequestRecord {
-    /// Starts of targets that ended under it. Ends are added and cleared, never taken back, until the whole
-    /// request is forgotten.
+    /// Ends by target. They are added and cleared but not removed, until the request expires or has
+    /// more than `MAX_ENDS_PER_REQUEST`.
     ends: BTreeMap<TargetStart, TargetEnd>,
-    /// The book's revision when this last changed, and the time.
+    /// Revision and time of the last change to this record.
     last_change: (Revision, BootTime),
 }
 
-/// A target's end under a request.
+/// The end of a target during a run of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct TargetEnd {
-    /// When, in milliseconds since this host's boot, before which it may have been: the earliest time that
-    /// anybody told.
+    /// When, in milliseconds since this host's boot; negative if before. The earliest of all
+    /// reported times.
     at_ms: i64,
-    /// How long before that the request was sent there; the longest time if it was several times: it did not
-    /// end the target then. All processes know the same.
+    /// How long the request had been running there. The longest of all reported times, so that all
+    /// processes agree.
     lasted_ms: i64,
-    /// Whether the request got a whole answer later: the end says nothing of it.
+    /// Whether the request got a complete answer later, which shows that it was not the cause.
     is_cleared: bool,
 }
 
-/// What one process tells another of one request.
+/// A report about one request, from one process to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The request.
     pub fingerprint: Fingerprint,
-    /// Targets that ended under it.
+    /// The targets that ended during its runs.
     pub ends: Vec<ReportedEnd>,
 }
 
-/// A target's end under a request, as it is told.
+/// The end of a target, as reported to another process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedEnd {
-    /// The target.
     pub target: TargetStart,
-    /// How long ago: clocks differ.
+    /// Time since the end. An age, as hosts have different clocks.
     pub age: Duration,
-    /// How long before that the request was sent there.
+    /// How long the request had been running there.
     pub lasted: Duration,
-    /// Whether the request got a whole answer later.
+    /// Whether the request got a complete answer later.
     pub is_cleared: bool,
 }
 
-/// What came of hearing a report.
+/// The result of merging reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MergeResult {
-    /// Whether anything of it was not known.
+    /// Whether they contained anything new.
     pub changed: bool,
-    /// Requests that are held from now on.
+    /// Requests that are newly held.
     pub held: Vec<Fingerprint>,
 }
 
 impl Quarantine {
-    /// A target ended under some runs.
+    /// Records that a target ended during some runs.
     pub fn record_target_end(
         &mut self,
         runs: &[BrokenRun],
@@ -151,20 +155,20 @@
         self.merge_reports(runs.iter().map(report).collect(), now)
     }
 
-    /// A request got a whole answer: it does not end each target that runs it. Returns whether that clears it
-    /// of any end.
-    pub fn record_completion(&mut self, run: Fingerprint, now: BootTime) -> bool {
+    /// Records that a request got a complete answer, which clears its earlier ends. Returns whether
+    /// there were any.
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, now: BootTime) -> bool {
         self.remove_expired(now);
         if self.completed_at_ms.len() < MAX_COMPLETIONS {
-            self.completed_at_ms.insert(run, ms(now));
+            self.completed_at_ms.insert(fingerprint, ms(now));
         }
-        let Some(known) = self.requests.get_mut(&run) else { return false };
-        let changed = known.ends.values().any(|end| !end.is_cleared);
+        let Some(record) = self.requests.get_mut(&fingerprint) else { return false };
+        let changed = record.ends.values().any(|end| !end.is_cleared);
         if changed {
-            known.ends.values_mut().for_each(|end| end.is_cleared = true);
+            record.ends.values_mut().for_each(|end| end.is_cleared = true);
             self.revision += 1;
-            known.last_change = (self.revision, now);
-            if known.is_suspect() {
+            record.last_change = (self.revision, now);
+            if record.is_suspect() {
                 self.suspects_revision = self.revision;
             }
             self.assign_blame();
@@ -172,31 +176,31 @@
         changed
     }
 
-    /// Takes what another process knows.
+    /// Merges reports from another process.
     pub fn merge_reports(&mut self, reports: Vec<Report>, now: BootTime) -> MergeResult {
         self.remove_expired(now);
         let mut merged = MergeResult::default();
         for report in reports {
             let fingerprint = report.fingerprint;
             let before = self.requests.get(&fingerprint).cloned().unwrap_or_default();
-            let mut known = before.clone();
-            known.merge_ends(report.ends, now);
+            let mut record = before.clone();
+            record.merge_ends(report.ends, now);
             if let Some(completed_at_ms) = self.completed_at_ms.get(&fingerprint) {
-                known.clear_ends_before(*completed_at_ms);
+                record.clear_ends_before(*completed_at_ms);
             }
-            if !known.reports_same_as(&before) {
+            if !record.reports_same_as(&before) {
                 self.revision += 1;
-                known.last_change = (self.revision, now);
-                if known.is_suspect() {
+                record.last_change = (self.revision, now);
+                if record.is_suspect() {
                     self.suspects_revision = self.revision;
                 }
                 merged.changed = true;
             }
-            // Told too late: it is forgotten everywhere.
-            if known.is_expired(now) {
+            // The report is late; other processes have removed the request, too.
+            if record.is_expired(now) {
                 continue;
             }
-            self.requests.insert(fingerprint, known);
+            self.requests.insert(fingerprint, record);
         }
         self.evict_excess();
         if merged.changed {
@@ -205,107 +209,116 @@
         merged
     }
 
-    /// Finds out whom to hold, and returns those that were not.
+    /// Decides which requests are held. Returns those that were not held before.
     ///
-    /// With each target end the runs of many requests, and a frequent one soon ran at several. Each end is
-    /// blamed on one request alone: first those of the request with the most ends, of equal ones that with
-    /// the shortest runs, and so on with the ends that are left. Should that be the wrong one, the right one
-    /// has one end more soon, and the other is free again.
+    /// A target that ends breaks the runs of many requests, and frequent requests soon have run on
+    /// several such targets. Each end is therefore attributed to a single request: first the ends
+    /// of the request with the most ends, or with the shortest runs if there are several, then the
+    /// remaining ends in the same way. If the wrong request is held, the right one soon has one end
+    /// more, and the wrong one is released.
     fn assign_blame(&mut self) -> Vec<Fingerprint> {
         let suspects = self.ranked_suspects();
         let mut explained = HashSet::new();
         let mut blamed = HashMap::new();
-        for (_, run) in &suspects {
-            let known = &self.requests[run];
-            let ends = known.counted_ends(|target| explained.contains(target));
+        for (_, fingerprint) in &suspects {
+            let record = &self.requests[fingerprint];
+            let ends = record.counted_ends(|target| explained.contains(target));
             if ends >= ENDS_TO_HOLD {
                 let is_rival = |(count, other): &(usize, Fingerprint)| {
                     let remaining = || {
-                        known.counted_ends(|target| self.requests[other].has_uncleared_end(target))
+                        record.counted_ends(|target| self.requests[other].has_uncleared_end(target))
                     };
-                    other != run && count + RIVAL_MARGIN_ENDS >= ends && remaining() < ENDS_TO_HOLD
+                    other != fingerprint
+                        && count + RIVAL_MARGIN_ENDS >= ends
+                        && remaining() < ENDS_TO_HOLD
                 };
                 let is_certain = !suspects.iter().any(is_rival);
-                explained.extend(known.uncleared_ends().map(|(target, _)| target.clone()));
-                blamed.insert(*run, Blame { ends, is_certain });
+                explained.extend(record.uncleared_ends().map(|(target, _)| target.clone()));
+                blamed.insert(*fingerprint, Blame { ends, is_certain });
             }
         }
-        let is_new = |run: &&Fingerprint| !self.blamed.contains_key(run);
+        let is_new = |fingerprint: &&Fingerprint| !self.blamed.contains_key(fingerprint);
         let new = blamed.keys().filter(is_new).copied().collect();
         self.blamed = blamed;
         new
     }
 
-    /// Requests that several targets have ended under, with how many: whom to blame first.
+    /// Requests with enough ends to be held, and their number of ends, in the order in which they
+    /// are blamed.
     fn ranked_suspects(&self) -> Vec<(usize, Fingerprint)> {
-        let suspects =
-            self.requests.iter().map(|(run, known)| (known.counted_ends(|_| false), run));
+        let suspects = self
+            .requests
+            .iter()
+            .map(|(fingerprint, record)| (record.counted_ends(|_| false), fingerprint));
         let mut suspects: Vec<_> = suspects
             .filter(|(count, _)| *count >= ENDS_TO_HOLD)
-            .map(|(n, run)| (n, *run))
+            .map(|(n, fingerprint)| (n, *fingerprint))
             .collect();
-        let rank = |(count, run): &(usize, Fingerprint)| {
-            (Reverse(*count), self.requests[run].total_run_ms())
+        let rank = |(count, fingerprint): &(usize, Fingerprint)| {
+            (Reverse(*count), self.requests[fingerprint].total_run_ms())
         };
         suspects.sort_unstable_by_key(|suspect| (rank(suspect), suspect.1));
         suspects.truncate(MAX_RANKED_SUSPECTS);
         suspects
     }
 
-    fn held_until_ms(&self, run: Fingerprint) -> Option<i64> {
-        let blame = self.blamed.get(&run)?;
-        let last_ms = self.requests.get(&run)?.last_end_ms();
+    fn held_until_ms(&self, fingerprint: Fingerprint) -> Option<i64> {
+        let blame = self.blamed.get(&fingerprint)?;
+        let last_ms = self.requests.get(&fingerprint)?.last_end_ms();
         Some(last_ms.saturating_add(ms(blame.hold_duration())))
     }
 
-    /// How much longer a request must not reach a target; `None` if it may.
-    pub fn held_for(&self, run: Fingerprint, now: BootTime) -> Option<Duration> {
-        let left_ms = self.held_until_ms(run)?.saturating_sub(ms(now));
+    /// Remaining time for which a request is held; `None` if it may be sent.
+    pub fn held_for(&self, fingerprint: Fingerprint, now: BootTime) -> Option<Duration> {
+        let left_ms = self.held_until_ms(fingerprint)?.saturating_sub(ms(now));
         (left_ms > 0).then(|| Duration::from_millis(left_ms.unsigned_abs()))
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many requests are held.
+    /// Number of requests that are held at `now`.
     pub fn held_count(&self, now: BootTime) -> usize {
-        self.blamed.keys().filter(|run| self.held_for(**run, now).is_some()).count()
+        self.blamed.keys().filter(|fingerprint| self.held_for(**fingerprint, now).is_some()).count()
     }
 
-    /// Changes with each change of the book.
+    /// Increases with each change of the quarantine.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// What has changed since a revision, for a process that counts ends.
+    /// Reports of all records changed since `revision`, for processes that count ends themselves.
     pub fn reports_since(&self, revision: Revision, now: BootTime) -> Vec<Report> {
-        let changed = self.requests.iter().filter(|(_, known)| known.last_change.0 > revision);
-        changed.map(|(run, known)| known.report(*run, now)).collect()
+        let changed = self.requests.iter().filter(|(_, record)| record.last_change.0 > revision);
+        changed.map(|(fingerprint, record)| record.report(*fingerprint, now)).collect()
     }
 
-    /// The same, for a process that only needs to know whom to hold, and whose whole answers matter.
+    /// Reports of the suspects changed since `revision`, for processes that only enforce holds and
+    /// report complete answers.
     pub fn suspect_reports_since(&self, revision: Revision, now: BootTime) -> Vec<Report> {
         if self.suspects_revision <= revision {
             return Vec::new();
         }
-        let is_due = |known: &RequestRecord| known.last_change.0 > revision && known.is_suspect();
-        let due = self.requests.iter().filter(|(_, known)| is_due(known));
-        due.map(|(run, known)| known.report(*run, now)).collect()
+        let is_due =
+            |record: &RequestRecord| record.last_change.0 > revision && record.is_suspect();
+        let due = self.requests.iter().filter(|(_, record)| is_due(record));
+        due.map(|(fingerprint, record)| record.report(*fingerprint, now)).collect()
     }
 
-    /// The revision of the last change that `suspect_reports_since` tells.
+    /// Revision of the last change that `suspect_reports_since` includes.
     pub fn suspects_revision(&self) -> Revision {
         self.suspects_revision
     }
 
-    /// Names all that is known, but for when it happened: two processes with one digest know the same.
+    /// Digest of all records without their times. Equal digests mean that two processes know the
+    /// same.
     pub fn digest(&self) -> u64 {
-        let digest_of = |(run, known): (&Fingerprint, &RequestRecord)| {
+        let digest_of = |(fingerprint, record): (&Fingerprint, &RequestRecord)| {
             let mut hasher = FxHasher::default();
-            run.hash(&mut hasher);
-            known.ends.iter().for_each(|(target, end)| {
+            fingerprint.hash(&mut hasher);
+            record.ends.iter().for_each(|(target, end)| {
                 (target, end.lasted_ms, end.is_cleared).hash(&mut hasher);
             });
             hasher.finish()
@@ -316,7 +329,7 @@
     fn remove_expired(&mut self, now: BootTime) {
         if now >= self.last_cleanup_at + CLEANUP_INTERVAL {
             self.last_cleanup_at = now;
-            self.requests.retain(|_, known| !known.is_expired(now));
+            self.requests.retain(|_, record| !record.is_expired(now));
             self.completed_at_ms.retain(|_, at_ms| ms(now) < *at_ms + ms(COMPLETION_RETENTION));
         }
     }
@@ -326,11 +339,17 @@
             return;
         }
         let excess = self.requests.len() - MAX_REQUESTS + EVICTION_BATCH;
-        let rank = |known: &RequestRecord| (known.counted_ends(|_| false), known.last_end_ms());
-        let mut ranks: Vec<_> =
-            self.requests.iter().map(|(run, known)| (rank(known), *run)).collect();
+        let rank = |record: &RequestRecord| (record.counted_ends(|_| false), record.last_end_ms());
+        let mut ranks: Vec<_> = self
+            .requests
+            .iter()
+            .map(|(fingerprint, record)| (rank(record), *fingerprint))
+            .collect();
         ranks.sort_unstable();
-        ranks.iter().take(excess).for_each(|(_, run)| drop(self.requests.remove(run)));
+        ranks
+            .iter()
+            .take(excess)
+            .for_each(|(_, fingerprint)| drop(self.requests.remove(fingerprint)));
     }
 }
 
@@ -339,11 +358,11 @@
         for ReportedEnd { target, age, lasted, is_cleared } in ends {
             let at_ms = ms(now).saturating_sub(ms(age));
             let lasted_ms = ms(lasted);
-            let known =
+            let known_end =
                 self.ends.entry(target).or_insert(TargetEnd { at_ms, lasted_ms, is_cleared });
-            known.at_ms = at_ms.min(known.at_ms);
-            known.lasted_ms = lasted_ms.max(known.lasted_ms);
-            known.is_cleared |= is_cleared;
+            known_end.at_ms = at_ms.min(known_end.at_ms);
+            known_end.lasted_ms = lasted_ms.max(known_end.lasted_ms);
+            known_end.is_cleared |= is_cleared;
         }
         while self.ends.len() > MAX_ENDS_PER_REQUEST {
             let first = self.ends.iter().min_by_key(|(_, end)| end.at_ms);
@@ -352,39 +371,40 @@
         }
     }
 
-    /// Whether several targets have ended under it, for whatever reason.
+    /// Whether several targets have ended during its runs, for whatever reason.
     fn is_suspect(&self) -> bool {
         self.ends.len() >= ENDS_TO_SUSPECT
     }
 
-    /// A whole answer came at this time.
+    /// Clears the ends before a complete answer at `completed_at_ms`.
     fn clear_ends_before(&mut self, completed_at_ms: i64) {
         let before = self.ends.values_mut().filter(|end| end.at_ms < completed_at_ms);
         before.for_each(|end| end.is_cleared = true);
     }
 
-    /// Whether another process would learn nothing from this that it did not from `before`.
+    /// Whether the reports of both records contain the same, except for times.
     fn reports_same_as(&self, before: &RequestRecord) -> bool {
-        let reported = |known: &RequestRecord| -> Vec<(TargetStart, i64, bool)> {
+        let reported = |record: &RequestRecord| -> Vec<(TargetStart, i64, bool)> {
             let reported = |(target, end): (&TargetStart, &TargetEnd)| {
                 (target.clone(), end.lasted_ms, end.is_cleared)
             };
-            known.ends.iter().map(reported).collect()
+            record.ends.iter().map(reported).collect()
         };
         reported(self) == reported(before)
     }
 
-    /// Whether a target has ended under it, and no whole answer has cleared that.
+    /// Whether the target ended during a run of the request, and this was not cleared.
     fn has_uncleared_end(&self, target: &TargetStart) -> bool {
         self.ends.get(target).is_some_and(|end| !end.is_cleared)
     }
 
-    /// Ends that no whole answer has cleared.
+    /// Ends that were not cleared.
     fn uncleared_ends(&self) -> impl Iterator<Item = (&TargetStart, &TargetEnd)> {
         self.ends.iter().filter(|(_, end)| !end.is_cleared)
     }
 
-    /// Ends that speak against the request and are not explained by another one; of those that coincide one.
+    /// Number of uncleared ends that are not explained by another request. Ends that coincide count
+    /// once.
     fn counted_ends(&self, is_explained: impl Fn(&TargetStart) -> bool) -> usize {
         let unexplained = self.uncleared_ends().filter(|(target, _)| !is_explained(target));
         let mut ends: Vec<&TargetEnd> = unexplained.map(|(_, end)| end).collect();
@@ -400,7 +420,7 @@
         count
     }
 
-    /// How long its runs took that targets ended under.
+    /// Total duration of the runs during which targets ended.
     fn total_run_ms(&self) -> i64 {
         self.uncleared_ends().map(|(_, end)| end.lasted_ms).sum()
     }
@@ -431,7 +451,7 @@
 }
 
 impl TargetEnd {
-    /// Whether this end may have the cause of one before it.
+    /// Whether this end may have the same cause as `earlier`.
     fn coincides_with(&self, earlier: &TargetEnd) -> bool {
         self.at_ms.saturating_sub(self.lasted_ms) < earlier.at_ms
             && self.at_ms <= earlier.at_ms + ms(COINCIDENCE_WINDOW)
@@ -439,19 +459,20 @@
 }
 
 impl Blame {
-    /// How long the request is held from its last end.
+    /// How long the request is held after its last end.
     fn hold_duration(self) -> Duration {
         if self.is_certain { hold_duration(self.ends) } else { UNCERTAIN_HOLD }
     }
 }
 
-/// How long a request is, or would be, held that is surely to blame for so many ends.
+/// How long a request with this many ends is held if it is certainly the cause.
 fn hold_duration(ends: usize) -> Duration {
     let further = ends.saturating_sub(ENDS_TO_HOLD).min(MAX_ENDS_PER_REQUEST);
     INITIAL_HOLD.saturating_mul(1 << further).min(MAX_HOLD)
 }
 
-/// A time since boot, or a period, from which others may be subtracted that are longer.
+/// Converts a time since boot, or a duration, to signed milliseconds, so that differences may be
+/// negative.
 fn ms(period: Duration) -> i64 {
     i64::try_from(period.as_millis()).unwrap_or(i64::MAX)
 }
