--- a/src/limits/shares.rs
+++ b/src/limits/shares.rs
@@ -106,13 +106,13 @@
             (u64::from(pool) * u64::from(request.demand) / total_demand.max(1)) as u32;
         // No node gets more than it asks for, so that later demand can be met.
         let share = proportional.min(request.demand).min(pool.saturating_sub(taken)).max(base);
-        let larger_previous = previous
+        let larger = previous
             .map(|p| (p.in_use(now), p.fully_expires_at()))
             .filter(|(used, _)| *used > share);
         let expires_at = now + self.lease_duration;
         leases.insert(
             node,
-            ShareLease { share, expires_at, demand: request.demand, larger_previous },
+            ShareLease { share, expires_at, demand: request.demand, larger_previous: larger },
         );
         GrantedShare { share, lasts: self.lease_duration }
     }
--- a/src/prefix_catalog/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -153,10 +153,10 @@
     /// Records the result of an export.
     pub fn record_export(&mut self, outcome: &ExportOutcome, now: BootTime) {
         let Some(context) = self.contexts.get_mut(&outcome.root) else { return };
-        let is_same_object = |copy: &StoredCopy| {
+        let is_same = |copy: &StoredCopy| {
             copy.object.key == outcome.key && copy.object.generation == outcome.generation
         };
-        let Some(copy) = context.copies.iter_mut().find(|copy| is_same_object(copy)) else {
+        let Some(copy) = context.copies.iter_mut().find(|copy| is_same(copy)) else {
             return;
         };
         if !matches!(copy.state, CopyState::Writing { .. }) {
@@ -263,14 +263,14 @@
 
     /// Records that a store has freed an object.
     pub fn record_freed(&mut self, order: &FreeOrder) {
-        let is_same_object = |copy: &StoredCopy| {
+        let is_same = |copy: &StoredCopy| {
             copy.store == order.store
                 && copy.object.key == order.key
                 && copy.object.generation == order.generation
         };
-        self.orphans.retain(|copy| !is_same_object(copy));
+        self.orphans.retain(|copy| !is_same(copy));
         if let Some(context) = self.contexts.get_mut(&order.root) {
-            context.copies.retain(|copy| !is_same_object(copy));
+            context.copies.retain(|copy| !is_same(copy));
         }
     }
 
--- a/src/prefix_catalog/owners.rs
+++ b/src/prefix_catalog/owners.rs
@@ -12,21 +12,18 @@
 /// Returns the owners of a context. The first one decides on exports and frees; the second one is
 /// in another failure domain if possible. Empty only if there are no nodes.
 pub fn owners(root: BlockKey, nodes: &[NodeLocation]) -> Vec<NodeId> {
-    let weight = |location: &NodeLocation| weight(root, location.node);
-    let Some(first) = nodes.iter().max_by_key(|location| weight(location)) else {
+    let weight = |node: &NodeLocation| weight(root, node.node);
+    let Some(first) = nodes.iter().max_by_key(|node| weight(node)) else {
         return Vec::new();
     };
     let other_domain = nodes
         .iter()
-        .filter(|location| location.failure_domain != first.failure_domain)
-        .max_by_key(|location| weight(location));
+        .filter(|node| node.failure_domain != first.failure_domain)
+        .max_by_key(|node| weight(node));
     let second = other_domain.or_else(|| {
-        nodes
-            .iter()
-            .filter(|location| location.node != first.node)
-            .max_by_key(|location| weight(location))
+        nodes.iter().filter(|node| node.node != first.node).max_by_key(|node| weight(node))
     });
-    std::iter::once(first).chain(second).map(|location| location.node).collect()
+    std::iter::once(first).chain(second).map(|node| node.node).collect()
 }
 
 /// Block keys are uniformly distributed, so a multiplicative mix with the node is sufficient.
