--- a/src/prefix_catalog/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -156,9 +156,7 @@
         let is_same = |copy: &StoredCopy| {
             copy.object.key == outcome.key && copy.object.generation == outcome.generation
         };
-        let Some(copy) = context.copies.iter_mut().find(|copy| is_same(copy)) else {
-            return;
-        };
+        let Some(copy) = context.copies.iter_mut().find(|copy| is_same(copy)) else { return };
         if !matches!(copy.state, CopyState::Writing { .. }) {
             return;
         }
--- a/src/prefix_catalog/owners.rs
+++ b/src/prefix_catalog/owners.rs
@@ -13,9 +13,7 @@
 /// in another failure domain if possible. Empty only if there are no nodes.
 pub fn owners(root: BlockKey, nodes: &[NodeLocation]) -> Vec<NodeId> {
     let weight = |node: &NodeLocation| weight(root, node.node);
-    let Some(first) = nodes.iter().max_by_key(|node| weight(node)) else {
-        return Vec::new();
-    };
+    let Some(first) = nodes.iter().max_by_key(|node| weight(node)) else { return Vec::new() };
     let other_domain = nodes
         .iter()
         .filter(|node| node.failure_domain != first.failure_domain)
