--- a/src/quarantine/state.rs
+++ b/src/quarantine/state.rs
@@ -16,10 +16,10 @@
 use crate::clock::BootTime;
 use crate::ids::TargetStart;
 
-/// Number of ends from which on a request is held. Ends that coincide count once.
+/// A request with this many ends is held. Ends that coincide count once.
 const ENDS_TO_HOLD: usize = 3;
-/// Number of ends from which on a request is a suspect. Suspects are reported to all processes, so
-/// that a complete answer at any of them clears the request.
+/// A request with this many ends is a suspect. Suspects are reported to all processes, so that a
+/// complete answer at any of them clears the request.
 const ENDS_TO_SUSPECT: usize = ENDS_TO_HOLD - 1;
 /// Ends within this time of each other count once if the request was already running on both
 /// targets: hosts that lose power together take down many targets that ran the same frequent
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -246,8 +246,8 @@
                 let details = usage.prompt_tokens_details;
                 let resident = details.cached_tokens.saturating_sub(details.imported_tokens);
                 let found = resident as usize / BLOCK_TOKENS;
-                let believed = dispatch.decision.resident_blocks;
-                engine.residency.record_result(&chain.keys, believed, found);
+                let expected = dispatch.decision.resident_blocks;
+                engine.residency.record_result(&chain.keys, expected, found);
             }
             DispatchOutcome::Refused => engine.residency.remove_prefix(&chain.keys),
             DispatchOutcome::Failed => {
