--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -15,8 +15,8 @@
 use crate::edge::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
-use crate::lease::Grantor;
-use crate::limits::shares::{Demand, Share, Shares};
+use crate::lease::LeaseGrantor;
+use crate::limits::shares::{GrantedShare, ShareAllocator, ShareRequest};
 use crate::log::disk::Disk;
 use crate::log::state::{Command, State};
 use crate::log::{Entry, Message, Payload, Persist, RoundAck};
@@ -24,10 +24,10 @@
 use crate::orders::{EngineState, Planner};
 use crate::peer::auth::CODE_BYTES;
 use crate::peer::message::{Answer, Ask, Frame, Heard, Renew};
+use crate::prefix_catalog::{AnsweredPrompt, Catalog, ExportOutcome, Position, PrefixLocation};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
-use crate::route::residency::MOST_BLOCKS;
-use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
-use crate::whereabouts::{Catalog, Kept, Position, Seen, Written};
+use crate::route::residency::MAX_TRACKED_BLOCKS;
+use crate::route::{EngineView, RouteRequest, Router, View, decide};
 
 /// Length and code before each frame.
 const FRAME_OVERHEAD_BYTES: usize = 4 + CODE_BYTES;
@@ -101,35 +101,35 @@
 
 fn engine_view() -> EngineView {
     let mut engine = EngineView::new("model-12", "http://10.0.0.1:8000", "domain-1", 1);
-    engine.take_report(report(), NOW);
+    engine.apply_report(report(), NOW);
     engine
 }
 
 pub(super) fn decide_us(candidates: usize) -> f64 {
     let prompt = "word ".repeat(CONTEXT_BLOCKS as usize * BLOCK_TOKENS);
     let chain = Chain::new(&owner(), &prompt);
-    let mut view = View { nodes: 8, ..View::default() };
+    let mut view = View { live_nodes: 8, ..View::default() };
     for number in 0..candidates {
         let mut engine = engine_view();
         // Each engine has some other contexts; a few have this one.
-        engine.residency.expect(&[number as u128]);
+        engine.residency.expect_resident(&[number as u128]);
         if number % 50 == 0 {
-            engine.residency.expect(&chain.keys);
+            engine.residency.expect_resident(&chain.keys);
         }
         view.engines.insert(format!("engine-{number}"), engine);
     }
     let version = "v1".to_string();
     let prices = Prices::default();
     median_us(9, 200.min(200_000 / candidates.max(1)).max(5), |number| {
-        let ask = RouteAsk {
+        let request = RouteRequest {
             model: "model-12",
             weight_version: &version,
             chain: &chain,
-            kept: &[],
-            avoid: &[],
-            draw: number as u64,
+            stored_prefixes: &[],
+            excluded_engines: &[],
+            request_number: number as u64,
         };
-        std::hint::black_box(decide(Policy::Cost, &prices, &view, &ask, NOW));
+        std::hint::black_box(decide(Policy::Cost, &prices, &view, &request, NOW));
     })
 }
 
@@ -141,10 +141,10 @@
     })
 }
 
-fn seen(number: u128, blocks: u32) -> Seen {
+fn seen(number: u128, blocks: u32) -> AnsweredPrompt {
     let key = |blocks: u32| (number << 32) | u128::from(blocks);
     let positions = (1..=blocks).map(|n| Position { blocks: n, key: key(n) }).collect();
-    Seen { root: key(1), positions }
+    AnsweredPrompt { root: key(1), positions }
 }
 
 fn fills() -> BTreeMap<String, f64> {
@@ -156,16 +156,19 @@
     let mut catalog = Catalog::new(contexts * 2, 1);
     for number in 0..contexts as u128 {
         let seen = seen(number, CONTEXT_BLOCKS);
-        if let Some(plan) = catalog.seen(&seen, &fills(), NOW) {
-            let kept = Kept { store: plan.store.clone(), object: object(&seen, plan.generation) };
+        if let Some(plan) = catalog.record_answer(&seen, &fills(), NOW) {
+            let kept = PrefixLocation {
+                store: plan.store.clone(),
+                object: object(&seen, plan.generation),
+            };
             let (root, key, generation) = (plan.root, plan.position.key, plan.generation);
-            catalog.written(&Written { root, key, generation, kept: Some(kept) }, NOW);
+            catalog.record_export(&ExportOutcome { root, key, generation, kept: Some(kept) }, NOW);
         }
     }
     catalog
 }
 
-fn object(seen: &Seen, generation: u64) -> KeptObject {
+fn object(seen: &AnsweredPrompt, generation: u64) -> KeptObject {
     let last = seen.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
     KeptObject {
         root: seen.root,
@@ -183,7 +186,7 @@
     median_us(9, 1_000, |number| {
         let seen = seen((number * 7_919 % contexts) as u128, CONTEXT_BLOCKS);
         std::hint::black_box(catalog.lookup(seen.root, NOW));
-        std::hint::black_box(catalog.seen(&seen, &fills, NOW));
+        std::hint::black_box(catalog.record_answer(&seen, &fills, NOW));
     })
 }
 
@@ -193,7 +196,7 @@
 
 pub(super) fn context_wire_bytes(blocks: usize) -> f64 {
     let seen = seen(7, blocks as u32);
-    let kept = Kept { store: "store-0".into(), object: object(&seen, 1) };
+    let kept = PrefixLocation { store: "store-0".into(), object: object(&seen, 1) };
     let frames = [
         Frame::Ask(1_000_000, Ask::Lookup { root: seen.root }),
         Frame::Answer(1_000_000, Answer::Kept(vec![kept])),
@@ -308,14 +311,14 @@
 }
 
 pub(super) fn grant_us(leases: usize) -> f64 {
-    let mut grantor = Grantor::new(Duration::from_secs(3), NOW);
+    let mut grantor = LeaseGrantor::new(Duration::from_secs(3), NOW);
     for child in 0..leases as u64 {
         grantor.grant(child, 1, Duration::from_secs(3), NOW);
     }
     median_us(9, 500, |number| {
         let child = (number % leases) as NodeId;
         std::hint::black_box(grantor.grant(child, 2, Duration::from_secs(3), NOW));
-        std::hint::black_box(grantor.floor(2, NOW));
+        std::hint::black_box(grantor.min_acked(2, NOW));
     })
 }
 
@@ -414,7 +417,7 @@
     let text = serde_json::to_string(&list).unwrap_or_default();
     median_us(5, 3, |_| {
         if let Ok(list) = serde_json::from_str(&text) {
-            std::hint::black_box(router.take_list(list));
+            std::hint::black_box(router.apply_list(list));
         }
     })
 }
@@ -426,8 +429,8 @@
                 let mut engine = engine_view();
                 // Each remembers as much as it may.
                 let keys: Vec<u128> =
-                    (0..MOST_BLOCKS as u128).map(|block| (number << 32) | block).collect();
-                engine.residency.expect(&keys);
+                    (0..MAX_TRACKED_BLOCKS as u128).map(|block| (number << 32) | block).collect();
+                engine.residency.expect_resident(&keys);
                 engine
             })
             .collect::<Vec<EngineView>>()
@@ -458,24 +461,25 @@
 }
 
 pub(super) fn share_us(holders: usize) -> f64 {
-    let mut shares = Shares::new(Duration::from_secs(3));
-    let ask = |demand: usize| Demand {
+    let mut shares = ShareAllocator::new(Duration::from_secs(3));
+    let ask = |demand: usize| ShareRequest {
         account: "account-1234".into(),
         demand: demand as u32,
         limit: 10_000,
         nodes: 1_500,
     };
     for node in 0..holders {
-        shares.ask(node as NodeId, &ask(20), NOW);
+        shares.grant(node as NodeId, &ask(20), NOW);
     }
     median_us(9, 500, |number| {
-        std::hint::black_box(shares.ask((number % holders) as NodeId, &ask(number % 40), NOW));
+        std::hint::black_box(shares.grant((number % holders) as NodeId, &ask(number % 40), NOW));
     })
 }
 
 pub(super) fn share_wire_bytes(asks: usize) -> f64 {
-    let demand = Demand { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
-    let share = Share { share: 20, lasts: Duration::from_secs(3) };
+    let demand =
+        ShareRequest { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
+    let share = GrantedShare { share: 20, lasts: Duration::from_secs(3) };
     let frames =
         [Frame::Ask(1_000_000, Ask::Share(demand)), Frame::Answer(1_000_000, Answer::Share(share))];
     (frames.iter().map(wire_bytes).sum::<usize>() * asks) as f64
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -18,7 +18,7 @@
 use super::target_selection::{self, NoTarget, SelectedTarget};
 use super::termination;
 use crate::clock::{BootTime, boot_now};
-use crate::fleet::Fault;
+use crate::fleet::FailureCause;
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
@@ -137,14 +137,14 @@
                 record.attempt_failed(&target, &reason);
                 in_flight.set_end(End::Failed);
                 drop(in_flight);
-                gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
+                gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 termination::report_broken_run(gateway, routed, &target, sent_at, record).await;
                 return Err(AttemptError::MayHaveRun(target));
             }
             Err(_) => {
                 record.attempt_failed(&target, "no answer in time");
                 in_flight.set_end(End::Failed);
-                gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
+                gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 return Err(AttemptError::TimedOut(target));
             }
         };
@@ -277,7 +277,7 @@
     }
     if response.status().is_server_error() {
         in_flight.set_end(End::Failed);
-        gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
+        gateway.fleet.borrow_mut().failed(target, FailureCause::Target, now);
     }
     Ok(received)
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -20,7 +20,7 @@
 use super::state::{Gateway, InFlightRequest};
 use super::termination;
 use crate::clock::{BootTime, boot_now};
-use crate::fleet::Fault;
+use crate::fleet::FailureCause;
 use crate::ids::TargetStart;
 use crate::scheduler::End;
 
@@ -186,7 +186,11 @@
         if let Some(mut source) = self.source.take() {
             source.in_flight.set_end(End::Failed);
             self.record.attempt_failed(&source.target, &reason);
-            self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
+            self.gateway.fleet.borrow_mut().failed(
+                &source.target,
+                FailureCause::Target,
+                boot_now(),
+            );
             let (target, sent_at) = (source.target.clone(), source.sent_at);
             // Closes the connection, which cancels the request at the target.
             drop(source);
--- a/src/gateway/termination.rs
+++ b/src/gateway/termination.rs
@@ -11,8 +11,9 @@
 use super::state::Gateway;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
-use crate::quarantine::evidence::{BrokenRun, Finding};
-use crate::quarantine::share;
+
+use crate::quarantine::broken_runs::{BrokenRun, TargetCheck};
+use crate::quarantine::notify;
 use crate::telemetry::metrics::label;
 
 /// Delay before a target that accepted a connection is probed again. A terminating process may
@@ -38,14 +39,14 @@
     if gateway.fleet.borrow().was_told_to_leave(target) {
         return;
     }
-    let finding = gateway.broken_runs.borrow_mut().broke_off(target, run);
-    match finding {
-        Finding::HasEnded => quarantine_runs(gateway, target, &[run], "known"),
-        Finding::MustExamine => {
+    let check = gateway.broken_runs.borrow_mut().record_broken_run(target, run);
+    match check {
+        TargetCheck::TargetEnded => quarantine_runs(gateway, target, &[run], "known"),
+        TargetCheck::StartCheck => {
             tokio::task::spawn_local(probe(gateway.clone(), target.clone()));
             wait_for_probe(gateway).await;
         }
-        Finding::IsExamined => wait_for_probe(gateway).await,
+        TargetCheck::CheckInProgress => wait_for_probe(gateway).await,
     }
 }
 
@@ -58,7 +59,7 @@
     if is_listening(&gateway, &target).await {
         tokio::time::sleep(SECOND_PROBE_DELAY).await;
         if is_listening(&gateway, &target).await {
-            gateway.broken_runs.borrow_mut().listens(&target);
+            gateway.broken_runs.borrow_mut().mark_listening(&target);
         }
     }
 }
@@ -85,7 +86,7 @@
 
 /// Records evidence that a target has terminated, and reports its failed runs to the quarantine.
 pub fn record_termination(gateway: &Gateway, target: &TargetStart, evidence: &str) {
-    let runs = gateway.broken_runs.borrow_mut().has_ended(target, boot_now());
+    let runs = gateway.broken_runs.borrow_mut().mark_ended(target, boot_now());
     if !runs.is_empty() {
         quarantine_runs(gateway, target, &runs, evidence);
     }
@@ -98,7 +99,7 @@
         !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
     };
     let terminated: Vec<TargetStart> =
-        gateway.broken_runs.borrow().doubted().filter(is_unlisted).cloned().collect();
+        gateway.broken_runs.borrow().unresolved_targets().filter(is_unlisted).cloned().collect();
     terminated.iter().for_each(|target| record_termination(gateway, target, "is listed no more"));
 }
 
@@ -111,5 +112,7 @@
         shown.join(",")
     );
     gateway.metrics.targets_ended.add(1, &[label("evidence", evidence)]);
-    share::change(&gateway.quarantine, |known| known.ended_under(runs, target, boot_now()));
+    notify::update_and_notify(&gateway.quarantine, |known| {
+        known.record_target_end(runs, target, boot_now())
+    });
 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,6 +1,6 @@
-//! Limits: how many requests run and wait at a node, and who goes next.
+//! Limits on running and waiting requests at a node, and on an account over all nodes.
 
 pub mod admission;
 pub mod shares;
 
-pub use admission::{Admission, Offer, Refused, Ticket, Wants};
+pub use admission::{Admission, AdmissionRefusal, AdmissionRequest, AdmissionResult, Ticket};
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::claims::{Claim, ClaimAnswer, ClaimKey, ClaimToken, Claims, Digest, Outcome};
+use crate::claims::{Claim, ClaimKey, ClaimResult, ClaimToken, Claims, Digest, Outcome};
 use crate::config::{Book, Numbered, Update};
 use crate::ids::ConfigNumber;
 
@@ -81,7 +81,7 @@
     /// The result of `Command::Patch`.
     Patch(PatchAnswer),
     /// The result of `Command::Claim`.
-    Claim(ClaimAnswer),
+    Claim(ClaimResult),
     /// The result of `Command::Release` or `Command::Record`: whether the claim was the sender's.
     Done(bool),
     /// The result of `Command::Fence`: the allocated fencing number.
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -12,7 +12,7 @@
 use crate::ids::NodeId;
 use crate::peer::Links;
 use crate::peer::auth::{DatagramOpener, DatagramSealer};
-use crate::route::targets::Leaving;
+use crate::route::targets::LeavingTarget;
 
 /// Size of the receive buffer; longer datagrams are truncated, and then fail to open.
 const DATAGRAM_BYTES: usize = 60_000;
@@ -23,7 +23,7 @@
     /// Nodes that are not considered dead, this one first.
     pub live: Vec<Member>,
     /// Targets that other nodes reported as leaving, until the reader takes them.
-    pub leaving_targets: Vec<Leaving>,
+    pub leaving_targets: Vec<LeavingTarget>,
 }
 
 /// The membership actor.
@@ -44,7 +44,7 @@
 pub struct Datagram(pub Vec<u8>);
 
 /// This node has noticed that a target is leaving; the other nodes are told.
-pub struct AnnounceLeaving(pub Leaving);
+pub struct AnnounceLeaving(pub LeavingTarget);
 
 impl Membership {
     /// Creates the actor without starting it.
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::BootTime;
 use crate::ids::{DomainId, NodeId};
-use crate::route::targets::Leaving;
+use crate::route::targets::LeavingTarget;
 
 /// Number of nodes that are asked to probe a node that did not acknowledge a ping.
 const INDIRECT_PROBES: usize = 3;
@@ -67,7 +67,7 @@
     /// The status of a node.
     Member(Member),
     /// A target that is leaving.
-    Leaving(Leaving),
+    Leaving(LeavingTarget),
 }
 
 /// A datagram between nodes.
@@ -118,7 +118,7 @@
     relayed_probes: Vec<(u64, NodeId, u64)>,
     /// Gossip items, each with the number of times that it is still to be sent.
     gossip_queue: Vec<(GossipItem, u32)>,
-    leaving_targets: Vec<Leaving>,
+    leaving_targets: Vec<LeavingTarget>,
 }
 
 #[derive(Clone, Debug)]
@@ -191,12 +191,12 @@
     }
 
     /// Tells the other nodes that a target is leaving.
-    pub fn announce_leaving(&mut self, leaving: Leaving) {
+    pub fn announce_leaving(&mut self, leaving: LeavingTarget) {
         self.enqueue_gossip(GossipItem::Leaving(leaving));
     }
 
     /// Takes the targets that other nodes have reported as leaving since the last call.
-    pub fn take_leaving_targets(&mut self) -> Vec<Leaving> {
+    pub fn take_leaving_targets(&mut self) -> Vec<LeavingTarget> {
         std::mem::take(&mut self.leaving_targets)
     }
 
@@ -386,7 +386,7 @@
         }
     }
 
-    fn apply_leaving(&mut self, leaving: Leaving) {
+    fn apply_leaving(&mut self, leaving: LeavingTarget) {
         let known =
             self.gossip_queue.iter().any(|(item, _)| *item == GossipItem::Leaving(leaving.clone()));
         if !known {
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -4,12 +4,12 @@
 
 use crate::config::Update;
 use crate::ids::{BlockKey, ConfigNumber, Incarnation, NodeId, TargetId};
-use crate::limits::shares::{Demand, Share};
+use crate::limits::shares::{GrantedShare, ShareRequest};
 use crate::log::Message;
 use crate::log::raft::Change;
 use crate::log::state::{Command, Reply};
+use crate::prefix_catalog::{AnsweredPrompt, ExportOutcome, PrefixLocation};
 use crate::quarantine::{Report, Revision};
-use crate::whereabouts::{Kept, Seen, Written};
 
 /// One frame of a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,11 +66,11 @@
         root: BlockKey,
     },
     /// A prompt was answered.
-    Seen(Seen),
+    Seen(AnsweredPrompt),
     /// An export ended.
-    Written(Written),
+    Written(ExportOutcome),
     /// Asks the owner of an account for a share of its limit.
-    Share(Demand),
+    Share(ShareRequest),
     /// For the operators' pages.
     Status,
 }
@@ -122,11 +122,11 @@
     /// The change of the replicas is committed, or why not.
     ReplicasChanged(Result<(), String>),
     /// What is kept.
-    Kept(Vec<Kept>),
+    Kept(Vec<PrefixLocation>),
     /// It would be worth exporting this.
-    Export(Option<crate::whereabouts::ExportPlan>),
+    Export(Option<crate::prefix_catalog::ExportPlan>),
     /// A share of an account's limit.
-    Share(Share),
+    Share(GrantedShare),
     /// Done.
     Done,
     /// For the operators' pages, as JSON text.
--- a/src/whereabouts/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -1,50 +1,50 @@
-//! What one owner knows of its contexts: the kept copies, their states and pins.
+//! Catalog of the stored copies of the contexts that one node owns, with their states and pins.
 //!
-//! A copy goes from writing to committed to freeing to gone, never back. Only committed copies
-//! are handed out, each with a pin; a copy is freed only once its pins have run out.
+//! A copy is first written, then committed, then freed; it never goes back. Only committed copies
+//! are returned by a lookup, which pins them; a copy is freed only after its pins have expired.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{ExportPlan, Kept, Position, Seen, Written};
+use super::{AnsweredPrompt, ExportOutcome, ExportPlan, Position, PrefixLocation};
 use crate::clock::BootTime;
 use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
 
-/// How long a copy that was handed out is not freed: longer than a reader may take.
-pub const PIN: Duration = Duration::from_secs(30);
-/// A write that has not ended after this time is given up.
+/// How long a copy returned by a lookup is not freed; longer than any import takes.
+pub const PIN_DURATION: Duration = Duration::from_secs(30);
+/// A write that has not finished after this time is abandoned.
 pub const WRITE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Shorter prefixes are not worth an export.
-const LEAST_BLOCKS: u32 = 4;
-/// A copy that covers this share of a prompt makes another export not worth it.
-const COVERED: f64 = 0.75;
-/// Branches of one context that are remembered.
-const BRANCHES: usize = 16;
-/// Stores fuller than this get room made.
-const HIGH_FILL: f64 = 0.9;
-/// Share of this owner's copies that is freed at a time when a store is full.
-const FREED_AT_ONCE: f64 = 0.05;
-/// Fullest store that still gets exports.
-const EXPORT_FILL: f64 = 0.97;
-/// Weight of the newest context in the learned share of contexts that return.
-const RETURN_STEP: f64 = 0.02;
-/// Contexts are exported at their first answer while at least this share returns.
-const LEAST_RETURN: f64 = 0.1;
-
-/// Kept copies of the contexts that one node owns.
+/// Shorter prefixes are not exported.
+const MIN_EXPORT_BLOCKS: u32 = 4;
+/// A prompt is not exported if an existing copy covers this fraction of it.
+const COVERED_SHARE: f64 = 0.75;
+/// Largest number of branches tracked per context.
+const MAX_BRANCHES: usize = 16;
+/// Copies are evicted from stores whose used fraction exceeds this.
+const EVICTION_FILL: f64 = 0.9;
+/// Fraction of this owner's copies in a full store that is evicted at a time.
+const EVICTED_SHARE: f64 = 0.05;
+/// Stores whose used fraction reaches this get no exports.
+const MAX_EXPORT_FILL: f64 = 0.97;
+/// Weight of the newest sample in the moving average of `return_share`.
+const RETURN_SHARE_SMOOTHING: f64 = 0.02;
+/// If a smaller share of contexts returns, a context is exported only from its second answer on.
+const MIN_RETURN_SHARE: f64 = 0.1;
+
+/// Stored copies of the contexts that one node owns.
 #[derive(Clone, Debug)]
 pub struct Catalog {
     /// Largest number of contexts.
     capacity: usize,
     contexts: HashMap<BlockKey, Context>,
-    /// Invariant: one element for each context, with its `last_seen`.
-    by_age: BTreeSet<(BootTime, BlockKey)>,
-    /// Copies whose context was forgotten; they only wait to be freed.
-    orphans: Vec<Copy>,
+    /// Invariant: one element per context, with its `last_seen`.
+    by_last_seen: BTreeSet<(BootTime, BlockKey)>,
+    /// Copies of evicted contexts, waiting to be freed.
+    orphans: Vec<StoredCopy>,
     epoch: u64,
     next_generation: u64,
-    /// Share of contexts that come back, learned, of 1.
+    /// Moving average of the share of contexts that return, from 0 to 1.
     return_share: f64,
 }
 
@@ -53,17 +53,17 @@
     last_seen: BootTime,
     times_seen: u32,
     branches: Vec<Branch>,
-    copies: Vec<Copy>,
+    copies: Vec<StoredCopy>,
 }
 
-/// One way in which a context was continued.
+/// One continuation of a context.
 #[derive(Clone, Debug)]
 struct Branch {
     positions: Vec<Position>,
 }
 
 #[derive(Clone, Debug)]
-struct Copy {
+struct StoredCopy {
     store: TargetId,
     object: KeptObject,
     state: CopyState,
@@ -78,29 +78,25 @@
     Freeing,
 }
 
-/// Tells a store to free an object.
+/// An order to a store to free an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FreeOrder {
-    /// The store.
     pub store: TargetId,
-    /// The context.
+    /// The context, named by the key of its first block.
     pub root: BlockKey,
-    /// The object.
     pub key: BlockKey,
-    /// Its generation.
     pub generation: u64,
-    /// The owner's epoch.
     pub owner_epoch: u64,
 }
 
 impl Catalog {
-    /// An empty catalog of an owner that has just started. `epoch` must be greater than that of
-    /// any earlier owner; generations count from it.
+    /// Creates an empty catalog. `epoch` must be greater than that of any earlier owner;
+    /// generations are counted from it.
     pub fn new(capacity: usize, epoch: u64) -> Catalog {
         Catalog {
             capacity,
             contexts: HashMap::new(),
-            by_age: BTreeSet::new(),
+            by_last_seen: BTreeSet::new(),
             orphans: Vec::new(),
             epoch,
             next_generation: epoch,
@@ -113,60 +109,58 @@
         self.contexts.len()
     }
 
-    /// Whether there is no context.
     pub fn is_empty(&self) -> bool {
         self.contexts.is_empty()
     }
 
-    /// Committed copies of a context. Each is pinned for `PIN`.
-    pub fn lookup(&mut self, root: BlockKey, now: BootTime) -> Vec<Kept> {
+    /// Returns the committed copies of a context and pins each for `PIN_DURATION`.
+    pub fn lookup(&mut self, root: BlockKey, now: BootTime) -> Vec<PrefixLocation> {
         let Some(context) = self.contexts.get_mut(&root) else { return Vec::new() };
         let committed = context.copies.iter_mut().filter(|copy| copy.state == CopyState::Committed);
         committed
             .map(|copy| {
-                copy.pinned_until = copy.pinned_until.max(now + PIN);
+                copy.pinned_until = copy.pinned_until.max(now + PIN_DURATION);
                 copy.last_used = now;
-                Kept { store: copy.store.clone(), object: copy.object.clone() }
+                PrefixLocation { store: copy.store.clone(), object: copy.object.clone() }
             })
             .collect()
     }
 
-    /// Records that a prompt was answered. Returns an export if one is worth doing now; the copy
-    /// counts as being written from then on. `fills` are the stores that can take one, with the
-    /// share of each that is used.
-    pub fn seen(
+    /// Records an answered prompt. Returns an export if one is worthwhile; its copy is then in the
+    /// state of being written. `fills` maps each store that accepts exports to the fraction in use.
+    pub fn record_answer(
         &mut self,
-        seen: &Seen,
+        prompt: &AnsweredPrompt,
         fills: &BTreeMap<TargetId, f64>,
         now: BootTime,
     ) -> Option<ExportPlan> {
-        let context = self.touch(seen.root, now);
+        let context = self.touch(prompt.root, now);
         context.times_seen += 1;
         let times_seen = context.times_seen;
-        let stem = context.take_branch(seen);
-        let target = worth_keeping(&seen.positions, stem)?;
-        if context.covers(&seen.positions, target) {
+        let shared_prefix = context.record_branch(prompt);
+        let target = export_target(&prompt.positions, shared_prefix)?;
+        if context.covers(&prompt.positions, target) {
             return None;
         }
-        self.learn_return(times_seen);
-        if times_seen == 1 && self.return_share < LEAST_RETURN {
+        self.update_return_share(times_seen);
+        if times_seen == 1 && self.return_share < MIN_RETURN_SHARE {
             return None;
         }
-        let store = emptiest(fills)?;
-        Some(self.start_write(seen.root, target, store, now))
+        let store = least_full_store(fills)?;
+        Some(self.start_write(prompt.root, target, store, now))
     }
 
-    /// Records how an export ended.
-    pub fn written(&mut self, written: &Written, now: BootTime) {
-        let Some(context) = self.contexts.get_mut(&written.root) else { return };
-        let is_it = |copy: &Copy| {
-            copy.object.key == written.key && copy.object.generation == written.generation
+    /// Records the result of an export.
+    pub fn record_export(&mut self, outcome: &ExportOutcome, now: BootTime) {
+        let Some(context) = self.contexts.get_mut(&outcome.root) else { return };
+        let is_same = |copy: &StoredCopy| {
+            copy.object.key == outcome.key && copy.object.generation == outcome.generation
         };
-        let Some(copy) = context.copies.iter_mut().find(|copy| is_it(copy)) else { return };
+        let Some(copy) = context.copies.iter_mut().find(|copy| is_same(copy)) else { return };
         if !matches!(copy.state, CopyState::Writing { .. }) {
             return;
         }
-        match &written.kept {
+        match &outcome.kept {
             Some(kept) => {
                 copy.object = kept.object.clone();
                 copy.state = CopyState::Committed;
@@ -174,18 +168,18 @@
                 let blocks = copy.object.blocks;
                 context.free_superseded(blocks);
             }
-            // It may be half written: free it, so that the store's room comes back.
+            // The store may hold a partial write; free it.
             None => copy.state = CopyState::Freeing,
         }
     }
 
-    /// Takes a store's inventory: learns of copies of contexts that this node owns, as first or
-    /// second owner, and forgets those that are gone.
-    pub fn rebuild(
+    /// Applies a store's inventory: adds copies of contexts that this node owns, as first or second
+    /// owner, and removes copies that the store no longer holds.
+    pub fn apply_inventory(
         &mut self,
         store: &TargetId,
         objects: &[KeptObject],
-        owns: impl Fn(BlockKey) -> bool,
+        is_owner: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) {
         let present: BTreeSet<(BlockKey, u64)> =
@@ -197,27 +191,27 @@
                     || present.contains(&(copy.object.key, copy.object.generation))
             });
         }
-        for object in objects.iter().filter(|object| owns(object.root)) {
-            let context = self.touch_known(object.root, now);
+        for object in objects.iter().filter(|object| is_owner(object.root)) {
+            let context = self.touch_keeping_age(object.root, now);
             let known = context.copies.iter().any(|copy| {
                 copy.store == *store
                     && copy.object.key == object.key
                     && copy.object.generation == object.generation
             });
             if !known {
-                context.copies.push(Copy {
+                context.copies.push(StoredCopy {
                     store: store.clone(),
                     object: object.clone(),
                     state: CopyState::Committed,
-                    // Pins that an earlier owner granted may last that long.
-                    pinned_until: now + PIN,
+                    // The previous owner may have pinned the copy just now.
+                    pinned_until: now + PIN_DURATION,
                     last_used: now,
                 });
             }
         }
     }
 
-    /// Forgets all copies in a store that is gone.
+    /// Removes all copies in a store that no longer exists.
     pub fn drop_store(&mut self, store: &TargetId) {
         for context in self.contexts.values_mut() {
             context.copies.retain(|copy| copy.store != *store);
@@ -225,23 +219,24 @@
         self.orphans.retain(|copy| copy.store != *store);
     }
 
-    /// Forgets contexts that this node does not own any more. Their new owners rebuild them.
-    pub fn hand_over(&mut self, owns: impl Fn(BlockKey) -> bool) {
-        self.contexts.retain(|root, _| owns(*root));
-        self.by_age.retain(|(_, root)| owns(*root));
+    /// Removes contexts that this node no longer owns. The new owners learn of them from the
+    /// inventories.
+    pub fn remove_unowned(&mut self, is_owner: impl Fn(BlockKey) -> bool) {
+        self.contexts.retain(|root, _| is_owner(*root));
+        self.by_last_seen.retain(|(_, root)| is_owner(*root));
     }
 
-    /// Lets time pass: what must be freed now, of the contexts that this node `decides` on. An
-    /// order is repeated until `freed` is called.
-    pub fn tick(
+    /// Returns the objects to free now, among the contexts whose first owner is this node. An order
+    /// is repeated until `record_freed` is called.
+    pub fn free_orders(
         &mut self,
         fills: &BTreeMap<TargetId, f64>,
-        decides: impl Fn(BlockKey) -> bool,
+        is_first_owner: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) -> Vec<FreeOrder> {
         for (store, fill) in fills {
-            if *fill > HIGH_FILL {
-                self.make_room(store, &decides, now);
+            if *fill > EVICTION_FILL {
+                self.evict_least_recent(store, &is_first_owner, now);
             }
         }
         for copy in self.contexts.values_mut().flat_map(|context| &mut context.copies) {
@@ -253,7 +248,7 @@
         copies
             .chain(&self.orphans)
             .filter(|copy| copy.state == CopyState::Freeing && copy.pinned_until <= now)
-            .filter(|copy| decides(copy.object.root))
+            .filter(|copy| is_first_owner(copy.object.root))
             .map(|copy| FreeOrder {
                 store: copy.store.clone(),
                 root: copy.object.root,
@@ -265,54 +260,55 @@
     }
 
     /// Records that a store has freed an object.
-    pub fn freed(&mut self, order: &FreeOrder) {
-        let is_it = |copy: &Copy| {
+    pub fn record_freed(&mut self, order: &FreeOrder) {
+        let is_same = |copy: &StoredCopy| {
             copy.store == order.store
                 && copy.object.key == order.key
                 && copy.object.generation == order.generation
         };
-        self.orphans.retain(|copy| !is_it(copy));
+        self.orphans.retain(|copy| !is_same(copy));
         if let Some(context) = self.contexts.get_mut(&order.root) {
-            context.copies.retain(|copy| !is_it(copy));
+            context.copies.retain(|copy| !is_same(copy));
         }
     }
 
     fn touch(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
         if let Some(context) = self.contexts.get(&root) {
-            self.by_age.remove(&(context.last_seen, root));
+            self.by_last_seen.remove(&(context.last_seen, root));
         }
-        self.by_age.insert((now, root));
-        self.forget_beyond_capacity(root);
+        self.by_last_seen.insert((now, root));
+        self.evict_beyond_capacity(root);
         let context = self.contexts.entry(root).or_insert_with(|| Context::new(now));
         context.last_seen = now;
         context
     }
 
-    /// Like `touch`, but a context that is known keeps its age.
-    fn touch_known(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
+    /// Like `touch`, but keeps the age of a known context.
+    fn touch_keeping_age(&mut self, root: BlockKey, now: BootTime) -> &mut Context {
         let at = self.contexts.get(&root).map_or(now, |context| context.last_seen);
         self.touch(root, at)
     }
 
-    fn forget_beyond_capacity(&mut self, keep: BlockKey) {
-        while self.by_age.len() > self.capacity {
-            let Some((_, oldest)) = self.by_age.iter().find(|(_, root)| *root != keep).copied()
+    fn evict_beyond_capacity(&mut self, keep: BlockKey) {
+        while self.by_last_seen.len() > self.capacity {
+            let Some((_, oldest)) =
+                self.by_last_seen.iter().find(|(_, root)| *root != keep).copied()
             else {
                 return;
             };
-            self.by_age.retain(|(_, root)| *root != oldest);
+            self.by_last_seen.retain(|(_, root)| *root != oldest);
             if let Some(context) = self.contexts.remove(&oldest) {
-                let freeing = |copy| Copy { state: CopyState::Freeing, ..copy };
+                let freeing = |copy| StoredCopy { state: CopyState::Freeing, ..copy };
                 self.orphans.extend(context.copies.into_iter().map(freeing));
             }
         }
     }
 
-    fn learn_return(&mut self, times_seen: u32) {
+    fn update_return_share(&mut self, times_seen: u32) {
         match times_seen {
-            1 => self.return_share -= RETURN_STEP * self.return_share,
-            // A second visit makes up for its first, which counted as one that does not return.
-            2 => self.return_share += 2.0 * RETURN_STEP * (1.0 - self.return_share),
+            1 => self.return_share -= RETURN_SHARE_SMOOTHING * self.return_share,
+            // The first visit was counted as one without a return; this corrects it.
+            2 => self.return_share += 2.0 * RETURN_SHARE_SMOOTHING * (1.0 - self.return_share),
             _ => {}
         }
     }
@@ -334,7 +330,7 @@
             size_bytes: 0,
             checksum: 0,
         };
-        let copy = Copy {
+        let copy = StoredCopy {
             store: store.clone(),
             object,
             state: CopyState::Writing { until: now + WRITE_TIMEOUT },
@@ -345,16 +341,21 @@
         ExportPlan { root, position, generation, owner_epoch: self.epoch, store }
     }
 
-    /// Marks the copies in a store that are worth least: those unused for longest.
-    fn make_room(&mut self, store: &TargetId, decides: impl Fn(BlockKey) -> bool, now: BootTime) {
-        let mut copies: Vec<&mut Copy> = self
+    /// Marks the least recently used copies in a store as to be freed.
+    fn evict_least_recent(
+        &mut self,
+        store: &TargetId,
+        is_first_owner: impl Fn(BlockKey) -> bool,
+        now: BootTime,
+    ) {
+        let mut copies: Vec<&mut StoredCopy> = self
             .contexts
             .values_mut()
             .flat_map(|context| &mut context.copies)
-            .filter(|copy| copy.store == *store && decides(copy.object.root))
+            .filter(|copy| copy.store == *store && is_first_owner(copy.object.root))
             .filter(|copy| copy.state == CopyState::Committed && copy.pinned_until <= now)
             .collect();
-        let count = (copies.len() as f64 * FREED_AT_ONCE).ceil() as usize;
+        let count = (copies.len() as f64 * EVICTED_SHARE).ceil() as usize;
         copies.sort_by_key(|copy| copy.last_used);
         for copy in copies.into_iter().take(count) {
             copy.state = CopyState::Freeing;
@@ -367,40 +368,40 @@
         Context { last_seen: now, times_seen: 0, branches: Vec::new(), copies: Vec::new() }
     }
 
-    /// Remembers how the context was continued. Returns the longest beginning that it shares
-    /// with a branch that goes on differently.
-    fn take_branch(&mut self, seen: &Seen) -> Option<Position> {
-        let mut stem: Option<Position> = None;
+    /// Records a continuation of the context. Returns the longest prefix that it shares with a
+    /// branch that continues differently.
+    fn record_branch(&mut self, prompt: &AnsweredPrompt) -> Option<Position> {
+        let mut shared_prefix: Option<Position> = None;
         let mut extends = None;
         for (index, branch) in self.branches.iter().enumerate() {
-            let common = common(&branch.positions, &seen.positions);
+            let common = longest_common(&branch.positions, &prompt.positions);
             let whole = common.map(|c| c.blocks) == branch.positions.last().map(|p| p.blocks);
             if whole {
                 extends = Some(index);
-            } else if common.map(|c| c.blocks) > stem.map(|s| s.blocks) {
-                stem = common;
+            } else if common.map(|c| c.blocks) > shared_prefix.map(|s| s.blocks) {
+                shared_prefix = common;
             }
         }
         if let Some(index) = extends {
             self.branches.remove(index);
         }
-        self.branches.push(Branch { positions: seen.positions.clone() });
-        if self.branches.len() > BRANCHES {
+        self.branches.push(Branch { positions: prompt.positions.clone() });
+        if self.branches.len() > MAX_BRANCHES {
             self.branches.remove(0);
         }
-        stem
+        shared_prefix
     }
 
-    /// Whether a copy, committed or being written, makes one of `target` not worth it.
+    /// Whether an existing copy, committed or being written, makes a copy of `target` unnecessary.
     fn covers(&self, positions: &[Position], target: Position) -> bool {
-        let needed = (f64::from(target.blocks) * COVERED) as u32;
+        let needed = (f64::from(target.blocks) * COVERED_SHARE) as u32;
         self.copies.iter().filter(|copy| copy.state != CopyState::Freeing).any(|copy| {
             copy.object.blocks >= needed
                 && positions.iter().any(|position| position.key == copy.object.key)
         })
     }
 
-    /// Frees committed copies of shorter prefixes that a copy of `blocks` blocks contains.
+    /// Frees committed copies of shorter prefixes that are contained in a copy of `blocks` blocks.
     fn free_superseded(&mut self, blocks: u32) {
         let Some(branch) = self.branches.iter().find(|branch| {
             branch.positions.iter().any(|position| {
@@ -423,7 +424,7 @@
             .flat_map(|other| other.positions.iter().map(|position| position.key))
             .collect();
         for copy in &mut self.copies {
-            // A beginning that other branches share is worth keeping for itself.
+            // A prefix shared with other branches is still useful by itself.
             let only_here = keys.contains(&copy.object.key) && !shared.contains(&copy.object.key);
             if only_here && copy.state == CopyState::Committed {
                 copy.state = CopyState::Freeing;
@@ -432,23 +433,24 @@
     }
 }
 
-/// What is worth exporting of a prompt: its shared beginning if that is most of it, else all.
-fn worth_keeping(positions: &[Position], stem: Option<Position>) -> Option<Position> {
-    let tail = *positions.last()?;
-    let target = stem.filter(|stem| stem.blocks * 2 >= tail.blocks).unwrap_or(tail);
-    (target.blocks >= LEAST_BLOCKS).then_some(target)
+/// The prefix of a prompt to export: the shared prefix if it is at least half of the prompt,
+/// otherwise the whole prompt.
+fn export_target(positions: &[Position], shared_prefix: Option<Position>) -> Option<Position> {
+    let last = *positions.last()?;
+    let target = shared_prefix.filter(|shared| shared.blocks * 2 >= last.blocks).unwrap_or(last);
+    (target.blocks >= MIN_EXPORT_BLOCKS).then_some(target)
 }
 
-/// The longest position that two chains share.
-fn common(a: &[Position], b: &[Position]) -> Option<Position> {
+/// The longest prefix that two chains share.
+fn longest_common(a: &[Position], b: &[Position]) -> Option<Position> {
     let keys: BTreeSet<BlockKey> = a.iter().map(|position| position.key).collect();
     b.iter().rev().find(|position| keys.contains(&position.key)).copied()
 }
 
-fn emptiest(fills: &BTreeMap<TargetId, f64>) -> Option<TargetId> {
+fn least_full_store(fills: &BTreeMap<TargetId, f64>) -> Option<TargetId> {
     fills
         .iter()
-        .filter(|(_, fill)| **fill < EXPORT_FILL)
+        .filter(|(_, fill)| **fill < MAX_EXPORT_FILL)
         .min_by(|a, b| a.1.total_cmp(b.1))
         .map(|(store, _)| store.clone())
 }
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,6 +1,7 @@
-//! Routing: which engine runs a request, and what becomes of a target that fails.
+//! Routing: engine selection, target health and retry limits.
 //!
-//! Everything here is free of I/O and fed `now`; `crate::node` reads reports and sends requests.
+//! The code here does no I/O and is passed the current time. `crate::node` polls reports and sends
+//! requests.
 
 pub mod decide;
 pub mod health;
@@ -10,10 +11,10 @@
 pub mod targets;
 pub mod view;
 
-pub use decide::{Ask, Decision, Import, decide};
+pub use decide::{Decision, Import, RouteRequest, decide};
 pub use health::Health;
 pub use residency::Residency;
 pub use retry::RetryBudget;
-pub use router::{Dispatch, Ended, NoEngine, Router};
+pub use router::{Dispatch, DispatchOutcome, NoEngine, Router};
 pub use targets::Targets;
 pub use view::{EngineView, StoreView, View};
