--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-pub use super::numbered_roster::{NumberedRoster, RosterName};
 use super::pieces::Piece;
+pub use super::versioned_roster::{RosterVersion, VersionedRoster};
 use crate::deployment::Deployment;
 use crate::deployment::document::DeploymentVersion;
 use crate::fleet::Remembered;
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromSubscriber {
     /// Send the list of targets from here on.
-    FollowTargets(FollowTargets),
+    RosterSubscription(RosterSubscription),
     /// What the entry knows of requests under which targets have ended, and the replica may not.
     Quarantine(Vec<Report>),
     /// Confirm that the entry knows the newest deployment: `Update::Confirmed` is the answer.
@@ -76,24 +76,24 @@
 
 /// What to send an entry of the list of targets, first what is missing there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FollowTargets {
+pub struct RosterSubscription {
     /// The list that the entry has; the default if it has none.
-    pub whole: RosterName,
+    pub whole: RosterVersion,
     /// A list of which it has some pieces, and how many.
-    pub part: (RosterName, u32),
+    pub part: (RosterVersion, u32),
     /// What to send of lists from here on.
-    pub detail: ListDetail,
+    pub detail: RosterDetail,
 }
 
 /// What an entry subscribes to of the list of targets. It subscribes to two replicas: one sends all, the other who
 /// leaves, and that there is a later list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListDetail {
+pub enum RosterDetail {
     /// All that changes.
     #[default]
     Changes,
     /// The names of lists, and who leaves.
-    Names,
+    Versions,
 }
 
 /// From an entry to the scheduler.
@@ -146,14 +146,14 @@
     /// Hosts of all replicas that the sender knows of, for one that wants to join.
     Hosts(BTreeSet<IpAddr>),
     /// The list of targets.
-    Roster(NumberedRoster),
+    Roster(VersionedRoster),
     /// How the list of targets differs from an earlier one: a whole list is some 220 KB for 3,000 targets, and
     /// changes with each read while targets come and go.
     RosterChanged {
         /// The earlier list.
-        before: RosterName,
+        before: RosterVersion,
         /// The list.
-        name: RosterName,
+        version: RosterVersion,
         /// Targets that are new, or not as they were.
         changed: CompactTargets,
         /// Starts of targets that are listed no more.
@@ -164,7 +164,7 @@
     /// The sender has read the list.
     RosterRead {
         /// The list that it knows now.
-        name: RosterName,
+        version: RosterVersion,
         /// How long ago the read began.
         age: Duration,
     },
@@ -212,18 +212,18 @@
     /// How the list of targets differs from an earlier one.
     RosterChanged {
         /// The earlier list.
-        before: RosterName,
+        before: RosterVersion,
         /// The list.
-        name: RosterName,
+        version: RosterVersion,
         /// Targets that are new, or not as they were.
         changed: CompactTargets,
         /// Starts of targets that are listed no more.
         gone: Vec<TargetStart>,
     },
     /// The sender knows this list, the changes of which it was not asked for.
-    RosterNamed {
+    RosterVersionOnly {
         /// The list.
-        name: RosterName,
+        version: RosterVersion,
         /// Targets that leave, and did not by the list before. Others may be listed no more.
         leaving: Vec<TargetStart>,
     },
--- a/src/control/kept_targets.rs
+++ b/src/control/kept_targets.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::frames::NumberedRoster;
+use super::frames::VersionedRoster;
 use super::kept_file::{self, Outlasts};
 use super::shared::Shared;
 
@@ -19,17 +19,17 @@
 const WRITE_EVERY: Duration = Duration::from_secs(1);
 
 /// The list that was kept; the default if there is none that can be read.
-pub fn load(folder: &Path) -> NumberedRoster {
-    match kept_file::load::<NumberedRoster>(folder, FILE) {
+pub fn load(folder: &Path) -> VersionedRoster {
+    match kept_file::load::<VersionedRoster>(folder, FILE) {
         // Kept before the first read: entries must not take that for the list.
-        Ok(list) if list.roster.is_empty() => NumberedRoster::default(),
+        Ok(list) if list.roster.is_empty() => VersionedRoster::default(),
         Ok(list) => {
             log::info!("event=targets_restored number={} count={}", list.number, list.roster.len());
             list
         }
         Err(reason) => {
             log::info!("event=targets_not_restored reason={reason:?}");
-            NumberedRoster::default()
+            VersionedRoster::default()
         }
     }
 }
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use super::numbered_roster::{NumberedRoster, RosterName};
+use super::versioned_roster::{RosterVersion, VersionedRoster};
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Roster};
 use crate::ids::ServiceId;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
     /// The list.
-    pub of: RosterName,
+    pub of: RosterVersion,
     /// Its place among the pieces, from 0.
     pub index: u32,
     /// How many pieces there are; at least one.
@@ -45,7 +45,7 @@
 
 /// The pieces of a list: targets of services with few targets come first, so that most routes can be
 /// served before all has arrived.
-pub fn split(list: &NumberedRoster) -> Vec<Piece> {
+pub fn split(list: &VersionedRoster) -> Vec<Piece> {
     let mut by_service: BTreeMap<&ServiceId, Vec<&Listed>> = BTreeMap::new();
     for listed in list.roster.iter() {
         by_service.entry(&listed.service).or_default().push(listed);
@@ -58,7 +58,7 @@
         let from = index as usize * PIECE_LEN;
         let to = targets.len().min(from + PIECE_LEN);
         let targets = CompactTargets::of(targets[from..to].iter().copied());
-        Piece { of: list.name(), index, count, targets }
+        Piece { of: list.version(), index, count, targets }
     };
     (0..count).map(piece).collect()
 }
@@ -76,7 +76,7 @@
 /// Pieces of one list that have arrived.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
-    of: RosterName,
+    of: RosterVersion,
     /// The next piece that is wanted: those before it are here.
     next: u32,
     targets: Vec<Listed>,
@@ -84,7 +84,7 @@
 
 impl Assembly {
     /// The list, and how many of its pieces have arrived.
-    pub fn progress(&self) -> (RosterName, u32) {
+    pub fn progress(&self) -> (RosterVersion, u32) {
         (self.of, self.next)
     }
 
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// If the pieces make no list; they are forgotten then.
-    pub fn take(&mut self, piece: &Piece) -> Result<Option<NumberedRoster>, PieceError> {
+    pub fn take(&mut self, piece: &Piece) -> Result<Option<VersionedRoster>, PieceError> {
         if piece.of != self.of {
             *self = Assembly { of: piece.of, ..Assembly::default() };
         }
@@ -107,7 +107,7 @@
         added
     }
 
-    fn add(&mut self, piece: &Piece) -> Result<Option<NumberedRoster>, PieceError> {
+    fn add(&mut self, piece: &Piece) -> Result<Option<VersionedRoster>, PieceError> {
         if piece.index != self.next || piece.index >= piece.count || piece.count > MAX_PIECES {
             return Err(PieceError::Damaged);
         }
@@ -117,8 +117,8 @@
             return Ok(None);
         }
         let roster = Roster::of_targets(std::mem::take(&mut self.targets));
-        let list = NumberedRoster::new(self.of.number, Arc::new(roster));
-        match list.name() == self.of {
+        let list = VersionedRoster::new(self.of.number, Arc::new(roster));
+        match list.version() == self.of {
             true => Ok(Some(list)),
             false => Err(PieceError::Mixed),
         }
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -13,8 +13,8 @@
 use tokio::time::Instant;
 
 use super::frames::{self, ConfirmId, FromSubscriber, Introduction, ToReplica, Update, encode};
-use super::list_publisher::ListPublisher;
 use super::replica::Input;
+use super::roster_publisher::RosterPublisher;
 use super::scheduling::Scheduling;
 use super::shared::Shared;
 use crate::clock::{BootTime, boot_now};
@@ -122,7 +122,7 @@
     let mut suspects = shared.suspects.subscribe();
     belief.mark_changed();
     let mut sent = Sent { version: deployment, ..Sent::default() };
-    let mut list = ListPublisher::default();
+    let mut list = RosterPublisher::default();
     let mut request = pin!(next_request(read));
     let mut next_look = Instant::now();
     loop {
@@ -132,7 +132,7 @@
             asked = &mut request => {
                 let (read, frame) = asked?;
                 match frame {
-                    FromSubscriber::FollowTargets(asked) => list.subscribe(asked, shared),
+                    FromSubscriber::RosterSubscription(asked) => list.subscribe(asked, shared),
                     FromSubscriber::Quarantine(reports) => shared.observe_quarantine(reports),
                     FromSubscriber::Confirm(id) => sent.confirm = Some(id),
                 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::forming::{Presence, Step};
-use super::frames::{NumberedRoster, ToReplica, encode};
+use super::frames::{ToReplica, VersionedRoster, encode};
 use super::publisher::CURRENT_WITHIN;
 use super::shared::{Belief, Currency, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
@@ -176,11 +176,12 @@
             }
             ToReplica::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
             ToReplica::Roster(roster) => self.observe_roster(roster, ip),
-            ToReplica::RosterChanged { before, name, changed, gone, remembered } => {
+            ToReplica::RosterChanged { before, version, changed, gone, remembered } => {
                 let change = changed.listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
-                let heard =
-                    change.ok().and_then(|change| known.advanced(before, name, change, remembered));
+                let heard = change
+                    .ok()
+                    .and_then(|change| known.advanced(before, version, change, remembered));
                 match heard {
                     Some(roster) => self.observe_roster(roster, ip),
                     None => self.shared.links.send(ip, encode(&ToReplica::RosterWanted)),
@@ -190,9 +191,9 @@
                 reading.was_asked(now);
                 reading
             }),
-            ToReplica::RosterRead { name, age } => match self
+            ToReplica::RosterRead { version, age } => match self
                 .shared
-                .observe_read(name, now.saturating_sub(age))
+                .observe_read(version, now.saturating_sub(age))
             {
                 Ordering::Less => self.publish_roster(ip),
                 Ordering::Equal => {}
@@ -223,7 +224,7 @@
         }
     }
 
-    fn observe_roster(&self, roster: NumberedRoster, from: IpAddr) {
+    fn observe_roster(&self, roster: VersionedRoster, from: IpAddr) {
         match self.shared.observe_roster(roster) {
             StalePeers::Nobody => {}
             StalePeers::Sender => self.publish_roster(from),
--- a/src/control/list_publisher.rs
+++ b/src/control/roster_publisher.rs
@@ -2,15 +2,17 @@
 
 use std::sync::Arc;
 
-use super::frames::{FollowTargets, ListDetail, NumberedRoster, RosterName, Update, encode};
+use super::frames::{
+    RosterDetail, RosterSubscription, RosterVersion, Update, VersionedRoster, encode,
+};
 use super::shared::{PieceFrames, Shared};
 use crate::fleet::Presence;
 
 /// Publishes the list of targets to one entry, once the entry has subscribed to it.
 #[derive(Default)]
-pub struct ListPublisher {
+pub struct RosterPublisher {
     sent: Sent,
-    detail: ListDetail,
+    detail: RosterDetail,
 }
 
 /// What the entry was sent.
@@ -20,27 +22,29 @@
     #[default]
     Silent,
     /// It has a later list than this replica, or this replica has none yet.
-    Behind(RosterName),
+    Behind(RosterVersion),
     /// It is being sent the whole list, piece by piece.
     Pieces {
         /// The list.
-        list: NumberedRoster,
+        list: VersionedRoster,
         /// Its pieces.
         frames: PieceFrames,
         /// The next piece.
         next: usize,
     },
     /// It has this list.
-    List(NumberedRoster),
+    List(VersionedRoster),
 }
 
-impl ListPublisher {
+impl RosterPublisher {
     /// Takes a subscription: changes alone are sent if what the entry has is known here.
-    pub fn subscribe(&mut self, request: FollowTargets, shared: &Shared) {
-        let FollowTargets { whole, part: (part_of, pieces), detail } = request;
-        let named = |name: RosterName| shared.roster_named(name).filter(|list| list.number > 0);
+    pub fn subscribe(&mut self, request: RosterSubscription, shared: &Shared) {
+        let RosterSubscription { whole, part: (part_of, pieces), detail } = request;
+        let find_roster = |version: RosterVersion| {
+            shared.roster_with_version(version).filter(|list| list.number > 0)
+        };
         self.detail = detail;
-        self.sent = match (named(whole), named(part_of)) {
+        self.sent = match (find_roster(whole), find_roster(part_of)) {
             (Some(list), _) => Sent::List(list),
             (None, Some(list)) => Sent::pieces(list, pieces as usize, shared),
             (None, None) => Sent::Behind(whole),
@@ -54,18 +58,18 @@
 
     /// Whether the entry has the list that is known here, or knows its name.
     pub fn is_up_to_date(&self, shared: &Shared) -> bool {
-        matches!(&self.sent, Sent::List(list) if list.name() == shared.roster.borrow().name())
+        matches!(&self.sent, Sent::List(list) if list.version() == shared.roster.borrow().version())
     }
 
     /// The next frame for the entry, if there is one now: a piece at a time, so that other updates come
     /// between them.
     pub fn next_frame(&mut self, shared: &Shared) -> Option<Arc<[u8]>> {
-        if let Sent::Behind(name) = &self.sent {
+        if let Sent::Behind(version) = &self.sent {
             let known = shared.roster.borrow().clone();
-            if known.number == 0 || known.name() < *name {
+            if known.number == 0 || known.version() < *version {
                 return None;
             }
-            self.sent = match known.name() == *name {
+            self.sent = match known.version() == *version {
                 true => Sent::List(known),
                 false => Sent::pieces(known, 0, shared),
             };
@@ -81,12 +85,12 @@
             }
             Sent::List(sent) => {
                 let known = shared.roster.borrow().clone();
-                if known.name() == sent.name() {
+                if known.version() == sent.version() {
                     return None;
                 }
                 let frame = match self.detail {
-                    ListDetail::Changes => shared.roster_change(sent, &known),
-                    ListDetail::Names => name_of(sent, &known),
+                    RosterDetail::Changes => shared.roster_change(sent, &known),
+                    RosterDetail::Versions => version_frame(sent, &known),
                 };
                 *sent = known;
                 Some(frame)
@@ -97,16 +101,16 @@
 }
 
 impl Sent {
-    fn pieces(list: NumberedRoster, next: usize, shared: &Shared) -> Sent {
+    fn pieces(list: VersionedRoster, next: usize, shared: &Shared) -> Sent {
         let frames = shared.pieces_of(&list);
         Sent::Pieces { list, frames, next }
     }
 }
 
 /// An update that names a later list, and who leaves by it.
-fn name_of(sent: &NumberedRoster, known: &NumberedRoster) -> Arc<[u8]> {
+fn version_frame(sent: &VersionedRoster, known: &VersionedRoster) -> Arc<[u8]> {
     let changed = sent.roster.change_to(&known.roster).changed.into_iter();
     let leaving = changed.filter(|listed| listed.presence == Presence::Leaving);
     let leaving = leaving.map(|listed| listed.start).collect();
-    encode(&Update::RosterNamed { name: known.name(), leaving })
+    encode(&Update::RosterVersionOnly { version: known.version(), leaving })
 }
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use rand::RngExt;
 
-use super::frames::{NumberedRoster, ToReplica};
+use super::frames::{ToReplica, VersionedRoster};
 use super::reader_election::{LATE_AFTER, LOOK_EVERY, PAGE_TIMEOUT, READ_EVERY};
 use super::shared::Shared;
 use super::unreadable::UnreadableLines;
@@ -129,7 +129,7 @@
         let changed =
             self.shared.change_roster(|known| known.take(known.without_unnamed(targets, is_named)));
         let roster = self.shared.roster.borrow().clone();
-        let name = roster.name();
+        let version = roster.version();
         let state = &self.shared.belief.borrow().state;
         if changed {
             let (number, count) = (roster.number, roster.roster.len());
@@ -137,7 +137,7 @@
             self.shared.broadcast(state, self.own, &change_between(&before, &roster));
         }
         let age = boot_now().saturating_sub(began);
-        self.shared.broadcast(state, self.own, &ToReplica::RosterRead { name, age });
+        self.shared.broadcast(state, self.own, &ToReplica::RosterRead { version, age });
     }
 
     async fn read(&self) -> Result<Read, CallError> {
@@ -185,11 +185,11 @@
 }
 
 /// What tells another replica that has one list of the next one.
-fn change_between(before: &NumberedRoster, now: &NumberedRoster) -> ToReplica {
+fn change_between(before: &VersionedRoster, now: &VersionedRoster) -> ToReplica {
     let RosterChange { changed, gone } = before.roster.change_to(&now.roster);
     ToReplica::RosterChanged {
-        before: before.name(),
-        name: now.name(),
+        before: before.version(),
+        version: now.version(),
         changed: CompactTargets::of(changed.iter()),
         gone,
         remembered: before.roster.remembered_by(&now.roster),
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 
 use super::age_recorder;
-use super::frames::RosterName;
+use super::frames::RosterVersion;
 use super::identity::Identity;
 use super::kept_quarantine;
 use super::kept_targets;
@@ -76,9 +76,13 @@
         belief: watch::Sender::new(Belief::default()),
         roster: watch::Sender::new(kept),
         earlier_rosters: RefCell::default(),
-        roster_pieces: RefCell::new((RosterName::default(), Rc::from([]))),
+        roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
         domains: watch::Sender::new([(host.ip, host.failure_domain.clone())].into()),
-        roster_update: RefCell::new((RosterName::default(), RosterName::default(), Arc::from([]))),
+        roster_update: RefCell::new((
+            RosterVersion::default(),
+            RosterVersion::default(),
+            Arc::from([]),
+        )),
         reading: Cell::new(ReaderElection::new(boot_now())),
         caught_up_at: Cell::new(None),
         own_entries: RefCell::default(),
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::frames::RosterName;
+use super::frames::RosterVersion;
 use super::memory_reader;
 use super::scheduling::Scheduling;
 use super::store_reader;
@@ -19,8 +19,8 @@
 impl Scheduling {
     /// Takes over what changes, for as long as the process lives.
     pub async fn run(self: Rc<Scheduling>) {
-        let mut version = 0;
-        let mut roster_name = RosterName::default();
+        let mut deployment_version = 0;
+        let mut roster_version = RosterVersion::default();
         let mut belief = self.shared.belief.subscribe();
         loop {
             // Prompts wait while a new leader does not schedule yet.
@@ -40,9 +40,9 @@
                 log::info!("event=scheduler_started term={term}");
                 let first_ticket = term << TICKETS_PER_TERM;
                 *self.active.borrow_mut() = Some((term, self.new_scheduler(first_ticket)));
-                (version, roster_name) = (0, RosterName::default());
+                (deployment_version, roster_version) = (0, RosterVersion::default());
             }
-            self.sync(term, &mut version, &mut roster_name);
+            self.sync(term, &mut deployment_version, &mut roster_version);
             self.ask_doubted();
             self.free_parts();
         }
@@ -55,16 +55,21 @@
         scheduler
     }
 
-    fn sync(self: &Rc<Scheduling>, term: Term, version: &mut u64, roster_name: &mut RosterName) {
+    fn sync(
+        self: &Rc<Scheduling>,
+        term: Term,
+        deployment_version: &mut u64,
+        roster_version: &mut RosterVersion,
+    ) {
         let belief = self.shared.belief.borrow();
         let roster = self.shared.roster.borrow();
         let mut active = self.active.borrow_mut();
         let Some((_, scheduler)) = active.as_mut() else { return };
         let mut new_stores = Vec::new();
         if let Some(published) = &belief.state.published
-            && published.version() > *version
+            && published.version() > *deployment_version
         {
-            *version = published.version();
+            *deployment_version = published.version();
             let before = scheduler.stores();
             scheduler.observe_deployment(&published.deployment);
             new_stores = scheduler.stores();
@@ -72,9 +77,9 @@
             // Services may be others now.
             scheduler.observe_roster(&roster.roster);
         }
-        if roster.name() != *roster_name && *version > 0 {
-            let is_first = roster_name.number == 0;
-            *roster_name = roster.name();
+        if roster.version() != *roster_version && *deployment_version > 0 {
+            let is_first = roster_version.number == 0;
+            *roster_version = roster.version();
             scheduler.observe_roster(&roster.roster);
             if is_first {
                 let engines = scheduler.engines();
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::watch;
 
-use super::frames::{NamedAges, NumberedRoster, RosterName, ToReplica, Update, encode};
+use super::frames::{NamedAges, RosterVersion, ToReplica, Update, VersionedRoster, encode};
 use super::links::SharedLinks;
 use super::pieces;
 use super::reader_election::ReaderElection;
@@ -41,17 +41,17 @@
     /// The newest state that is known here.
     pub belief: watch::Sender<Belief>,
     /// The list of targets.
-    pub roster: watch::Sender<NumberedRoster>,
+    pub roster: watch::Sender<VersionedRoster>,
     /// Lists of targets before that one, the last ones: what an entry holds that has just lost another
     /// replica is one of them, and it is sent the differences alone.
-    pub earlier_rosters: RefCell<VecDeque<NumberedRoster>>,
+    pub earlier_rosters: RefCell<VecDeque<VersionedRoster>>,
     /// The frames that publish the whole list, with its name: all entries are sent the same.
-    pub roster_pieces: RefCell<(RosterName, PieceFrames)>,
+    pub roster_pieces: RefCell<(RosterVersion, PieceFrames)>,
     /// The failure domain of each replica that is known.
     pub domains: watch::Sender<BTreeMap<IpAddr, DomainId>>,
     /// The frame that publishes the last change of the list, with both names: most entries
     /// are sent the same.
-    pub roster_update: RefCell<(RosterName, RosterName, Arc<[u8]>)>,
+    pub roster_update: RefCell<(RosterVersion, RosterVersion, Arc<[u8]>)>,
     /// Who reads the list.
     pub reading: Cell<ReaderElection>,
     /// When this replica last had all that was committed.
@@ -126,18 +126,18 @@
     }
 
     /// Takes a list of targets that another replica knows. Returns to whom to send what is known now.
-    pub fn observe_roster(&self, received: NumberedRoster) -> StalePeers {
+    pub fn observe_roster(&self, received: VersionedRoster) -> StalePeers {
         let earlier = self.roster.borrow().clone();
-        let before = earlier.name();
+        let before = earlier.version();
         let changed = self.roster.send_if_modified(|known| {
             known.join(&received);
-            known.name() != before
+            known.version() != before
         });
         if changed {
             self.keep_earlier(earlier);
         }
-        match self.roster.borrow().name() {
-            known if known == received.name() => StalePeers::Nobody,
+        match self.roster.borrow().version() {
+            known if known == received.version() => StalePeers::Nobody,
             known if known == before => StalePeers::Sender,
             _ => StalePeers::Everybody,
         }
@@ -145,8 +145,8 @@
 
     /// Takes note that another replica has read the list. Returns whether the one that it knows is later than
     /// the one that is known here.
-    pub fn observe_read(&self, name: RosterName, began: BootTime) -> Ordering {
-        let order = name.cmp(&self.roster.borrow().name());
+    pub fn observe_read(&self, version: RosterVersion, began: BootTime) -> Ordering {
+        let order = version.cmp(&self.roster.borrow().version());
         // Who knows an earlier list may have seen less than was known here before.
         if order.is_ge() {
             self.note_read(began);
@@ -175,7 +175,7 @@
             let changed = change(Arc::make_mut(&mut known.roster));
             let is_news = changed || known.number < least;
             if is_news {
-                *known = NumberedRoster::new(known.number.max(least) + 1, known.roster.clone());
+                *known = VersionedRoster::new(known.number.max(least) + 1, known.roster.clone());
             }
             is_news
         });
@@ -185,7 +185,7 @@
         is_news
     }
 
-    fn keep_earlier(&self, roster: NumberedRoster) {
+    fn keep_earlier(&self, roster: VersionedRoster) {
         let mut earlier = self.earlier_rosters.borrow_mut();
         earlier.push_back(roster);
         while earlier.len() > EARLIER_ROSTERS {
@@ -194,33 +194,36 @@
     }
 
     /// The list with this name, if it is the one that is known here or one before it.
-    pub fn roster_named(&self, name: RosterName) -> Option<NumberedRoster> {
+    pub fn roster_with_version(&self, version: RosterVersion) -> Option<VersionedRoster> {
         let known = self.roster.borrow();
-        if known.name() == name {
+        if known.version() == version {
             return Some(known.clone());
         }
-        self.earlier_rosters.borrow().iter().find(|earlier| earlier.name() == name).cloned()
+        self.earlier_rosters.borrow().iter().find(|earlier| earlier.version() == version).cloned()
     }
 
     /// The frames that publish a whole list.
-    pub fn pieces_of(&self, list: &NumberedRoster) -> PieceFrames {
+    pub fn pieces_of(&self, list: &VersionedRoster) -> PieceFrames {
         let mut cached = self.roster_pieces.borrow_mut();
-        if cached.0 != list.name() {
+        if cached.0 != list.version() {
             let frames = pieces::split(list).into_iter().map(Update::RosterPiece);
-            *cached = (list.name(), frames.map(|piece| encode(&piece)).collect());
+            *cached = (list.version(), frames.map(|piece| encode(&piece)).collect());
         }
         cached.1.clone()
     }
 
     /// The frame that publishes how the list differs from the one that an entry was sent.
-    pub fn roster_change(&self, sent: &NumberedRoster, now: &NumberedRoster) -> Arc<[u8]> {
+    pub fn roster_change(&self, sent: &VersionedRoster, now: &VersionedRoster) -> Arc<[u8]> {
         let mut update = self.roster_update.borrow_mut();
-        let (before, name) = (sent.name(), now.name());
-        if (update.0, update.1) != (before, name) {
+        let (before, version) = (sent.version(), now.version());
+        if (update.0, update.1) != (before, version) {
             let RosterChange { changed, gone } = sent.roster.change_to(&now.roster);
             let changed = CompactTargets::of(changed.iter());
-            *update =
-                (before, name, encode(&Update::RosterChanged { before, name, changed, gone }));
+            *update = (
+                before,
+                version,
+                encode(&Update::RosterChanged { before, version, changed, gone }),
+            );
         }
         update.2.clone()
     }
--- a/src/control/numbered_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -9,7 +9,7 @@
 /// Names a list of targets. Two replicas may give the same number to lists that differ: these differ
 /// in the digest, too. The later of two lists has the greater name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RosterName {
+pub struct RosterVersion {
     /// Higher than that of every list that its reader had seen.
     pub number: u64,
     /// Of the listed targets.
@@ -18,7 +18,7 @@
 
 /// A list of targets with its place among other lists.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct NumberedRoster {
+pub struct VersionedRoster {
     /// Higher than that of every list that its reader had seen.
     pub number: u64,
     /// That of `roster`.
@@ -27,39 +27,39 @@
     pub roster: Arc<Roster>,
 }
 
-impl NumberedRoster {
+impl VersionedRoster {
     /// A list with its number.
-    pub fn new(number: u64, roster: Arc<Roster>) -> NumberedRoster {
-        NumberedRoster { number, digest: roster.digest(), roster }
+    pub fn new(number: u64, roster: Arc<Roster>) -> VersionedRoster {
+        VersionedRoster { number, digest: roster.digest(), roster }
     }
 
     /// Its name.
-    pub fn name(&self) -> RosterName {
-        RosterName { number: self.number, digest: self.digest }
+    pub fn version(&self) -> RosterVersion {
+        RosterVersion { number: self.number, digest: self.digest }
     }
 
     /// The list that comes after this one by a change; `None` if the change is of another list, or makes
     /// another one.
     pub fn advanced(
         &self,
-        before: RosterName,
-        name: RosterName,
+        before: RosterVersion,
+        version: RosterVersion,
         change: RosterChange,
         remembered: Remembered,
-    ) -> Option<NumberedRoster> {
-        if self.name() != before {
+    ) -> Option<VersionedRoster> {
+        if self.version() != before {
             return None;
         }
         let mut roster = Roster::clone(&self.roster);
         roster.advance(change, remembered);
-        let list = NumberedRoster::new(name.number, Arc::new(roster));
-        (list.name() == name).then_some(list)
+        let list = VersionedRoster::new(version.number, Arc::new(roster));
+        (list.version() == version).then_some(list)
     }
 
     /// Takes the later of this list and another one, and who leaves by either of them: a target that
     /// leaves never comes back, and none gets older weights, whichever list is the later one.
-    pub fn join(&mut self, other: &NumberedRoster) {
-        let (later, earlier) = match other.name() > self.name() {
+    pub fn join(&mut self, other: &VersionedRoster) {
+        let (later, earlier) = match other.version() > self.version() {
             true => (other, &*self),
             false => (&*self, other),
         };
@@ -71,6 +71,6 @@
             true => later.number + 1,
             false => later.number,
         };
-        *self = NumberedRoster::new(number, roster);
+        *self = VersionedRoster::new(number, roster);
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -17,7 +17,7 @@
 use super::scheduler_client::SchedulerClient;
 use super::subscriptions::{HeldTargets, Subscriptions};
 use crate::clock::{BootTime, boot_now};
-use crate::control::frames::{ConfirmId, NumberedRoster, RosterName, Update};
+use crate::control::frames::{ConfirmId, RosterVersion, Update, VersionedRoster};
 use crate::control::pieces::{Assembly, Piece, PieceError};
 use crate::deployment::document::DeploymentVersion;
 use crate::deployment::{Deployment, Table};
@@ -105,7 +105,7 @@
     /// Which replicas are subscribed to.
     pub subscriptions: RefCell<Subscriptions>,
     /// The list of targets.
-    roster: RefCell<NumberedRoster>,
+    roster: RefCell<VersionedRoster>,
     /// A list of which some pieces have arrived.
     assembly: RefCell<Assembly>,
     /// When weights were named.
@@ -264,8 +264,8 @@
     }
 
     /// The name of the list of targets that is in use.
-    pub fn roster_name(&self) -> RosterName {
-        self.roster.borrow().name()
+    pub fn roster_name(&self) -> RosterVersion {
+        self.roster.borrow().version()
     }
 
     /// Whether a target is on the list that is in use.
@@ -310,21 +310,23 @@
             }
             Update::Domains(domains) => self.subscriptions.borrow_mut().observe_domains(domains),
             Update::RosterPiece(piece) => self.observe_piece(&piece)?,
-            Update::RosterNamed { leaving, .. } => self.fleet.borrow_mut().leave(leaving.iter()),
-            Update::RosterChanged { before, name, changed, gone } => {
+            Update::RosterVersionOnly { leaving, .. } => {
+                self.fleet.borrow_mut().leave(leaving.iter())
+            }
+            Update::RosterChanged { before, version, changed, gone } => {
                 let change = RosterChange { changed: changed.listed()?, gone };
                 self.observe_leaving(change.changed.iter());
                 let known = self.roster.borrow().clone();
-                if known.name() >= name {
+                if known.version() >= version {
                     return Ok(());
                 }
-                if known.name() != before {
+                if known.version() != before {
                     return Err(OtherRoster);
                 }
                 let mut roster = known.roster;
                 Arc::make_mut(&mut roster).apply(change);
-                let changed = NumberedRoster::new(name.number, roster);
-                if changed.name() != name {
+                let changed = VersionedRoster::new(version.number, roster);
+                if changed.version() != version {
                     return Err(OtherRoster);
                 }
                 self.observe_roster(changed);
@@ -392,13 +394,13 @@
     }
 
     /// Takes a whole list. One that is not later than the known one changes nothing.
-    pub fn observe_list(&self, roster: NumberedRoster) {
+    pub fn observe_list(&self, roster: VersionedRoster) {
         self.observe_leaving(roster.roster.iter());
         self.observe_roster(roster);
     }
 
-    fn observe_roster(&self, roster: NumberedRoster) {
-        if roster.name() <= self.roster.borrow().name() {
+    fn observe_roster(&self, roster: VersionedRoster) {
+        if roster.version() <= self.roster.borrow().version() {
             return;
         }
         self.fleet.borrow_mut().take(&roster.roster);
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -12,7 +12,9 @@
 use super::state::Gateway;
 use super::subscriptions::Subscription;
 use crate::clock::boot_now;
-use crate::control::frames::{self, FollowTargets, FromSubscriber, Introduction, Update, encode};
+use crate::control::frames::{
+    self, FromSubscriber, Introduction, RosterSubscription, Update, encode,
+};
 use crate::control::publisher::HEARTBEAT_EVERY;
 use crate::essential::Essentials;
 use crate::net;
@@ -93,7 +95,7 @@
 async fn send(
     gateway: &Gateway,
     mut write: OwnedWriteHalf,
-    mut requested: mpsc::Receiver<FollowTargets>,
+    mut requested: mpsc::Receiver<RosterSubscription>,
 ) -> std::io::Result<()> {
     let mut quarantine = gateway.quarantine.subscribe();
     // A replica that has started again knows only what it is sent.
@@ -107,7 +109,7 @@
     loop {
         let frame = tokio::select! {
             request = requested.recv() => match request {
-                Some(request) => FromSubscriber::FollowTargets(request),
+                Some(request) => FromSubscriber::RosterSubscription(request),
                 // The subscription has ended.
                 None => return Ok(()),
             },
@@ -134,15 +136,15 @@
     gateway: &Gateway,
     subscription: &mut Subscription,
     read: OwnedReadHalf,
-    requests: mpsc::Sender<FollowTargets>,
+    requests: mpsc::Sender<RosterSubscription>,
 ) -> std::io::Result<()> {
     let replica = subscription.replica;
     let mut read = BufReader::new(read);
     loop {
         let update: Update = tokio::time::timeout(SILENT, frames::read(&mut read)).await??;
         let is_heartbeat = matches!(update, Update::Heartbeat { .. });
-        if let Update::RosterNamed { name, .. } = &update {
-            subscription.observe_name(*name, boot_now());
+        if let Update::RosterVersionOnly { version, .. } = &update {
+            subscription.observe_name(*version, boot_now());
         }
         let known = gateway.roster_name();
         gateway.observe(update).map_err(std::io::Error::other)?;
--- a/src/gateway/subscriptions.rs
+++ b/src/gateway/subscriptions.rs
@@ -13,7 +13,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::clock::BootTime;
-use crate::control::frames::{FollowTargets, ListDetail, RosterName};
+use crate::control::frames::{RosterDetail, RosterSubscription, RosterVersion};
 use crate::ids::DomainId;
 
 /// A replica of the own failure domain that could not be reached is turned to again after this time: another
@@ -49,29 +49,29 @@
     pub replica: IpAddr,
     since: BootTime,
     /// What the replica was asked to send of the list of targets.
-    follows: Option<ListDetail>,
+    follows: Option<RosterDetail>,
     /// A later list than was held, of which it has sent the name alone, and when it first did.
-    named: Option<(RosterName, BootTime)>,
+    named: Option<(RosterVersion, BootTime)>,
 }
 
 /// What an entry holds of the list of targets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldTargets {
     /// The whole list that it has; the default if it has none.
-    pub whole: RosterName,
+    pub whole: RosterVersion,
     /// A list that it has a part of, and how many pieces.
-    pub part: (RosterName, u32),
+    pub part: (RosterVersion, u32),
 }
 
 impl Subscription {
     /// The replica has sent the name of a list.
-    pub fn observe_name(&mut self, name: RosterName, now: BootTime) {
+    pub fn observe_name(&mut self, name: RosterVersion, now: BootTime) {
         let first = self.named.map_or(now, |(_, first)| first);
         self.named = Some((name, first));
     }
 
     /// Whether a list that was named is still not held.
-    fn lacks(&mut self, whole: RosterName, now: BootTime) -> bool {
+    fn lacks(&mut self, whole: RosterVersion, now: BootTime) -> bool {
         self.named = self.named.filter(|(name, _)| *name > whole);
         self.named.is_some_and(|(_, first)| now >= first + CHANGES_WITHIN)
     }
@@ -149,7 +149,7 @@
         held: HeldTargets,
         replicas: &BTreeSet<IpAddr>,
         now: BootTime,
-    ) -> Option<FollowTargets> {
+    ) -> Option<RosterSubscription> {
         let lacks_changes = subscription.lacks(held.whole, now);
         let detail = match subscription.follows {
             None if held.whole.number == 0
@@ -159,14 +159,14 @@
             }
             None => self.detail_from(subscription.replica),
             // The other replica should have sent it by now.
-            Some(ListDetail::Names) if lacks_changes => ListDetail::Changes,
+            Some(RosterDetail::Versions) if lacks_changes => RosterDetail::Changes,
             Some(_) => return None,
         };
         subscription.follows = Some(detail);
-        if detail == ListDetail::Changes {
+        if detail == RosterDetail::Changes {
             self.changes_from = Some(subscription.replica);
         }
-        Some(FollowTargets { whole: held.whole, part: held.part, detail })
+        Some(RosterSubscription { whole: held.whole, part: held.part, detail })
     }
 
     /// Whether an entry without a list takes it from this replica. If so, from no other one.
@@ -188,11 +188,11 @@
     }
 
     /// One replica sends all changes: that of the own failure domain, or else the first one.
-    fn detail_from(&self, replica: IpAddr) -> ListDetail {
+    fn detail_from(&self, replica: IpAddr) -> RosterDetail {
         let is_near = self.domains.get(&replica) == Some(&self.own_domain);
         match is_near || self.changes_from.is_none() {
-            true => ListDetail::Changes,
-            false => ListDetail::Names,
+            true => RosterDetail::Changes,
+            false => RosterDetail::Versions,
         }
     }
 
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -7,7 +7,7 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NumberedRoster, RosterName, SchedulerError, ToEntry, encode, read,
+    FromEntry, Introduction, RosterVersion, SchedulerError, ToEntry, VersionedRoster, encode, read,
 };
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::ReaderElection;
@@ -31,12 +31,12 @@
 /// A replica that leads, with one engine.
 fn leading() -> Rc<Scheduling> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
-    let shared = shared(1, NumberedRoster::new(1, roster));
+    let shared = shared(1, VersionedRoster::new(1, roster));
     Rc::new(Scheduling::new(Rc::new(shared), OldWeights::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
-pub fn shared(term: Term, roster: NumberedRoster) -> Shared {
+pub fn shared(term: Term, roster: VersionedRoster) -> Shared {
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
     let state = ControlState { published, ..ControlState::founded(BTreeMap::new()) };
@@ -47,9 +47,13 @@
         belief: watch::Sender::new(belief),
         roster: watch::Sender::new(roster),
         earlier_rosters: RefCell::default(),
-        roster_pieces: RefCell::new((RosterName::default(), Rc::from([]))),
+        roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
         domains: watch::Sender::new([(ip, "hall".into())].into()),
-        roster_update: RefCell::new((RosterName::default(), RosterName::default(), Arc::from([]))),
+        roster_update: RefCell::new((
+            RosterVersion::default(),
+            RosterVersion::default(),
+            Arc::from([]),
+        )),
         reading: Cell::new(ReaderElection::new(boot_now())),
         // Sure to lead for as long as a test runs.
         caught_up_at: Cell::new(Some(boot_now() + ms(600_000))),
@@ -309,7 +313,7 @@
         let engine = StandIn::start(vec![(ok(report), Then::KeepOpen); 20]).await;
         let mut listed = target("i-1", "llm", engine.address);
         listed.weights.insert("m".to_string(), 2);
-        let known = NumberedRoster::new(1, Arc::new(roster([listed])));
+        let known = VersionedRoster::new(1, Arc::new(roster([listed])));
         let shared = Rc::new(shared(1, known));
         let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
         tokio::task::spawn_local(scheduling.clone().run());
@@ -320,7 +324,7 @@
         let end = End::OtherWeights(Some(1));
         asker.tell(FromEntry::Event(PlacementEvent::Ended { ticket: placed.ticket, end })).await;
         let mut changes = shared.roster.subscribe();
-        let is_listed = |known: &NumberedRoster| {
+        let is_listed = |known: &VersionedRoster| {
             known.roster.get(&start("i-1")).is_some_and(|engine| engine.weights["m"] == 1)
         };
         let listed = tokio::time::timeout(ms(15_000), changes.wait_for(is_listed)).await;
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kumquatpost::clock::boot_now;
-use kumquatpost::control::frames::NumberedRoster;
+use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::publisher;
 use kumquatpost::control::scheduling::Scheduling;
 use kumquatpost::control::state::Published;
@@ -51,7 +51,7 @@
     fn serve(&self, at: SocketAddr) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-            let shared = Rc::new(shared(1, NumberedRoster::default()));
+            let shared = Rc::new(shared(1, VersionedRoster::default()));
             let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
             let listener = TcpListener::bind(at).await.expect("a port");
             let (inputs, _kept) = mpsc::channel(1);
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{NumberedRoster, Update};
+use kumquatpost::control::frames::{Update, VersionedRoster};
 use kumquatpost::deployment::Deployment;
 use kumquatpost::fleet::Listed;
 use kumquatpost::gateway::request::patience_at_start;
@@ -96,7 +96,7 @@
     }
 
     pub fn hears_list(&self, number: u64, targets: Vec<Listed>) {
-        let roster = NumberedRoster::new(number, Arc::new(roster(targets)));
+        let roster = VersionedRoster::new(number, Arc::new(roster(targets)));
         self.gateway.observe_list(roster);
     }
 
--- a/tests/deployment/kept_targets.rs
+++ b/tests/deployment/kept_targets.rs
@@ -2,23 +2,23 @@
 
 use std::sync::Arc;
 
-use kumquatpost::control::frames::NumberedRoster;
+use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::kept_targets::{keep_writing, load};
 use tokio::task::LocalSet;
 
 use crate::asking::shared;
 use crate::fixtures::{address, ms, roster, target};
 
-fn list(number: u64) -> NumberedRoster {
+fn list(number: u64) -> VersionedRoster {
     let targets = [target("i-1", "llm", address(1)), target("i-2", "app", address(2))];
-    NumberedRoster::new(number, Arc::new(roster(targets)))
+    VersionedRoster::new(number, Arc::new(roster(targets)))
 }
 
 /// Writes a list as a replica does that has just read it, and kills that replica.
 fn write_one(folder: &std::path::Path) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let shared = std::rc::Rc::new(shared(1, NumberedRoster::default()));
+        let shared = std::rc::Rc::new(shared(1, VersionedRoster::default()));
         let writing = keep_writing(shared.clone(), folder.to_path_buf());
         let written = async {
             tokio::task::yield_now().await;
@@ -39,7 +39,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(load(folder.path()).number, 0, "there is none yet");
     write_one(folder.path());
-    assert_eq!(load(folder.path()).name(), list(3).name());
+    assert_eq!(load(folder.path()).version(), list(3).version());
 }
 
 /// Power was lost in the midst of a write, or the disk gives back something else.
@@ -65,7 +65,7 @@
 fn a_kept_list_without_targets_is_none() {
     let folder = tempfile::tempdir().expect("a folder");
     write_one(folder.path());
-    let empty = postcard::to_stdvec(&NumberedRoster::new(1, Arc::default())).expect("bytes");
+    let empty = postcard::to_stdvec(&VersionedRoster::new(1, Arc::default())).expect("bytes");
     let mut bytes = crc32fast::hash(&empty).to_le_bytes().to_vec();
     bytes.extend_from_slice(&empty);
     std::fs::write(folder.path().join("targets"), bytes).expect("it is written");
--- a/tests/deployment/late_news.rs
+++ b/tests/deployment/late_news.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatpost::control::frames::{NumberedRoster, RosterName, Update};
+use kumquatpost::control::frames::{RosterVersion, Update, VersionedRoster};
 use kumquatpost::fleet::Listed;
 use kumquatpost::fleet::compact::CompactTargets;
 
@@ -18,8 +18,8 @@
         let version = entry.gateway.table().expect("a table").deployment().version;
         assert_eq!(version, 5);
         let known = entry.gateway.roster_name();
-        let late = NumberedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
-        assert!(late.name() < known);
+        let late = VersionedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
+        assert!(late.version() < known);
         entry.gateway.observe_list(late);
         assert!(entry.gateway.fleet.borrow().get(&start("i-1")).is_none());
     });
@@ -31,11 +31,11 @@
         let entry = entry(deployment(3), vec![target("i-1", "app", address(1))]).await;
         let other = target("i-2", "app", address(2));
         let list = |number, listed: &Listed| {
-            NumberedRoster::new(number, Arc::new(roster([listed.clone()]))).name()
+            VersionedRoster::new(number, Arc::new(roster([listed.clone()]))).version()
         };
-        let change = |before, name| Update::RosterChanged {
+        let change = |before, version| Update::RosterChanged {
             before,
-            name,
+            version,
             changed: CompactTargets::of([other.clone()].iter()),
             gone: vec![start("i-1")],
         };
@@ -51,7 +51,7 @@
         let third = list(2, &target("i-3", "app", address(3)));
         assert!(entry.gateway.observe(change(known, third)).is_err(), "it makes another list");
         assert!(
-            entry.gateway.observe(change(RosterName::default(), known)).is_ok(),
+            entry.gateway.observe(change(RosterVersion::default(), known)).is_ok(),
             "known already"
         );
         assert!(is_listed("i-1") && !is_listed("i-2"));
@@ -74,7 +74,7 @@
             assert_eq!(one.connections.get(), connections, "it is kept");
         }
         let connection = entry.gateway.pool.reuse(&born("i-1", 9)).expect("it is kept");
-        let roster = NumberedRoster::new(2, Arc::new(roster([at(3)])));
+        let roster = VersionedRoster::new(2, Arc::new(roster([at(3)])));
         entry.gateway.observe_list(roster);
         // A request that was under way ends, and its connection is given back.
         entry.gateway.give_back(&born("i-1", 9), connection);
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -19,7 +19,7 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NumberedRoster, ToEntry, Update, encode, read,
+    FromEntry, Introduction, ToEntry, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::shared::{Shared, StalePeers};
 use kumquatpost::fleet::{FleetView, Listed, Presence};
@@ -42,7 +42,7 @@
 }
 
 /// A replica that knows a list, and does not lead.
-fn follower(known: &NumberedRoster) -> Shared {
+fn follower(known: &VersionedRoster) -> Shared {
     let shared = shared(4, known.clone());
     shared.belief.send_modify(|belief| belief.leads = false);
     shared
@@ -58,7 +58,7 @@
     shared.change_roster(|known| known.set_weights(&start("i-3"), &weights));
 }
 
-fn current(shared: &Shared) -> NumberedRoster {
+fn current(shared: &Shared) -> VersionedRoster {
     shared.roster.borrow().clone()
 }
 
@@ -75,7 +75,7 @@
 struct Heard<'a> {
     gateway: &'a Rc<Gateway>,
     replica: &'a Shared,
-    told: NumberedRoster,
+    told: VersionedRoster,
 }
 
 impl Heard<'_> {
@@ -101,7 +101,7 @@
 fn a_change_of_another_list_with_the_same_number_hides_nobody_who_leaves() {
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
-        let leader = shared(4, NumberedRoster::default());
+        let leader = shared(4, VersionedRoster::default());
         read_list(&leader, Presence::Live);
         // The leader finds weights while another replica reads that a target leaves.
         let (reader, third) = (follower(&current(&leader)), follower(&current(&leader)));
@@ -122,10 +122,10 @@
 
 #[test]
 fn no_list_brings_back_or_hides_who_leaves() {
-    let earlier = shared(4, NumberedRoster::default());
+    let earlier = shared(4, VersionedRoster::default());
     read_list(&earlier, Presence::Leaving);
     // The next leader has started anew and reads a list that lags.
-    let leader = shared(5, NumberedRoster::default());
+    let leader = shared(5, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     earlier.observe_roster(current(&leader));
     assert!(knows_who_leaves(&earlier), "a list with a higher number brought a target back");
@@ -155,7 +155,7 @@
 
 async fn an_entry_hears_who_leaves_from_a_list_that_it_does_not_take() {
     let entry = entry(unhurried(), Vec::new()).await;
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let reader = follower(&current(&leader));
     let mut by_reader = Heard::new(&entry.gateway, &reader);
@@ -171,14 +171,14 @@
 
 #[test]
 fn replicas_with_two_lists_of_one_number_come_to_agree() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let reader = follower(&current(&leader));
     find_weights(&leader);
     read_list(&reader, Presence::Leaving);
     let (one, other) = (current(&leader), current(&reader));
     assert_eq!(one.number, other.number);
-    assert_ne!(one.name(), other.name(), "which one is meant can be told");
+    assert_ne!(one.version(), other.version(), "which one is meant can be told");
     // Each hears the other's, as after a cut; who lacks something is told until nobody does.
     let mut lacking =
         [(&leader, leader.observe_roster(other)), (&reader, reader.observe_roster(one))];
@@ -192,23 +192,23 @@
         });
     }
     assert!(lacking.iter().all(|(_, lacking)| *lacking == StalePeers::Nobody), "it never ends");
-    assert_eq!(current(&leader).name(), current(&reader).name());
+    assert_eq!(current(&leader).version(), current(&reader).version());
     assert!(knows_who_leaves(&leader));
 }
 
 #[test]
 fn who_tells_of_an_earlier_list_is_told_the_later_one() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let early = current(&leader);
     let reader = follower(&early);
     read_list(&reader, Presence::Leaving);
     let now = boot_now();
-    assert!(reader.observe_read(early.name(), now).is_lt(), "the leader lacks a list");
-    assert!(leader.observe_read(current(&reader).name(), now).is_gt(), "it asks for it");
+    assert!(reader.observe_read(early.version(), now).is_lt(), "the leader lacks a list");
+    assert!(leader.observe_read(current(&reader).version(), now).is_gt(), "it asks for it");
     assert_eq!(reader.observe_roster(early), StalePeers::Sender);
     assert_eq!(leader.observe_roster(current(&reader)), StalePeers::Nobody);
-    assert!(leader.observe_read(current(&reader).name(), now).is_eq());
+    assert!(leader.observe_read(current(&reader).version(), now).is_eq());
 }
 
 /// A scheduler that places each prompt on the first engine that the entry does not avoid, and hears
@@ -246,7 +246,7 @@
         tokio::task::spawn_local(scheduler_connection::keep_connected(entry.gateway.clone()));
         tokio::task::spawn_local(place_on_first_of(["i-1", "i-2"], listener));
         // The entry hears that the engine leaves before the scheduler does.
-        let replica = shared(4, NumberedRoster::default());
+        let replica = shared(4, VersionedRoster::default());
         let [mut first, second] = listed;
         first.presence = Presence::Leaving;
         replica.change_roster(|known| known.take(vec![first, second]));
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -5,10 +5,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{FollowTargets, ListDetail, NumberedRoster, Update, encode};
-use kumquatpost::control::list_publisher::ListPublisher;
+use kumquatpost::control::frames::{
+    RosterDetail, RosterSubscription, Update, VersionedRoster, encode,
+};
 use kumquatpost::control::pieces::{Assembly, Piece, PieceError, split};
 use kumquatpost::control::reader_election::{READ_EVERY, ReaderElection};
+use kumquatpost::control::roster_publisher::RosterPublisher;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::gateway::subscriptions::{HeldTargets, Subscription, Subscriptions};
@@ -35,13 +37,13 @@
 }
 
 /// A list as the platform shows it: many engines, and a plain service with few targets.
-fn list(number: u64) -> NumberedRoster {
+fn list(number: u64) -> VersionedRoster {
     let listed = (0..TARGETS).map(|n| Listed {
         failure_domain: domain(n as usize),
         weights: [("model-a".to_string(), 1)].into(),
         ..target(&format!("i-{n:010x}"), if n < 5 { "app" } else { "llm" }, address(n + 1))
     });
-    NumberedRoster::new(number, Arc::new(roster(listed)))
+    VersionedRoster::new(number, Arc::new(roster(listed)))
 }
 
 /// One entry as it starts, on a virtual clock.
@@ -73,7 +75,7 @@
     fn hear(
         &mut self,
         replicas: &BTreeMap<IpAddr, DomainId>,
-        list: &NumberedRoster,
+        list: &VersionedRoster,
         now: Duration,
     ) {
         let known: BTreeSet<IpAddr> = replicas.keys().copied().collect();
@@ -91,7 +93,7 @@
         }
         for hearing in &mut kept {
             let asked = self.sources.request(hearing, self.held, &known, now);
-            if asked.is_none_or(|asked| asked.whole == list.name()) {
+            if asked.is_none_or(|asked| asked.whole == list.version()) {
                 continue;
             }
             let bytes: usize = split(list)
@@ -107,14 +109,14 @@
         }
         self.hearings = kept;
         if self.whole_at.is_some_and(|at| at <= now) {
-            self.held.whole = list.name();
+            self.held.whole = list.version();
             self.sources.has_list();
         }
     }
 }
 
 /// Starts all entries at once, with the seeds of a deployment, and lets them hear replicas for two seconds.
-fn start_all(replicas: &BTreeMap<IpAddr, DomainId>, list: &NumberedRoster) -> Vec<Entry> {
+fn start_all(replicas: &BTreeMap<IpAddr, DomainId>, list: &VersionedRoster) -> Vec<Entry> {
     let seeds: BTreeSet<IpAddr> = replicas.keys().take(3).copied().collect();
     let mut entries: Vec<Entry> = (0..HOSTS).map(Entry::new).collect();
     for (n, entry) in entries.iter_mut().enumerate() {
@@ -194,24 +196,24 @@
     let list = list(7);
     let publisher = shared(1, list.clone());
     let mut assembly = Assembly::default();
-    let whole = take_pieces(&publisher, FollowTargets::default(), 4, &mut assembly);
+    let whole = take_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
     assert_eq!(whole, None);
     let part = assembly.progress();
-    assert_eq!(part, (list.name(), 4));
-    let request = FollowTargets { part, ..FollowTargets::default() };
+    assert_eq!(part, (list.version(), 4));
+    let request = RosterSubscription { part, ..RosterSubscription::default() };
     let (other, rest) = (shared(2, list.clone()), split(&list).len() - 4);
     let whole = take_pieces(&other, request, rest, &mut assembly);
-    assert_eq!(whole.map(|whole| whole.name()), Some(list.name()));
+    assert_eq!(whole.map(|whole| whole.version()), Some(list.version()));
 }
 
 /// Has a replica tell so many pieces.
 fn take_pieces(
     replica: &Shared,
-    request: FollowTargets,
+    request: RosterSubscription,
     count: usize,
     assembly: &mut Assembly,
-) -> Option<NumberedRoster> {
-    let mut publisher = ListPublisher::default();
+) -> Option<VersionedRoster> {
+    let mut publisher = RosterPublisher::default();
     publisher.subscribe(request, replica);
     let mut whole = None;
     for _ in 0..count {
@@ -238,9 +240,11 @@
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
     targets[0] = later;
     assert!(replica.change_roster(|known| known.take(targets)));
-    let mut publisher = ListPublisher::default();
-    publisher
-        .subscribe(FollowTargets { whole: earlier.name(), ..FollowTargets::default() }, &replica);
+    let mut publisher = RosterPublisher::default();
+    publisher.subscribe(
+        RosterSubscription { whole: earlier.version(), ..RosterSubscription::default() },
+        &replica,
+    );
     let frame = publisher.next_frame(&replica).expect("a change");
     assert!(frame.len() < 300, "{} bytes", frame.len());
     assert_eq!(publisher.next_frame(&replica), None);
@@ -257,36 +261,37 @@
     let mut near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let mut far = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let (earlier, later) = (list(7), changed_list(&list(7)));
-    let held = HeldTargets { whole: earlier.name(), ..HeldTargets::default() };
-    let detail = |asked: Option<FollowTargets>| asked.map(|asked| asked.detail);
+    let held = HeldTargets { whole: earlier.version(), ..HeldTargets::default() };
+    let detail = |asked: Option<RosterSubscription>| asked.map(|asked| asked.detail);
     let asked = sources.request(&mut near, held, &replicas, ms(5));
-    assert_eq!(detail(asked), Some(ListDetail::Changes));
+    assert_eq!(detail(asked), Some(RosterDetail::Changes));
     let asked = sources.request(&mut far, held, &replicas, ms(5)).expect("it follows");
-    assert_eq!(asked.detail, ListDetail::Names);
+    assert_eq!(asked.detail, RosterDetail::Versions);
     let replica = shared(1, earlier);
-    let mut publisher = ListPublisher::default();
+    let mut publisher = RosterPublisher::default();
     publisher.subscribe(asked, &replica);
     replica.observe_roster(later.clone());
     let frame = publisher.next_frame(&replica).expect("news");
-    let Update::RosterNamed { name, leaving } = postcard::from_bytes(&frame[4..]).expect("news")
+    let Update::RosterVersionOnly { version, leaving } =
+        postcard::from_bytes(&frame[4..]).expect("news")
     else {
         panic!("the whole change was told");
     };
-    assert_eq!((name, leaving.len()), (later.name(), 1));
-    far.observe_name(name, ms(300));
+    assert_eq!((version, leaving.len()), (later.version(), 1));
+    far.observe_name(version, ms(300));
     assert_eq!(sources.request(&mut far, held, &replicas, ms(400)), None, "the other one tells it");
     let asked = sources.request(&mut far, held, &replicas, ms(560));
-    assert_eq!(detail(asked), Some(ListDetail::Changes), "the other one has not");
+    assert_eq!(detail(asked), Some(RosterDetail::Changes), "the other one has not");
 }
 
 /// A list in which one target leaves and a thousand others run newer weights.
-fn changed_list(earlier: &NumberedRoster) -> NumberedRoster {
+fn changed_list(earlier: &VersionedRoster) -> VersionedRoster {
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
     targets[0].presence = Presence::Leaving;
     targets[1..1_001]
         .iter_mut()
         .for_each(|target| *target.weights.entry("model-a".into()).or_default() = 2);
-    NumberedRoster::new(earlier.number + 1, Arc::new(roster(targets)))
+    VersionedRoster::new(earlier.number + 1, Arc::new(roster(targets)))
 }
 
 /// An entry holds a later list than the replica that it turns to: it is told nothing older, and follows
@@ -295,9 +300,11 @@
 fn a_replica_that_is_behind_tells_no_list() {
     let (earlier, later) = (list(7), list(8));
     let replica = shared(1, earlier);
-    let mut publisher = ListPublisher::default();
-    publisher
-        .subscribe(FollowTargets { whole: later.name(), ..FollowTargets::default() }, &replica);
+    let mut publisher = RosterPublisher::default();
+    publisher.subscribe(
+        RosterSubscription { whole: later.version(), ..RosterSubscription::default() },
+        &replica,
+    );
     assert_eq!(publisher.next_frame(&replica), None);
     replica.observe_roster(later);
     assert_eq!(publisher.next_frame(&replica), None, "it has that list");
@@ -313,26 +320,27 @@
     // The reader saw it leave, and lists it no more.
     let mut read = Roster::clone(&before.roster);
     assert!(read.take(after.roster.iter().cloned().collect()));
-    let left = NumberedRoster::new(8, Arc::new(read.clone()));
+    let left = VersionedRoster::new(8, Arc::new(read.clone()));
     let rest = after.roster.iter().filter(|listed| listed.start != leaves).cloned();
     assert!(read.take(rest.collect()));
-    let gone = NumberedRoster::new(9, Arc::new(read));
-    let change = |from: &NumberedRoster, to: &NumberedRoster| {
+    let gone = VersionedRoster::new(9, Arc::new(read));
+    let change = |from: &VersionedRoster, to: &VersionedRoster| {
         (from.roster.change_to(&to.roster), from.roster.remembered_by(&to.roster))
     };
     let (first, first_remembered) = change(&before, &left);
     let (second, second_remembered) = change(&left, &gone);
-    let told = before.advanced(before.name(), left.name(), first.clone(), first_remembered.clone());
+    let told =
+        before.advanced(before.version(), left.version(), first.clone(), first_remembered.clone());
     let told = told.expect("it is of that list");
-    let told = told.advanced(left.name(), gone.name(), second, second_remembered);
+    let told = told.advanced(left.version(), gone.version(), second, second_remembered);
     let told = told.expect("it is of that list");
-    assert_eq!(told.name(), gone.name());
+    assert_eq!(told.version(), gone.version());
     // A lagging list shows it once more, as live.
     let mut roster = Roster::clone(&told.roster);
     roster.take(before.roster.iter().cloned().collect());
     assert_eq!(roster.get(&leaves).map(|listed| listed.presence), Some(Presence::Leaving));
-    let other = NumberedRoster::new(6, before.roster.clone());
-    assert_eq!(other.advanced(before.name(), left.name(), first, first_remembered), None);
+    let other = VersionedRoster::new(6, before.roster.clone());
+    assert_eq!(other.advanced(before.version(), left.version(), first, first_remembered), None);
 }
 
 /// Bytes that make no list, and pieces out of order.
@@ -345,7 +353,8 @@
     assert!(assembly.take(&pieces[0]).is_ok(), "it came twice");
     assert_eq!(assembly.progress().1, 1);
     // Another list under the same name.
-    let others = split(&NumberedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
+    let others =
+        split(&VersionedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
     let mut forged = others[0].clone();
     forged.of = pieces[0].of;
     assert_eq!(Assembly::default().take(&forged).err(), Some(PieceError::Mixed));
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::NumberedRoster;
+use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::ordering::Ordering;
 use kumquatpost::control::replica::Input;
 use kumquatpost::control::scheduling::Scheduling;
@@ -38,7 +38,7 @@
 
 /// A leader that has named weights 2, and knows of an engine in its start 1 that runs weights 1.
 fn lead(engine: Listed) -> Rc<Shared> {
-    let roster = NumberedRoster::new(1, Arc::new(roster([engine])));
+    let roster = VersionedRoster::new(1, Arc::new(roster([engine])));
     let shared = shared(1, roster);
     let named = Arc::new(BTreeMap::from([("m".to_string(), 2)]));
     shared.belief.send_modify(|belief| belief.state.weights = named);
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reading.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{Introduction, NumberedRoster, ToReplica, read};
+use kumquatpost::control::frames::{Introduction, ToReplica, VersionedRoster, read};
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::{
     LATE_AFTER, LOOK_EVERY, PAGE_TIMEOUT, READ_EVERY, ReaderElection,
@@ -160,7 +160,7 @@
 async fn asks_for(list: SocketAddr, port: u16) {
     let (own, other) = (loopback(1), loopback(2));
     let listener = TcpListener::bind((other, port)).await.expect("a port");
-    let mut leader = shared(4, NumberedRoster::default());
+    let mut leader = shared(4, VersionedRoster::default());
     leader.links = Rc::new(Links::new(1, own, "hall".into(), port));
     leader
         .belief
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatpost::control::frames::{NumberedRoster, encode};
+use kumquatpost::control::frames::{VersionedRoster, encode};
 use kumquatpost::control::weights::next_loads;
 use kumquatpost::fleet::{Fault, FleetView, Listed, Presence, Roster};
 use kumquatpost::gateway::call::TargetLoad;
@@ -40,13 +40,13 @@
 /// must not be taken for older.
 #[test]
 fn a_list_that_a_later_leader_reads_goes_before_all_earlier_ones() {
-    let before = shared(4, NumberedRoster::default());
+    let before = shared(4, VersionedRoster::default());
     for n in 0..300 {
         before
             .change_roster(|known| known.take(vec![target(&format!("i-{n}"), "app", address(1))]));
     }
     let listed = vec![target("i-299", "app", address(1))];
-    let after = shared(5, NumberedRoster::default());
+    let after = shared(5, VersionedRoster::default());
     assert!(after.change_roster(|known| known.take(listed.clone())));
     assert!(after.roster.borrow().number > before.roster.borrow().number);
     // A replica that led before and leads again tells its list anew, changed or not.
@@ -202,7 +202,7 @@
 #[test]
 fn what_is_remembered_of_earlier_starts_is_bounded() {
     let mut known = Roster::default();
-    let size = |known: &Roster| encode(&NumberedRoster::new(1, Arc::new(known.clone()))).len();
+    let size = |known: &Roster| encode(&VersionedRoster::new(1, Arc::new(known.clone()))).len();
     let mut half_way = 0;
     for n in 0..9_000 {
         let born_ms = 1_700_000_000_000 + n;
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -11,7 +11,7 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NamedAges, NumberedRoster, ToEntry, Update, encode, read,
+    FromEntry, Introduction, NamedAges, ToEntry, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::publisher;
 use kumquatpost::control::scheduling::Scheduling;
@@ -38,7 +38,7 @@
 fn tell_as_a_replica(at: SocketAddr, is_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let shared = Rc::new(shared(1, NumberedRoster::default()));
+        let shared = Rc::new(shared(1, VersionedRoster::default()));
         let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
@@ -143,7 +143,7 @@
 /// gets older ones.
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     leader.change_roster(|known| known.take(listed(1)));
     let reader = shared(4, leader.roster.borrow().clone());
     reader.belief.send_modify(|belief| belief.leads = false);
@@ -161,7 +161,7 @@
 /// The engine's own word goes before what was believed of it, also where the belief was too high.
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     leader.change_roster(|known| known.take(listed(2)));
     let other = shared(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
@@ -204,10 +204,10 @@
     let model = "m".to_string();
     let mut log = ControlState::default();
     log.apply(Command::NameWeights { model: model.clone(), version: 2 });
-    let runs_on = shared(1, NumberedRoster::default());
+    let runs_on = shared(1, VersionedRoster::default());
     let named_at = boot_now().saturating_sub(ms(3_500));
     observe_named(&mut runs_on.named_since.borrow_mut(), &model, 2, named_at, boot_now());
-    let started = shared(1, NumberedRoster::default());
+    let started = shared(1, VersionedRoster::default());
     started.knows_ages.set(false);
     assert!(!started.is_current(ms(500)), "it may take old namings for new");
     let age = age_of(&log, &model, 2, None, boot_now());
