--- a/src/control/report.rs
+++ b/src/control/report.rs
@@ -5,7 +5,7 @@
 
 use http::{Method, StatusCode};
 
-use super::weights::EngineReport;
+use super::rollout_plan::EngineReport;
 use crate::ids::TargetStart;
 use crate::net::http::{CallError, Exchange, fetch};
 use crate::platform::engines;
--- a/src/control/ordering.rs
+++ b/src/control/rollout.rs
@@ -11,12 +11,12 @@
 
 use super::replica::Input;
 use super::report;
+use super::rollout_plan::{
+    EngineReport, PendingLoad, RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
+};
 use super::scheduling::Scheduling;
 use super::shared::Shared;
 use super::state::{Command, Reply};
-use super::weights::{
-    EngineReport, Lagging, RunningPrompts, WeightOrder, loads_at_once, next_loads,
-};
 use crate::deployment::ServiceRole;
 use crate::fleet::Listed;
 use crate::ids::{ServiceId, TargetStart};
@@ -25,25 +25,25 @@
 use crate::platform::engines;
 
 /// How often the leader looks for engines that lag.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How often an engine that loads is asked whether it is done. Loads take 270 ms and more, and each
 /// question has a price.
-const ASK_EVERY: Duration = Duration::from_millis(150);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// How long an engine that gets no new prompts may take to finish those that it runs. Streams last
 /// up to two seconds, most less than one.
-const DRAIN_AT_MOST: Duration = Duration::from_millis(600);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(600);
 /// How often it is looked whether an engine has finished, or another may load.
-const DRAIN_LOOK_EVERY: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// An engine that has not loaded after this time is looked at anew.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
 /// An order is answered within milliseconds. One without an answer is given again: it is void if the
 /// first one was taken after all, or is carried out late.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
 /// A bit more than the period that two holders must keep apart, for timers that fire late.
-const APART_MARGIN: Duration = Duration::from_millis(400);
+const ORDER_LEASE_MARGIN: Duration = Duration::from_millis(400);
 
 /// What orders need to know.
-pub struct Ordering {
+pub struct RolloutController {
     /// The replica's state.
     pub shared: Rc<Shared>,
     /// Places prompts, but not on engines that are about to load.
@@ -51,19 +51,19 @@
     /// Takes commands.
     pub inputs: mpsc::Sender<Input>,
     /// Orders of two holders to one engine must be at least this far apart.
-    pub apart: Duration,
+    pub order_lease: Duration,
     /// Engines that load.
-    pub loading: Cell<usize>,
+    pub loads_in_progress: Cell<usize>,
     /// Engines that have not answered their order. They may carry it out seconds later, and get prompts
     /// until they do: else all others would wait for them.
-    pub awaited: RefCell<BTreeSet<TargetStart>>,
+    pub unanswered: RefCell<BTreeSet<TargetStart>>,
 }
 
 /// What came of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ordered {
+enum OrderOutcome {
     /// The engine carries it out, or has.
-    Taken,
+    Accepted,
     /// The engine does not carry it out.
     Refused,
     /// It may be carried out, now or seconds later.
@@ -71,27 +71,27 @@
 }
 
 /// One of the engines that load, until it is dropped.
-struct Loading<'o>(&'o Cell<usize>);
+struct LoadSlot<'o>(&'o Cell<usize>);
 
-impl<'o> Loading<'o> {
-    fn begin(loading: &'o Cell<usize>) -> Loading<'o> {
-        loading.set(loading.get() + 1);
-        Loading(loading)
+impl<'o> LoadSlot<'o> {
+    fn acquire(loads_in_progress: &'o Cell<usize>) -> LoadSlot<'o> {
+        loads_in_progress.set(loads_in_progress.get() + 1);
+        LoadSlot(loads_in_progress)
     }
 }
 
-impl Drop for Loading<'_> {
+impl Drop for LoadSlot<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Ordering {
+impl RolloutController {
     /// Runs for as long as the process lives.
-    pub async fn run(self: Rc<Ordering>) {
-        let mut right = None;
+    pub async fn run(self: Rc<RolloutController>) {
+        let mut lease_term = None;
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let (leads, term) = {
                 let belief = self.shared.belief.borrow();
                 (belief.leads, belief.term)
@@ -101,60 +101,60 @@
             }
             // Taken as soon as it leads: the wait for an earlier holder is over by the time that
             // there is something to order.
-            if right != Some(term) {
-                right = self.acquire_orders_lease(term).await;
+            if lease_term != Some(term) {
+                lease_term = self.acquire_order_lease(term).await;
                 continue;
             }
-            for lagging in self.next() {
-                let ordering = self.clone();
+            for load in self.pending_loads() {
+                let controller = self.clone();
                 // Before the task runs, so that the next look does not find it again.
-                ordering.shared.changing.borrow_mut().insert(lagging.engine.clone());
+                controller.shared.changing.borrow_mut().insert(load.engine.clone());
                 tokio::task::spawn_local(async move {
-                    ordering.bring_up(&lagging, term).await;
-                    ordering.shared.changing.borrow_mut().remove(&lagging.engine);
-                    ordering.awaited.borrow_mut().remove(&lagging.engine);
+                    controller.update_weights(&load, term).await;
+                    controller.shared.changing.borrow_mut().remove(&load.engine);
+                    controller.unanswered.borrow_mut().remove(&load.engine);
                 });
             }
         }
     }
 
-    fn next(&self) -> Vec<Lagging> {
+    fn pending_loads(&self) -> Vec<PendingLoad> {
         let belief = self.shared.belief.borrow();
         let roster = self.shared.roster.borrow();
         let services = belief.state.published.as_ref().map(|known| &known.deployment.services);
-        let is_of_engines = |service: &ServiceId| {
+        let is_engine_service = |service: &ServiceId| {
             let service = services.and_then(|services| services.get(service));
             service.is_some_and(|service| matches!(service.role, ServiceRole::Engines(_)))
         };
-        let (changing, awaited) = (self.shared.changing.borrow(), self.awaited.borrow());
-        next_loads(&roster.roster, &belief.state.weights, &changing, &awaited, is_of_engines)
+        let (changing, unanswered) = (self.shared.changing.borrow(), self.unanswered.borrow());
+        next_loads(&roster.roster, &belief.state.weights, &changing, &unanswered, is_engine_service)
     }
 
     /// Becomes the only holder, and waits until no order of an earlier one can be under way.
-    async fn acquire_orders_lease(&self, term: Term) -> Option<Term> {
+    async fn acquire_order_lease(&self, term: Term) -> Option<Term> {
         let holder = self.shared.node;
         let (sender, decided) = oneshot::channel();
-        let command = Command::TakeOrders { holder };
+        let command = Command::AcquireOrderLease { holder };
         self.inputs.send(Input::Propose(command, sender)).await.ok()?;
-        let Ok(Ok(Reply::Orders { previous })) = decided.await else { return None };
+        let Ok(Ok(Reply::OrderLease { previous })) = decided.await else { return None };
         if previous.is_some_and(|previous| previous != holder) {
             log::info!(
                 "event=orders_wait previous={previous:?} wait_ms={}",
-                self.apart.as_millis()
+                self.order_lease.as_millis()
             );
-            tokio::time::sleep(self.apart + APART_MARGIN).await;
+            tokio::time::sleep(self.order_lease + ORDER_LEASE_MARGIN).await;
         }
         log::info!("event=orders_lease_acquired holder={holder} fencing={term}");
         Some(term)
     }
 
     /// Has an engine load the newest weights, with as little as possible of what it runs disturbed.
-    async fn bring_up(&self, lagging: &Lagging, term: Term) {
+    async fn update_weights(&self, load: &PendingLoad, term: Term) {
         self.publish_changing();
-        let target = self.shared.roster.borrow().roster.get(&lagging.engine).cloned();
+        let target = self.shared.roster.borrow().roster.get(&load.engine).cloned();
         let Some(target) = target else { return };
         self.drain(&target).await;
-        self.load(&target, lagging, term).await;
+        self.load(&target, load, term).await;
     }
 
     /// Has the scheduler know at once which engines get no prompts.
@@ -165,34 +165,34 @@
     }
 
     /// The engine has not answered its order: it gets prompts again until it carries it out.
-    fn awaits(&self, engine: &TargetStart) {
-        self.awaited.borrow_mut().insert(engine.clone());
+    fn mark_unanswered(&self, engine: &TargetStart) {
+        self.unanswered.borrow_mut().insert(engine.clone());
         self.shared.changing.borrow_mut().remove(engine);
         self.publish_changing();
     }
 
     /// The engine carries out its order.
-    fn begins(&self, engine: &TargetStart) {
+    fn mark_loading(&self, engine: &TargetStart) {
         self.shared.changing.borrow_mut().insert(engine.clone());
-        self.awaited.borrow_mut().remove(engine);
+        self.unanswered.borrow_mut().remove(engine);
         self.publish_changing();
     }
 
     /// Waits until another engine of the model may load.
-    async fn until_may_load(&self, lagging: &Lagging) {
-        while self.loading.get() >= self.loads_at_once(lagging) {
-            tokio::time::sleep(DRAIN_LOOK_EVERY).await;
+    async fn wait_for_load_slot(&self, load: &PendingLoad) {
+        while self.loads_in_progress.get() >= self.max_concurrent_loads(load) {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    fn loads_at_once(&self, lagging: &Lagging) -> usize {
-        loads_at_once(&self.shared.roster.borrow().roster, &lagging.model)
+    fn max_concurrent_loads(&self, load: &PendingLoad) -> usize {
+        max_concurrent_loads(&self.shared.roster.borrow().roster, &load.model)
     }
 
     async fn drain(&self, target: &Listed) {
-        let give_up = Instant::now() + DRAIN_AT_MOST;
-        while Instant::now() < give_up && self.placed_on(target) > 0 {
-            tokio::time::sleep(DRAIN_LOOK_EVERY).await;
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
+        while Instant::now() < deadline && self.placed_on(target) > 0 {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -200,28 +200,28 @@
         self.scheduling.with(|scheduler| scheduler.placed_on(&target.start)).unwrap_or_default()
     }
 
-    async fn load(&self, target: &Listed, lagging: &Lagging, term: Term) {
-        let give_up = Instant::now() + LOAD_TIMEOUT;
-        let mut version = lagging.version;
+    async fn load(&self, target: &Listed, load: &PendingLoad, term: Term) {
+        let deadline = Instant::now() + LOAD_TIMEOUT;
+        let mut version = load.version;
         // Held from the order that the engine takes to the end of the load.
-        let mut loading = None;
+        let mut slot = None;
         let mut was_busy = false;
-        while Instant::now() < give_up && self.may_order(term) && self.is_listed(target) {
-            if loading.is_none() {
+        while Instant::now() < deadline && self.may_order(term) && self.is_listed(target) {
+            if slot.is_none() {
                 // One that is awaited may begin at any time, and is looked at until then.
-                if !self.is_awaited(&target.start) {
-                    self.until_may_load(lagging).await;
+                if !self.is_unanswered(&target.start) {
+                    self.wait_for_load_slot(load).await;
                 }
                 // Newer ones may have been named while it waited for its turn.
-                version = self.newest(lagging);
+                version = self.newest_version(load);
             }
             let report = report::read(&target.start, target.address).await;
             if was_busy && report.as_ref().is_some_and(|report| !report.is_busy) {
                 // It has carried out an order, but one for weights that were replaced meanwhile.
-                (loading, was_busy) = (None, false);
+                (slot, was_busy) = (None, false);
             }
             if let Some(report) = &report
-                && report.weights.get(&lagging.model).is_some_and(|has| *has >= version)
+                && report.weights.get(&load.model).is_some_and(|has| *has >= version)
             {
                 self.shared
                     .change_roster(|known| known.set_weights(&target.start, &report.weights));
@@ -231,26 +231,26 @@
             match report {
                 Some(report) if report.is_busy => {
                     was_busy = true;
-                    loading.get_or_insert_with(|| Loading::begin(&self.loading));
-                    self.begins(&target.start);
+                    slot.get_or_insert_with(|| LoadSlot::acquire(&self.loads_in_progress));
+                    self.mark_loading(&target.start);
                 }
-                Some(report) if loading.is_none() => {
-                    let begun = Loading::begin(&self.loading);
-                    let lagging = Lagging { version, ..lagging.clone() };
-                    match self.order(target, &lagging, &report, term).await {
-                        Ordered::Taken => {
-                            loading = Some(begun);
-                            self.begins(&target.start);
+                Some(report) if slot.is_none() => {
+                    let acquired = LoadSlot::acquire(&self.loads_in_progress);
+                    let load = PendingLoad { version, ..load.clone() };
+                    match self.order(target, &load, &report, term).await {
+                        OrderOutcome::Accepted => {
+                            slot = Some(acquired);
+                            self.mark_loading(&target.start);
                         }
-                        Ordered::Unanswered => self.awaits(&target.start),
-                        Ordered::Refused => {}
+                        OrderOutcome::Unanswered => self.mark_unanswered(&target.start),
+                        OrderOutcome::Refused => {}
                     }
                 }
                 Some(_) => {}
                 // Gone, or cut off: the list tells before long.
-                None => return tokio::time::sleep(ASK_EVERY * 2).await,
+                None => return tokio::time::sleep(LOAD_POLL_INTERVAL * 2).await,
             }
-            tokio::time::sleep(ASK_EVERY).await;
+            tokio::time::sleep(LOAD_POLL_INTERVAL).await;
         }
         log::warn!(
             "event=weights_not_loaded engine={} version={version} term={term}",
@@ -258,13 +258,13 @@
         );
     }
 
-    fn is_awaited(&self, engine: &TargetStart) -> bool {
-        self.awaited.borrow().contains(engine)
+    fn is_unanswered(&self, engine: &TargetStart) -> bool {
+        self.unanswered.borrow().contains(engine)
     }
 
-    fn newest(&self, lagging: &Lagging) -> u64 {
+    fn newest_version(&self, load: &PendingLoad) -> u64 {
         let belief = self.shared.belief.borrow();
-        belief.state.weights.get(&lagging.model).copied().unwrap_or(lagging.version)
+        belief.state.weights.get(&load.model).copied().unwrap_or(load.version)
     }
 
     /// Whether this start of an engine is still the one that is there.
@@ -280,22 +280,22 @@
     async fn order(
         &self,
         target: &Listed,
-        lagging: &Lagging,
+        load: &PendingLoad,
         report: &EngineReport,
         fencing: u64,
-    ) -> Ordered {
+    ) -> OrderOutcome {
         // The report was on its way for a while.
         if !self.may_order(fencing) || !self.is_listed(target) {
-            return Ordered::Refused;
+            return OrderOutcome::Refused;
         }
         let order = WeightOrder {
-            model: lagging.model.clone(),
-            version: lagging.version,
+            model: load.model.clone(),
+            version: load.version,
             running: match self.placed_on(target) {
                 0 => RunningPrompts::Finish,
                 // It was given prompts in the meantime: what they make under other weights is worth
                 // nothing.
-                _ if self.is_awaited(&target.start) => RunningPrompts::Finish,
+                _ if self.is_unanswered(&target.start) => RunningPrompts::Finish,
                 _ => RunningPrompts::GoOn,
             },
             holder: self.shared.node,
@@ -311,14 +311,14 @@
             "event=weights_ordered engine={} version={} fencing={fencing} orders_accepted={} \
              running={:?} answer={status:?}",
             target.start,
-            lagging.version,
+            load.version,
             report.orders_accepted,
             order.running,
         );
         match status {
-            Ok(status) if status.is_success() => Ordered::Taken,
-            Ok(_) => Ordered::Refused,
-            Err(_) => Ordered::Unanswered,
+            Ok(status) if status.is_success() => OrderOutcome::Accepted,
+            Ok(_) => OrderOutcome::Refused,
+            Err(_) => OrderOutcome::Unanswered,
         }
     }
 }
--- a/src/control/weights.rs
+++ b/src/control/rollout_plan.rs
@@ -6,11 +6,11 @@
 use crate::ids::{BirthMs, ModelId, NodeId, ServiceId, TargetStart};
 
 /// One engine in this many may load at a time: more would slow down each other's loads.
-const LOADING_PART: usize = 6;
+const LOADING_DIVISOR: usize = 6;
 /// One engine in this many may be kept from new prompts at a time, to be loaded next or loading.
-const CHANGING_PART: usize = 4;
+const CHANGING_DIVISOR: usize = 4;
 /// One engine in this many may have an order that it has not answered, and may carry out seconds later.
-const AWAITED_PART: usize = 2;
+const UNANSWERED_DIVISOR: usize = 2;
 
 /// What an engine says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -55,7 +55,7 @@
 
 /// An engine that runs older weights than were named.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Lagging {
+pub struct PendingLoad {
     /// The engine.
     pub engine: TargetStart,
     /// The model.
@@ -70,44 +70,47 @@
     roster: &Roster,
     named: &BTreeMap<ModelId, u64>,
     changing: &BTreeSet<TargetStart>,
-    awaited: &BTreeSet<TargetStart>,
-    is_of_engines: impl Fn(&ServiceId) -> bool,
-) -> Vec<Lagging> {
-    let mut next = Vec::new();
+    unanswered: &BTreeSet<TargetStart>,
+    is_engine_service: impl Fn(&ServiceId) -> bool,
+) -> Vec<PendingLoad> {
+    let mut loads = Vec::new();
     for (model, version) in named {
         let engines = || {
             let live = roster.iter().filter(|target| target.presence == Presence::Live);
             live.filter(|target| {
-                target.weights.contains_key(model) && is_of_engines(&target.service)
+                target.weights.contains_key(model) && is_engine_service(&target.service)
             })
         };
         let of_model = |ids: &BTreeSet<TargetStart>| {
             engines().filter(|engine| ids.contains(&engine.start)).count()
         };
-        let at_once = (engines().count() / CHANGING_PART).max(1);
-        let under_way_at_most = at_once + (engines().count() / AWAITED_PART).max(1);
+        let max_changing = (engines().count() / CHANGING_DIVISOR).max(1);
+        let max_in_progress = max_changing + (engines().count() / UNANSWERED_DIVISOR).max(1);
         let changing_count = of_model(changing);
-        let under_way = changing_count + of_model(awaited);
-        let left =
-            at_once.saturating_sub(changing_count).min(under_way_at_most.saturating_sub(under_way));
+        let in_progress = changing_count + of_model(unanswered);
+        let slots = max_changing
+            .saturating_sub(changing_count)
+            .min(max_in_progress.saturating_sub(in_progress));
         // Those that have missed most go first: their bound is over first.
-        let mut lagging: Vec<&Listed> = engines()
+        let mut outdated: Vec<&Listed> = engines()
             .filter(|engine| engine.weights.get(model).is_some_and(|has| has < version))
-            .filter(|engine| !changing.contains(&engine.start) && !awaited.contains(&engine.start))
+            .filter(|engine| {
+                !changing.contains(&engine.start) && !unanswered.contains(&engine.start)
+            })
             .collect();
-        lagging.sort_by_key(|engine| engine.weights.get(model));
-        let lagging = lagging.into_iter().take(left).map(|engine| Lagging {
+        outdated.sort_by_key(|engine| engine.weights.get(model));
+        let outdated = outdated.into_iter().take(slots).map(|engine| PendingLoad {
             engine: engine.start.clone(),
             model: model.clone(),
             version: *version,
         });
-        next.extend(lagging);
+        loads.extend(outdated);
     }
-    next
+    loads
 }
 
 /// How many engines of a model may load at once.
-pub fn loads_at_once(roster: &Roster, model: &ModelId) -> usize {
+pub fn max_concurrent_loads(roster: &Roster, model: &ModelId) -> usize {
     let engines = roster.iter().filter(|target| target.weights.contains_key(model));
-    (engines.count() / LOADING_PART).max(1)
+    (engines.count() / LOADING_DIVISOR).max(1)
 }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -20,11 +20,11 @@
 use super::kept_targets;
 use super::links::Links;
 use super::operators::Operators;
-use super::ordering::Ordering;
 use super::publisher;
 use super::quarantine_publisher;
 use super::reader_election::ReaderElection;
 use super::replica::{Input, Replica, Start};
+use super::rollout::RolloutController;
 use super::roster_reader::{self, ListAddress};
 use super::scheduling::Scheduling;
 use super::shared::{Belief, Shared};
@@ -127,16 +127,16 @@
     let recording =
         age_recorder::keep_recording(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
-    let apart = host.periods.order_lease;
-    let ordering = Rc::new(Ordering {
+    let order_lease = host.periods.order_lease;
+    let rollout = Rc::new(RolloutController {
         shared: shared.clone(),
         scheduling: scheduling.clone(),
         inputs,
-        apart,
-        loading: Cell::new(0),
-        awaited: RefCell::default(),
+        order_lease,
+        loads_in_progress: Cell::new(0),
+        unanswered: RefCell::default(),
     });
-    tasks.spawn("ordering", ordering.run());
+    tasks.spawn("ordering", rollout.run());
     let reloaded = reload::keep_reading(host.clone(), |host| {
         shared.seeds.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -32,7 +32,7 @@
         ip: IpAddr,
     },
     /// From here on this replica gives orders to engines.
-    TakeOrders {
+    AcquireOrderLease {
         /// The replica.
         holder: NodeId,
     },
@@ -71,7 +71,7 @@
     /// The address is known.
     Placed,
     /// The replica that gave orders before.
-    Orders {
+    OrderLease {
         /// `None` if no replica did.
         previous: Option<NodeId>,
     },
@@ -93,7 +93,7 @@
     /// Where replicas are reached, those that are gone among them.
     pub places: Arc<BTreeMap<NodeId, IpAddr>>,
     /// The replica that gives orders to engines.
-    pub orders_holder: Option<NodeId>,
+    pub order_lease_holder: Option<NodeId>,
     /// How long ago weights of each model were named, when that was last recorded.
     pub weight_ages: Arc<BTreeMap<ModelId, WeightAges>>,
 }
@@ -134,8 +134,8 @@
                 Arc::make_mut(&mut self.places).insert(node, ip);
                 Reply::Placed
             }
-            Command::TakeOrders { holder } => {
-                Reply::Orders { previous: self.orders_holder.replace(holder) }
+            Command::AcquireOrderLease { holder } => {
+                Reply::OrderLease { previous: self.order_lease_holder.replace(holder) }
             }
         }
     }
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use kumquatpost::control::frames::VersionedRoster;
-use kumquatpost::control::ordering::Ordering;
 use kumquatpost::control::replica::Input;
+use kumquatpost::control::rollout::RolloutController;
 use kumquatpost::control::scheduling::Scheduling;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::Reply;
@@ -47,18 +47,18 @@
     tokio::task::spawn_local(async move {
         while let Some(Input::Propose(_, sender)) = commands.recv().await {
             // The right to order is free.
-            let _ = sender.send(Ok(Reply::Orders { previous: None }));
+            let _ = sender.send(Ok(Reply::OrderLease { previous: None }));
         }
     });
-    let ordering = Ordering {
+    let rollout = RolloutController {
         shared: shared.clone(),
         scheduling: Rc::new(Scheduling::new(shared.clone(), OldWeights::default())),
         inputs,
-        apart: Duration::ZERO,
-        loading: Cell::new(0),
-        awaited: RefCell::default(),
+        order_lease: Duration::ZERO,
+        loads_in_progress: Cell::new(0),
+        unanswered: RefCell::default(),
     };
-    tokio::task::spawn_local(Rc::new(ordering).run());
+    tokio::task::spawn_local(Rc::new(rollout).run());
     shared
 }
 
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use kumquatpost::control::frames::{VersionedRoster, encode};
-use kumquatpost::control::weights::next_loads;
+use kumquatpost::control::rollout_plan::next_loads;
 use kumquatpost::fleet::{Fault, FleetView, Listed, Presence, Roster};
 use kumquatpost::gateway::call::TargetLoad;
 use kumquatpost::ids::{ServiceId, TargetStart};
--- a/tests/deployment/state.rs
+++ b/tests/deployment/state.rs
@@ -68,10 +68,10 @@
 #[test]
 fn the_right_to_order_tells_who_had_it() {
     let mut state = ControlState::default();
-    let mut take = |holder| state.apply(Command::TakeOrders { holder });
-    assert_eq!(take(1), Reply::Orders { previous: None });
-    assert_eq!(take(1), Reply::Orders { previous: Some(1) });
-    assert_eq!(take(2), Reply::Orders { previous: Some(1) });
+    let mut take = |holder| state.apply(Command::AcquireOrderLease { holder });
+    assert_eq!(take(1), Reply::OrderLease { previous: None });
+    assert_eq!(take(1), Reply::OrderLease { previous: Some(1) });
+    assert_eq!(take(2), Reply::OrderLease { previous: Some(1) });
 }
 
 #[test]
@@ -81,7 +81,7 @@
     state.apply(publish(3, "three"));
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     state.apply(record(2, 1_000));
-    state.apply(Command::TakeOrders { holder: 9 });
+    state.apply(Command::AcquireOrderLease { holder: 9 });
     state.apply(Command::Place { node: 2, ip });
     let bytes = state.snapshot();
     assert_eq!(ControlState::restored(&bytes), Ok(state));
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -2,9 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use kumquatpost::control::rollout_plan::{
+    RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
+};
 use kumquatpost::control::state::{Command, ControlState};
 use kumquatpost::control::weight_ages::{age_of, due};
-use kumquatpost::control::weights::{RunningPrompts, WeightOrder, loads_at_once, next_loads};
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::platform::engines;
 use kumquatpost::scheduler::weights::{NamedWeights, RolloutHistories, observe_named};
@@ -32,7 +34,7 @@
 #[test]
 fn a_quarter_of_the_engines_is_kept_from_prompts_and_a_sixth_loads() {
     let roster = engines_with(&[1; 12]);
-    assert_eq!(loads_at_once(&roster, &"m".to_string()), 2);
+    assert_eq!(max_concurrent_loads(&roster, &"m".to_string()), 2);
     let mut under_way = BTreeSet::new();
     for expected in [3, 0] {
         let next = next_loads(&roster, &named(2), &under_way, &BTreeSet::new(), is_llm);
@@ -45,19 +47,19 @@
 #[test]
 fn engines_that_are_awaited_leave_their_place_to_others_but_some_are_never_told_at_once() {
     let roster = engines_with(&[1; 12]);
-    let (changing, mut awaited) = (BTreeSet::new(), BTreeSet::new());
+    let (changing, mut unanswered) = (BTreeSet::new(), BTreeSet::new());
     let mut told = Vec::new();
     for _ in 0..5 {
-        let next = next_loads(&roster, &named(2), &changing, &awaited, is_llm);
+        let next = next_loads(&roster, &named(2), &changing, &unanswered, is_llm);
         told.push(next.len());
-        awaited.extend(next.into_iter().map(|lagging| lagging.engine));
+        unanswered.extend(next.into_iter().map(|lagging| lagging.engine));
     }
     assert_eq!(told, [3, 3, 3, 0, 0]);
 }
 
 #[test]
 fn a_small_fleet_goes_on_one_by_one() {
-    assert_eq!(loads_at_once(&engines_with(&[1, 1, 1]), &"m".to_string()), 1);
+    assert_eq!(max_concurrent_loads(&engines_with(&[1, 1, 1]), &"m".to_string()), 1);
     assert_eq!(
         next_loads(
             &engines_with(&[1, 1, 1]),
