--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,6 @@
 //! Replicas: the replicated state of a deployment, its operators, and updates for entries.
 
 pub mod age_recorder;
-pub mod forming;
 pub mod frames;
 pub mod identity;
 pub mod kept_file;
@@ -28,4 +27,5 @@
 pub mod store_reader;
 pub mod unreadable;
 pub mod versioned_roster;
+pub mod voter_set;
 pub mod weight_ages;
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -288,7 +288,7 @@
 
 fn heartbeat(shared: &Shared) -> std::sync::Arc<[u8]> {
     let belief = shared.belief.borrow();
-    let replicas: BTreeSet<_> = belief.state.places.values().copied().collect();
+    let replicas: BTreeSet<_> = belief.state.replica_addresses.values().copied().collect();
     let entries = shared.entries.get().map(|entries| entries.max(1));
     encode(&Update::Heartbeat { replicas, entries, leader: belief.leader, term: belief.term })
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -8,11 +8,11 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::forming::{Presence, Step};
 use super::frames::{ToReplica, VersionedRoster, encode};
 use super::publisher::CURRENT_WITHIN;
 use super::shared::{Belief, Currency, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
+use super::voter_set::{MembershipStep, PeerActivity};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::RosterChange;
 use crate::ids::NodeId;
@@ -64,12 +64,12 @@
     shared: Rc<Shared>,
     driver: Driver,
     state: ControlState,
-    presence: Presence,
+    peer_activity: PeerActivity,
     /// Hosts that replicas said that they are on.
-    introduced: BTreeMap<NodeId, IpAddr>,
+    peer_addresses: BTreeMap<NodeId, IpAddr>,
     ip: IpAddr,
     /// Voters that there should be.
-    wanted: usize,
+    desired_voters: usize,
     decisions: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
     reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
     /// Entries of other replicas, with the time at which they told of them.
@@ -92,7 +92,7 @@
     /// Its host.
     pub ip: IpAddr,
     /// Voters that there should be.
-    pub wanted: usize,
+    pub desired_voters: usize,
 }
 
 impl Replica {
@@ -102,10 +102,10 @@
             shared,
             driver: start.driver,
             state: start.state,
-            presence: Presence::default(),
-            introduced: BTreeMap::new(),
+            peer_activity: PeerActivity::default(),
+            peer_addresses: BTreeMap::new(),
             ip: start.ip,
-            wanted: start.wanted,
+            desired_voters: start.desired_voters,
             decisions: BTreeMap::new(),
             reads: BTreeMap::new(),
             others_entries: BTreeMap::new(),
@@ -158,8 +158,8 @@
 
     fn handle_frame(&mut self, node: NodeId, ip: IpAddr, frame: ToReplica) {
         let now = boot_now();
-        self.introduced.insert(node, ip);
-        self.presence.heard(node, now);
+        self.peer_addresses.insert(node, ip);
+        self.peer_activity.record_contact(node, now);
         match frame {
             // What is meant for a replica whose place this one took must not keep it from joining.
             ToReplica::Log { to, .. } if to != self.shared.node => {}
@@ -170,7 +170,7 @@
                 self.driver.raft.receive(node, message, now);
             }
             ToReplica::Join => {
-                self.presence.asked(node, ip, now);
+                self.peer_activity.record_join_request(node, ip, now);
                 // Only the leader can let it in, and it may know but a few others.
                 self.shared.links.send(ip, encode(&ToReplica::Hosts(self.hosts())));
             }
@@ -254,7 +254,7 @@
         self.driver.raft.tick(now);
         let status = self.driver.raft.status();
         if status.is_leader && !self.led {
-            self.presence.reset(now);
+            self.peer_activity.reset(now);
         }
         self.led = status.is_leader;
         if status.is_leader {
@@ -276,17 +276,23 @@
     fn advance_membership(&mut self, now: BootTime) {
         let members = self.driver.raft.status().members;
         let me = self.shared.node;
-        let step = self.presence.next_step(me, &members, &self.state.places, self.wanted, now);
+        let step = self.peer_activity.next_step(
+            me,
+            &members,
+            &self.state.replica_addresses,
+            self.desired_voters,
+            now,
+        );
         let Some(step) = step else { return };
         let change = match step {
-            Step::Place(node, ip) => {
+            MembershipStep::SetAddress(node, ip) => {
                 let (sender, _) = oneshot::channel();
-                self.propose(&Command::Place { node, ip }, sender);
+                self.propose(&Command::SetReplicaAddress { node, ip }, sender);
                 return;
             }
-            Step::AddLearner(node) => Change::AddLearner(node),
-            Step::Promote(node) => Change::Promote(node),
-            Step::Remove(node) => Change::Remove(node),
+            MembershipStep::AddLearner(node) => Change::AddLearner(node),
+            MembershipStep::Promote(node) => Change::Promote(node),
+            MembershipStep::Remove(node) => Change::Remove(node),
         };
         // Refused while another change is under way or the learner lacks entries: asked again.
         if self.driver.raft.propose_change(change).is_ok() {
@@ -300,7 +306,7 @@
         let others = self.others_entries.values().flat_map(|(entries, _)| entries);
         let all: BTreeSet<&String> = entries.iter().chain(others).collect();
         // Each of several replicas knows a part of the entries; by a part, each may retry too much.
-        let is_only = self.state.places.keys().eq([&self.shared.node]);
+        let is_only = self.state.replica_addresses.keys().eq([&self.shared.node]);
         let has_heard = |from: BootTime| now.saturating_sub(from) >= TELL * 2;
         if is_only || self.others_heard_from.is_some_and(has_heard) {
             self.shared.entries.set(Some(all.len() as u32));
@@ -321,16 +327,16 @@
     /// Hosts of all replicas that were ever heard of.
     fn hosts(&self) -> BTreeSet<IpAddr> {
         let seeds = self.shared.seeds.borrow();
-        let known = self.state.places.values().chain(self.introduced.values());
+        let known = self.state.replica_addresses.values().chain(self.peer_addresses.values());
         seeds.iter().chain(known).copied().collect()
     }
 
     fn settle(&mut self) {
-        let (links, places, introduced) =
-            (self.shared.links.clone(), self.state.places.clone(), &self.introduced);
+        let (links, addresses, peer_addresses) =
+            (self.shared.links.clone(), self.state.replica_addresses.clone(), &self.peer_addresses);
         let send = |to: NodeId, message| {
             // Who introduced itself last knows its own address best.
-            if let Some(ip) = introduced.get(&to).or_else(|| places.get(&to)) {
+            if let Some(ip) = peer_addresses.get(&to).or_else(|| addresses.get(&to)) {
                 links.send(*ip, encode(&ToReplica::Log { to, message }));
             }
         };
@@ -386,7 +392,7 @@
             self.shared.knows_ages.set(true);
         }
         self.shared.caught_up_at.set(self.driver.raft.caught_up_at(now));
-        let leader = status.leader.and_then(|node| self.place_of(node));
+        let leader = status.leader.and_then(|node| self.address_of(node));
         let belief = Belief {
             state: self.state.clone(),
             term: status.term,
@@ -424,15 +430,15 @@
         );
     }
 
-    fn place_of(&self, node: NodeId) -> Option<IpAddr> {
+    fn address_of(&self, node: NodeId) -> Option<IpAddr> {
         if node == self.shared.node {
             return Some(self.ip);
         }
-        self.introduced.get(&node).or_else(|| self.state.places.get(&node)).copied()
+        self.peer_addresses.get(&node).or_else(|| self.state.replica_addresses.get(&node)).copied()
     }
 
     fn not_leader(&self, not_leader: NotLeader) -> Undecided {
         let other = not_leader.leader.filter(|node| *node != self.shared.node);
-        Undecided::NotLeader(other.and_then(|node| self.place_of(node)))
+        Undecided::NotLeader(other.and_then(|node| self.address_of(node)))
     }
 }
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -221,7 +221,7 @@
 /// How many replicas that don't lead are asked to read before this one.
 fn asked_before(shared: &Shared, own: IpAddr) -> usize {
     let belief = shared.belief.borrow();
-    let others = belief.state.places.values().filter(|ip| Some(**ip) != belief.leader);
+    let others = belief.state.replica_addresses.values().filter(|ip| Some(**ip) != belief.leader);
     others.filter(|ip| **ip < own).count()
 }
 
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -195,7 +195,7 @@
             driver: Driver::new(raft, disk, SNAPSHOT_EVERY),
             state: ControlState::founded(identity.founders.clone()),
             ip: host.ip,
-            wanted: host.tolerated_losses * 2 + 1,
+            desired_voters: host.tolerated_losses * 2 + 1,
         };
         Replica::new(shared.clone(), start).run(&mut inputs).await;
         shared.caught_up_at.set(None);
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -119,7 +119,7 @@
     /// Sends a frame to the hosts of all other replicas.
     pub fn broadcast(&self, state: &ControlState, own: IpAddr, frame: &ToReplica) {
         let bytes = encode(frame);
-        let hosts: BTreeSet<IpAddr> = state.places.values().copied().collect();
+        let hosts: BTreeSet<IpAddr> = state.replica_addresses.values().copied().collect();
         for host in hosts.into_iter().filter(|host| *host != own) {
             self.links.send(host, bytes.clone());
         }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -25,7 +25,7 @@
         version: u64,
     },
     /// Tells where a replica is reached.
-    Place {
+    SetReplicaAddress {
         /// The replica.
         node: NodeId,
         /// Its host.
@@ -69,7 +69,7 @@
     /// The newest version of the model's weights.
     Named(u64),
     /// The address is known.
-    Placed,
+    ReplicaAddressSet,
     /// The replica that gave orders before.
     OrderLease {
         /// `None` if no replica did.
@@ -91,7 +91,7 @@
     /// The newest named version of each model's weights. Versions never fall.
     pub weights: Arc<BTreeMap<ModelId, u64>>,
     /// Where replicas are reached, those that are gone among them.
-    pub places: Arc<BTreeMap<NodeId, IpAddr>>,
+    pub replica_addresses: Arc<BTreeMap<NodeId, IpAddr>>,
     /// The replica that gives orders to engines.
     pub order_lease_holder: Option<NodeId>,
     /// How long ago weights of each model were named, when that was last recorded.
@@ -104,8 +104,8 @@
 
 impl ControlState {
     /// The state of a system that starts with these replicas.
-    pub fn founded(places: BTreeMap<NodeId, IpAddr>) -> ControlState {
-        ControlState { places: Arc::new(places), ..ControlState::default() }
+    pub fn founded(replica_addresses: BTreeMap<NodeId, IpAddr>) -> ControlState {
+        ControlState { replica_addresses: Arc::new(replica_addresses), ..ControlState::default() }
     }
 
     /// Applies a command.
@@ -130,9 +130,9 @@
                 keep_newest(ages);
                 Reply::AgeRecorded
             }
-            Command::Place { node, ip } => {
-                Arc::make_mut(&mut self.places).insert(node, ip);
-                Reply::Placed
+            Command::SetReplicaAddress { node, ip } => {
+                Arc::make_mut(&mut self.replica_addresses).insert(node, ip);
+                Reply::ReplicaAddressSet
             }
             Command::AcquireOrderLease { holder } => {
                 Reply::OrderLease { previous: self.order_lease_holder.replace(holder) }
--- a/tests/deployment/forming.rs
+++ b/tests/deployment/forming.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use kumquatpost::control::forming::{Presence, SILENT, Step};
+use kumquatpost::control::voter_set::{MembershipStep, PeerActivity, VOTER_TIMEOUT};
 use kumquatpost::ids::NodeId;
 use kumquatpost::log::Members;
 
@@ -26,37 +26,40 @@
 }
 
 /// Replica 1 leads; these were heard just now, at 10 s.
-fn heard(nodes: &[u64]) -> Presence {
-    let mut presence = Presence::default();
-    presence.reset(ms(0));
-    nodes.iter().for_each(|node| presence.heard(*node, ms(10_000)));
-    presence
+fn heard(nodes: &[u64]) -> PeerActivity {
+    let mut activity = PeerActivity::default();
+    activity.reset(ms(0));
+    nodes.iter().for_each(|node| activity.record_contact(*node, ms(10_000)));
+    activity
 }
 
 #[test]
 fn a_replica_joins_step_by_step() {
-    let mut presence = heard(&[2, 3]);
-    presence.asked(4, ip(4), ms(10_000));
-    let step = |members, places| presence.next_step(1, &members, &places, WANTED, ms(10_000));
-    assert_eq!(step(members(&[1, 2, 3], &[]), places(&[1, 2, 3])), Some(Step::Place(4, ip(4))));
+    let mut activity = heard(&[2, 3]);
+    activity.record_join_request(4, ip(4), ms(10_000));
+    let step = |members, places| activity.next_step(1, &members, &places, WANTED, ms(10_000));
+    assert_eq!(
+        step(members(&[1, 2, 3], &[]), places(&[1, 2, 3])),
+        Some(MembershipStep::SetAddress(4, ip(4)))
+    );
     let known = places(&[1, 2, 3, 4]);
-    assert_eq!(step(members(&[1, 2, 3], &[]), known.clone()), Some(Step::AddLearner(4)));
-    let mut presence = presence.clone();
-    presence.heard(4, ms(10_000));
-    let step = |members| presence.next_step(1, &members, &known, WANTED, ms(10_000));
-    assert_eq!(step(members(&[1, 2, 3], &[4])), Some(Step::Promote(4)));
+    assert_eq!(step(members(&[1, 2, 3], &[]), known.clone()), Some(MembershipStep::AddLearner(4)));
+    let mut activity = activity.clone();
+    activity.record_contact(4, ms(10_000));
+    let step = |members| activity.next_step(1, &members, &known, WANTED, ms(10_000));
+    assert_eq!(step(members(&[1, 2, 3], &[4])), Some(MembershipStep::Promote(4)));
     assert_eq!(step(members(&[1, 2, 3, 4], &[])), None);
 }
 
 /// Replica 5 lost its disk: the same host comes back as replica 15, and takes its place.
-fn takes_the_place(mut presence: Presence) {
-    presence.asked(15, ip(5), ms(10_000));
+fn takes_the_place(mut activity: PeerActivity) {
+    activity.record_join_request(15, ip(5), ms(10_000));
     let mut known = places(&[1, 2, 3, 4, 5]);
     known.insert(15, ip(5));
-    let step = |members| presence.next_step(1, &members, &known, WANTED, ms(10_000));
-    assert_eq!(step(members(&[1, 2, 3, 4, 5], &[])), Some(Step::AddLearner(15)));
-    assert_eq!(step(members(&[1, 2, 3, 4, 5], &[15])), Some(Step::Promote(15)));
-    assert_eq!(step(members(&[1, 2, 3, 4, 5, 15], &[])), Some(Step::Remove(5)));
+    let step = |members| activity.next_step(1, &members, &known, WANTED, ms(10_000));
+    assert_eq!(step(members(&[1, 2, 3, 4, 5], &[])), Some(MembershipStep::AddLearner(15)));
+    assert_eq!(step(members(&[1, 2, 3, 4, 5], &[15])), Some(MembershipStep::Promote(15)));
+    assert_eq!(step(members(&[1, 2, 3, 4, 5, 15], &[])), Some(MembershipStep::Remove(5)));
     assert_eq!(step(members(&[1, 2, 3, 4, 15], &[])), None);
 }
 
@@ -69,51 +72,52 @@
 /// be taken for a later one than its successor's.
 #[test]
 fn of_two_that_asked_from_one_host_the_later_one_stays() {
-    let mut presence = heard(&[2, 3, 4, 15]);
-    presence.asked(5, ip(5), ms(1_000));
-    takes_the_place(presence);
+    let mut activity = heard(&[2, 3, 4, 15]);
+    activity.record_join_request(5, ip(5), ms(1_000));
+    takes_the_place(activity);
 }
 
 #[test]
 fn a_silent_voter_gives_its_place_only_to_one_that_is_there() {
     let known = places(&[1, 2, 3, 4, 5, 6]);
-    let mut presence = heard(&[2, 3, 4]);
-    presence.heard(5, ms(10_000) - SILENT);
-    let step =
-        |presence: &Presence, members| presence.next_step(1, &members, &known, WANTED, ms(10_000));
+    let mut activity = heard(&[2, 3, 4]);
+    activity.record_contact(5, ms(10_000) - VOTER_TIMEOUT);
+    let step = |activity: &PeerActivity, members| {
+        activity.next_step(1, &members, &known, WANTED, ms(10_000))
+    };
     let all = members(&[1, 2, 3, 4, 5], &[]);
-    assert_eq!(step(&presence, all.clone()), None, "fewer voters would survive fewer losses");
+    assert_eq!(step(&activity, all.clone()), None, "fewer voters would survive fewer losses");
     let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
-    presence.heard(6, ms(9_000));
-    assert_eq!(step(&presence, with_spare.clone()), Some(Step::Promote(6)));
-    assert_eq!(step(&presence, members(&[1, 2, 3, 4, 5, 6], &[])), Some(Step::Remove(5)));
-    presence.heard(5, ms(10_000));
-    assert_eq!(step(&presence, with_spare), None, "it is back: the spare goes on learning");
+    activity.record_contact(6, ms(9_000));
+    assert_eq!(step(&activity, with_spare.clone()), Some(MembershipStep::Promote(6)));
+    assert_eq!(step(&activity, members(&[1, 2, 3, 4, 5, 6], &[])), Some(MembershipStep::Remove(5)));
+    activity.record_contact(5, ms(10_000));
+    assert_eq!(step(&activity, with_spare), None, "it is back: the spare goes on learning");
 }
 
 #[test]
 fn a_new_leader_takes_nobody_for_silent_at_once() {
     let known = places(&[1, 2, 3, 4, 5, 6]);
-    let mut presence = Presence::default();
-    presence.reset(ms(10_000));
+    let mut activity = PeerActivity::default();
+    activity.reset(ms(10_000));
     let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
-    let step = |at| presence.next_step(1, &with_spare, &known, WANTED, at);
+    let step = |at| activity.next_step(1, &with_spare, &known, WANTED, at);
     assert_eq!(step(ms(11_000)), None);
 }
 
 #[test]
 fn learners_that_are_gone_are_taken_out() {
     let known = places(&[1, 2, 3, 4, 5, 6]);
-    let presence = heard(&[2, 3, 4, 5]);
+    let activity = heard(&[2, 3, 4, 5]);
     let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
-    let step = |at| presence.next_step(1, &with_spare, &known, WANTED, at);
-    assert_eq!(step(ms(10_000)), Some(Step::Remove(6)), "never heard in 10 s");
+    let step = |at| activity.next_step(1, &with_spare, &known, WANTED, at);
+    assert_eq!(step(ms(10_000)), Some(MembershipStep::Remove(6)), "never heard in 10 s");
 }
 
 #[test]
 fn an_old_wish_to_join_counts_for_nothing() {
-    let mut presence = heard(&[2, 3]);
-    presence.asked(4, ip(4), ms(1_000));
-    let step = presence.next_step(1, &members(&[1, 2, 3], &[]), &places(&[1, 2, 3]), 5, ms(10_000));
+    let mut activity = heard(&[2, 3]);
+    activity.record_join_request(4, ip(4), ms(1_000));
+    let step = activity.next_step(1, &members(&[1, 2, 3], &[]), &places(&[1, 2, 3]), 5, ms(10_000));
     assert_eq!(step, None);
 }
--- a/tests/deployment/state.rs
+++ b/tests/deployment/state.rs
@@ -82,7 +82,7 @@
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     state.apply(record(2, 1_000));
     state.apply(Command::AcquireOrderLease { holder: 9 });
-    state.apply(Command::Place { node: 2, ip });
+    state.apply(Command::SetReplicaAddress { node: 2, ip });
     let bytes = state.snapshot();
     assert_eq!(ControlState::restored(&bytes), Ok(state));
     for length in 0..bytes.len() {
--- a/tests/logic/replacing.rs
+++ b/tests/logic/replacing.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-use kumquatpost::control::forming::{Presence, Step};
+use kumquatpost::control::voter_set::{MembershipStep, PeerActivity};
 use kumquatpost::ids::NodeId;
 use kumquatpost::log::raft::Change;
 use proptest::prelude::*;
@@ -24,7 +24,7 @@
     world: World,
     /// The replica on each host.
     hosts: BTreeMap<IpAddr, NodeId>,
-    presences: BTreeMap<NodeId, Presence>,
+    presences: BTreeMap<NodeId, PeerActivity>,
     places: BTreeMap<NodeId, IpAddr>,
     led: BTreeMap<NodeId, bool>,
     next_id: NodeId,
@@ -62,39 +62,39 @@
             }
             let now = self.world.clock(*to);
             let status = self.world.raft(*to).expect("it is awake").status();
-            let presence = self.presences.entry(*to).or_default();
+            let activity = self.presences.entry(*to).or_default();
             if status.is_leader && !self.led.get(to).copied().unwrap_or(false) {
-                presence.reset(now);
+                activity.reset(now);
             }
             self.led.insert(*to, status.is_leader);
             for (ip, from) in &hosts {
                 if from == to || !self.world.is_awake(*from) || !self.world.reaches(*from, *to) {
                     continue;
                 }
-                presence.heard(*from, now);
+                activity.record_contact(*from, now);
                 let raft = self.world.raft(*from).expect("it is awake").status();
                 let is_member = raft.members.all().any(|id| id == *from);
                 if raft.leader.is_none() || !is_member {
-                    presence.asked(*from, *ip, now);
+                    activity.record_join_request(*from, *ip, now);
                 }
             }
             if status.is_leader {
-                let step = presence.next_step(*to, &status.members, &self.places, WANTED, now);
+                let step = activity.next_step(*to, &status.members, &self.places, WANTED, now);
                 self.take(*to, step);
             }
         }
     }
 
-    fn take(&mut self, leader: NodeId, step: Option<Step>) {
+    fn take(&mut self, leader: NodeId, step: Option<MembershipStep>) {
         let change = match step {
             None => return,
-            Some(Step::Place(node, ip)) => {
+            Some(MembershipStep::SetAddress(node, ip)) => {
                 self.places.insert(node, ip);
                 return;
             }
-            Some(Step::AddLearner(node)) => Change::AddLearner(node),
-            Some(Step::Promote(node)) => Change::Promote(node),
-            Some(Step::Remove(node)) => Change::Remove(node),
+            Some(MembershipStep::AddLearner(node)) => Change::AddLearner(node),
+            Some(MembershipStep::Promote(node)) => Change::Promote(node),
+            Some(MembershipStep::Remove(node)) => Change::Remove(node),
         };
         self.world.change(leader, change);
     }
