--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -26,10 +26,10 @@
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
         let due = {
-            let belief = shared.belief.borrow();
+            let view = shared.view.borrow();
             let named = shared.named_since.borrow();
-            match belief.leads {
-                true => due(&named, &belief.state.weight_ages, bound, boot_now()),
+            match view.leads {
+                true => due(&named, &view.state.weight_ages, bound, boot_now()),
                 false => Vec::new(),
             }
         };
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -162,16 +162,16 @@
         remembered: Remembered,
     },
     /// The sender has read the list.
-    RosterRead {
+    TargetListRead {
         /// The list that it knows now.
         version: RosterVersion,
         /// How long ago the read began.
         age: Duration,
     },
     /// The sender fails to read the list, or waits long for it: another replica should read it now.
-    RosterUnread,
+    TargetListReadFailed,
     /// The sender has an older list than the one that was read.
-    RosterWanted,
+    RosterRequested,
     /// Entries that are connected to the sender.
     Entries(BTreeSet<String>),
     /// What the sender knows of requests under which targets have ended.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -25,7 +25,7 @@
 pub mod shared;
 pub mod state;
 pub mod store_reader;
-pub mod unreadable;
+pub mod unreadable_log;
 pub mod versioned_roster;
 pub mod voter_set;
 pub mod weight_ages;
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -83,9 +83,9 @@
         Introduction::Entry { name, failure_domain, deployment, named } => {
             log::info!("event=entry_connected entry={name} failure_domain={failure_domain}");
             shared.observe_ages(named);
-            *shared.own_entries.borrow_mut().entry(name.clone()).or_default() += 1;
+            *shared.connected_entries.borrow_mut().entry(name.clone()).or_default() += 1;
             let ended = publish_to_entry(read, write, &scheduling, deployment).await;
-            let mut entries = shared.own_entries.borrow_mut();
+            let mut entries = shared.connected_entries.borrow_mut();
             if let Some(count) = entries.get_mut(&name) {
                 *count -= 1;
             }
@@ -116,11 +116,11 @@
 ) -> std::io::Result<()> {
     let shared = &scheduling.shared;
     let repeated_for = scheduling.old_weights.last().unwrap_or_default().max(AGES_REPEATED_FOR);
-    let mut belief = shared.belief.subscribe();
+    let mut view = shared.view.subscribe();
     let mut roster = shared.roster.subscribe();
     let mut domains = shared.domains.subscribe();
     let mut suspects = shared.suspects.subscribe();
-    belief.mark_changed();
+    view.mark_changed();
     let mut sent = Sent { version: deployment, ..Sent::default() };
     let mut list = RosterPublisher::default();
     let mut request = pin!(next_request(read));
@@ -140,7 +140,7 @@
             }
             () = tokio::task::yield_now(), if is_current && list.is_sending() => {}
             changed = domains.changed() => changed.map_err(std::io::Error::other)?,
-            changed = belief.changed() => changed.map_err(std::io::Error::other)?,
+            changed = view.changed() => changed.map_err(std::io::Error::other)?,
             changed = suspects.changed() => changed.map_err(std::io::Error::other)?,
             changed = roster.changed() => changed.map_err(std::io::Error::other)?,
             () = tokio::time::sleep_until(next_look) => {
@@ -240,8 +240,8 @@
     /// time until the next heartbeat.
     fn add_leader(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let leader = {
-            let belief = shared.belief.borrow();
-            belief.leader.map(|leader| (belief.term, leader))
+            let view = shared.view.borrow();
+            view.leader.map(|leader| (view.term, leader))
         };
         if leader.is_some() && leader != self.leader {
             self.leader = leader;
@@ -272,8 +272,8 @@
 
     /// Adds the newest deployment that is committed, as far as this replica knows, if the entry has an older one.
     fn add_deployment(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
-        let belief = shared.belief.borrow();
-        if let Some(published) = &belief.state.published
+        let view = shared.view.borrow();
+        if let Some(published) = &view.state.published
             && published.version() > self.version
         {
             self.version = published.version();
@@ -287,8 +287,8 @@
 }
 
 fn heartbeat(shared: &Shared) -> std::sync::Arc<[u8]> {
-    let belief = shared.belief.borrow();
-    let replicas: BTreeSet<_> = belief.state.replica_addresses.values().copied().collect();
-    let entries = shared.entries.get().map(|entries| entries.max(1));
-    encode(&Update::Heartbeat { replicas, entries, leader: belief.leader, term: belief.term })
+    let view = shared.view.borrow();
+    let replicas: BTreeSet<_> = view.state.replica_addresses.values().copied().collect();
+    let entries = shared.entry_count.get().map(|entries| entries.max(1));
+    encode(&Update::Heartbeat { replicas, entries, leader: view.leader, term: view.term })
 }
--- a/src/control/quarantine_publisher.rs
+++ b/src/control/quarantine_publisher.rs
@@ -23,7 +23,7 @@
             reports
         };
         if !reports.is_empty() {
-            let state = shared.belief.borrow().state.clone();
+            let state = shared.view.borrow().state.clone();
             shared.broadcast(&state, own, &ToReplica::Quarantine(reports));
         }
     }
--- a/src/control/reader_election.rs
+++ b/src/control/reader_election.rs
@@ -12,20 +12,20 @@
 
 /// How often the list is read. It lags by about 800 ms by itself, and a leaving target must get no
 /// new work 3 s after it is listed so; each read has a price.
-pub const READ_EVERY: Duration = Duration::from_millis(500);
+pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// A page that has not come after this time makes another replica read, too. Many times what it takes.
-pub const LATE_AFTER: Duration = Duration::from_millis(350);
+pub const SLOW_PAGE_TIMEOUT: Duration = Duration::from_millis(350);
 /// Longest time for one page.
 pub const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// How often a replica that does not lead looks whether it must read.
-pub const LOOK_EVERY: Duration = Duration::from_millis(50);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A replica that does not lead reads the list once nobody has for this long.
-const TAKE_OVER_AFTER: Duration = Duration::from_millis(1_200);
+const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Spreads replicas that take over at the same time.
-const TAKE_OVER_SPREAD: Duration = Duration::from_millis(600);
+const TAKEOVER_JITTER: Duration = Duration::from_millis(600);
 /// Replicas that were asked read one after another: the next one only if those before it are late, too,
 /// since each call has a price, and more of them make a slow list slower.
-const ASKED_STEP: Duration = Duration::from_millis(400);
+const REQUEST_STAGGER: Duration = Duration::from_millis(400);
 
 /// What a replica knows of reads of the list, by itself and others.
 #[derive(Clone, Copy, Debug)]
@@ -33,15 +33,15 @@
     /// When the newest read that is known to have succeeded began: an answer tells nothing later.
     read_at: BootTime,
     /// How long that read took: a list of many pages takes a second.
-    lasted: Duration,
+    last_duration: Duration,
     /// When a replica first said that it fails to read, unless one has read since.
-    asked_at: Option<BootTime>,
+    requested_at: Option<BootTime>,
 }
 
 impl ReaderElection {
     /// Nothing is known; a replica that has just started waits for others first.
     pub fn new(now: BootTime) -> ReaderElection {
-        ReaderElection { read_at: now, lasted: Duration::ZERO, asked_at: None }
+        ReaderElection { read_at: now, last_duration: Duration::ZERO, requested_at: None }
     }
 
     /// When the newest read began.
@@ -50,29 +50,30 @@
     }
 
     /// A read that began then has succeeded.
-    pub fn was_read(&mut self, began: BootTime) {
+    pub fn record_read(&mut self, began: BootTime) {
         self.read_at = self.read_at.max(began);
-        self.asked_at = self.asked_at.filter(|asked| began < *asked);
+        self.requested_at = self.requested_at.filter(|requested| began < *requested);
     }
 
     /// The newest read took so long.
-    pub fn has_lasted(&mut self, lasted: Duration) {
-        self.lasted = lasted;
+    pub fn record_duration(&mut self, last_duration: Duration) {
+        self.last_duration = last_duration;
     }
 
     /// Another replica fails to read, or is late.
-    pub fn was_asked(&mut self, now: BootTime) {
-        self.asked_at = self.asked_at.or(Some(now));
+    pub fn record_request(&mut self, now: BootTime) {
+        self.requested_at = self.requested_at.or(Some(now));
     }
 
     /// When a replica that does not lead reads. Its place among the others is between 0 and 1, and
     /// `before` of them are asked before it; a long list is read every `read_every`.
-    pub fn takes_over_at(&self, place: f64, before: usize, read_every: Duration) -> BootTime {
-        let patience = TAKE_OVER_AFTER + TAKE_OVER_SPREAD.mul_f64(place);
+    pub fn takeover_at(&self, jitter: f64, rank: usize, read_interval: Duration) -> BootTime {
+        let idle_timeout = TAKEOVER_TIMEOUT + TAKEOVER_JITTER.mul_f64(jitter);
         // That read, and the next one.
-        let reads = self.lasted * 2;
-        let silent = self.read_at + reads + patience.max(read_every * 2);
-        let asked = self.asked_at.map(|asked| asked + ASKED_STEP * before as u32);
-        asked.map_or(silent, |asked| asked.min(silent))
+        let read_time = self.last_duration * 2;
+        let idle_deadline = self.read_at + read_time + idle_timeout.max(read_interval * 2);
+        let requested =
+            self.requested_at.map(|requested| requested + REQUEST_STAGGER * rank as u32);
+        requested.map_or(idle_deadline, |requested| requested.min(idle_deadline))
     }
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -10,7 +10,7 @@
 
 use super::frames::{ToReplica, VersionedRoster, encode};
 use super::publisher::CURRENT_WITHIN;
-use super::shared::{Belief, Currency, Shared, StalePeers};
+use super::shared::{Freshness, ReplicaView, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
 use super::voter_set::{MembershipStep, PeerActivity};
 use crate::clock::{BootTime, boot_now};
@@ -80,7 +80,7 @@
     told_at: BootTime,
     led: bool,
     /// Whether entries may rely on this replica, as the log told last, and since when.
-    currency: (Currency, BootTime),
+    freshness: (Freshness, BootTime),
 }
 
 /// What a replica starts from.
@@ -113,7 +113,7 @@
             heard_leader_at: boot_now(),
             told_at: BootTime::ZERO,
             led: false,
-            currency: (Currency::NoLeader, boot_now()),
+            freshness: (Freshness::NoLeader, boot_now()),
         }
     }
 
@@ -184,22 +184,25 @@
                     .and_then(|change| known.advanced(before, version, change, remembered));
                 match heard {
                     Some(roster) => self.observe_roster(roster, ip),
-                    None => self.shared.links.send(ip, encode(&ToReplica::RosterWanted)),
+                    None => self.shared.links.send(ip, encode(&ToReplica::RosterRequested)),
                 }
             }
-            ToReplica::RosterUnread => self.shared.reading.update(|mut reading| {
-                reading.was_asked(now);
-                reading
-            }),
-            ToReplica::RosterRead { version, age } => match self
-                .shared
-                .observe_read(version, now.saturating_sub(age))
-            {
-                Ordering::Less => self.publish_roster(ip),
-                Ordering::Equal => {}
-                Ordering::Greater => self.shared.links.send(ip, encode(&ToReplica::RosterWanted)),
-            },
-            ToReplica::RosterWanted => self.publish_roster(ip),
+            ToReplica::TargetListReadFailed => {
+                self.shared.reader_election.update(|mut reader_election| {
+                    reader_election.record_request(now);
+                    reader_election
+                })
+            }
+            ToReplica::TargetListRead { version, age } => {
+                match self.shared.observe_read(version, now.saturating_sub(age)) {
+                    Ordering::Less => self.publish_roster(ip),
+                    Ordering::Equal => {}
+                    Ordering::Greater => {
+                        self.shared.links.send(ip, encode(&ToReplica::RosterRequested))
+                    }
+                }
+            }
+            ToReplica::RosterRequested => self.publish_roster(ip),
             ToReplica::Quarantine(reports) => self.shared.observe_quarantine(reports),
             ToReplica::QuarantineDigest(digest) => {
                 let known = self.shared.quarantine.borrow();
@@ -215,7 +218,7 @@
             }
             ToReplica::NamedAges { named, leads } => {
                 self.shared.observe_ages(named);
-                self.shared.knows_ages.set(leads || self.shared.knows_ages.get());
+                self.shared.has_weight_ages.set(leads || self.shared.has_weight_ages.get());
             }
             ToReplica::Entries(entries) => {
                 self.others_entries.insert(node, (entries, now));
@@ -263,7 +266,7 @@
         } else {
             self.reads.clear();
         }
-        if !self.shared.knows_ages.get() {
+        if !self.shared.has_weight_ages.get() {
             self.shared.broadcast(&self.state, self.ip, &ToReplica::NamedAgesWanted);
         }
         if now >= self.told_at + TELL {
@@ -301,7 +304,8 @@
     }
 
     fn publish_entries(&mut self, now: BootTime) {
-        let entries: BTreeSet<String> = self.shared.own_entries.borrow().keys().cloned().collect();
+        let entries: BTreeSet<String> =
+            self.shared.connected_entries.borrow().keys().cloned().collect();
         self.others_entries.retain(|_, (_, at)| now.saturating_sub(*at) < ENTRIES_LAST);
         let others = self.others_entries.values().flat_map(|(entries, _)| entries);
         let all: BTreeSet<&String> = entries.iter().chain(others).collect();
@@ -309,7 +313,7 @@
         let is_only = self.state.replica_addresses.keys().eq([&self.shared.node]);
         let has_heard = |from: BootTime| now.saturating_sub(from) >= TELL * 2;
         if is_only || self.others_heard_from.is_some_and(has_heard) {
-            self.shared.entries.set(Some(all.len() as u32));
+            self.shared.entry_count.set(Some(all.len() as u32));
         }
         self.shared.broadcast(&self.state, self.ip, &ToReplica::Entries(entries.clone()));
         let digest = self.shared.quarantine.borrow().digest();
@@ -389,42 +393,42 @@
         let status = self.driver.raft.status();
         if status.is_leader {
             // Before others hear that it leads: what a scheduler is told until then is lost.
-            self.shared.knows_ages.set(true);
+            self.shared.has_weight_ages.set(true);
         }
         self.shared.caught_up_at.set(self.driver.raft.caught_up_at(now));
         let leader = status.leader.and_then(|node| self.address_of(node));
-        let belief = Belief {
+        let view = ReplicaView {
             state: self.state.clone(),
             term: status.term,
             leads: status.is_leader,
             leader,
         };
-        self.shared.belief.send_if_modified(|before| {
-            if before.leads != belief.leads || before.leader != belief.leader {
+        self.shared.view.send_if_modified(|before| {
+            if before.leads != view.leads || before.leader != view.leader {
                 log::info!(
                     "event=leader_changed term={} leader={:?} here={}",
-                    belief.term,
-                    belief.leader,
-                    belief.leads
+                    view.term,
+                    view.leader,
+                    view.leads
                 );
             }
-            let changed = *before != belief;
-            *before = belief;
+            let changed = *before != view;
+            *before = view;
             changed
         });
-        self.log_currency(now);
+        self.log_freshness(now);
     }
 
     /// Logs when this replica begins to keep silent towards entries, why, and when that ends.
-    fn log_currency(&mut self, now: BootTime) {
-        let (before, since) = self.currency;
-        let currency = self.shared.currency(CURRENT_WITHIN);
-        if currency == before {
+    fn log_freshness(&mut self, now: BootTime) {
+        let (before, since) = self.freshness;
+        let freshness = self.shared.freshness(CURRENT_WITHIN);
+        if freshness == before {
             return;
         }
-        self.currency = (currency, now);
+        self.freshness = (freshness, now);
         log::info!(
-            "event=replica_currency now={currency:?} before={before:?} lasted_ms={} term={}",
+            "event=replica_currency now={freshness:?} before={before:?} lasted_ms={} term={}",
             now.saturating_sub(since).as_millis(),
             self.driver.raft.term()
         );
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -93,8 +93,8 @@
         loop {
             tokio::time::sleep(POLL_INTERVAL).await;
             let (leads, term) = {
-                let belief = self.shared.belief.borrow();
-                (belief.leads, belief.term)
+                let view = self.shared.view.borrow();
+                (view.leads, view.term)
             };
             if !leads {
                 continue;
@@ -119,15 +119,15 @@
     }
 
     fn pending_loads(&self) -> Vec<PendingLoad> {
-        let belief = self.shared.belief.borrow();
+        let view = self.shared.view.borrow();
         let roster = self.shared.roster.borrow();
-        let services = belief.state.published.as_ref().map(|known| &known.deployment.services);
+        let services = view.state.published.as_ref().map(|known| &known.deployment.services);
         let is_engine_service = |service: &ServiceId| {
             let service = services.and_then(|services| services.get(service));
             service.is_some_and(|service| matches!(service.role, ServiceRole::Engines(_)))
         };
         let (changing, unanswered) = (self.shared.changing.borrow(), self.unanswered.borrow());
-        next_loads(&roster.roster, &belief.state.weights, &changing, &unanswered, is_engine_service)
+        next_loads(&roster.roster, &view.state.weights, &changing, &unanswered, is_engine_service)
     }
 
     /// Becomes the only holder, and waits until no order of an earlier one can be under way.
@@ -263,8 +263,8 @@
     }
 
     fn newest_version(&self, load: &PendingLoad) -> u64 {
-        let belief = self.shared.belief.borrow();
-        belief.state.weights.get(&load.model).copied().unwrap_or(load.version)
+        let view = self.shared.view.borrow();
+        view.state.weights.get(&load.model).copied().unwrap_or(load.version)
     }
 
     /// Whether this start of an engine is still the one that is there.
@@ -273,8 +273,8 @@
     }
 
     fn may_order(&self, term: Term) -> bool {
-        let belief = self.shared.belief.borrow();
-        belief.leads && belief.term == term && self.shared.caught_up_at.get().is_some()
+        let view = self.shared.view.borrow();
+        view.leads && view.term == term && self.shared.caught_up_at.get().is_some()
     }
 
     async fn order(
--- a/src/control/roster_publisher.rs
+++ b/src/control/roster_publisher.rs
@@ -89,7 +89,7 @@
                     return None;
                 }
                 let frame = match self.detail {
-                    RosterDetail::Changes => shared.roster_change(sent, &known),
+                    RosterDetail::Changes => shared.roster_change_frame(sent, &known),
                     RosterDetail::Versions => version_frame(sent, &known),
                 };
                 *sent = known;
@@ -102,7 +102,7 @@
 
 impl Sent {
     fn pieces(list: VersionedRoster, next: usize, shared: &Shared) -> Sent {
-        let frames = shared.pieces_of(&list);
+        let frames = shared.piece_frames(&list);
         Sent::Pieces { list, frames, next }
     }
 }
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -10,9 +10,9 @@
 use rand::RngExt;
 
 use super::frames::{ToReplica, VersionedRoster};
-use super::reader_election::{LATE_AFTER, LOOK_EVERY, PAGE_TIMEOUT, READ_EVERY};
+use super::reader_election::{PAGE_TIMEOUT, POLL_INTERVAL, READ_INTERVAL, SLOW_PAGE_TIMEOUT};
 use super::shared::Shared;
-use super::unreadable::UnreadableLines;
+use super::unreadable_log::UnreadableEntryLog;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Listing, RosterChange};
@@ -22,39 +22,44 @@
 use crate::telemetry::roles::ReplicaMetrics;
 
 /// A list is read once in this time at the least, however few calls it takes.
-const RAREST_READ_S: f64 = 60.0;
+const MAX_READ_INTERVAL_S: f64 = 60.0;
 /// Readers use at most this part of the calls that the list takes: when a leader changes, two read.
-const RATE_PART: f64 = 0.6;
+const RATE_SHARE: f64 = 0.6;
 /// A page that was asked for too often is asked for again within this time, so many times.
-const PAGE_AGAIN: Duration = Duration::from_millis(250);
-const PAGE_TRIES: u32 = 8;
+const PAGE_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_PAGE_RETRIES: u32 = 8;
 /// More pages than this are taken for a mistake.
 const MAX_PAGES: usize = 1_000;
 
 /// Where the list is, and how often it may be asked.
 #[derive(Clone, Copy, Debug)]
-pub struct ListAddress {
+pub struct TargetListSource {
     /// The address.
     pub address: SocketAddr,
     /// Calls a second that it takes from all hosts together.
     pub rate_per_s: f64,
 }
 
-impl ListAddress {
+impl TargetListSource {
     /// How often a list of so many pages may be read.
-    pub fn read_every(&self, pages: usize) -> Duration {
+    pub fn read_interval(&self, pages: usize) -> Duration {
         if self.rate_per_s <= 0.0 {
-            return READ_EVERY;
+            return READ_INTERVAL;
         }
-        let by_rate_s = pages as f64 / (self.rate_per_s * RATE_PART);
-        READ_EVERY.max(Duration::from_secs_f64(by_rate_s.min(RAREST_READ_S)))
+        let by_rate_s = pages as f64 / (self.rate_per_s * RATE_SHARE);
+        READ_INTERVAL.max(Duration::from_secs_f64(by_rate_s.min(MAX_READ_INTERVAL_S)))
     }
 }
 
 /// Reads for as long as the process lives, whenever it is this replica's turn.
-pub async fn run(shared: Rc<Shared>, own: IpAddr, list: ListAddress, metrics: Rc<ReplicaMetrics>) {
-    let asks_again_at = Cell::default();
-    Reader { shared, own, list: list.address, metrics, asks_again_at }.run(list).await;
+pub async fn run(
+    shared: Rc<Shared>,
+    own: IpAddr,
+    list: TargetListSource,
+    metrics: Rc<ReplicaMetrics>,
+) {
+    let next_request_at = Cell::default();
+    Reader { shared, own, list: list.address, metrics, next_request_at }.run(list).await;
 }
 
 /// The list's reader at one replica.
@@ -64,18 +69,18 @@
     list: SocketAddr,
     metrics: Rc<ReplicaMetrics>,
     /// Others are asked to read once for each read here that fails.
-    asks_again_at: Cell<BootTime>,
+    next_request_at: Cell<BootTime>,
 }
 
 impl Reader {
-    async fn run(&self, list: ListAddress) {
+    async fn run(&self, list: TargetListSource) {
         let mut failing = false;
-        let mut unreadable = UnreadableLines::default();
+        let mut unreadable = UnreadableEntryLog::default();
         let mut pages = 1;
-        let mut last_own = None;
+        let mut last_own_read = None;
         loop {
-            wait_for_turn(&self.shared, self.own, list.read_every(pages)).await;
-            if last_own != Some(self.shared.reading.get().read_at()) {
+            wait_for_turn(&self.shared, self.own, list.read_interval(pages)).await;
+            if last_own_read != Some(self.shared.reader_election.get().read_at()) {
                 log_turn(&self.shared);
             }
             let began = boot_now();
@@ -88,12 +93,12 @@
                     pages = read.pages;
                     let count = read.listing.unreadable_count() as u64;
                     self.metrics.unreadable_entries.add(count, &[]);
-                    unreadable.note(&read.listing, boot_now());
-                    self.take(read.listing.into_targets(), began);
-                    last_own = Some(self.shared.reading.get().read_at());
+                    unreadable.log_if_changed(&read.listing, boot_now());
+                    self.record_targets(read.listing.into_targets(), began);
+                    last_own_read = Some(self.shared.reader_election.get().read_at());
                 }
                 Err(error) => {
-                    self.ask_others();
+                    self.request_reads();
                     if !failing {
                         let reason = error.to_string();
                         log::warn!("event=target_list_lost list={} reason={reason:?}", self.list);
@@ -106,22 +111,22 @@
 
     /// Has other replicas read at once: the list may be out of this one's reach alone, and what leaves
     /// must be known everywhere in time.
-    fn ask_others(&self) {
+    fn request_reads(&self) {
         let now = boot_now();
-        let belief = self.shared.belief.borrow();
+        let view = self.shared.view.borrow();
         // Others who read were asked with all the rest, or come one after another: asked once more, all
         // of them would go on reading for as long as the list is slow.
-        if !belief.leads || now < self.asks_again_at.get() {
+        if !view.leads || now < self.next_request_at.get() {
             return;
         }
-        self.asks_again_at.set(now + READ_EVERY);
-        let state = &belief.state;
-        self.shared.broadcast(state, self.own, &ToReplica::RosterUnread);
+        self.next_request_at.set(now + READ_INTERVAL);
+        let state = &view.state;
+        self.shared.broadcast(state, self.own, &ToReplica::TargetListReadFailed);
     }
 
-    fn take(&self, targets: Vec<Listed>, began: BootTime) {
+    fn record_targets(&self, targets: Vec<Listed>, began: BootTime) {
         self.shared.note_read(began);
-        let published = self.shared.belief.borrow().state.published.clone();
+        let published = self.shared.view.borrow().state.published.clone();
         let is_named = |service: &ServiceId| {
             published.as_ref().is_some_and(|known| known.deployment.services.contains_key(service))
         };
@@ -130,17 +135,17 @@
             self.shared.change_roster(|known| known.take(known.without_unnamed(targets, is_named)));
         let roster = self.shared.roster.borrow().clone();
         let version = roster.version();
-        let state = &self.shared.belief.borrow().state;
+        let state = &self.shared.view.borrow().state;
         if changed {
             let (number, count) = (roster.number, roster.roster.len());
             log::info!("event=targets_changed number={number} count={count}");
-            self.shared.broadcast(state, self.own, &change_between(&before, &roster));
+            self.shared.broadcast(state, self.own, &roster_change(&before, &roster));
         }
         let age = boot_now().saturating_sub(began);
-        self.shared.broadcast(state, self.own, &ToReplica::RosterRead { version, age });
+        self.shared.broadcast(state, self.own, &ToReplica::TargetListRead { version, age });
     }
 
-    async fn read(&self) -> Result<Read, CallError> {
+    async fn read(&self) -> Result<TargetList, CallError> {
         let mut listing = Listing::default();
         let mut token: Option<String> = None;
         for pages in 1..=MAX_PAGES {
@@ -148,7 +153,7 @@
             page.entries.into_iter().for_each(|entry| listing.add(entry));
             token = page.next;
             if token.is_none() {
-                return Ok(Read { listing: listing.finish()?, pages });
+                return Ok(TargetList { listing: listing.finish()?, pages });
             }
         }
         Err("the list does not end".into())
@@ -156,14 +161,14 @@
 
     /// Reads a page, again after a while if the list has been asked too often.
     async fn read_page(&self, token: Option<&str>) -> Result<Page, CallError> {
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
             let answer = self.fetch_page(token).await?;
             match answer.status {
                 StatusCode::OK => return Ok(instances::decode(&answer.body)?),
-                StatusCode::TOO_MANY_REQUESTS if tries < PAGE_TRIES => {
-                    tries += 1;
-                    tokio::time::sleep(PAGE_AGAIN.mul_f64(rand::rng().random())).await;
+                StatusCode::TOO_MANY_REQUESTS if retries < MAX_PAGE_RETRIES => {
+                    retries += 1;
+                    tokio::time::sleep(PAGE_RETRY_DELAY.mul_f64(rand::rng().random())).await;
                 }
                 status => return Err(format!("the list answers {status}").into()),
             }
@@ -174,10 +179,10 @@
     async fn fetch_page(&self, token: Option<&str>) -> Result<Answer, CallError> {
         let call = Exchange::new(self.list, Method::GET, &instances::page_path(token));
         let mut fetching = pin!(fetch(call, PAGE_TIMEOUT));
-        match tokio::time::timeout(LATE_AFTER, &mut fetching).await {
+        match tokio::time::timeout(SLOW_PAGE_TIMEOUT, &mut fetching).await {
             Ok(answer) => answer,
             Err(_) => {
-                self.ask_others();
+                self.request_reads();
                 fetching.await
             }
         }
@@ -185,7 +190,7 @@
 }
 
 /// What tells another replica that has one list of the next one.
-fn change_between(before: &VersionedRoster, now: &VersionedRoster) -> ToReplica {
+fn roster_change(before: &VersionedRoster, now: &VersionedRoster) -> ToReplica {
     let RosterChange { changed, gone } = before.roster.change_to(&now.roster);
     ToReplica::RosterChanged {
         before: before.version(),
@@ -198,46 +203,50 @@
 
 /// Waits until this replica should read: as soon as it leads, since all replicas may have just started
 /// and entries wait for the first list, and then regularly, or once another one fails to or nobody does.
-async fn wait_for_turn(shared: &Shared, own: IpAddr, read_every: Duration) {
-    let mut belief = shared.belief.subscribe();
-    let led = belief.borrow_and_update().leads;
+async fn wait_for_turn(shared: &Shared, own: IpAddr, read_interval: Duration) {
+    let mut view = shared.view.subscribe();
+    let led = view.borrow_and_update().leads;
     tokio::select! {
-        () = tokio::time::sleep(read_every) => {}
+        () = tokio::time::sleep(read_interval) => {}
         // The sender lives as long as `shared`.
-        _ = belief.wait_for(|belief| belief.leads && !led) => {}
+        _ = view.wait_for(|view| view.leads && !led) => {}
     }
-    let place = rand::rng().random();
-    while !shared.belief.borrow().leads
+    let jitter = rand::rng().random();
+    while !shared.view.borrow().leads
         && boot_now()
-            < shared.reading.get().takes_over_at(place, asked_before(shared, own), read_every)
+            < shared.reader_election.get().takeover_at(
+                jitter,
+                request_rank(shared, own),
+                read_interval,
+            )
     {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_EVERY) => {}
-            _ = belief.wait_for(|belief| belief.leads) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
+            _ = view.wait_for(|view| view.leads) => {}
         }
     }
 }
 
 /// How many replicas that don't lead are asked to read before this one.
-fn asked_before(shared: &Shared, own: IpAddr) -> usize {
-    let belief = shared.belief.borrow();
-    let others = belief.state.replica_addresses.values().filter(|ip| Some(**ip) != belief.leader);
+fn request_rank(shared: &Shared, own: IpAddr) -> usize {
+    let view = shared.view.borrow();
+    let others = view.state.replica_addresses.values().filter(|ip| Some(**ip) != view.leader);
     others.filter(|ip| **ip < own).count()
 }
 
 /// Tells that this replica reads the list, which another one did before.
 fn log_turn(shared: &Shared) {
-    let unread = boot_now().saturating_sub(shared.reading.get().read_at());
+    let unread = boot_now().saturating_sub(shared.reader_election.get().read_at());
     log::info!(
         "event=target_list_reader_changed leads={} unread_ms={} number={}",
-        shared.belief.borrow().leads,
+        shared.view.borrow().leads,
         unread.as_millis(),
         shared.roster.borrow().number
     );
 }
 
 /// A whole list.
-struct Read {
+struct TargetList {
     listing: Listing,
     pages: usize,
 }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -25,9 +25,9 @@
 use super::reader_election::ReaderElection;
 use super::replica::{Input, Replica, Start};
 use super::rollout::RolloutController;
-use super::roster_reader::{self, ListAddress};
+use super::roster_reader::{self, TargetListSource};
 use super::scheduling::Scheduling;
-use super::shared::{Belief, Shared};
+use super::shared::{ReplicaView, Shared};
 use super::state::ControlState;
 use crate::clock::boot_now;
 use crate::error::{Error, Result};
@@ -73,7 +73,7 @@
     let seeds: BTreeSet<IpAddr> = host.seeds.iter().map(|seed| seed.ip()).collect();
     let shared = Rc::new(Shared {
         node: identity.node,
-        belief: watch::Sender::new(Belief::default()),
+        view: watch::Sender::new(ReplicaView::default()),
         roster: watch::Sender::new(kept),
         earlier_rosters: RefCell::default(),
         roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
@@ -83,13 +83,13 @@
             RosterVersion::default(),
             Arc::from([]),
         )),
-        reading: Cell::new(ReaderElection::new(boot_now())),
+        reader_election: Cell::new(ReaderElection::new(boot_now())),
         caught_up_at: Cell::new(None),
-        own_entries: RefCell::default(),
-        entries: Cell::new(None),
+        connected_entries: RefCell::default(),
+        entry_count: Cell::new(None),
         changing: RefCell::default(),
         named_since: RefCell::default(),
-        knows_ages: Cell::new(false),
+        has_weight_ages: Cell::new(false),
         quarantine: watch::Sender::new(kept_quarantine::load(&folder)),
         suspects: watch::Sender::default(),
         links,
@@ -115,7 +115,7 @@
     });
     tasks.spawn("operators", operators.accept(listen(operators_address).await?));
     if let Some(address) = host.target_list {
-        let list = ListAddress { address, rate_per_s: host.target_list_rate };
+        let list = TargetListSource { address, rate_per_s: host.target_list_rate };
         tasks.spawn(
             "target_list",
             roster_reader::run(shared.clone(), host.ip, list, metrics.clone()),
@@ -152,16 +152,16 @@
 
 /// All metrics as text, with what is true now.
 fn metrics_text(metrics: &ReplicaMetrics, shared: &Shared, scheduling: &Scheduling) -> String {
-    let belief = shared.belief.borrow();
-    metrics.term.record(belief.term, &[]);
-    metrics.leads.record(belief.leads.into(), &[]);
-    let version = belief.state.published.as_ref().map_or(0, |published| published.version());
+    let view = shared.view.borrow();
+    metrics.term.record(view.term, &[]);
+    metrics.leads.record(view.leads.into(), &[]);
+    let version = view.state.published.as_ref().map_or(0, |published| published.version());
     metrics.deployment_version.record(version, &[]);
-    if let Some(entries) = shared.entries.get() {
+    if let Some(entries) = shared.entry_count.get() {
         metrics.entries.record(entries.into(), &[]);
     }
     metrics.requests_held.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
-    let age = boot_now().saturating_sub(shared.reading.get().read_at());
+    let age = boot_now().saturating_sub(shared.reader_election.get().read_at());
     metrics.target_list_age_s.record(age.as_secs_f64(), &[]);
     metrics.waiting.record(scheduling.waiting() as u64, &[]);
     metrics.text()
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -21,13 +21,13 @@
     pub async fn run(self: Rc<Scheduling>) {
         let mut deployment_version = 0;
         let mut roster_version = RosterVersion::default();
-        let mut belief = self.shared.belief.subscribe();
+        let mut view = self.shared.view.subscribe();
         loop {
             // Prompts wait while a new leader does not schedule yet.
-            let _ = tokio::time::timeout(LOOK_EVERY, belief.changed()).await;
+            let _ = tokio::time::timeout(LOOK_EVERY, view.changed()).await;
             let (leads, term) = {
-                let belief = self.shared.belief.borrow();
-                (belief.leads, belief.term)
+                let view = self.shared.view.borrow();
+                (view.leads, view.term)
             };
             if !leads {
                 if self.active.borrow_mut().take().is_some() {
@@ -61,12 +61,12 @@
         deployment_version: &mut u64,
         roster_version: &mut RosterVersion,
     ) {
-        let belief = self.shared.belief.borrow();
+        let view = self.shared.view.borrow();
         let roster = self.shared.roster.borrow();
         let mut active = self.active.borrow_mut();
         let Some((_, scheduler)) = active.as_mut() else { return };
         let mut new_stores = Vec::new();
-        if let Some(published) = &belief.state.published
+        if let Some(published) = &view.state.published
             && published.version() > *deployment_version
         {
             *deployment_version = published.version();
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -97,7 +97,7 @@
 
     /// Calls the scheduler, if this replica surely leads.
     pub fn with<T>(&self, call: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
-        if !self.shared.is_current(SURE_WITHIN) || !self.shared.belief.borrow().leads {
+        if !self.shared.is_current(SURE_WITHIN) || !self.shared.view.borrow().leads {
             return None;
         }
         let mut active = self.active.borrow_mut();
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -39,7 +39,7 @@
     /// This replica.
     pub node: NodeId,
     /// The newest state that is known here.
-    pub belief: watch::Sender<Belief>,
+    pub view: watch::Sender<ReplicaView>,
     /// The list of targets.
     pub roster: watch::Sender<VersionedRoster>,
     /// Lists of targets before that one, the last ones: what an entry holds that has just lost another
@@ -53,20 +53,20 @@
     /// are sent the same.
     pub roster_update: RefCell<(RosterVersion, RosterVersion, Arc<[u8]>)>,
     /// Who reads the list.
-    pub reading: Cell<ReaderElection>,
+    pub reader_election: Cell<ReaderElection>,
     /// When this replica last had all that was committed.
     pub caught_up_at: Cell<Option<BootTime>>,
     /// Entries that are connected here, with the number of their connections.
-    pub own_entries: RefCell<BTreeMap<String, u32>>,
+    pub connected_entries: RefCell<BTreeMap<String, u32>>,
     /// Entries that are connected to any replica; `None` until the others had time to send theirs.
-    pub entries: Cell<Option<u32>>,
+    pub entry_count: Cell<Option<u32>>,
     /// Engines that are about to load other weights, or load them. They get no new prompts.
     pub changing: RefCell<BTreeSet<TargetStart>>,
     /// When weights were named, as far as this replica knows.
     pub named_since: RefCell<RolloutHistories>,
     /// Whether this process has led, or a leader has sent it how long ago weights were named. Until
     /// then it may take old namings for new: the log lags behind ages while disks stand still.
-    pub knows_ages: Cell<bool>,
+    pub has_weight_ages: Cell<bool>,
     /// Requests under which targets have ended.
     pub quarantine: watch::Sender<Quarantine>,
     /// The revision of that which entries must know of: most changes concern requests under which one target has
@@ -80,7 +80,7 @@
 
 /// What one replica believes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Belief {
+pub struct ReplicaView {
     /// The replicated state, as far as it is applied here.
     pub state: ControlState,
     /// The term.
@@ -93,7 +93,7 @@
 
 /// Whether a replica knows all that was committed lately. If not, it publishes nothing to entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Currency {
+pub enum Freshness {
     /// It does.
     Current,
     /// It knows no leader.
@@ -134,7 +134,7 @@
             known.version() != before
         });
         if changed {
-            self.keep_earlier(earlier);
+            self.remember_earlier(earlier);
         }
         match self.roster.borrow().version() {
             known if known == received.version() => StalePeers::Nobody,
@@ -156,10 +156,10 @@
 
     /// Records that the list was read.
     pub fn note_read(&self, began: BootTime) {
-        self.reading.update(|mut reading| {
-            reading.was_read(began);
-            reading.has_lasted(boot_now().saturating_sub(began));
-            reading
+        self.reader_election.update(|mut reader_election| {
+            reader_election.record_read(began);
+            reader_election.record_duration(boot_now().saturating_sub(began));
+            reader_election
         });
     }
 
@@ -167,8 +167,8 @@
     /// it must be sent to others.
     pub fn change_roster(&self, change: impl FnOnce(&mut Roster) -> bool) -> bool {
         let least = {
-            let belief = self.belief.borrow();
-            if belief.leads { belief.term << ROSTERS_PER_TERM } else { 0 }
+            let view = self.view.borrow();
+            if view.leads { view.term << ROSTERS_PER_TERM } else { 0 }
         };
         let earlier = self.roster.borrow().clone();
         let is_news = self.roster.send_if_modified(|known| {
@@ -180,12 +180,12 @@
             is_news
         });
         if is_news {
-            self.keep_earlier(earlier);
+            self.remember_earlier(earlier);
         }
         is_news
     }
 
-    fn keep_earlier(&self, roster: VersionedRoster) {
+    fn remember_earlier(&self, roster: VersionedRoster) {
         let mut earlier = self.earlier_rosters.borrow_mut();
         earlier.push_back(roster);
         while earlier.len() > EARLIER_ROSTERS {
@@ -203,7 +203,7 @@
     }
 
     /// The frames that publish a whole list.
-    pub fn pieces_of(&self, list: &VersionedRoster) -> PieceFrames {
+    pub fn piece_frames(&self, list: &VersionedRoster) -> PieceFrames {
         let mut cached = self.roster_pieces.borrow_mut();
         if cached.0 != list.version() {
             let frames = pieces::split(list).into_iter().map(Update::RosterPiece);
@@ -213,7 +213,7 @@
     }
 
     /// The frame that publishes how the list differs from the one that an entry was sent.
-    pub fn roster_change(&self, sent: &VersionedRoster, now: &VersionedRoster) -> Arc<[u8]> {
+    pub fn roster_change_frame(&self, sent: &VersionedRoster, now: &VersionedRoster) -> Arc<[u8]> {
         let mut update = self.roster_update.borrow_mut();
         let (before, version) = (sent.version(), now.version());
         if (update.0, update.1) != (before, version) {
@@ -260,7 +260,7 @@
     /// Whether this replica had all that was committed within the last `within`, and knows how long
     /// ago weights were named.
     pub fn is_current(&self, within: Duration) -> bool {
-        self.currency(within) == Currency::Current
+        self.freshness(within) == Freshness::Current
     }
 
     /// How long ago this replica was last sure to have all that was committed.
@@ -269,14 +269,14 @@
     }
 
     /// Whether entries may rely on what this replica knows, or why not.
-    pub fn currency(&self, within: Duration) -> Currency {
+    pub fn freshness(&self, within: Duration) -> Freshness {
         let now = boot_now();
         let is_recent = |at: BootTime| now.saturating_sub(at) <= within;
-        match (self.caught_up_at.get().is_some_and(is_recent), self.knows_ages.get()) {
-            (true, true) => Currency::Current,
-            (true, false) => Currency::AgesUnknown,
-            (false, _) if self.belief.borrow().leader.is_none() => Currency::NoLeader,
-            (false, _) => Currency::Behind,
+        match (self.caught_up_at.get().is_some_and(is_recent), self.has_weight_ages.get()) {
+            (true, true) => Freshness::Current,
+            (true, false) => Freshness::AgesUnknown,
+            (false, _) if self.view.borrow().leader.is_none() => Freshness::NoLeader,
+            (false, _) => Freshness::Behind,
         }
     }
 }
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -12,7 +12,7 @@
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::ReaderElection;
 use kumquatpost::control::scheduling::Scheduling;
-use kumquatpost::control::shared::{Belief, Shared};
+use kumquatpost::control::shared::{ReplicaView, Shared};
 use kumquatpost::control::state::{ControlState, Published};
 use kumquatpost::gateway::call::Part;
 use kumquatpost::gateway::scheduler_connection;
@@ -40,11 +40,11 @@
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
     let state = ControlState { published, ..ControlState::founded(BTreeMap::new()) };
-    let belief = Belief { state, term, leads: true, leader: None };
+    let view = ReplicaView { state, term, leads: true, leader: None };
     let ip = "127.0.0.1".parse().expect("an address");
     Shared {
         node: 1,
-        belief: watch::Sender::new(belief),
+        view: watch::Sender::new(view),
         roster: watch::Sender::new(roster),
         earlier_rosters: RefCell::default(),
         roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
@@ -54,14 +54,14 @@
             RosterVersion::default(),
             Arc::from([]),
         )),
-        reading: Cell::new(ReaderElection::new(boot_now())),
+        reader_election: Cell::new(ReaderElection::new(boot_now())),
         // Sure to lead for as long as a test runs.
         caught_up_at: Cell::new(Some(boot_now() + ms(600_000))),
-        own_entries: RefCell::default(),
-        entries: Cell::new(None),
+        connected_entries: RefCell::default(),
+        entry_count: Cell::new(None),
         changing: RefCell::default(),
         named_since: RefCell::default(),
-        knows_ages: Cell::new(true),
+        has_weight_ages: Cell::new(true),
         quarantine: watch::Sender::default(),
         suspects: watch::Sender::default(),
         links: Rc::new(Links::new(1, ip, "hall".into(), 1)),
@@ -246,7 +246,7 @@
         first.placed().await;
         first.tell(FromEntry::Place(2, ask())).await;
         assert_eq!(first.hear().await, ToEntry::Queued(2));
-        scheduling.shared.belief.send_modify(|belief| belief.leads = false);
+        scheduling.shared.view.send_modify(|view| view.leads = false);
         assert_eq!(first.hear().await, ToEntry::Placed(2, Err(SchedulerError::NotScheduling)));
     });
 }
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -60,10 +60,10 @@
                 let is_behind = self.is_behind.load(Ordering::SeqCst);
                 shared.caught_up_at.set((!is_behind).then(|| boot_now() + ms(600_000)));
                 let deployment = Arc::new(deployment(self.version.load(Ordering::SeqCst)));
-                shared.belief.send_if_modified(|belief| {
-                    let known = belief.state.published.as_ref().map(Published::version);
+                shared.view.send_if_modified(|view| {
+                    let known = view.state.published.as_ref().map(Published::version);
                     let is_new = known != Some(deployment.version);
-                    belief.state.published = Some(Published { text: Arc::default(), deployment });
+                    view.state.published = Some(Published { text: Arc::default(), deployment });
                     is_new
                 });
                 tokio::time::sleep(ms(5)).await;
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kumquatpost::control::frames::{self, FromEntry, Introduction, ToEntry, ToReplica, Update};
-use kumquatpost::control::roster_reader::ListAddress;
+use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::control::state::ControlState;
 use kumquatpost::deployment::validate;
 use kumquatpost::fleet::{Listing, Roster};
@@ -39,11 +39,11 @@
         let _ = listing.finish().map(|listing| Roster::default().take(listing.into_targets()));
     });
     let _ = settings::decode(bytes).map(|host| {
-        let list = ListAddress {
+        let list = TargetListSource {
             address: host.target_list.unwrap_or(crate::fixtures::address(1)),
             rate_per_s: host.target_list_rate,
         };
-        list.read_every(1_000)
+        list.read_interval(1_000)
     });
     let _ = engines::decode_report(bytes);
     follow_store(bytes);
--- a/tests/deployment/instances.rs
+++ b/tests/deployment/instances.rs
@@ -1,6 +1,6 @@
 //! Pages of the platform's list.
 
-use kumquatpost::control::roster_reader::ListAddress;
+use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::fleet::listing::EntryError;
 use kumquatpost::fleet::{Listed, Listing, Presence, UnreadableEntry};
 use kumquatpost::platform::instances::{self, Page};
@@ -264,10 +264,10 @@
 
 #[test]
 fn a_long_list_is_read_as_often_as_it_may_be_asked() {
-    let list = |rate_per_s| ListAddress { address: crate::fixtures::address(1), rate_per_s };
-    assert_eq!(list(44.0).read_every(3), ms(500));
-    assert_eq!(list(50.0).read_every(60), ms(2_000), "60 pages, 30 calls a second");
-    assert_eq!(list(0.0).read_every(60), ms(500), "no rate is told");
-    assert_eq!(list(1e-300).read_every(60), ms(60_000), "however rarely it may be asked");
-    assert_eq!(list(-1.0).read_every(60), ms(500));
+    let list = |rate_per_s| TargetListSource { address: crate::fixtures::address(1), rate_per_s };
+    assert_eq!(list(44.0).read_interval(3), ms(500));
+    assert_eq!(list(50.0).read_interval(60), ms(2_000), "60 pages, 30 calls a second");
+    assert_eq!(list(0.0).read_interval(60), ms(500), "no rate is told");
+    assert_eq!(list(1e-300).read_interval(60), ms(60_000), "however rarely it may be asked");
+    assert_eq!(list(-1.0).read_interval(60), ms(500));
 }
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -44,7 +44,7 @@
 /// A replica that knows a list, and does not lead.
 fn follower(known: &VersionedRoster) -> Shared {
     let shared = shared(4, known.clone());
-    shared.belief.send_modify(|belief| belief.leads = false);
+    shared.view.send_modify(|view| view.leads = false);
     shared
 }
 
@@ -88,7 +88,7 @@
     /// Tells how the list has changed; the whole list if the entry does not know the one before.
     async fn tell(&mut self) {
         let now = current(self.replica);
-        let frame = self.replica.roster_change(&self.told, &now);
+        let frame = self.replica.roster_change_frame(&self.told, &now);
         let news: Update = read(&mut &frame[..]).await.expect("a frame");
         if self.gateway.observe(news).is_err() {
             self.gateway.observe_list(now.clone());
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -9,7 +9,7 @@
     RosterDetail, RosterSubscription, Update, VersionedRoster, encode,
 };
 use kumquatpost::control::pieces::{Assembly, Piece, PieceError, split};
-use kumquatpost::control::reader_election::{READ_EVERY, ReaderElection};
+use kumquatpost::control::reader_election::{READ_INTERVAL, ReaderElection};
 use kumquatpost::control::roster_publisher::RosterPublisher;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::fleet::{Listed, Presence, Roster};
@@ -383,10 +383,10 @@
     let mut begins = ms(0);
     for _ in 0..10 {
         let ends = begins + lasts;
-        let due = turn.takes_over_at(0.0, 0, READ_EVERY);
+        let due = turn.takeover_at(0.0, 0, READ_INTERVAL);
         assert!(begins == ms(0) || due >= ends, "it reads at {due:?}, the leader until {ends:?}");
-        turn.was_read(begins);
-        turn.has_lasted(lasts);
-        begins = ends + READ_EVERY;
+        turn.record_read(begins);
+        turn.record_duration(lasts);
+        begins = ends + READ_INTERVAL;
     }
 }
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -41,7 +41,7 @@
     let roster = VersionedRoster::new(1, Arc::new(roster([engine])));
     let shared = shared(1, roster);
     let named = Arc::new(BTreeMap::from([("m".to_string(), 2)]));
-    shared.belief.send_modify(|belief| belief.state.weights = named);
+    shared.view.send_modify(|view| view.state.weights = named);
     let shared = Rc::new(shared);
     let (inputs, mut commands) = mpsc::channel(8);
     tokio::task::spawn_local(async move {
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reading.rs
@@ -7,9 +7,9 @@
 use kumquatpost::control::frames::{Introduction, ToReplica, VersionedRoster, read};
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::{
-    LATE_AFTER, LOOK_EVERY, PAGE_TIMEOUT, READ_EVERY, ReaderElection,
+    PAGE_TIMEOUT, POLL_INTERVAL, READ_INTERVAL, ReaderElection, SLOW_PAGE_TIMEOUT,
 };
-use kumquatpost::control::roster_reader::{self, ListAddress};
+use kumquatpost::control::roster_reader::{self, TargetListSource};
 use kumquatpost::control::state::ControlState;
 use kumquatpost::telemetry::roles::ReplicaMetrics;
 use tokio::io::BufReader;
@@ -33,34 +33,36 @@
 ) -> Vec<Duration> {
     let mut begun = vec![ms(0)];
     let mut turn = ReaderElection::new(ms(0));
-    let asks = |from: Duration, lasts: Duration| (lasts > LATE_AFTER).then_some(from + LATE_AFTER);
+    let asks = |from: Duration, lasts: Duration| {
+        (lasts > SLOW_PAGE_TIMEOUT).then_some(from + SLOW_PAGE_TIMEOUT)
+    };
     let mut asked: Vec<Duration> = asks(ms(0), answer).into_iter().collect();
-    let mut next = answer + READ_EVERY;
+    let mut next = answer + READ_INTERVAL;
     while next < ms(6_000) {
         asked.extend(asks(next, PAGE_TIMEOUT));
-        next += PAGE_TIMEOUT + READ_EVERY;
+        next += PAGE_TIMEOUT + READ_INTERVAL;
     }
     let (mut now, mut reading, mut free_at) = (phase, None, ms(0));
     while now < ms(6_000) {
-        if does_ask && asked.iter().any(|at| *at <= now && now < *at + LOOK_EVERY) {
-            turn.was_asked(now);
+        if does_ask && asked.iter().any(|at| *at <= now && now < *at + POLL_INTERVAL) {
+            turn.record_request(now);
         }
         // The leader tells of its only read that has succeeded.
-        if now >= answer && now < answer + LOOK_EVERY {
-            turn.was_read(ms(0));
+        if now >= answer && now < answer + POLL_INTERVAL {
+            turn.record_read(ms(0));
         }
         if let Some(from) = reading.filter(|from| now >= *from + answer) {
-            turn.was_read(from);
-            (reading, free_at) = (None, now + READ_EVERY);
+            turn.record_read(from);
+            (reading, free_at) = (None, now + READ_INTERVAL);
         }
         if reading.is_none()
             && now >= free_at
-            && now >= turn.takes_over_at(place, before, READ_EVERY)
+            && now >= turn.takeover_at(place, before, READ_INTERVAL)
         {
             reading = Some(now);
             begun.push(now);
         }
-        now += LOOK_EVERY;
+        now += POLL_INTERVAL;
     }
     begun
 }
@@ -112,18 +114,18 @@
         for replica in 0..=OTHERS {
             let is_leader = replica == OTHERS;
             if let Some(from) = reading[replica] {
-                if is_leader && now >= from + LATE_AFTER && now >= asks_again_at {
-                    asks_again_at = now + READ_EVERY;
-                    turns.iter_mut().for_each(|turn| turn.was_asked(now));
+                if is_leader && now >= from + SLOW_PAGE_TIMEOUT && now >= asks_again_at {
+                    asks_again_at = now + READ_INTERVAL;
+                    turns.iter_mut().for_each(|turn| turn.record_request(now));
                 }
                 if now >= from + answer {
-                    turns.iter_mut().for_each(|turn| turn.was_read(from));
-                    (reading[replica], free_at[replica]) = (None, now + READ_EVERY);
+                    turns.iter_mut().for_each(|turn| turn.record_read(from));
+                    (reading[replica], free_at[replica]) = (None, now + READ_INTERVAL);
                 }
             } else if now >= free_at[replica] {
                 let place = replica as f64 / OTHERS as f64;
                 let is_due =
-                    |turn: &ReaderElection| now >= turn.takes_over_at(place, replica, READ_EVERY);
+                    |turn: &ReaderElection| now >= turn.takeover_at(place, replica, READ_INTERVAL);
                 if is_leader || is_due(&turns[replica]) {
                     reading[replica] = Some(now);
                     count += 1;
@@ -146,11 +148,11 @@
 #[test]
 fn a_read_that_began_before_it_was_asked_for_does_not_do() {
     let mut turn = ReaderElection::new(ms(0));
-    turn.was_asked(ms(500));
-    turn.was_read(ms(400));
-    assert_eq!(turn.takes_over_at(0.0, 0, READ_EVERY), ms(500));
-    turn.was_read(ms(501));
-    assert!(turn.takes_over_at(0.0, 0, READ_EVERY) > ms(1_500));
+    turn.record_request(ms(500));
+    turn.record_read(ms(400));
+    assert_eq!(turn.takeover_at(0.0, 0, READ_INTERVAL), ms(500));
+    turn.record_read(ms(501));
+    assert!(turn.takeover_at(0.0, 0, READ_INTERVAL) > ms(1_500));
 }
 
 /// Long enough on a busy machine.
@@ -163,9 +165,9 @@
     let mut leader = shared(4, VersionedRoster::default());
     leader.links = Rc::new(Links::new(1, own, "hall".into(), port));
     leader
-        .belief
-        .send_modify(|belief| belief.state = ControlState::founded([(1, own), (2, other)].into()));
-    let list = ListAddress { address: list, rate_per_s: 44.0 };
+        .view
+        .send_modify(|view| view.state = ControlState::founded([(1, own), (2, other)].into()));
+    let list = TargetListSource { address: list, rate_per_s: 44.0 };
     let metrics = Rc::new(ReplicaMetrics::new().expect("instruments"));
     tokio::task::spawn_local(roster_reader::run(Rc::new(leader), own, list, metrics));
     let connected = tokio::time::timeout(PATIENCE, listener.accept()).await;
@@ -173,7 +175,7 @@
     let mut frames = BufReader::new(stream);
     let _: Introduction = read(&mut frames).await.expect("who it is");
     let frame: ToReplica = read(&mut frames).await.expect("a frame");
-    assert_eq!(frame, ToReplica::RosterUnread);
+    assert_eq!(frame, ToReplica::TargetListReadFailed);
 }
 
 #[test]
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -1,6 +1,6 @@
 //! What is believed of a target is believed of one start of it. On a virtual clock.
 
-use kumquatpost::control::unreadable::UnreadableLines;
+use kumquatpost::control::unreadable_log::UnreadableEntryLog;
 use kumquatpost::fleet::listing::EntryError;
 use kumquatpost::fleet::{Listed, Listing, UnreadableEntry};
 use kumquatpost::gateway::call::TargetLoad;
@@ -154,14 +154,14 @@
         }
         listing
     };
-    let mut lines = UnreadableLines::default();
-    assert!(!lines.note(&listing(&[]), ms(0)), "nothing to tell");
-    assert!(lines.note(&listing(&["a"]), ms(1)));
-    assert!(!lines.note(&listing(&["a"]), ms(60_000)), "the same as before");
-    assert!(lines.note(&listing(&["b"]), ms(60_500)));
+    let mut lines = UnreadableEntryLog::default();
+    assert!(!lines.log_if_changed(&listing(&[]), ms(0)), "nothing to tell");
+    assert!(lines.log_if_changed(&listing(&["a"]), ms(1)));
+    assert!(!lines.log_if_changed(&listing(&["a"]), ms(60_000)), "the same as before");
+    assert!(lines.log_if_changed(&listing(&["b"]), ms(60_500)));
     let written = (0..600).filter(|n| {
         let changing = n.to_string();
-        lines.note(&listing(&[&changing]), ms(61_000 + n * 500))
+        lines.log_if_changed(&listing(&[&changing]), ms(61_000 + n * 500))
     });
     assert!(written.count() <= 60, "once in 5 s of 300");
 }
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -52,7 +52,7 @@
                 let now = boot_now();
                 let model = "m".to_string();
                 observe_named(&mut shared.named_since.borrow_mut(), &model, 2, now, now);
-                shared.belief.send_modify(|_| {});
+                shared.view.send_modify(|_| {});
             }
         }
     });
@@ -146,7 +146,7 @@
     let leader = shared(4, VersionedRoster::default());
     leader.change_roster(|known| known.take(listed(1)));
     let reader = shared(4, leader.roster.borrow().clone());
-    reader.belief.send_modify(|belief| belief.leads = false);
+    reader.view.send_modify(|view| view.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
@@ -208,13 +208,13 @@
     let named_at = boot_now().saturating_sub(ms(3_500));
     observe_named(&mut runs_on.named_since.borrow_mut(), &model, 2, named_at, boot_now());
     let started = shared(1, VersionedRoster::default());
-    started.knows_ages.set(false);
+    started.has_weight_ages.set(false);
     assert!(!started.is_current(ms(500)), "it may take old namings for new");
     let age = age_of(&log, &model, 2, None, boot_now());
     let since = boot_now().saturating_sub(age);
     observe_named(&mut started.named_since.borrow_mut(), &model, 2, since, boot_now());
     started.observe_ages(runs_on.ages());
-    started.knows_ages.set(true);
+    started.has_weight_ages.set(true);
     assert!(started.is_current(ms(500)));
     assert!(started.ages()[&model][0].age >= ms(3_500), "{:?}", started.ages());
 }
