--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -7,29 +7,25 @@
 
 use super::replica::Input;
 use super::shared::Shared;
-use super::weight_ages::due;
+use super::weight_ages::due_commands;
 use crate::clock::boot_now;
 use crate::scheduler::weights::OldWeights;
 
 /// How often it is looked whether one has.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Records ages while this replica leads, for as long as the process lives.
-pub async fn keep_recording(
-    shared: Rc<Shared>,
-    inputs: mpsc::Sender<Input>,
-    old_weights: OldWeights,
-) {
+pub async fn run(shared: Rc<Shared>, inputs: mpsc::Sender<Input>, old_weights: OldWeights) {
     let Some(bound) = old_weights.last() else {
         return std::future::pending().await;
     };
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let due = {
             let view = shared.view.borrow();
             let named = shared.named_since.borrow();
             match view.leads {
-                true => due(&named, &view.state.weight_ages, bound, boot_now()),
+                true => due_commands(&named, &view.state.weight_ages, bound, boot_now()),
                 false => Vec::new(),
             }
         };
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -26,7 +26,7 @@
 
 /// Outgoing connections of one replica.
 pub struct Links {
-    me: NodeId,
+    own_id: NodeId,
     ip: IpAddr,
     failure_domain: DomainId,
     port: u16,
@@ -42,8 +42,8 @@
 
 impl Links {
     /// No connections yet. Replicas listen at the same port on all hosts.
-    pub fn new(me: NodeId, ip: IpAddr, failure_domain: DomainId, port: u16) -> Links {
-        Links { me, ip, failure_domain, port, outgoing: RefCell::default() }
+    pub fn new(own_id: NodeId, ip: IpAddr, failure_domain: DomainId, port: u16) -> Links {
+        Links { own_id, ip, failure_domain, port, outgoing: RefCell::default() }
     }
 
     /// Queues a frame for a host. A full queue loses it.
@@ -54,7 +54,7 @@
             let is_up = Rc::new(Notify::new());
             let failure_domain = self.failure_domain.clone();
             let introduction =
-                encode(&Introduction::Replica { node: self.me, ip: self.ip, failure_domain });
+                encode(&Introduction::Replica { node: self.own_id, ip: self.ip, failure_domain });
             let address = SocketAddr::new(to, self.port);
             let rings = is_up.clone();
             tokio::task::spawn_local(keep_connected(address, introduction, receiver, rings));
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -28,7 +28,7 @@
 /// How often an entry gets a heartbeat: what it knows is current.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
 /// How often a replica that may be behind looks whether it still is: entries wait for its heartbeat.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A replica that has not been confirmed by its leader for this long sends no heartbeats, so that entries turn to
 /// another one. Several heartbeats of the log.
 pub const CURRENT_WITHIN: Duration = Duration::from_millis(500);
@@ -149,7 +149,7 @@
                     sent.repeat_ages(repeated_for, &mut bytes);
                     bytes.extend_from_slice(&heartbeat(shared));
                 }
-                next_look = Instant::now() + if is_current { HEARTBEAT_EVERY } else { LOOK_EVERY };
+                next_look = Instant::now() + if is_current { HEARTBEAT_EVERY } else { POLL_INTERVAL };
             }
         }
         sent.add_changes(shared, &mut bytes);
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -22,16 +22,16 @@
 use crate::quarantine::Revision;
 
 /// How often timers of the log are looked at.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// Inputs that are taken before their effects are made durable together.
-const BATCH: usize = 256;
+const MAX_BATCH: usize = 256;
 /// How often replicas tell each other which entries they serve, and how often one that no leader
 /// talks to asks to join.
-const TELL: Duration = Duration::from_millis(500);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
 /// A replica that has heard no leader for this long asks to join.
-const ASK_TO_JOIN_AFTER: Duration = Duration::from_millis(900);
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(900);
 /// Entries that a replica told of are counted for this long.
-const ENTRIES_LAST: Duration = Duration::from_secs(2);
+const REMOTE_ENTRIES_TTL: Duration = Duration::from_secs(2);
 
 /// Why there was no decision here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,21 +70,21 @@
     ip: IpAddr,
     /// Voters that there should be.
     desired_voters: usize,
-    decisions: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
-    reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
+    pending_proposals: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
+    pending_reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
     /// Entries of other replicas, with the time at which they told of them.
-    others_entries: BTreeMap<NodeId, (BTreeSet<String>, BootTime)>,
+    remote_entries: BTreeMap<NodeId, (BTreeSet<String>, BootTime)>,
     /// When another replica first told of its entries.
-    others_heard_from: Option<BootTime>,
+    remote_entries_since: Option<BootTime>,
     heard_leader_at: BootTime,
-    told_at: BootTime,
-    led: bool,
+    announced_at: BootTime,
+    was_leader: bool,
     /// Whether entries may rely on this replica, as the log told last, and since when.
     freshness: (Freshness, BootTime),
 }
 
 /// What a replica starts from.
-pub struct Start {
+pub struct ReplicaInit {
     /// Its log.
     pub driver: Driver,
     /// The state before any snapshot and entry.
@@ -97,60 +97,60 @@
 
 impl Replica {
     /// A replica as it starts.
-    pub fn new(shared: Rc<Shared>, start: Start) -> Replica {
+    pub fn new(shared: Rc<Shared>, init: ReplicaInit) -> Replica {
         Replica {
             shared,
-            driver: start.driver,
-            state: start.state,
+            driver: init.driver,
+            state: init.state,
             peer_activity: PeerActivity::default(),
             peer_addresses: BTreeMap::new(),
-            ip: start.ip,
-            desired_voters: start.desired_voters,
-            decisions: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            others_entries: BTreeMap::new(),
-            others_heard_from: None,
+            ip: init.ip,
+            desired_voters: init.desired_voters,
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            remote_entries: BTreeMap::new(),
+            remote_entries_since: None,
             heard_leader_at: boot_now(),
-            told_at: BootTime::ZERO,
-            led: false,
+            announced_at: BootTime::ZERO,
+            was_leader: false,
             freshness: (Freshness::NoLeader, boot_now()),
         }
     }
 
     /// Runs until the disk fails.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let save_ended = self.driver.save_ended();
         while !self.driver.raft.status().stopped {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.handle_all(input, inputs),
+                    Some(input) => self.handle_batch(input, inputs),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
                 () = save_ended.notified() => {}
             }
-            self.settle();
+            self.process_outputs();
         }
     }
 
-    fn handle_all(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
-        self.take(first);
-        for _ in 1..BATCH {
+    fn handle_batch(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
+        self.handle_input(first);
+        for _ in 1..MAX_BATCH {
             match inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Frame { node, ip, frame } => self.handle_frame(node, ip, frame),
             Input::Propose(command, sender) => self.propose(&command, sender),
             Input::Read(sender) => match self.driver.raft.read() {
-                Ok(read) => drop(self.reads.insert(read, sender)),
+                Ok(read) => drop(self.pending_reads.insert(read, sender)),
                 Err(not_leader) => drop(sender.send(Err(self.not_leader(not_leader)))),
             },
         }
@@ -195,14 +195,14 @@
             }
             ToReplica::TargetListRead { version, age } => {
                 match self.shared.observe_read(version, now.saturating_sub(age)) {
-                    Ordering::Less => self.publish_roster(ip),
+                    Ordering::Less => self.send_roster(ip),
                     Ordering::Equal => {}
                     Ordering::Greater => {
                         self.shared.links.send(ip, encode(&ToReplica::RosterRequested))
                     }
                 }
             }
-            ToReplica::RosterRequested => self.publish_roster(ip),
+            ToReplica::RosterRequested => self.send_roster(ip),
             ToReplica::Quarantine(reports) => self.shared.observe_quarantine(reports),
             ToReplica::QuarantineDigest(digest) => {
                 let known = self.shared.quarantine.borrow();
@@ -221,8 +221,8 @@
                 self.shared.has_weight_ages.set(leads || self.shared.has_weight_ages.get());
             }
             ToReplica::Entries(entries) => {
-                self.others_entries.insert(node, (entries, now));
-                self.others_heard_from.get_or_insert(now);
+                self.remote_entries.insert(node, (entries, now));
+                self.remote_entries_since.get_or_insert(now);
             }
         }
     }
@@ -230,7 +230,7 @@
     fn observe_roster(&self, roster: VersionedRoster, from: IpAddr) {
         match self.shared.observe_roster(roster) {
             StalePeers::Nobody => {}
-            StalePeers::Sender => self.publish_roster(from),
+            StalePeers::Sender => self.send_roster(from),
             StalePeers::Everybody => {
                 let roster = self.shared.roster.borrow().clone();
                 self.shared.broadcast(&self.state, self.ip, &ToReplica::Roster(roster));
@@ -238,7 +238,7 @@
         }
     }
 
-    fn publish_roster(&self, to: IpAddr) {
+    fn send_roster(&self, to: IpAddr) {
         let roster = self.shared.roster.borrow().clone();
         self.shared.links.send(to, encode(&ToReplica::Roster(roster)));
     }
@@ -247,7 +247,7 @@
         // Cannot fail: commands hold only types that the codec writes.
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
         match self.driver.raft.propose(bytes) {
-            Ok((term, index)) => drop(self.decisions.insert(index, (term, sender))),
+            Ok((term, index)) => drop(self.pending_proposals.insert(index, (term, sender))),
             Err(not_leader) => drop(sender.send(Err(self.not_leader(not_leader)))),
         }
     }
@@ -256,22 +256,22 @@
         let now = boot_now();
         self.driver.raft.tick(now);
         let status = self.driver.raft.status();
-        if status.is_leader && !self.led {
+        if status.is_leader && !self.was_leader {
             self.peer_activity.reset(now);
         }
-        self.led = status.is_leader;
+        self.was_leader = status.is_leader;
         if status.is_leader {
             self.heard_leader_at = now;
             self.advance_membership(now);
         } else {
-            self.reads.clear();
+            self.pending_reads.clear();
         }
         if !self.shared.has_weight_ages.get() {
             self.shared.broadcast(&self.state, self.ip, &ToReplica::NamedAgesWanted);
         }
-        if now >= self.told_at + TELL {
-            self.told_at = now;
-            self.publish_entries(now);
+        if now >= self.announced_at + ANNOUNCE_INTERVAL {
+            self.announced_at = now;
+            self.announce(now);
         }
     }
 
@@ -303,24 +303,24 @@
         }
     }
 
-    fn publish_entries(&mut self, now: BootTime) {
+    fn announce(&mut self, now: BootTime) {
         let entries: BTreeSet<String> =
             self.shared.connected_entries.borrow().keys().cloned().collect();
-        self.others_entries.retain(|_, (_, at)| now.saturating_sub(*at) < ENTRIES_LAST);
-        let others = self.others_entries.values().flat_map(|(entries, _)| entries);
+        self.remote_entries.retain(|_, (_, at)| now.saturating_sub(*at) < REMOTE_ENTRIES_TTL);
+        let others = self.remote_entries.values().flat_map(|(entries, _)| entries);
         let all: BTreeSet<&String> = entries.iter().chain(others).collect();
         // Each of several replicas knows a part of the entries; by a part, each may retry too much.
         let is_only = self.state.replica_addresses.keys().eq([&self.shared.node]);
-        let has_heard = |from: BootTime| now.saturating_sub(from) >= TELL * 2;
-        if is_only || self.others_heard_from.is_some_and(has_heard) {
+        let is_settled = |from: BootTime| now.saturating_sub(from) >= ANNOUNCE_INTERVAL * 2;
+        if is_only || self.remote_entries_since.is_some_and(is_settled) {
             self.shared.entry_count.set(Some(all.len() as u32));
         }
         self.shared.broadcast(&self.state, self.ip, &ToReplica::Entries(entries.clone()));
         let digest = self.shared.quarantine.borrow().digest();
         self.shared.broadcast(&self.state, self.ip, &ToReplica::QuarantineDigest(digest));
-        let is_alone = now.saturating_sub(self.heard_leader_at) >= ASK_TO_JOIN_AFTER;
+        let is_leaderless = now.saturating_sub(self.heard_leader_at) >= LEADERLESS_TIMEOUT;
         let is_member = self.driver.raft.status().members.all().any(|id| id == self.shared.node);
-        if is_alone || !is_member {
+        if is_leaderless || !is_member {
             let join = encode(&ToReplica::Join);
             for host in self.hosts().into_iter().filter(|host| *host != self.ip) {
                 self.shared.links.send(host, join.clone());
@@ -335,7 +335,7 @@
         seeds.iter().chain(known).copied().collect()
     }
 
-    fn settle(&mut self) {
+    fn process_outputs(&mut self) {
         let (links, addresses, peer_addresses) =
             (self.shared.links.clone(), self.state.replica_addresses.clone(), &self.peer_addresses);
         let send = |to: NodeId, message| {
@@ -346,10 +346,10 @@
         };
         for output in self.driver.settle(send) {
             match output {
-                Output::Restore(snapshot) => match ControlState::restored(&snapshot.data) {
+                Output::Restore(snapshot) => match ControlState::from_snapshot(&snapshot.data) {
                     Ok(state) => {
                         self.state = state;
-                        self.decisions.retain(|index, _| *index > snapshot.index);
+                        self.pending_proposals.retain(|index, _| *index > snapshot.index);
                     }
                     Err(_) => {
                         log::error!("event=snapshot_damaged remedy=\"replace this replica\"");
@@ -358,7 +358,7 @@
                 },
                 Output::Apply(entry) => self.apply(&entry),
                 Output::Read(read) => {
-                    if let Some(sender) = self.reads.remove(&read) {
+                    if let Some(sender) = self.pending_reads.remove(&read) {
                         drop(sender.send(Ok(self.state.published.clone())));
                     }
                 }
@@ -366,7 +366,7 @@
         }
         let state = &self.state;
         self.driver.compact(|| state.snapshot());
-        self.publish();
+        self.publish_view();
     }
 
     fn apply(&mut self, entry: &Entry) {
@@ -380,14 +380,14 @@
             },
             Payload::Noop | Payload::Members(_) => None,
         };
-        if let Some((term, sender)) = self.decisions.remove(&entry.index) {
-            let decided = reply.filter(|_| term == entry.term).ok_or(Undecided::Unknown);
+        if let Some((term, sender)) = self.pending_proposals.remove(&entry.index) {
+            let result = reply.filter(|_| term == entry.term).ok_or(Undecided::Unknown);
             // The asker may have given up waiting.
-            let _ = sender.send(decided);
+            let _ = sender.send(result);
         }
     }
 
-    fn publish(&mut self) {
+    fn publish_view(&mut self) {
         let now = boot_now();
         self.shared.observe_named(&self.state, now);
         let status = self.driver.raft.status();
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -23,7 +23,7 @@
 use super::publisher;
 use super::quarantine_publisher;
 use super::reader_election::ReaderElection;
-use super::replica::{Input, Replica, Start};
+use super::replica::{Input, Replica, ReplicaInit};
 use super::rollout::RolloutController;
 use super::roster_reader::{self, TargetListSource};
 use super::scheduling::Scheduling;
@@ -43,23 +43,24 @@
 
 /// Replicas are a millisecond apart; a slow sync takes tens of them. A leader is missed after 0.3 s,
 /// and a new one leads 0.6 s later at the latest: callers of hosts that start anew wait for it.
-const TIMING: RaftTiming =
+const RAFT_TIMING: RaftTiming =
     RaftTiming { heartbeat: Duration::from_millis(75), election: Duration::from_millis(300) };
 /// Entries after which a snapshot replaces them: each may hold a whole deployment of some hundred
 /// kilobytes, and a disk some hundred megabytes.
-const SNAPSHOT_EVERY: Index = 256;
+const SNAPSHOT_INTERVAL: Index = 256;
 /// Inputs that wait while the disk is busy.
 const QUEUE_LEN: usize = 1_024;
 /// Pause before a disk that failed is tried again.
-const DISK_AGAIN: Duration = Duration::from_secs(1);
+const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Runs until the process is asked to end.
 ///
 /// # Errors
 /// If it can't start.
 pub async fn run(host: HostSettings) -> Result<()> {
-    let folder = host.data_folder.clone().ok_or_else(|| missing("a data folder"))?;
-    let operators_address = host.operators_address.ok_or_else(|| missing("operators' address"))?;
+    let folder = host.data_folder.clone().ok_or_else(|| missing_setting("a data folder"))?;
+    let operators_address =
+        host.operators_address.ok_or_else(|| missing_setting("operators' address"))?;
     let identity = Identity::open(&folder, &host)?;
     log::info!(
         "event=start role=replica host={} node={} operators={operators_address} metrics={}",
@@ -124,8 +125,7 @@
     tasks.spawn("kept_targets", kept_targets::keep_writing(shared.clone(), folder.clone()));
     tasks.spawn("kept_quarantine", kept_quarantine::keep_writing(shared.clone(), folder.clone()));
     tasks.spawn("quarantine", quarantine_publisher::keep_publishing(shared.clone(), host.ip));
-    let recording =
-        age_recorder::keep_recording(shared.clone(), inputs.clone(), host.periods.old_weights);
+    let recording = age_recorder::run(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
     let order_lease = host.periods.order_lease;
     let rollout = Rc::new(RolloutController {
@@ -141,7 +141,7 @@
         shared.seeds.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
-        ended = keep_running(&host, &folder, &identity, shared.clone(), receiver) => ended,
+        ended = run_replica(&host, &folder, &identity, shared.clone(), receiver) => ended,
         asked = crate::commands::until_asked_to_end() => asked,
         failed = reloaded => failed,
         error = first_end.wait() => Err(error),
@@ -168,7 +168,7 @@
 }
 
 /// Runs the replica, and starts it again from its disk after the disk has failed.
-async fn keep_running(
+async fn run_replica(
     host: &HostSettings,
     folder: &Path,
     identity: &Identity,
@@ -183,23 +183,23 @@
             Err(error) if is_first => return Err(error),
             Err(error) => {
                 log::warn!("event=disk_still_fails reason={:?}", error.to_string());
-                tokio::time::sleep(DISK_AGAIN).await;
+                tokio::time::sleep(DISK_RETRY_DELAY).await;
                 continue;
             }
         };
         is_first = false;
         let members = Members::of(identity.founders.keys().copied());
         let seed = rand::rng().random();
-        let raft = Raft::new(identity.node, members, TIMING, recovered, seed, boot_now());
-        let start = Start {
-            driver: Driver::new(raft, disk, SNAPSHOT_EVERY),
-            state: ControlState::founded(identity.founders.clone()),
+        let raft = Raft::new(identity.node, members, RAFT_TIMING, recovered, seed, boot_now());
+        let init = ReplicaInit {
+            driver: Driver::new(raft, disk, SNAPSHOT_INTERVAL),
+            state: ControlState::bootstrap(identity.founders.clone()),
             ip: host.ip,
             desired_voters: host.tolerated_losses * 2 + 1,
         };
-        Replica::new(shared.clone(), start).run(&mut inputs).await;
+        Replica::new(shared.clone(), init).run(&mut inputs).await;
         shared.caught_up_at.set(None);
-        tokio::time::sleep(DISK_AGAIN).await;
+        tokio::time::sleep(DISK_RETRY_DELAY).await;
     }
 }
 
@@ -213,6 +213,6 @@
     })
 }
 
-fn missing(what: &str) -> Error {
+fn missing_setting(what: &str) -> Error {
     Error::start("settings", format!("{what} is missing"), "give it to a host that runs a replica")
 }
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -12,7 +12,7 @@
 use crate::scheduler::{Scheduler, TicketId};
 
 /// How often changes are taken over and frees are planned.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Tickets of one term begin after those of all earlier terms.
 const TICKETS_PER_TERM: u32 = 36;
 
@@ -24,7 +24,7 @@
         let mut view = self.shared.view.subscribe();
         loop {
             // Prompts wait while a new leader does not schedule yet.
-            let _ = tokio::time::timeout(LOOK_EVERY, view.changed()).await;
+            let _ = tokio::time::timeout(POLL_INTERVAL, view.changed()).await;
             let (leads, term) = {
                 let view = self.shared.view.borrow();
                 (view.leads, view.term)
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -234,7 +234,13 @@
         for (model, newest) in state.weights.iter() {
             let recorded = state.weight_ages.get(model).into_iter().flat_map(BTreeMap::keys);
             for version in recorded.chain([newest]) {
-                let age = weight_ages::age_of(state, model, *version, self.caught_up_at.get(), now);
+                let age = weight_ages::estimated_age(
+                    state,
+                    model,
+                    *version,
+                    self.caught_up_at.get(),
+                    now,
+                );
                 weights::observe_named(&mut named, model, *version, now.saturating_sub(age), now);
             }
         }
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -100,11 +100,11 @@
 
 /// A snapshot can't be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Damaged;
+pub struct SnapshotError;
 
 impl ControlState {
     /// The state of a system that starts with these replicas.
-    pub fn founded(replica_addresses: BTreeMap<NodeId, IpAddr>) -> ControlState {
+    pub fn bootstrap(replica_addresses: BTreeMap<NodeId, IpAddr>) -> ControlState {
         ControlState { replica_addresses: Arc::new(replica_addresses), ..ControlState::default() }
     }
 
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     /// If the bytes are none.
-    pub fn restored(bytes: &[u8]) -> Result<ControlState, Damaged> {
-        postcard::from_bytes(bytes).map_err(|_| Damaged)
+    pub fn from_snapshot(bytes: &[u8]) -> Result<ControlState, SnapshotError> {
+        postcard::from_bytes(bytes).map_err(|_| SnapshotError)
     }
 }
--- a/src/control/voter_set.rs
+++ b/src/control/voter_set.rs
@@ -66,7 +66,7 @@
     /// The next step; `wanted` is how many voters there should be.
     pub fn next_step(
         &self,
-        me: NodeId,
+        own_id: NodeId,
         members: &Members,
         addresses: &BTreeMap<NodeId, IpAddr>,
         desired_voters: usize,
@@ -94,9 +94,10 @@
             let later = |(other, (other_ip, at)): (&NodeId, &(IpAddr, BootTime))| {
                 *other != node && Some(other_ip) == ip && own.is_none_or(|own| own < *at)
             };
-            node != me && self.join_requests.iter().any(later)
+            node != own_id && self.join_requests.iter().any(later)
         };
-        let is_silent = |node: NodeId| node != me && self.silent_for(node, now) >= VOTER_TIMEOUT;
+        let is_silent =
+            |node: NodeId| node != own_id && self.silent_for(node, now) >= VOTER_TIMEOUT;
         let voters = || members.voters.iter().copied();
         let failed_voter = voters()
             .find(|node| is_superseded(*node))
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -11,13 +11,13 @@
 
 /// An age is recorded each time that it has grown by this: the ages of one naming are some nine
 /// entries of the log until its bound is over.
-const RECORD_EVERY: Duration = UNRECORDED;
+const RECORD_INTERVAL: Duration = UNRECORDED;
 /// A replica that had all that was committed within this time hears of a naming as it is decided.
-const HEARD_AT_ONCE_WITHIN: Duration = Duration::from_millis(500);
+const CAUGHT_UP_MAX_AGE: Duration = Duration::from_millis(500);
 
 /// Ages that the log should have by now; `bound` is the age from which nothing depends on it. What may
 /// have passed unrecorded is not recorded as passed: each process that hears late adds it anew.
-pub fn due(
+pub fn due_commands(
     named: &RolloutHistories,
     recorded: &BTreeMap<ModelId, WeightAges>,
     bound: Duration,
@@ -28,7 +28,7 @@
     let due = all.filter_map(|(model, (version, age))| {
         let known = recorded.get(model).and_then(|ages| ages.get(&version));
         let known = known.copied().unwrap_or_default();
-        let is_due = known < bound && age >= (known + RECORD_EVERY).min(bound);
+        let is_due = known < bound && age >= (known + RECORD_INTERVAL).min(bound);
         let weights = NamedWeights { version, age };
         is_due.then(|| Command::RecordAge { model: model.clone(), weights })
     });
@@ -40,7 +40,7 @@
 ///
 /// One that was not sure hears of what may have been decided long before: ages may be older by what is
 /// recorded next.
-pub fn age_of(
+pub fn estimated_age(
     state: &ControlState,
     model: &str,
     version: u64,
@@ -49,7 +49,6 @@
 ) -> Duration {
     let recorded = state.weight_ages.get(model).and_then(|ages| ages.get(&version));
     let recorded = recorded.copied().unwrap_or_default();
-    let is_heard_at_once =
-        caught_up_at.is_some_and(|at| now.saturating_sub(at) < HEARD_AT_ONCE_WITHIN);
-    if is_heard_at_once { recorded } else { recorded + RECORD_EVERY }
+    let is_caught_up = caught_up_at.is_some_and(|at| now.saturating_sub(at) < CAUGHT_UP_MAX_AGE);
+    if is_caught_up { recorded } else { recorded + RECORD_INTERVAL }
 }
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -39,7 +39,7 @@
 pub fn shared(term: Term, roster: VersionedRoster) -> Shared {
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
-    let state = ControlState { published, ..ControlState::founded(BTreeMap::new()) };
+    let state = ControlState { published, ..ControlState::bootstrap(BTreeMap::new()) };
     let view = ReplicaView { state, term, leads: true, leader: None };
     let ip = "127.0.0.1".parse().expect("an address");
     Shared {
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -48,7 +48,7 @@
     let _ = engines::decode_report(bytes);
     follow_store(bytes);
     let _ = operator::decode(&http::Method::POST, "/version-put", bytes);
-    let _ = ControlState::restored(bytes);
+    let _ = ControlState::from_snapshot(bytes);
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let mut framed = (bytes.len() as u32).to_le_bytes().to_vec();
     framed.extend_from_slice(bytes);
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reading.rs
@@ -166,7 +166,7 @@
     leader.links = Rc::new(Links::new(1, own, "hall".into(), port));
     leader
         .view
-        .send_modify(|view| view.state = ControlState::founded([(1, own), (2, other)].into()));
+        .send_modify(|view| view.state = ControlState::bootstrap([(1, own), (2, other)].into()));
     let list = TargetListSource { address: list, rate_per_s: 44.0 };
     let metrics = Rc::new(ReplicaMetrics::new().expect("instruments"));
     tokio::task::spawn_local(roster_reader::run(Rc::new(leader), own, list, metrics));
--- a/tests/deployment/state.rs
+++ b/tests/deployment/state.rs
@@ -77,15 +77,15 @@
 #[test]
 fn a_snapshot_is_the_whole_state() {
     let ip: IpAddr = "10.0.0.1".parse().expect("an address");
-    let mut state = ControlState::founded(BTreeMap::from([(1, ip)]));
+    let mut state = ControlState::bootstrap(BTreeMap::from([(1, ip)]));
     state.apply(publish(3, "three"));
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     state.apply(record(2, 1_000));
     state.apply(Command::AcquireOrderLease { holder: 9 });
     state.apply(Command::SetReplicaAddress { node: 2, ip });
     let bytes = state.snapshot();
-    assert_eq!(ControlState::restored(&bytes), Ok(state));
+    assert_eq!(ControlState::from_snapshot(&bytes), Ok(state));
     for length in 0..bytes.len() {
-        assert!(ControlState::restored(&bytes[..length]).is_err(), "cut at {length}");
+        assert!(ControlState::from_snapshot(&bytes[..length]).is_err(), "cut at {length}");
     }
 }
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -17,7 +17,7 @@
 use kumquatpost::control::scheduling::Scheduling;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::{Command, ControlState};
-use kumquatpost::control::weight_ages::{age_of, due};
+use kumquatpost::control::weight_ages::{due_commands, estimated_age};
 use kumquatpost::essential::essentials;
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
@@ -183,11 +183,11 @@
     // The leader is lost each 1.2 s.
     for _ in 0..3 {
         // A replica that has just started hears it, and leads.
-        let age = age_of(&state, &model, 2, None, now);
+        let age = estimated_age(&state, &model, 2, None, now);
         let mut named = RolloutHistories::new();
         observe_named(&mut named, &model, 2, now.saturating_sub(age), now);
         now += ms(1_200);
-        for command in due(&named, &state.weight_ages, bound, now) {
+        for command in due_commands(&named, &state.weight_ages, bound, now) {
             state.apply(command);
         }
     }
@@ -210,7 +210,7 @@
     let started = shared(1, VersionedRoster::default());
     started.has_weight_ages.set(false);
     assert!(!started.is_current(ms(500)), "it may take old namings for new");
-    let age = age_of(&log, &model, 2, None, boot_now());
+    let age = estimated_age(&log, &model, 2, None, boot_now());
     let since = boot_now().saturating_sub(age);
     observe_named(&mut started.named_since.borrow_mut(), &model, 2, since, boot_now());
     started.observe_ages(runs_on.ages());
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -6,7 +6,7 @@
     RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
 };
 use kumquatpost::control::state::{Command, ControlState};
-use kumquatpost::control::weight_ages::{age_of, due};
+use kumquatpost::control::weight_ages::{due_commands, estimated_age};
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::platform::engines;
 use kumquatpost::scheduler::weights::{NamedWeights, RolloutHistories, observe_named};
@@ -156,7 +156,7 @@
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     let mut recorded_at = Vec::new();
     for at in (10_000..60_000).step_by(100) {
-        for command in due(&named, &state.weight_ages, ms(8_400), ms(at)) {
+        for command in due_commands(&named, &state.weight_ages, ms(8_400), ms(at)) {
             recorded_at.push(at);
             state.apply(command);
         }
@@ -172,7 +172,8 @@
 fn a_replica_that_hears_of_a_naming_late_takes_it_for_old() {
     let mut state = ControlState::default();
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
-    let age = |state: &ControlState, caught_up_at| age_of(state, "m", 2, caught_up_at, ms(50_000));
+    let age =
+        |state: &ControlState, caught_up_at| estimated_age(state, "m", 2, caught_up_at, ms(50_000));
     assert_eq!(age(&state, Some(ms(49_900))), ms(0), "it was there when it was named");
     assert_eq!(age(&state, None), ms(1_000), "it has just started");
     assert_eq!(age(&state, Some(ms(40_000))), ms(1_000), "it was away");
