--- a/src/control/kept_file.rs
+++ b/src/control/checksummed_file.rs
@@ -12,9 +12,9 @@
 
 /// What a write must outlast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlasts {
+pub enum Durability {
     /// The process.
-    Process,
+    ProcessCrash,
     /// A loss of power.
     PowerLoss,
 }
@@ -42,18 +42,18 @@
     folder: &Path,
     name: &str,
     content: &T,
-    outlasts: Outlasts,
+    durability: Durability,
 ) -> io::Result<()> {
     let body = postcard::to_stdvec(content).map_err(io::Error::other)?;
     let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
     let draft = folder.join(format!("{name}.draft"));
     std::fs::write(&draft, bytes)?;
-    if outlasts == Outlasts::PowerLoss {
+    if durability == Durability::PowerLoss {
         File::open(&draft)?.sync_all()?;
     }
     std::fs::rename(&draft, folder.join(name))?;
-    if outlasts == Outlasts::PowerLoss {
+    if durability == Durability::PowerLoss {
         File::open(folder)?.sync_all()?;
     }
     Ok(())
--- a/src/control/memory_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -16,15 +16,15 @@
 use crate::platform::stores::{self, Events};
 
 /// How long a call for events may wait for some. Shorter waits are priced as health checks.
-const WAIT: Duration = Duration::from_millis(200);
+const EVENT_WAIT: Duration = Duration::from_millis(200);
 /// Longest time for an answer of some thousand events.
-const TIMEOUT: Duration = Duration::from_millis(800);
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
 /// Engines that are read at a time. Each answer is up to some hundred kilobytes.
-const AT_A_TIME: usize = 6;
+const MAX_CONCURRENT_READS: usize = 6;
 
 /// What has not been read after this time is not read: the scheduler has other things to do, and of
 /// thousands of engines each holds little that matters.
-const READS_FOR: Duration = Duration::from_millis(1_500);
+const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads the events that engines still have.
 pub async fn run(scheduling: Rc<Scheduling>, engines: Vec<(TargetStart, SocketAddr)>, term: Term) {
@@ -50,8 +50,8 @@
         }
     });
     let (read, parts) = reading
-        .buffer_unordered(AT_A_TIME)
-        .take_until(tokio::time::sleep(READS_FOR))
+        .buffer_unordered(MAX_CONCURRENT_READS)
+        .take_until(tokio::time::sleep(TOTAL_TIMEOUT))
         .fold((0, 0), |(read, sum), parts| async move { (read + 1, sum + parts) })
         .await;
     let _ = scheduling.with(|scheduler| scheduler.memories_read());
@@ -60,8 +60,8 @@
 
 async fn read(engine: &TargetStart, address: SocketAddr) -> Result<Events, CallError> {
     let call = Exchange::new(address, Method::GET, &stores::events_path(0))
-        .with_header(stores::WAIT_HEADER, &WAIT.as_millis().to_string());
-    let answer = fetch(call, TIMEOUT).await?;
+        .with_header(stores::WAIT_HEADER, &EVENT_WAIT.as_millis().to_string());
+    let answer = fetch(call, READ_TIMEOUT).await?;
     match answer.status {
         StatusCode::OK => {
             let page = stores::decode_events(&answer.body)?;
--- a/src/control/report.rs
+++ b/src/control/engine_report.rs
@@ -11,14 +11,15 @@
 use crate::platform::engines;
 
 /// Longest time for a report.
-const TIMEOUT: Duration = Duration::from_millis(400);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// An engine's report; `None` if it is gone or cut off, or another start of it answers, which the list
 /// tells before long.
 pub async fn read(engine: &TargetStart, address: SocketAddr) -> Option<EngineReport> {
-    let answer = fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), TIMEOUT).await;
+    let answer =
+        fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), REPORT_TIMEOUT).await;
     let report = answer.and_then(|answer| match answer.status {
-        StatusCode::OK => of_start(engine, engines::decode_report(&answer.body)?),
+        StatusCode::OK => verify_start(engine, engines::decode_report(&answer.body)?),
         status => Err(format!("the engine answers {status}").into()),
     });
     let warn = |error: &CallError| {
@@ -28,7 +29,7 @@
 }
 
 /// What another start says of itself is not believed of this one.
-fn of_start(engine: &TargetStart, report: EngineReport) -> Result<EngineReport, CallError> {
+fn verify_start(engine: &TargetStart, report: EngineReport) -> Result<EngineReport, CallError> {
     if engine.may_be_born(report.born_ms) {
         return Ok(report);
     }
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -25,15 +25,15 @@
 /// operator's call is at most 4 MiB.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// The length before each frame.
-const HEADER_BYTES: usize = 4;
+const LENGTH_BYTES: usize = 4;
 
 /// Named weights of each model, the newest and some before, with how long ago they were named.
 pub type NamedAges = BTreeMap<ModelId, Vec<NamedWeights>>;
 
 /// The first frame on each connection: who opened it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Introduction {
-    /// Another replica; `ToReplica` frames follow, nothing is sent back.
+pub enum Handshake {
+    /// Another replica; `ReplicaFrame` frames follow, nothing is sent back.
     Replica {
         /// Its id.
         node: NodeId,
@@ -42,7 +42,7 @@
         /// Its failure domain.
         failure_domain: DomainId,
     },
-    /// An entry; `Update` is sent back, `FromSubscriber` frames follow.
+    /// An entry; `Update` is sent back, `SubscriberRequest` frames follow.
     Entry {
         /// Its host's name.
         name: String,
@@ -53,7 +53,7 @@
         /// Named weights that it knows of: replicas that were all restarted may know less.
         named: NamedAges,
     },
-    /// An entry that asks the scheduler; `FromEntry` frames follow, `ToEntry` is sent back.
+    /// An entry that asks the scheduler; `SchedulerRequest` frames follow, `SchedulerReply` is sent back.
     SchedulerClient {
         /// Its host's name.
         name: String,
@@ -62,9 +62,9 @@
 
 /// From an entry that has subscribed to updates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromSubscriber {
+pub enum SubscriberRequest {
     /// Send the list of targets from here on.
-    RosterSubscription(RosterSubscription),
+    SubscribeRoster(RosterSubscription),
     /// What the entry knows of requests under which targets have ended, and the replica may not.
     Quarantine(Vec<Report>),
     /// Confirm that the entry knows the newest deployment: `Update::Confirmed` is the answer.
@@ -98,7 +98,7 @@
 
 /// From an entry to the scheduler.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum FromEntry {
+pub enum SchedulerRequest {
     /// Place a prompt; the number names the answer.
     Place(u64, PlacementRequest),
     /// The caller of the ask with this number has left.
@@ -109,7 +109,7 @@
 
 /// From the scheduler to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToEntry {
+pub enum SchedulerReply {
     /// The prompt waits for an engine with room; `Placed` follows.
     Queued(u64),
     /// Where a prompt runs.
@@ -133,7 +133,7 @@
 
 /// From replica to replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ToReplica {
+pub enum ReplicaFrame {
     /// Of the log.
     Log {
         /// The replica that is meant. Another one may have come in its place on the same host.
@@ -244,7 +244,7 @@
 pub fn encode<T: Serialize>(frame: &T) -> Arc<[u8]> {
     // Cannot fail: frames hold only types that the codec writes.
     let body = postcard::to_stdvec(frame).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&body);
     bytes.into()
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc};
 
-use super::frames::{Introduction, encode};
+use super::frames::{Handshake, encode};
 use crate::ids::{DomainId, NodeId};
 use crate::net;
 
@@ -20,24 +20,24 @@
 /// Longest time to connect: replicas are a few milliseconds apart.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause after a failure.
-const RECONNECT: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(600);
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Outgoing connections of one replica.
+/// OutgoingLink connections of one replica.
 pub struct Links {
     own_id: NodeId,
     ip: IpAddr,
     failure_domain: DomainId,
     port: u16,
-    outgoing: RefCell<HashMap<IpAddr, Outgoing>>,
+    outgoing: RefCell<HashMap<IpAddr, OutgoingLink>>,
 }
 
 /// The way to one host.
-struct Outgoing {
+struct OutgoingLink {
     frames: mpsc::Sender<Arc<[u8]>>,
     /// Rings when the host is heard: it can be connected to now.
-    is_up: Rc<Notify>,
+    reachable: Rc<Notify>,
 }
 
 impl Links {
@@ -51,46 +51,51 @@
         let mut outgoing = self.outgoing.borrow_mut();
         let link = outgoing.entry(to).or_insert_with(|| {
             let (frames, receiver) = mpsc::channel(QUEUE_LEN);
-            let is_up = Rc::new(Notify::new());
+            let reachable = Rc::new(Notify::new());
             let failure_domain = self.failure_domain.clone();
-            let introduction =
-                encode(&Introduction::Replica { node: self.own_id, ip: self.ip, failure_domain });
+            let handshake =
+                encode(&Handshake::Replica { node: self.own_id, ip: self.ip, failure_domain });
             let address = SocketAddr::new(to, self.port);
-            let rings = is_up.clone();
-            tokio::task::spawn_local(keep_connected(address, introduction, receiver, rings));
-            Outgoing { frames, is_up }
+            let notified_reachable = reachable.clone();
+            tokio::task::spawn_local(keep_connected(
+                address,
+                handshake,
+                receiver,
+                notified_reachable,
+            ));
+            OutgoingLink { frames, reachable }
         });
         // Whoever waits for an answer asks again.
         drop(link.frames.try_send(frame));
     }
 
     /// A host was heard: a try to connect that hangs or waits since it was down is begun anew.
-    pub fn heard(&self, host: IpAddr) {
+    pub fn host_reachable(&self, host: IpAddr) {
         if let Some(link) = self.outgoing.borrow().get(&host) {
-            link.is_up.notify_waiters();
+            link.reachable.notify_waiters();
         }
     }
 }
 
 async fn keep_connected(
     to: SocketAddr,
-    introduction: Arc<[u8]>,
+    handshake: Arc<[u8]>,
     mut frames: mpsc::Receiver<Arc<[u8]>>,
-    is_up: Rc<Notify>,
+    reachable: Rc<Notify>,
 ) {
     while let Some(first) = frames.recv().await {
         let connected = tokio::select! {
-            connected = net::connect(to, CONNECT_TIMEOUT, UNACKNOWLEDGED) => connected.ok(),
-            () = is_up.notified() => continue,
+            connected = net::connect(to, CONNECT_TIMEOUT, UNACKED_TIMEOUT) => connected.ok(),
+            () = reachable.notified() => continue,
         };
         match connected {
             Some(stream) => {
-                if let Err(error) = write_all(stream, &introduction, first, &mut frames).await {
+                if let Err(error) = write_all(stream, &handshake, first, &mut frames).await {
                     log::info!("event=replica_lost to={to} reason={:?}", error.to_string());
                 }
             }
             // Heard meanwhile, it need not be waited for.
-            None => drop(tokio::time::timeout(RECONNECT, is_up.notified()).await),
+            None => drop(tokio::time::timeout(RECONNECT_DELAY, reachable.notified()).await),
         }
         // What waited is stale by now.
         while frames.try_recv().is_ok() {}
@@ -99,11 +104,11 @@
 
 async fn write_all(
     mut stream: TcpStream,
-    introduction: &[u8],
+    handshake: &[u8],
     first: Arc<[u8]>,
     frames: &mut mpsc::Receiver<Arc<[u8]>>,
 ) -> std::io::Result<()> {
-    stream.write_all(introduction).await?;
+    stream.write_all(handshake).await?;
     stream.write_all(&first).await?;
     while let Some(frame) = frames.recv().await {
         stream.write_all(&frame).await?;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,22 +1,22 @@
 //! Replicas: the replicated state of a deployment, its operators, and updates for entries.
 
 pub mod age_recorder;
+pub mod checksummed_file;
+pub mod engine_cache_reader;
+pub mod engine_report;
 pub mod frames;
 pub mod identity;
-pub mod kept_file;
-pub mod kept_quarantine;
-pub mod kept_targets;
 pub mod links;
-pub mod memory_reader;
-pub mod operators;
+pub mod operator_server;
 pub mod pieces;
 pub mod publisher;
+pub mod quarantine_file;
 pub mod quarantine_publisher;
 pub mod reader_election;
 pub mod replica;
-pub mod report;
 pub mod rollout;
 pub mod rollout_plan;
+pub mod roster_file;
 pub mod roster_publisher;
 pub mod roster_reader;
 pub mod run;
--- a/src/control/operators.rs
+++ b/src/control/operator_server.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP at a replica: publish and read deployments, name weights.
+//! OperatorServer' HTTP at a replica: publish and read deployments, name weights.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -32,7 +32,7 @@
 /// second.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
 /// What operators ask for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorCall {
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// Everything that is wrong with it, one line each.
-pub fn checked(call: OperatorCall) -> Result<OperatorCall, Refused> {
+pub fn validate_call(call: OperatorCall) -> Result<OperatorCall, Refused> {
     let OperatorCall::Publish { deployment, .. } = &call else { return Ok(call) };
     let problems = validate::problems(deployment);
     if problems.is_empty() {
@@ -71,7 +71,7 @@
 type Answer = Response<Full<Bytes>>;
 
 /// Serves operators at one replica.
-pub struct Operators {
+pub struct OperatorServer {
     /// Takes commands.
     pub inputs: mpsc::Sender<Input>,
     /// The port at which all replicas serve operators.
@@ -80,15 +80,15 @@
     pub metrics: Rc<ReplicaMetrics>,
 }
 
-impl Operators {
+impl OperatorServer {
     /// Accepts connections for as long as the process lives.
-    pub async fn accept(self: Rc<Operators>, listener: TcpListener) {
+    pub async fn accept(self: Rc<OperatorServer>, listener: TcpListener) {
         let take = |stream| drop(tokio::task::spawn_local(self.clone().serve(stream)));
         net::accept_each(listener, take).await;
     }
 
-    async fn serve(self: Rc<Operators>, stream: TcpStream) {
-        if let Err(error) = net::notice_silence(&stream, UNACKNOWLEDGED) {
+    async fn serve(self: Rc<OperatorServer>, stream: TcpStream) {
+        if let Err(error) = net::notice_silence(&stream, UNACKED_TIMEOUT) {
             log::warn!("event=connection_not_set reason={:?}", error.to_string());
         }
         let service = service_fn(move |request| {
@@ -108,7 +108,7 @@
             return text(StatusCode::BAD_REQUEST, "the body is too large or broke off".into());
         };
         let decoded = operator::decode(&head.method, &path, &body.to_bytes());
-        let answer = match decoded.and_then(checked) {
+        let answer = match decoded.and_then(validate_call) {
             Ok(OperatorCall::ReadDeployment) => self.read(&path).await,
             Ok(OperatorCall::Publish { deployment, text }) => {
                 let published =
@@ -133,33 +133,33 @@
     async fn decide(&self, command: Command, path: &str) -> Answer {
         let (sender, decided) = oneshot::channel();
         if self.inputs.send(Input::Propose(command, sender)).await.is_err() {
-            return self.undecided(Undecided::Unknown, path);
+            return self.undecided_answer(Undecided::Unknown, path);
         }
         match tokio::time::timeout(DECISION_TIMEOUT, decided).await {
             Ok(Ok(Ok(Reply::Published(version) | Reply::Named(version)))) => {
                 json(format!("{{\"newest\":{version}}}").into())
             }
-            Ok(Ok(Err(undecided))) => self.undecided(undecided, path),
-            _ => self.undecided(Undecided::Unknown, path),
+            Ok(Ok(Err(undecided))) => self.undecided_answer(undecided, path),
+            _ => self.undecided_answer(Undecided::Unknown, path),
         }
     }
 
     async fn read(&self, path: &str) -> Answer {
         let (sender, read) = oneshot::channel();
         if self.inputs.send(Input::Read(sender)).await.is_err() {
-            return self.undecided(Undecided::Unknown, path);
+            return self.undecided_answer(Undecided::Unknown, path);
         }
         match tokio::time::timeout(DECISION_TIMEOUT, read).await {
             Ok(Ok(Ok(Some(published)))) => json(Bytes::copy_from_slice(&published.text)),
             Ok(Ok(Ok(None))) => {
                 text(StatusCode::SERVICE_UNAVAILABLE, "no deployment is published yet".into())
             }
-            Ok(Ok(Err(undecided))) => self.undecided(undecided, path),
-            _ => self.undecided(Undecided::Unknown, path),
+            Ok(Ok(Err(undecided))) => self.undecided_answer(undecided, path),
+            _ => self.undecided_answer(Undecided::Unknown, path),
         }
     }
 
-    fn undecided(&self, undecided: Undecided, path: &str) -> Answer {
+    fn undecided_answer(&self, undecided: Undecided, path: &str) -> Answer {
         match undecided {
             Undecided::NotLeader(Some(leader)) => redirect(leader, self.port, path),
             Undecided::NotLeader(None) => {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::frames::{self, ConfirmId, FromSubscriber, Introduction, ToReplica, Update, encode};
+use super::frames::{self, ConfirmId, Handshake, ReplicaFrame, SubscriberRequest, Update, encode};
 use super::replica::Input;
 use super::roster_publisher::RosterPublisher;
 use super::scheduling::Scheduling;
@@ -33,9 +33,9 @@
 /// another one. Several heartbeats of the log.
 pub const CURRENT_WITHIN: Duration = Duration::from_millis(500);
 /// Longest time for the first frame.
-const INTRODUCTION_TIMEOUT: Duration = Duration::from_secs(1);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
 /// Ages of namings are repeated until they are beyond this and each bound that is known here: an
 /// entry's bound is its own.
 const AGES_REPEATED_FOR: Duration = Duration::from_secs(30);
@@ -62,25 +62,25 @@
     scheduling: Rc<Scheduling>,
     inputs: mpsc::Sender<Input>,
 ) -> std::io::Result<()> {
-    net::notice_silence(&stream, UNACKNOWLEDGED)?;
+    net::notice_silence(&stream, UNACKED_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::new(read);
-    let introduction = frames::read(&mut read);
+    let handshake = frames::read(&mut read);
     let shared = &scheduling.shared;
-    match tokio::time::timeout(INTRODUCTION_TIMEOUT, introduction).await?? {
-        Introduction::Replica { node, ip, failure_domain } => {
-            shared.links.heard(ip);
+    match tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await?? {
+        Handshake::Replica { node, ip, failure_domain } => {
+            shared.links.host_reachable(ip);
             shared.domains.send_if_modified(|known| {
                 known.insert(ip, failure_domain.clone()).as_ref() != Some(&failure_domain)
             });
             loop {
-                let frame: ToReplica = frames::read(&mut read).await?;
+                let frame: ReplicaFrame = frames::read(&mut read).await?;
                 if inputs.send(Input::Frame { node, ip, frame }).await.is_err() {
                     return Ok(());
                 }
             }
         }
-        Introduction::Entry { name, failure_domain, deployment, named } => {
+        Handshake::Entry { name, failure_domain, deployment, named } => {
             log::info!("event=entry_connected entry={name} failure_domain={failure_domain}");
             shared.observe_ages(named);
             *shared.connected_entries.borrow_mut().entry(name.clone()).or_default() += 1;
@@ -96,7 +96,7 @@
             );
             Ok(())
         }
-        Introduction::SchedulerClient { name } => {
+        Handshake::SchedulerClient { name } => {
             let ended = scheduling.serve(read, write).await;
             log::info!(
                 "event=scheduler_client_disconnected entry={name} reason={:?}",
@@ -132,9 +132,9 @@
             asked = &mut request => {
                 let (read, frame) = asked?;
                 match frame {
-                    FromSubscriber::RosterSubscription(asked) => list.subscribe(asked, shared),
-                    FromSubscriber::Quarantine(reports) => shared.observe_quarantine(reports),
-                    FromSubscriber::Confirm(id) => sent.confirm = Some(id),
+                    SubscriberRequest::SubscribeRoster(asked) => list.subscribe(asked, shared),
+                    SubscriberRequest::Quarantine(reports) => shared.observe_quarantine(reports),
+                    SubscriberRequest::Confirm(id) => sent.confirm = Some(id),
                 }
                 request.set(next_request(read));
             }
@@ -167,7 +167,7 @@
 /// What an entry sends next.
 async fn next_request(
     mut read: BufReader<OwnedReadHalf>,
-) -> std::io::Result<(BufReader<OwnedReadHalf>, FromSubscriber)> {
+) -> std::io::Result<(BufReader<OwnedReadHalf>, SubscriberRequest)> {
     let frame = frames::read(&mut read).await?;
     Ok((read, frame))
 }
--- a/src/control/kept_quarantine.rs
+++ b/src/control/quarantine_file.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::kept_file::{self, Outlasts};
+use super::checksummed_file::{self, Durability};
 use super::shared::Shared;
 use crate::clock::boot_now;
 use crate::quarantine::{Quarantine, Report, Revision};
@@ -20,7 +20,7 @@
 /// What was kept; nothing if nothing was that can be read.
 pub fn load(folder: &Path) -> Quarantine {
     let mut quarantine = Quarantine::default();
-    match kept_file::load::<Vec<Report>>(folder, FILE) {
+    match checksummed_file::load::<Vec<Report>>(folder, FILE) {
         Ok(reports) => {
             log::info!("event=quarantine_restored requests={}", reports.len());
             // All of it is news.
@@ -47,7 +47,7 @@
             continue;
         }
         let into = folder.clone();
-        let write = move || kept_file::write(&into, FILE, &all, Outlasts::PowerLoss);
+        let write = move || checksummed_file::write(&into, FILE, &all, Durability::PowerLoss);
         let ended = tokio::task::spawn_blocking(write).await;
         match ended.map_err(io::Error::other).and_then(|ended| ended) {
             Ok(()) => (written, has_failed) = (revision, false),
--- a/src/control/quarantine_publisher.rs
+++ b/src/control/quarantine_publisher.rs
@@ -5,7 +5,7 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use super::frames::ToReplica;
+use super::frames::ReplicaFrame;
 use super::shared::Shared;
 use crate::clock::boot_now;
 use crate::quarantine::Revision;
@@ -24,7 +24,7 @@
         };
         if !reports.is_empty() {
             let state = shared.view.borrow().state.clone();
-            shared.broadcast(&state, own, &ToReplica::Quarantine(reports));
+            shared.broadcast(&state, own, &ReplicaFrame::Quarantine(reports));
         }
     }
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::frames::{ToReplica, VersionedRoster, encode};
+use super::frames::{ReplicaFrame, VersionedRoster, encode};
 use super::publisher::CURRENT_WITHIN;
 use super::shared::{Freshness, ReplicaView, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
@@ -51,7 +51,7 @@
         /// Its host.
         ip: IpAddr,
         /// The frame.
-        frame: ToReplica,
+        frame: ReplicaFrame,
     },
     /// Have a command decided.
     Propose(Command, oneshot::Sender<Result<Reply, Undecided>>),
@@ -156,27 +156,27 @@
         }
     }
 
-    fn handle_frame(&mut self, node: NodeId, ip: IpAddr, frame: ToReplica) {
+    fn handle_frame(&mut self, node: NodeId, ip: IpAddr, frame: ReplicaFrame) {
         let now = boot_now();
         self.peer_addresses.insert(node, ip);
         self.peer_activity.record_contact(node, now);
         match frame {
             // What is meant for a replica whose place this one took must not keep it from joining.
-            ToReplica::Log { to, .. } if to != self.shared.node => {}
-            ToReplica::Log { message, .. } => {
+            ReplicaFrame::Log { to, .. } if to != self.shared.node => {}
+            ReplicaFrame::Log { message, .. } => {
                 if message.is_from_leader() {
                     self.heard_leader_at = now;
                 }
                 self.driver.raft.receive(node, message, now);
             }
-            ToReplica::Join => {
+            ReplicaFrame::Join => {
                 self.peer_activity.record_join_request(node, ip, now);
                 // Only the leader can let it in, and it may know but a few others.
-                self.shared.links.send(ip, encode(&ToReplica::Hosts(self.hosts())));
+                self.shared.links.send(ip, encode(&ReplicaFrame::Hosts(self.hosts())));
             }
-            ToReplica::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
-            ToReplica::Roster(roster) => self.observe_roster(roster, ip),
-            ToReplica::RosterChanged { before, version, changed, gone, remembered } => {
+            ReplicaFrame::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
+            ReplicaFrame::Roster(roster) => self.observe_roster(roster, ip),
+            ReplicaFrame::RosterChanged { before, version, changed, gone, remembered } => {
                 let change = changed.listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
                 let heard = change
@@ -184,43 +184,43 @@
                     .and_then(|change| known.advanced(before, version, change, remembered));
                 match heard {
                     Some(roster) => self.observe_roster(roster, ip),
-                    None => self.shared.links.send(ip, encode(&ToReplica::RosterRequested)),
+                    None => self.shared.links.send(ip, encode(&ReplicaFrame::RosterRequested)),
                 }
             }
-            ToReplica::TargetListReadFailed => {
+            ReplicaFrame::TargetListReadFailed => {
                 self.shared.reader_election.update(|mut reader_election| {
                     reader_election.record_request(now);
                     reader_election
                 })
             }
-            ToReplica::TargetListRead { version, age } => {
+            ReplicaFrame::TargetListRead { version, age } => {
                 match self.shared.observe_read(version, now.saturating_sub(age)) {
                     Ordering::Less => self.send_roster(ip),
                     Ordering::Equal => {}
                     Ordering::Greater => {
-                        self.shared.links.send(ip, encode(&ToReplica::RosterRequested))
+                        self.shared.links.send(ip, encode(&ReplicaFrame::RosterRequested))
                     }
                 }
             }
-            ToReplica::RosterRequested => self.send_roster(ip),
-            ToReplica::Quarantine(reports) => self.shared.observe_quarantine(reports),
-            ToReplica::QuarantineDigest(digest) => {
+            ReplicaFrame::RosterRequested => self.send_roster(ip),
+            ReplicaFrame::Quarantine(reports) => self.shared.observe_quarantine(reports),
+            ReplicaFrame::QuarantineDigest(digest) => {
                 let known = self.shared.quarantine.borrow();
                 if known.digest() != digest {
                     let reports = known.changed_since(Revision::default(), now);
-                    self.shared.links.send(ip, encode(&ToReplica::Quarantine(reports)));
+                    self.shared.links.send(ip, encode(&ReplicaFrame::Quarantine(reports)));
                 }
             }
-            ToReplica::NamedAgesWanted => {
+            ReplicaFrame::NamedAgesWanted => {
                 let leads = self.driver.raft.status().is_leader;
-                let ages = ToReplica::NamedAges { named: self.shared.ages(), leads };
+                let ages = ReplicaFrame::NamedAges { named: self.shared.ages(), leads };
                 self.shared.links.send(ip, encode(&ages));
             }
-            ToReplica::NamedAges { named, leads } => {
+            ReplicaFrame::NamedAges { named, leads } => {
                 self.shared.observe_ages(named);
                 self.shared.has_weight_ages.set(leads || self.shared.has_weight_ages.get());
             }
-            ToReplica::Entries(entries) => {
+            ReplicaFrame::Entries(entries) => {
                 self.remote_entries.insert(node, (entries, now));
                 self.remote_entries_since.get_or_insert(now);
             }
@@ -233,14 +233,14 @@
             StalePeers::Sender => self.send_roster(from),
             StalePeers::Everybody => {
                 let roster = self.shared.roster.borrow().clone();
-                self.shared.broadcast(&self.state, self.ip, &ToReplica::Roster(roster));
+                self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::Roster(roster));
             }
         }
     }
 
     fn send_roster(&self, to: IpAddr) {
         let roster = self.shared.roster.borrow().clone();
-        self.shared.links.send(to, encode(&ToReplica::Roster(roster)));
+        self.shared.links.send(to, encode(&ReplicaFrame::Roster(roster)));
     }
 
     fn propose(&mut self, command: &Command, sender: oneshot::Sender<Result<Reply, Undecided>>) {
@@ -267,7 +267,7 @@
             self.pending_reads.clear();
         }
         if !self.shared.has_weight_ages.get() {
-            self.shared.broadcast(&self.state, self.ip, &ToReplica::NamedAgesWanted);
+            self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::NamedAgesWanted);
         }
         if now >= self.announced_at + ANNOUNCE_INTERVAL {
             self.announced_at = now;
@@ -315,13 +315,13 @@
         if is_only || self.remote_entries_since.is_some_and(is_settled) {
             self.shared.entry_count.set(Some(all.len() as u32));
         }
-        self.shared.broadcast(&self.state, self.ip, &ToReplica::Entries(entries.clone()));
+        self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::Entries(entries.clone()));
         let digest = self.shared.quarantine.borrow().digest();
-        self.shared.broadcast(&self.state, self.ip, &ToReplica::QuarantineDigest(digest));
+        self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::QuarantineDigest(digest));
         let is_leaderless = now.saturating_sub(self.heard_leader_at) >= LEADERLESS_TIMEOUT;
         let is_member = self.driver.raft.status().members.all().any(|id| id == self.shared.node);
         if is_leaderless || !is_member {
-            let join = encode(&ToReplica::Join);
+            let join = encode(&ReplicaFrame::Join);
             for host in self.hosts().into_iter().filter(|host| *host != self.ip) {
                 self.shared.links.send(host, join.clone());
             }
@@ -341,7 +341,7 @@
         let send = |to: NodeId, message| {
             // Who introduced itself last knows its own address best.
             if let Some(ip) = peer_addresses.get(&to).or_else(|| addresses.get(&to)) {
-                links.send(*ip, encode(&ToReplica::Log { to, message }));
+                links.send(*ip, encode(&ReplicaFrame::Log { to, message }));
             }
         };
         for output in self.driver.settle(send) {
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
+use super::engine_report;
 use super::replica::Input;
-use super::report;
 use super::rollout_plan::{
     EngineReport, PendingLoad, RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
 };
@@ -215,7 +215,7 @@
                 // Newer ones may have been named while it waited for its turn.
                 version = self.newest_version(load);
             }
-            let report = report::read(&target.start, target.address).await;
+            let report = engine_report::read(&target.start, target.address).await;
             if was_busy && report.as_ref().is_some_and(|report| !report.is_busy) {
                 // It has carried out an order, but one for weights that were replaced meanwhile.
                 (slot, was_busy) = (None, false);
--- a/src/control/kept_targets.rs
+++ b/src/control/roster_file.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::checksummed_file::{self, Durability};
 use super::frames::VersionedRoster;
-use super::kept_file::{self, Outlasts};
 use super::shared::Shared;
 
 const FILE: &str = "targets";
@@ -20,7 +20,7 @@
 
 /// The list that was kept; the default if there is none that can be read.
 pub fn load(folder: &Path) -> VersionedRoster {
-    match kept_file::load::<VersionedRoster>(folder, FILE) {
+    match checksummed_file::load::<VersionedRoster>(folder, FILE) {
         // Kept before the first read: entries must not take that for the list.
         Ok(list) if list.roster.is_empty() => VersionedRoster::default(),
         Ok(list) => {
@@ -42,7 +42,7 @@
     while roster.changed().await.is_ok() {
         let list = roster.borrow_and_update().clone();
         let into = folder.clone();
-        let write = move || kept_file::write(&into, FILE, &list, Outlasts::Process);
+        let write = move || checksummed_file::write(&into, FILE, &list, Durability::ProcessCrash);
         let written = tokio::task::spawn_blocking(write).await;
         let failure = written.map_err(io::Error::other).and_then(|written| written).err();
         if let Some(error) = &failure
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -9,7 +9,7 @@
 use http::{Method, StatusCode};
 use rand::RngExt;
 
-use super::frames::{ToReplica, VersionedRoster};
+use super::frames::{ReplicaFrame, VersionedRoster};
 use super::reader_election::{PAGE_TIMEOUT, POLL_INTERVAL, READ_INTERVAL, SLOW_PAGE_TIMEOUT};
 use super::shared::Shared;
 use super::unreadable_log::UnreadableEntryLog;
@@ -121,7 +121,7 @@
         }
         self.next_request_at.set(now + READ_INTERVAL);
         let state = &view.state;
-        self.shared.broadcast(state, self.own, &ToReplica::TargetListReadFailed);
+        self.shared.broadcast(state, self.own, &ReplicaFrame::TargetListReadFailed);
     }
 
     fn record_targets(&self, targets: Vec<Listed>, began: BootTime) {
@@ -142,7 +142,7 @@
             self.shared.broadcast(state, self.own, &roster_change(&before, &roster));
         }
         let age = boot_now().saturating_sub(began);
-        self.shared.broadcast(state, self.own, &ToReplica::TargetListRead { version, age });
+        self.shared.broadcast(state, self.own, &ReplicaFrame::TargetListRead { version, age });
     }
 
     async fn read(&self) -> Result<TargetList, CallError> {
@@ -190,9 +190,9 @@
 }
 
 /// What tells another replica that has one list of the next one.
-fn roster_change(before: &VersionedRoster, now: &VersionedRoster) -> ToReplica {
+fn roster_change(before: &VersionedRoster, now: &VersionedRoster) -> ReplicaFrame {
     let RosterChange { changed, gone } = before.roster.change_to(&now.roster);
-    ToReplica::RosterChanged {
+    ReplicaFrame::RosterChanged {
         before: before.version(),
         version: now.version(),
         changed: CompactTargets::of(changed.iter()),
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -16,15 +16,15 @@
 use super::age_recorder;
 use super::frames::RosterVersion;
 use super::identity::Identity;
-use super::kept_quarantine;
-use super::kept_targets;
 use super::links::Links;
-use super::operators::Operators;
+use super::operator_server::OperatorServer;
 use super::publisher;
+use super::quarantine_file;
 use super::quarantine_publisher;
 use super::reader_election::ReaderElection;
 use super::replica::{Input, Replica, ReplicaInit};
 use super::rollout::RolloutController;
+use super::roster_file;
 use super::roster_reader::{self, TargetListSource};
 use super::scheduling::Scheduling;
 use super::shared::{ReplicaView, Shared};
@@ -68,7 +68,7 @@
         identity.node,
         SocketAddr::new(host.ip, host.metrics_port)
     );
-    let kept = kept_targets::load(&folder);
+    let kept = roster_file::load(&folder);
     let links =
         Rc::new(Links::new(identity.node, host.ip, host.failure_domain.clone(), host.peer_port));
     let seeds: BTreeSet<IpAddr> = host.seeds.iter().map(|seed| seed.ip()).collect();
@@ -91,7 +91,7 @@
         changing: RefCell::default(),
         named_since: RefCell::default(),
         has_weight_ages: Cell::new(false),
-        quarantine: watch::Sender::new(kept_quarantine::load(&folder)),
+        quarantine: watch::Sender::new(quarantine_file::load(&folder)),
         suspects: watch::Sender::default(),
         links,
         seeds: RefCell::new(seeds),
@@ -109,7 +109,7 @@
     let shown = metrics.clone();
     let metrics_text = move || (StatusCode::OK, metrics_text(&shown, &measured, &waiting));
     tasks.spawn("metrics", text_server::serve(listen(address).await?, metrics_text));
-    let operators = Rc::new(Operators {
+    let operators = Rc::new(OperatorServer {
         inputs: inputs.clone(),
         port: operators_address.port(),
         metrics: metrics.clone(),
@@ -122,8 +122,8 @@
             roster_reader::run(shared.clone(), host.ip, list, metrics.clone()),
         );
     }
-    tasks.spawn("kept_targets", kept_targets::keep_writing(shared.clone(), folder.clone()));
-    tasks.spawn("kept_quarantine", kept_quarantine::keep_writing(shared.clone(), folder.clone()));
+    tasks.spawn("kept_targets", roster_file::keep_writing(shared.clone(), folder.clone()));
+    tasks.spawn("kept_quarantine", quarantine_file::keep_writing(shared.clone(), folder.clone()));
     tasks.spawn("quarantine", quarantine_publisher::keep_publishing(shared.clone(), host.ip));
     let recording = age_recorder::run(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use super::engine_cache_reader;
 use super::frames::RosterVersion;
-use super::memory_reader;
 use super::scheduling::Scheduling;
 use super::store_reader;
 use crate::clock::boot_now;
@@ -83,7 +83,7 @@
             scheduler.observe_roster(&roster.roster);
             if is_first {
                 let engines = scheduler.engines();
-                tokio::task::spawn_local(memory_reader::run(self.clone(), engines, term));
+                tokio::task::spawn_local(engine_cache_reader::run(self.clone(), engines, term));
             }
         }
         scheduler.observe_changing(&self.shared.changing.borrow());
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -11,8 +11,8 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-use super::frames::{self, FromEntry, SchedulerError, ToEntry, encode};
-use super::report;
+use super::engine_report;
+use super::frames::{self, SchedulerError, SchedulerReply, SchedulerRequest, encode};
 use super::shared::Shared;
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
@@ -62,7 +62,7 @@
 
 /// The way back to one entry.
 struct EntryLink {
-    answers: mpsc::UnboundedSender<ToEntry>,
+    answers: mpsc::UnboundedSender<SchedulerReply>,
     /// Prompts of the entry that wait, by its numbers.
     waiting: RefCell<HashMap<u64, WaiterId>>,
     /// Placements of the entry that have not ended.
@@ -77,7 +77,7 @@
             self.placed.borrow_mut().insert(placed.ticket);
         }
         // The connection's end is noticed where it is read.
-        let _ = self.answers.send(ToEntry::Placed(number, answer));
+        let _ = self.answers.send(SchedulerReply::Placed(number, answer));
     }
 }
 
@@ -148,7 +148,7 @@
             }
             let scheduling = self.clone();
             tokio::task::spawn_local(async move {
-                let report = report::read(&engine, address).await;
+                let report = engine_report::read(&engine, address).await;
                 let weights = report.map(|report| report.weights);
                 log::info!("event=weights_queried engine={engine} weights={weights:?}");
                 if let Some(weights) = &weights {
@@ -202,7 +202,7 @@
         read: BufReader<OwnedReadHalf>,
         mut write: OwnedWriteHalf,
     ) -> std::io::Result<()> {
-        let (sender, mut answers) = mpsc::unbounded_channel::<ToEntry>();
+        let (sender, mut answers) = mpsc::unbounded_channel::<SchedulerReply>();
         let asker = ClientConnection::new(self, sender);
         let writing = async {
             while let Some(first) = answers.recv().await {
@@ -258,7 +258,7 @@
 impl<'s> ClientConnection<'s> {
     fn new(
         scheduling: &'s Scheduling,
-        answers: mpsc::UnboundedSender<ToEntry>,
+        answers: mpsc::UnboundedSender<SchedulerReply>,
     ) -> ClientConnection<'s> {
         let (waiting, placed) = (RefCell::default(), RefCell::default());
         ClientConnection { scheduling, entry: Rc::new(EntryLink { answers, waiting, placed }) }
@@ -267,12 +267,12 @@
     async fn handle_all(&self, mut read: BufReader<OwnedReadHalf>) -> std::io::Result<()> {
         loop {
             match frames::read(&mut read).await? {
-                FromEntry::Place(number, ask) => self.ask(number, ask),
-                FromEntry::Withdraw(number) => {
+                SchedulerRequest::Place(number, ask) => self.ask(number, ask),
+                SchedulerRequest::Withdraw(number) => {
                     let waiter = self.entry.waiting.borrow_mut().remove(&number);
                     waiter.into_iter().for_each(|waiter| self.withdraw(waiter));
                 }
-                FromEntry::Event(note) => self.note(&note),
+                SchedulerRequest::Event(note) => self.note(&note),
             }
         }
     }
@@ -289,7 +289,7 @@
                 self.scheduling.waiters.borrow_mut().insert(waiter, waits);
                 self.entry.waiting.borrow_mut().insert(number, waiter);
                 // The connection's end is noticed where it is read.
-                let _ = self.entry.answers.send(ToEntry::Queued(number));
+                let _ = self.entry.answers.send(SchedulerReply::Queued(number));
             }
         }
     }
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::watch;
 
-use super::frames::{NamedAges, RosterVersion, ToReplica, Update, VersionedRoster, encode};
+use super::frames::{NamedAges, ReplicaFrame, RosterVersion, Update, VersionedRoster, encode};
 use super::links::SharedLinks;
 use super::pieces;
 use super::reader_election::ReaderElection;
@@ -117,7 +117,7 @@
 
 impl Shared {
     /// Sends a frame to the hosts of all other replicas.
-    pub fn broadcast(&self, state: &ControlState, own: IpAddr, frame: &ToReplica) {
+    pub fn broadcast(&self, state: &ControlState, own: IpAddr, frame: &ReplicaFrame) {
         let bytes = encode(frame);
         let hosts: BTreeSet<IpAddr> = state.replica_addresses.values().copied().collect();
         for host in hosts.into_iter().filter(|host| *host != own) {
--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::clock::{BootTime, boot_now};
-use crate::control::frames::{FromEntry, SchedulerError, encode};
+use crate::control::frames::{SchedulerError, SchedulerRequest, encode};
 use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
 
 /// An answer takes one or two milliseconds. After this time the entry decides alone.
@@ -58,7 +58,7 @@
             }
         }
         if is_open {
-            self.asking.send(&FromEntry::Withdraw(self.number));
+            self.asking.send(&SchedulerRequest::Withdraw(self.number));
         }
     }
 }
@@ -113,7 +113,7 @@
         }
         let most = ask.time_left;
         let mut pending = self.pending();
-        if !self.send(&FromEntry::Place(pending.number, ask)) {
+        if !self.send(&SchedulerRequest::Place(pending.number, ask)) {
             return None;
         }
         match tokio::time::timeout(ANSWER_TIMEOUT, pending.answers.recv()).await {
@@ -143,7 +143,7 @@
     /// Tells what became of a placement. It is lost if there is no connection: the scheduler forgets
     /// the placement by itself.
     pub fn tell(&self, note: PlacementEvent) {
-        self.send(&FromEntry::Event(note));
+        self.send(&SchedulerRequest::Event(note));
     }
 
     /// Gives back a placement that is not used.
@@ -182,7 +182,7 @@
         }
     }
 
-    fn send(&self, frame: &FromEntry) -> bool {
+    fn send(&self, frame: &SchedulerRequest) -> bool {
         let outgoing = self.outgoing.borrow();
         outgoing.as_ref().is_some_and(|outgoing| outgoing.try_send(encode(frame)).is_ok())
     }
--- a/src/gateway/scheduler_connection.rs
+++ b/src/gateway/scheduler_connection.rs
@@ -11,7 +11,7 @@
 
 use super::scheduler_client::Reply;
 use super::state::Gateway;
-use crate::control::frames::{self, Introduction, ToEntry, encode};
+use crate::control::frames::{self, Handshake, SchedulerReply, encode};
 use crate::log::Term;
 use crate::net;
 
@@ -44,7 +44,7 @@
     let to = SocketAddr::new(named.0, gateway.host.peer_port);
     let stream = net::connect(to, CONNECT_TIMEOUT, UNACKNOWLEDGED).await?;
     let (read, mut write) = stream.into_split();
-    let introduction = Introduction::SchedulerClient { name: gateway.host.name.clone() };
+    let introduction = Handshake::SchedulerClient { name: gateway.host.name.clone() };
     write.write_all(&encode(&introduction)).await?;
     let (sender, mut outgoing) = mpsc::channel::<Arc<[u8]>>(QUEUE_LEN);
     gateway.scheduler.attach(sender);
@@ -66,8 +66,8 @@
     let mut read = BufReader::new(read);
     loop {
         let (number, reply) = match frames::read(&mut read).await? {
-            ToEntry::Queued(number) => (number, Reply::Queued),
-            ToEntry::Placed(number, answer) => (number, Reply::Placed(Box::new(answer))),
+            SchedulerReply::Queued(number) => (number, Reply::Queued),
+            SchedulerReply::Placed(number, answer) => (number, Reply::Placed(Box::new(answer))),
         };
         gateway.scheduler.deliver(number, reply);
     }
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -13,7 +13,7 @@
 use super::subscriptions::Subscription;
 use crate::clock::boot_now;
 use crate::control::frames::{
-    self, FromSubscriber, Introduction, RosterSubscription, Update, encode,
+    self, Handshake, RosterSubscription, SubscriberRequest, Update, encode,
 };
 use crate::control::publisher::HEARTBEAT_EVERY;
 use crate::essential::Essentials;
@@ -78,7 +78,7 @@
     let stream = net::connect(to, CONNECT_TIMEOUT, SILENT).await?;
     let (read, mut write) = stream.into_split();
     let (requests, requested) = mpsc::channel(REQUESTS);
-    let introduction = Introduction::Entry {
+    let introduction = Handshake::Entry {
         name: gateway.host.name.clone(),
         failure_domain: gateway.host.failure_domain.clone(),
         deployment: gateway.table().map_or(0, |table| table.deployment().version),
@@ -109,13 +109,13 @@
     loop {
         let frame = tokio::select! {
             request = requested.recv() => match request {
-                Some(request) => FromSubscriber::RosterSubscription(request),
+                Some(request) => SubscriberRequest::SubscribeRoster(request),
                 // The subscription has ended.
                 None => return Ok(()),
             },
             changed = confirm.changed() => {
                 changed.map_err(std::io::Error::other)?;
-                FromSubscriber::Confirm(*confirm.borrow_and_update())
+                SubscriberRequest::Confirm(*confirm.borrow_and_update())
             }
             changed = quarantine.changed() => {
                 changed.map_err(std::io::Error::other)?;
@@ -125,7 +125,7 @@
                 if reports.is_empty() {
                     continue;
                 }
-                FromSubscriber::Quarantine(reports)
+                SubscriberRequest::Quarantine(reports)
             }
         };
         write.write_all(&encode(&frame)).await?;
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -7,7 +7,8 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, RosterVersion, SchedulerError, ToEntry, VersionedRoster, encode, read,
+    Handshake, RosterVersion, SchedulerError, SchedulerReply, SchedulerRequest, VersionedRoster,
+    encode, read,
 };
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::ReaderElection;
@@ -120,21 +121,21 @@
         Asker { stream: BufReader::new(opened.expect("it connects")) }
     }
 
-    async fn tell(&mut self, frame: FromEntry) {
+    async fn tell(&mut self, frame: SchedulerRequest) {
         self.stream.write_all(&encode(&frame)).await.expect("it reads");
     }
 
-    async fn hear(&mut self) -> ToEntry {
+    async fn hear(&mut self) -> SchedulerReply {
         read(&mut self.stream).await.expect("a frame")
     }
 
     /// Asks, and waits if it must.
     async fn placed_in_the_end(&mut self) -> Placed {
-        self.tell(FromEntry::Place(1, ask())).await;
+        self.tell(SchedulerRequest::Place(1, ask())).await;
         loop {
             match self.hear().await {
-                ToEntry::Queued(1) => {}
-                ToEntry::Placed(1, Ok(placed)) => return placed,
+                SchedulerReply::Queued(1) => {}
+                SchedulerReply::Placed(1, Ok(placed)) => return placed,
                 other => panic!("{other:?}"),
             }
         }
@@ -143,14 +144,14 @@
     /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
     async fn placed(&mut self) -> Placed {
         loop {
-            self.tell(FromEntry::Place(1, ask())).await;
+            self.tell(SchedulerRequest::Place(1, ask())).await;
             let mut answer = self.hear().await;
-            if answer == ToEntry::Queued(1) {
+            if answer == SchedulerReply::Queued(1) {
                 answer = self.hear().await;
             }
             match answer {
-                ToEntry::Placed(1, Ok(placed)) => return placed,
-                ToEntry::Placed(
+                SchedulerReply::Placed(1, Ok(placed)) => return placed,
+                SchedulerReply::Placed(
                     1,
                     Err(SchedulerError::NotScheduling | SchedulerError::Placement(_)),
                 ) => {
@@ -194,12 +195,14 @@
         let mut killed = Asker::connect(&scheduling).await;
         killed.placed().await;
         let mut other = Asker::connect(&scheduling).await;
-        other.tell(FromEntry::Place(7, ask())).await;
-        assert_eq!(other.hear().await, ToEntry::Queued(7), "the engine is busy");
+        other.tell(SchedulerRequest::Place(7, ask())).await;
+        assert_eq!(other.hear().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
         // Without it, the scheduler would forget them only after 20 s.
         let heard = tokio::time::timeout(ms(15_000), other.hear()).await;
-        let ToEntry::Placed(7, Ok(placed)) = heard.expect("soon") else { panic!("not placed") };
+        let SchedulerReply::Placed(7, Ok(placed)) = heard.expect("soon") else {
+            panic!("not placed")
+        };
         assert_eq!(placed.trace.running, 0);
     });
 }
@@ -211,10 +214,10 @@
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
         let mut killed = Asker::connect(&scheduling).await;
-        killed.tell(FromEntry::Place(1, ask())).await;
-        assert_eq!(killed.hear().await, ToEntry::Queued(1));
+        killed.tell(SchedulerRequest::Place(1, ask())).await;
+        assert_eq!(killed.hear().await, SchedulerReply::Queued(1));
         drop(first);
-        assert!(matches!(killed.hear().await, ToEntry::Placed(1, Ok(_))));
+        assert!(matches!(killed.hear().await, SchedulerReply::Placed(1, Ok(_))));
         drop(killed);
         let mut last = Asker::connect(&scheduling).await;
         let placed = tokio::time::timeout(ms(15_000), last.placed_in_the_end());
@@ -228,14 +231,14 @@
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
         let mut left = Asker::connect(&scheduling).await;
-        left.tell(FromEntry::Place(1, ask())).await;
-        assert_eq!(left.hear().await, ToEntry::Queued(1));
-        left.tell(FromEntry::Withdraw(1)).await;
-        left.tell(FromEntry::Place(2, ask())).await;
-        assert_eq!(left.hear().await, ToEntry::Queued(2));
+        left.tell(SchedulerRequest::Place(1, ask())).await;
+        assert_eq!(left.hear().await, SchedulerReply::Queued(1));
+        left.tell(SchedulerRequest::Withdraw(1)).await;
+        left.tell(SchedulerRequest::Place(2, ask())).await;
+        assert_eq!(left.hear().await, SchedulerReply::Queued(2));
         assert_eq!(scheduling.waiting(), 1);
         drop(first);
-        assert!(matches!(left.hear().await, ToEntry::Placed(2, Ok(_))));
+        assert!(matches!(left.hear().await, SchedulerReply::Placed(2, Ok(_))));
     });
 }
 
@@ -244,10 +247,13 @@
     run(|scheduling| async move {
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
-        first.tell(FromEntry::Place(2, ask())).await;
-        assert_eq!(first.hear().await, ToEntry::Queued(2));
+        first.tell(SchedulerRequest::Place(2, ask())).await;
+        assert_eq!(first.hear().await, SchedulerReply::Queued(2));
         scheduling.shared.view.send_modify(|view| view.leads = false);
-        assert_eq!(first.hear().await, ToEntry::Placed(2, Err(SchedulerError::NotScheduling)));
+        assert_eq!(
+            first.hear().await,
+            SchedulerReply::Placed(2, Err(SchedulerError::NotScheduling))
+        );
     });
 }
 
@@ -264,15 +270,15 @@
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("the entry connects");
             let mut stream = BufReader::new(stream);
-            let _: Introduction = read(&mut stream).await.expect("who it is");
+            let _: Handshake = read(&mut stream).await.expect("who it is");
             for asked in 1..=4 {
                 let frame = read(&mut stream).await.expect("it asks again");
-                let FromEntry::Place(number, _) = frame else { panic!("{frame:?}") };
+                let SchedulerRequest::Place(number, _) = frame else { panic!("{frame:?}") };
                 let answer = match asked {
                     4 => Ok(Placed { target: start("i-1"), ..Placed::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
-                let answer = encode(&ToEntry::Placed(number, answer));
+                let answer = encode(&SchedulerReply::Placed(number, answer));
                 stream.write_all(&answer).await.expect("the entry reads");
             }
             std::future::pending::<()>().await;
@@ -322,7 +328,9 @@
         let placed = asker.placed().await;
         assert_eq!(placed.weight_version, Some(2));
         let end = End::OtherWeights(Some(1));
-        asker.tell(FromEntry::Event(PlacementEvent::Ended { ticket: placed.ticket, end })).await;
+        asker
+            .tell(SchedulerRequest::Event(PlacementEvent::Ended { ticket: placed.ticket, end }))
+            .await;
         let mut changes = shared.roster.subscribe();
         let is_listed = |known: &VersionedRoster| {
             known.roster.get(&start("i-1")).is_some_and(|engine| engine.weights["m"] == 1)
--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -1,7 +1,7 @@
 //! The operator's documents: what is read, and each way in which one is invalid.
 
 use http::{Method, StatusCode};
-use kumquatpost::control::operators::{OperatorCall, checked};
+use kumquatpost::control::operator_server::{OperatorCall, validate_call};
 use kumquatpost::deployment::{RunPolicy, ServiceRole};
 use kumquatpost::platform::{documents, operator};
 use serde_json::{Value, json};
@@ -34,7 +34,8 @@
 }
 
 fn put(document: &Value) -> Result<OperatorCall, operator::Refused> {
-    operator::decode(&Method::PUT, "/config", document.to_string().as_bytes()).and_then(checked)
+    operator::decode(&Method::PUT, "/config", document.to_string().as_bytes())
+        .and_then(validate_call)
 }
 
 #[test]
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{self, FromEntry, Introduction, ToEntry, ToReplica, Update};
+use kumquatpost::control::frames::{
+    self, Handshake, ReplicaFrame, SchedulerReply, SchedulerRequest, Update,
+};
 use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::control::state::ControlState;
 use kumquatpost::deployment::validate;
@@ -54,10 +56,10 @@
     framed.extend_from_slice(bytes);
     for bytes in [bytes, &framed] {
         runtime.block_on(async {
-            let _ = frames::read::<Introduction>(&mut &*bytes).await;
-            let _ = frames::read::<FromEntry>(&mut &*bytes).await;
-            let _ = frames::read::<ToEntry>(&mut &*bytes).await;
-            let _ = frames::read::<ToReplica>(&mut &*bytes).await;
+            let _ = frames::read::<Handshake>(&mut &*bytes).await;
+            let _ = frames::read::<SchedulerRequest>(&mut &*bytes).await;
+            let _ = frames::read::<SchedulerReply>(&mut &*bytes).await;
+            let _ = frames::read::<ReplicaFrame>(&mut &*bytes).await;
             let _ = frames::read::<Update>(&mut &*bytes).await;
         });
     }
--- a/tests/deployment/kept_targets.rs
+++ b/tests/deployment/kept_targets.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use kumquatpost::control::frames::VersionedRoster;
-use kumquatpost::control::kept_targets::{keep_writing, load};
+use kumquatpost::control::roster_file::{keep_writing, load};
 use tokio::task::LocalSet;
 
 use crate::asking::shared;
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -19,7 +19,7 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, ToEntry, Update, VersionedRoster, encode, read,
+    Handshake, SchedulerReply, SchedulerRequest, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::shared::{Shared, StalePeers};
 use kumquatpost::fleet::{FleetView, Listed, Presence};
@@ -217,16 +217,16 @@
     let (mut stream, _) = listener.accept().await.expect("the entry connects");
     let (read_half, mut write) = stream.split();
     let mut from_entry = BufReader::new(read_half);
-    let _: Introduction = read(&mut from_entry).await.expect("who it is");
+    let _: Handshake = read(&mut from_entry).await.expect("who it is");
     // It ends with the test.
     while let Ok(frame) = read(&mut from_entry).await {
-        if let FromEntry::Place(number, ask) = frame {
+        if let SchedulerRequest::Place(number, ask) = frame {
             let engine = engines
                 .iter()
                 .find(|engine| !ask.avoid.iter().any(|avoided| avoided.id == **engine));
             let target = engine.expect("one is left").to_string();
             let placed = Placed { target: start(&target), ..Placed::default() };
-            let answer = encode(&ToEntry::Placed(number, Ok(placed)));
+            let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
     }
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reading.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{Introduction, ToReplica, VersionedRoster, read};
+use kumquatpost::control::frames::{Handshake, ReplicaFrame, VersionedRoster, read};
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::{
     PAGE_TIMEOUT, POLL_INTERVAL, READ_INTERVAL, ReaderElection, SLOW_PAGE_TIMEOUT,
@@ -173,9 +173,9 @@
     let connected = tokio::time::timeout(PATIENCE, listener.accept()).await;
     let (stream, _) = connected.expect("somebody is asked").expect("it connects");
     let mut frames = BufReader::new(stream);
-    let _: Introduction = read(&mut frames).await.expect("who it is");
-    let frame: ToReplica = read(&mut frames).await.expect("a frame");
-    assert_eq!(frame, ToReplica::TargetListReadFailed);
+    let _: Handshake = read(&mut frames).await.expect("who it is");
+    let frame: ReplicaFrame = read(&mut frames).await.expect("a frame");
+    assert_eq!(frame, ReplicaFrame::TargetListReadFailed);
 }
 
 #[test]
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -11,7 +11,7 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NamedAges, ToEntry, Update, VersionedRoster, encode, read,
+    Handshake, NamedAges, SchedulerReply, SchedulerRequest, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::publisher;
 use kumquatpost::control::scheduling::Scheduling;
@@ -94,13 +94,13 @@
     let (mut stream, _) = listener.accept().await.expect("the entry connects");
     let (read_half, mut write) = stream.split();
     let mut from_entry = BufReader::new(read_half);
-    let _: Introduction = read(&mut from_entry).await.expect("who it is");
+    let _: Handshake = read(&mut from_entry).await.expect("who it is");
     // It ends with the test.
     while let Ok(frame) = read(&mut from_entry).await {
-        if let FromEntry::Place(number, _) = frame {
+        if let SchedulerRequest::Place(number, _) = frame {
             let placed =
                 Placed { target: start("i-1"), weight_version: Some(1), ..Placed::default() };
-            let answer = encode(&ToEntry::Placed(number, Ok(placed)));
+            let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
     }
@@ -226,7 +226,7 @@
     let core = Core::start(3);
     core.publish(1);
     let named = vec![NamedWeights { version: 2, age: ms(60_000) }];
-    let entry = Introduction::Entry {
+    let entry = Handshake::Entry {
         name: "entry".into(),
         failure_domain: "hall".into(),
         deployment: 0,
@@ -286,7 +286,7 @@
 /// How many entries share the retries, as a replica tells an entry first. Until it can know, it tells none.
 async fn sharing(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
     let mut stream = TcpStream::connect(replica).await?;
-    let entry = Introduction::Entry {
+    let entry = Handshake::Entry {
         name: name.into(),
         failure_domain: "hall".into(),
         deployment: 0,
--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{self, Introduction, NamedAges, Update, encode};
+use kumquatpost::control::frames::{self, Handshake, NamedAges, Update, encode};
 use serde_json::json;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -52,7 +52,7 @@
 /// The weights that a replica tells an entry of first, with the time since they were named.
 async fn told_first(replica: SocketAddr) -> std::io::Result<(u64, Duration)> {
     let mut stream = TcpStream::connect(replica).await?;
-    let entry = Introduction::Entry {
+    let entry = Handshake::Entry {
         name: "entry".into(),
         failure_domain: "hall".into(),
         deployment: 0,
