--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -8,7 +8,7 @@
 use futures::StreamExt;
 use http::{Method, StatusCode};
 
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use crate::clock::boot_now;
 use crate::ids::TargetStart;
 use crate::log::Term;
@@ -27,15 +27,19 @@
 const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Reads the events that engines still have.
-pub async fn run(scheduling: Rc<Scheduling>, engines: Vec<(TargetStart, SocketAddr)>, term: Term) {
+pub async fn run(
+    scheduling: Rc<SchedulerService>,
+    engines: Vec<(TargetStart, SocketAddr)>,
+    term: Term,
+) {
     let count = engines.len();
     let scheduling = &scheduling;
     let reading = futures::stream::iter(engines).map(|(engine, address)| async move {
         match read(&engine, address).await {
             Ok(page) => {
-                scheduling.until_sure(term).await;
+                scheduling.wait_for_leadership(term).await;
                 let now = boot_now();
-                let recalled = scheduling.with(|scheduler| {
+                let recalled = scheduling.with_scheduler(|scheduler| {
                     // Stores tell it with their next events, which may be long in coming.
                     page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
                     scheduler.recall(&engine, page.events)
@@ -54,7 +58,7 @@
         .take_until(tokio::time::sleep(TOTAL_TIMEOUT))
         .fold((0, 0), |(read, sum), parts| async move { (read + 1, sum + parts) })
         .await;
-    let _ = scheduling.with(|scheduler| scheduler.memories_read());
+    let _ = scheduling.with_scheduler(|scheduler| scheduler.memories_read());
     log::info!("event=engine_caches_read engines={read} of={count} parts={parts}");
 }
 
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -179,7 +179,7 @@
     /// The digest of all that the sender knows of them. `Quarantine` is the answer if it differs.
     QuarantineDigest(u64),
     /// The sender has just started: `NamedAges` is the answer.
-    NamedAgesWanted,
+    NamedAgesRequested,
     /// Named weights that the sender knows of.
     NamedAges {
         /// Their ages.
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -15,7 +15,7 @@
 use super::frames::{self, ConfirmId, Handshake, ReplicaFrame, SubscriberRequest, Update, encode};
 use super::replica::Input;
 use super::roster_publisher::RosterPublisher;
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use super::shared::Shared;
 use crate::clock::{BootTime, boot_now};
 use crate::deployment::document::DeploymentVersion;
@@ -26,24 +26,24 @@
 use crate::scheduler::weights::{self, RolloutHistories};
 
 /// How often an entry gets a heartbeat: what it knows is current.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 /// How often a replica that may be behind looks whether it still is: entries wait for its heartbeat.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// A replica that has not been confirmed by its leader for this long sends no heartbeats, so that entries turn to
 /// another one. Several heartbeats of the log.
-pub const CURRENT_WITHIN: Duration = Duration::from_millis(500);
+pub const MAX_STALENESS: Duration = Duration::from_millis(500);
 /// Longest time for the first frame.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A connection whose bytes are not acknowledged for this long is given up.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
 /// Ages of namings are repeated until they are beyond this and each bound that is known here: an
 /// entry's bound is its own.
-const AGES_REPEATED_FOR: Duration = Duration::from_secs(30);
+const MIN_AGE_REPEAT_PERIOD: Duration = Duration::from_secs(30);
 
 /// Accepts connections for as long as the process lives.
 pub async fn accept(
     listener: TcpListener,
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) {
     let take = |stream| {
@@ -59,7 +59,7 @@
 
 async fn serve(
     stream: TcpStream,
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) -> std::io::Result<()> {
     net::notice_silence(&stream, UNACKED_TIMEOUT)?;
@@ -111,11 +111,12 @@
 async fn publish_to_entry(
     read: BufReader<OwnedReadHalf>,
     mut write: OwnedWriteHalf,
-    scheduling: &Scheduling,
+    scheduling: &SchedulerService,
     deployment: DeploymentVersion,
 ) -> std::io::Result<()> {
     let shared = &scheduling.shared;
-    let repeated_for = scheduling.old_weights.last().unwrap_or_default().max(AGES_REPEATED_FOR);
+    let repeat_period =
+        scheduling.old_weights.last().unwrap_or_default().max(MIN_AGE_REPEAT_PERIOD);
     let mut view = shared.view.subscribe();
     let mut roster = shared.roster.subscribe();
     let mut domains = shared.domains.subscribe();
@@ -123,37 +124,37 @@
     view.mark_changed();
     let mut sent = Sent { version: deployment, ..Sent::default() };
     let mut list = RosterPublisher::default();
-    let mut request = pin!(next_request(read));
-    let mut next_look = Instant::now();
+    let mut incoming = pin!(next_request(read));
+    let mut next_poll = Instant::now();
     loop {
         let mut bytes = Vec::new();
-        let is_current = shared.is_current(CURRENT_WITHIN);
+        let is_current = shared.is_current(MAX_STALENESS);
         tokio::select! {
-            asked = &mut request => {
-                let (read, frame) = asked?;
+            request = &mut incoming => {
+                let (read, frame) = request?;
                 match frame {
-                    SubscriberRequest::SubscribeRoster(asked) => list.subscribe(asked, shared),
+                    SubscriberRequest::SubscribeRoster(request) => list.subscribe(request, shared),
                     SubscriberRequest::Quarantine(reports) => shared.observe_quarantine(reports),
                     SubscriberRequest::Confirm(id) => sent.confirm = Some(id),
                 }
-                request.set(next_request(read));
+                incoming.set(next_request(read));
             }
             () = tokio::task::yield_now(), if is_current && list.is_sending() => {}
             changed = domains.changed() => changed.map_err(std::io::Error::other)?,
             changed = view.changed() => changed.map_err(std::io::Error::other)?,
             changed = suspects.changed() => changed.map_err(std::io::Error::other)?,
             changed = roster.changed() => changed.map_err(std::io::Error::other)?,
-            () = tokio::time::sleep_until(next_look) => {
+            () = tokio::time::sleep_until(next_poll) => {
                 if is_current {
                     sent.add_domains(shared, &mut bytes);
-                    sent.repeat_ages(repeated_for, &mut bytes);
+                    sent.repeat_ages(repeat_period, &mut bytes);
                     bytes.extend_from_slice(&heartbeat(shared));
                 }
-                next_look = Instant::now() + if is_current { HEARTBEAT_EVERY } else { POLL_INTERVAL };
+                next_poll = Instant::now() + if is_current { HEARTBEAT_INTERVAL } else { POLL_INTERVAL };
             }
         }
         sent.add_changes(shared, &mut bytes);
-        if shared.is_current(CURRENT_WITHIN)
+        if shared.is_current(MAX_STALENESS)
             && let Some(frame) = list.next_frame(shared)
         {
             bytes.extend_from_slice(&frame);
@@ -195,7 +196,7 @@
         self.add_quarantine(shared, bytes);
         // What this replica has is published only once it is sure not to be behind: an entry that has
         // just started would otherwise act on an old deployment.
-        if shared.is_current(CURRENT_WITHIN) {
+        if shared.is_current(MAX_STALENESS) {
             self.add_domains(shared, bytes);
             self.add_leader(shared, bytes);
             self.add_weights(shared, bytes);
@@ -217,12 +218,12 @@
 
     /// Repeats ages that a bound may depend on, until they have been sent beyond it. They count from
     /// when the entry reads them: what has lain in a socket meanwhile makes namings too young for good.
-    fn repeat_ages(&mut self, repeated_for: Duration, bytes: &mut Vec<u8>) {
+    fn repeat_ages(&mut self, repeat_period: Duration, bytes: &mut Vec<u8>) {
         if !self.repeats_ages {
             return;
         }
         let now = boot_now();
-        let is_young = |(_, since): (u64, BootTime)| now.saturating_sub(since) < repeated_for;
+        let is_young = |(_, since): (u64, BootTime)| now.saturating_sub(since) < repeat_period;
         self.repeats_ages = self.weights.values().any(|namings| namings.iter().any(is_young));
         bytes.extend_from_slice(&weights_update(&self.weights));
     }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::frames::{ReplicaFrame, VersionedRoster, encode};
-use super::publisher::CURRENT_WITHIN;
+use super::publisher::MAX_STALENESS;
 use super::shared::{Freshness, ReplicaView, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
 use super::voter_set::{MembershipStep, PeerActivity};
@@ -211,7 +211,7 @@
                     self.shared.links.send(ip, encode(&ReplicaFrame::Quarantine(reports)));
                 }
             }
-            ReplicaFrame::NamedAgesWanted => {
+            ReplicaFrame::NamedAgesRequested => {
                 let leads = self.driver.raft.status().is_leader;
                 let ages = ReplicaFrame::NamedAges { named: self.shared.ages(), leads };
                 self.shared.links.send(ip, encode(&ages));
@@ -267,7 +267,7 @@
             self.pending_reads.clear();
         }
         if !self.shared.has_weight_ages.get() {
-            self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::NamedAgesWanted);
+            self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::NamedAgesRequested);
         }
         if now >= self.announced_at + ANNOUNCE_INTERVAL {
             self.announced_at = now;
@@ -422,7 +422,7 @@
     /// Logs when this replica begins to keep silent towards entries, why, and when that ends.
     fn log_freshness(&mut self, now: BootTime) {
         let (before, since) = self.freshness;
-        let freshness = self.shared.freshness(CURRENT_WITHIN);
+        let freshness = self.shared.freshness(MAX_STALENESS);
         if freshness == before {
             return;
         }
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -14,7 +14,7 @@
 use super::rollout_plan::{
     EngineReport, PendingLoad, RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
 };
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use super::shared::Shared;
 use super::state::{Command, Reply};
 use crate::deployment::ServiceRole;
@@ -47,7 +47,7 @@
     /// The replica's state.
     pub shared: Rc<Shared>,
     /// Places prompts, but not on engines that are about to load.
-    pub scheduling: Rc<Scheduling>,
+    pub scheduling: Rc<SchedulerService>,
     /// Takes commands.
     pub inputs: mpsc::Sender<Input>,
     /// Orders of two holders to one engine must be at least this far apart.
@@ -159,7 +159,7 @@
 
     /// Has the scheduler know at once which engines get no prompts.
     fn publish_changing(&self) {
-        let _ = self.scheduling.with(|scheduler| {
+        let _ = self.scheduling.with_scheduler(|scheduler| {
             scheduler.observe_changing(&self.shared.changing.borrow());
         });
     }
@@ -197,7 +197,9 @@
     }
 
     fn placed_on(&self, target: &Listed) -> u32 {
-        self.scheduling.with(|scheduler| scheduler.placed_on(&target.start)).unwrap_or_default()
+        self.scheduling
+            .with_scheduler(|scheduler| scheduler.placed_on(&target.start))
+            .unwrap_or_default()
     }
 
     async fn load(&self, target: &Listed, load: &PendingLoad, term: Term) {
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -26,7 +26,7 @@
 use super::rollout::RolloutController;
 use super::roster_file;
 use super::roster_reader::{self, TargetListSource};
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use super::shared::{ReplicaView, Shared};
 use super::state::ControlState;
 use crate::clock::boot_now;
@@ -68,14 +68,14 @@
         identity.node,
         SocketAddr::new(host.ip, host.metrics_port)
     );
-    let kept = roster_file::load(&folder);
+    let restored_roster = roster_file::load(&folder);
     let links =
         Rc::new(Links::new(identity.node, host.ip, host.failure_domain.clone(), host.peer_port));
     let seeds: BTreeSet<IpAddr> = host.seeds.iter().map(|seed| seed.ip()).collect();
     let shared = Rc::new(Shared {
         node: identity.node,
         view: watch::Sender::new(ReplicaView::default()),
-        roster: watch::Sender::new(kept),
+        roster: watch::Sender::new(restored_roster),
         earlier_rosters: RefCell::default(),
         roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
         domains: watch::Sender::new([(host.ip, host.failure_domain.clone())].into()),
@@ -99,7 +99,7 @@
     let (inputs, receiver) = mpsc::channel(QUEUE_LEN);
     let peers = listen(SocketAddr::new(host.ip, host.peer_port)).await?;
     let (tasks, mut first_end) = essentials();
-    let scheduling = Rc::new(Scheduling::new(shared.clone(), host.periods.old_weights));
+    let scheduling = Rc::new(SchedulerService::new(shared.clone(), host.periods.old_weights));
     tasks.spawn("scheduling", scheduling.clone().run());
     tasks.spawn("dispatching", scheduling.clone().keep_dispatching());
     tasks.spawn("peers", publisher::accept(peers, scheduling.clone(), inputs.clone()));
@@ -151,7 +151,11 @@
 }
 
 /// All metrics as text, with what is true now.
-fn metrics_text(metrics: &ReplicaMetrics, shared: &Shared, scheduling: &Scheduling) -> String {
+fn metrics_text(
+    metrics: &ReplicaMetrics,
+    shared: &Shared,
+    scheduling: &SchedulerService,
+) -> String {
     let view = shared.view.borrow();
     metrics.term.record(view.term, &[]);
     metrics.leads.record(view.leads.into(), &[]);
@@ -163,7 +167,7 @@
     metrics.requests_held.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
     let age = boot_now().saturating_sub(shared.reader_election.get().read_at());
     metrics.target_list_age_s.record(age.as_secs_f64(), &[]);
-    metrics.waiting.record(scheduling.waiting() as u64, &[]);
+    metrics.waiting.record(scheduling.waiting_count() as u64, &[]);
     metrics.text()
 }
 
--- a/src/control/scheduling.rs
+++ b/src/control/scheduler_service.rs
@@ -26,19 +26,19 @@
 };
 
 /// How often it is looked whether prompts that wait can be placed.
-const DISPATCH_EVERY: Duration = Duration::from_millis(10);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(10);
 /// Notes that come closer together than this share a dispatch.
-const DISPATCH_PAUSE: Duration = Duration::from_millis(2);
+const MIN_DISPATCH_GAP: Duration = Duration::from_millis(2);
 /// A leader that has not been confirmed for this long schedules nothing: well within the time in
 /// which no other can have been elected.
-const SURE_WITHIN: Duration = Duration::from_millis(250);
+const LEADERSHIP_MAX_AGE: Duration = Duration::from_millis(250);
 /// How often it is looked whether a leader is sure to lead by now: a commit takes two milliseconds or more.
-const SURE_AGAIN: Duration = Duration::from_millis(2);
+const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Longest time for a call that frees parts.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The scheduler of this replica.
-pub struct Scheduling {
+pub struct SchedulerService {
     /// The replica's state.
     pub shared: Rc<Shared>,
     /// How long prompts may begin on older weights once newer ones are named.
@@ -49,55 +49,55 @@
     waiters: RefCell<HashMap<WaiterId, Waiter>>,
     next_waiter: Cell<WaiterId>,
     /// Engines that are being asked for their weights.
-    asked: RefCell<HashSet<TargetStart>>,
+    weight_queries: RefCell<HashSet<TargetStart>>,
     dispatched_at: Cell<BootTime>,
 }
 
 /// A prompt that waits, as its entry knows it.
 struct Waiter {
-    entry: Rc<EntryLink>,
+    entry: Rc<EntrySession>,
     /// The entry's number for it.
-    number: u64,
+    request_id: u64,
 }
 
 /// The way back to one entry.
-struct EntryLink {
+struct EntrySession {
     answers: mpsc::UnboundedSender<SchedulerReply>,
     /// Prompts of the entry that wait, by its numbers.
     waiting: RefCell<HashMap<u64, WaiterId>>,
     /// Placements of the entry that have not ended.
-    placed: RefCell<HashSet<TicketId>>,
+    active_tickets: RefCell<HashSet<TicketId>>,
 }
 
-impl EntryLink {
+impl EntrySession {
     /// Answers an ask. What is placed counts from here on, whether the entry hears of it or not.
-    fn answer(&self, number: u64, answer: Result<Placed, SchedulerError>) {
-        self.waiting.borrow_mut().remove(&number);
+    fn answer(&self, request_id: u64, answer: Result<Placed, SchedulerError>) {
+        self.waiting.borrow_mut().remove(&request_id);
         if let Ok(placed) = &answer {
-            self.placed.borrow_mut().insert(placed.ticket);
+            self.active_tickets.borrow_mut().insert(placed.ticket);
         }
         // The connection's end is noticed where it is read.
-        let _ = self.answers.send(SchedulerReply::Placed(number, answer));
+        let _ = self.answers.send(SchedulerReply::Placed(request_id, answer));
     }
 }
 
-impl Scheduling {
+impl SchedulerService {
     /// A replica that does not schedule yet.
-    pub fn new(shared: Rc<Shared>, old_weights: OldWeights) -> Scheduling {
-        Scheduling {
+    pub fn new(shared: Rc<Shared>, old_weights: OldWeights) -> SchedulerService {
+        SchedulerService {
             shared,
             old_weights,
             active: RefCell::default(),
             waiters: RefCell::default(),
             next_waiter: Cell::new(0),
-            asked: RefCell::default(),
+            weight_queries: RefCell::default(),
             dispatched_at: Cell::new(BootTime::ZERO),
         }
     }
 
     /// Calls the scheduler, if this replica surely leads.
-    pub fn with<T>(&self, call: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
-        if !self.shared.is_current(SURE_WITHIN) || !self.shared.view.borrow().leads {
+    pub fn with_scheduler<T>(&self, call: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
+        if !self.shared.is_current(LEADERSHIP_MAX_AGE) || !self.shared.view.borrow().leads {
             return None;
         }
         let mut active = self.active.borrow_mut();
@@ -110,18 +110,18 @@
     /// A leader is not sure to lead until its term's first entry is committed, and while a quorum is late.
     /// An inventory that is lost then is read again 10 s later, and what stores hold is computed anew
     /// until then.
-    pub async fn until_sure(&self, term: Term) -> bool {
+    pub async fn wait_for_leadership(&self, term: Term) -> bool {
         while self.is_active(term) {
-            if self.with(|_| {}).is_some() {
+            if self.with_scheduler(|_| {}).is_some() {
                 return true;
             }
-            tokio::time::sleep(SURE_AGAIN).await;
+            tokio::time::sleep(LEADERSHIP_POLL_INTERVAL).await;
         }
         false
     }
 
     /// How many prompts wait for an engine.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiters.borrow().len()
     }
 
@@ -132,18 +132,18 @@
 
     /// Sends those that wait to another replica.
     pub(super) fn refuse_waiters(&self) {
-        for Waiter { entry, number } in
+        for Waiter { entry, request_id } in
             std::mem::take(&mut *self.waiters.borrow_mut()).into_values()
         {
-            entry.answer(number, Err(SchedulerError::NotScheduling));
+            entry.answer(request_id, Err(SchedulerError::NotScheduling));
         }
     }
 
     /// Asks engines whose weights are not known for them.
-    pub(super) fn ask_doubted(self: &Rc<Scheduling>) {
-        let doubted = self.with(|scheduler| scheduler.doubted()).unwrap_or_default();
+    pub(super) fn query_doubted_engines(self: &Rc<SchedulerService>) {
+        let doubted = self.with_scheduler(|scheduler| scheduler.doubted()).unwrap_or_default();
         for (engine, address) in doubted {
-            if !self.asked.borrow_mut().insert(engine.clone()) {
+            if !self.weight_queries.borrow_mut().insert(engine.clone()) {
                 continue;
             }
             let scheduling = self.clone();
@@ -156,16 +156,16 @@
                     scheduling.shared.change_roster(|known| known.set_weights(&engine, weights));
                 }
                 let version = weights.and_then(|weights| weights.values().next().copied());
-                scheduling.asked.borrow_mut().remove(&engine);
+                scheduling.weight_queries.borrow_mut().remove(&engine);
                 // Without a scheduler there is nothing to tell.
-                let _ = scheduling.with(|scheduler| scheduler.resolve(&engine, version));
+                let _ = scheduling.with_scheduler(|scheduler| scheduler.resolve(&engine, version));
             });
         }
     }
 
-    pub(super) fn free_parts(self: &Rc<Scheduling>) {
+    pub(super) fn free_parts(self: &Rc<SchedulerService>) {
         let now = boot_now();
-        let planned = self.with(|scheduler| {
+        let planned = self.with_scheduler(|scheduler| {
             let clock_ms = scheduler.engines_clock_ms(now)?;
             Some((scheduler.plan_frees(now), clock_ms + FREE_LASTS.as_millis() as u64))
         });
@@ -189,7 +189,7 @@
         // Without a clear answer they may be gone or not: they stay unfit for fetches, and are freed
         // again.
         if matches!(status, Ok(StatusCode::OK)) {
-            let _ = self.with(|scheduler| scheduler.freed(&plan));
+            let _ = self.with_scheduler(|scheduler| scheduler.freed(&plan));
         }
     }
 
@@ -203,7 +203,7 @@
         mut write: OwnedWriteHalf,
     ) -> std::io::Result<()> {
         let (sender, mut answers) = mpsc::unbounded_channel::<SchedulerReply>();
-        let asker = ClientConnection::new(self, sender);
+        let client = ClientConnection::new(self, sender);
         let writing = async {
             while let Some(first) = answers.recv().await {
                 let mut bytes = encode(&first).to_vec();
@@ -215,28 +215,28 @@
             Ok::<_, std::io::Error>(())
         };
         let ended = tokio::select! {
-            ended = asker.handle_all(read) => ended,
+            ended = client.handle_all(read) => ended,
             ended = writing => ended,
         };
-        asker.close();
+        client.close();
         ended
     }
 
     /// Tells what has come of prompts that waited.
     fn dispatch(&self) {
         self.dispatched_at.set(boot_now());
-        let outcomes = self.with(|scheduler| scheduler.dispatch(boot_now()));
+        let outcomes = self.with_scheduler(|scheduler| scheduler.dispatch(boot_now()));
         for (waiter, outcome) in outcomes.into_iter().flatten() {
-            if let Some(Waiter { entry, number }) = self.waiters.borrow_mut().remove(&waiter) {
-                entry.answer(number, outcome.map_err(SchedulerError::from));
+            if let Some(Waiter { entry, request_id }) = self.waiters.borrow_mut().remove(&waiter) {
+                entry.answer(request_id, outcome.map_err(SchedulerError::from));
             }
         }
     }
 
     /// Dispatches while prompts wait, for as long as the process lives.
-    pub async fn keep_dispatching(self: Rc<Scheduling>) {
+    pub async fn keep_dispatching(self: Rc<SchedulerService>) {
         loop {
-            tokio::time::sleep(DISPATCH_EVERY).await;
+            tokio::time::sleep(DISPATCH_INTERVAL).await;
             if !self.waiters.borrow().is_empty() {
                 self.dispatch();
             }
@@ -245,67 +245,74 @@
 
     /// A store has started anew or can't be reached.
     pub fn lost_store(&self, store: SocketAddr) {
-        let _ = self.with(|scheduler| scheduler.lost_store(store));
+        let _ = self.with_scheduler(|scheduler| scheduler.lost_store(store));
     }
 }
 
 /// One entry that asks.
 struct ClientConnection<'s> {
-    scheduling: &'s Scheduling,
-    entry: Rc<EntryLink>,
+    scheduling: &'s SchedulerService,
+    entry: Rc<EntrySession>,
 }
 
 impl<'s> ClientConnection<'s> {
     fn new(
-        scheduling: &'s Scheduling,
+        scheduling: &'s SchedulerService,
         answers: mpsc::UnboundedSender<SchedulerReply>,
     ) -> ClientConnection<'s> {
-        let (waiting, placed) = (RefCell::default(), RefCell::default());
-        ClientConnection { scheduling, entry: Rc::new(EntryLink { answers, waiting, placed }) }
+        let (waiting, active_tickets) = (RefCell::default(), RefCell::default());
+        ClientConnection {
+            scheduling,
+            entry: Rc::new(EntrySession { answers, waiting, active_tickets }),
+        }
     }
 
     async fn handle_all(&self, mut read: BufReader<OwnedReadHalf>) -> std::io::Result<()> {
         loop {
             match frames::read(&mut read).await? {
-                SchedulerRequest::Place(number, ask) => self.ask(number, ask),
-                SchedulerRequest::Withdraw(number) => {
-                    let waiter = self.entry.waiting.borrow_mut().remove(&number);
+                SchedulerRequest::Place(request_id, request) => self.place(request_id, request),
+                SchedulerRequest::Withdraw(request_id) => {
+                    let waiter = self.entry.waiting.borrow_mut().remove(&request_id);
                     waiter.into_iter().for_each(|waiter| self.withdraw(waiter));
                 }
-                SchedulerRequest::Event(note) => self.note(&note),
+                SchedulerRequest::Event(event) => self.handle_event(&event),
             }
         }
     }
 
-    fn ask(&self, number: u64, ask: PlacementRequest) {
+    fn place(&self, request_id: u64, request: PlacementRequest) {
         let waiter = self.scheduling.next_waiter.get();
         self.scheduling.next_waiter.set(waiter + 1);
-        let outcome = self.scheduling.with(|scheduler| scheduler.submit(waiter, ask, boot_now()));
+        let outcome = self
+            .scheduling
+            .with_scheduler(|scheduler| scheduler.submit(waiter, request, boot_now()));
         match outcome {
-            None => self.entry.answer(number, Err(SchedulerError::NotScheduling)),
-            Some(Some(outcome)) => self.entry.answer(number, outcome.map_err(SchedulerError::from)),
+            None => self.entry.answer(request_id, Err(SchedulerError::NotScheduling)),
+            Some(Some(outcome)) => {
+                self.entry.answer(request_id, outcome.map_err(SchedulerError::from))
+            }
             Some(None) => {
-                let waits = Waiter { entry: self.entry.clone(), number };
+                let waits = Waiter { entry: self.entry.clone(), request_id };
                 self.scheduling.waiters.borrow_mut().insert(waiter, waits);
-                self.entry.waiting.borrow_mut().insert(number, waiter);
+                self.entry.waiting.borrow_mut().insert(request_id, waiter);
                 // The connection's end is noticed where it is read.
-                let _ = self.entry.answers.send(SchedulerReply::Queued(number));
+                let _ = self.entry.answers.send(SchedulerReply::Queued(request_id));
             }
         }
     }
 
     fn withdraw(&self, waiter: WaiterId) {
         self.scheduling.waiters.borrow_mut().remove(&waiter);
-        let _ = self.scheduling.with(|scheduler| scheduler.withdraw(waiter));
+        let _ = self.scheduling.with_scheduler(|scheduler| scheduler.withdraw(waiter));
     }
 
-    fn note(&self, note: &PlacementEvent) {
-        if let PlacementEvent::Ended { ticket, .. } = note {
-            self.entry.placed.borrow_mut().remove(ticket);
+    fn handle_event(&self, event: &PlacementEvent) {
+        if let PlacementEvent::Ended { ticket, .. } = event {
+            self.entry.active_tickets.borrow_mut().remove(ticket);
         }
         let now = boot_now();
-        let _ = self.scheduling.with(|scheduler| scheduler.observe(note, now));
-        let is_due = now >= self.scheduling.dispatched_at.get() + DISPATCH_PAUSE;
+        let _ = self.scheduling.with_scheduler(|scheduler| scheduler.observe(event, now));
+        let is_due = now >= self.scheduling.dispatched_at.get() + MIN_DISPATCH_GAP;
         if is_due && !self.scheduling.waiters.borrow().is_empty() {
             self.scheduling.dispatch();
         }
@@ -315,9 +322,10 @@
     fn close(self) {
         let waiting = self.entry.waiting.take();
         waiting.into_values().for_each(|waiter| self.withdraw(waiter));
-        for ticket in self.entry.placed.take() {
-            let note = PlacementEvent::Ended { ticket, end: End::Left };
-            let _ = self.scheduling.with(|scheduler| scheduler.observe(&note, boot_now()));
+        for ticket in self.entry.active_tickets.take() {
+            let event = PlacementEvent::Ended { ticket, end: End::Left };
+            let _ =
+                self.scheduling.with_scheduler(|scheduler| scheduler.observe(&event, boot_now()));
         }
     }
 }
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -5,7 +5,7 @@
 
 use super::engine_cache_reader;
 use super::frames::RosterVersion;
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use super::store_reader;
 use crate::clock::boot_now;
 use crate::log::Term;
@@ -16,9 +16,9 @@
 /// Tickets of one term begin after those of all earlier terms.
 const TICKETS_PER_TERM: u32 = 36;
 
-impl Scheduling {
+impl SchedulerService {
     /// Takes over what changes, for as long as the process lives.
-    pub async fn run(self: Rc<Scheduling>) {
+    pub async fn run(self: Rc<SchedulerService>) {
         let mut deployment_version = 0;
         let mut roster_version = RosterVersion::default();
         let mut view = self.shared.view.subscribe();
@@ -43,7 +43,7 @@
                 (deployment_version, roster_version) = (0, RosterVersion::default());
             }
             self.sync(term, &mut deployment_version, &mut roster_version);
-            self.ask_doubted();
+            self.query_doubted_engines();
             self.free_parts();
         }
     }
@@ -56,7 +56,7 @@
     }
 
     fn sync(
-        self: &Rc<Scheduling>,
+        self: &Rc<SchedulerService>,
         term: Term,
         deployment_version: &mut u64,
         roster_version: &mut RosterVersion,
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -6,7 +6,7 @@
 
 use http::{Method, StatusCode};
 
-use super::scheduling::Scheduling;
+use super::scheduler_service::SchedulerService;
 use crate::clock::boot_now;
 use crate::log::Term;
 use crate::net::http::{CallError, Exchange, Session};
@@ -24,7 +24,7 @@
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Runs until this replica schedules no more in that term.
-pub async fn run(scheduling: Rc<Scheduling>, store: SocketAddr, term: Term) {
+pub async fn run(scheduling: Rc<SchedulerService>, store: SocketAddr, term: Term) {
     let mut last_logged = None;
     while scheduling.is_active(term) {
         let followed = follow(&scheduling, store, term).await;
@@ -57,7 +57,11 @@
 }
 
 /// Reads the inventory, and then events until the inventory is due again.
-async fn follow(scheduling: &Scheduling, store: SocketAddr, term: Term) -> Result<(), FollowError> {
+async fn follow(
+    scheduling: &SchedulerService,
+    store: SocketAddr,
+    term: Term,
+) -> Result<(), FollowError> {
     let mut session = Session::new(store);
     let list = Exchange::new(store, Method::GET, stores::LIST_PATH);
     let text = fetch_body(&mut session, list).await?;
@@ -68,9 +72,9 @@
         "event=store_inventory_read store={store} start={start:?} whole={}",
         inventory.whole.len()
     );
-    scheduling.until_sure(term).await;
+    scheduling.wait_for_leadership(term).await;
     let now = boot_now();
-    let _ = scheduling.with(|scheduler| {
+    let _ = scheduling.with_scheduler(|scheduler| {
         clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
         scheduler.observe_inventory(store, inventory, now);
     });
@@ -85,9 +89,9 @@
             return Err(FollowError::Gap);
         }
         next = page.next;
-        scheduling.until_sure(term).await;
+        scheduling.wait_for_leadership(term).await;
         let now = boot_now();
-        let _ = scheduling.with(|scheduler| {
+        let _ = scheduling.with_scheduler(|scheduler| {
             page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
             scheduler.observe_events(store, page.events, now);
         });
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -15,7 +15,7 @@
 use crate::control::frames::{
     self, Handshake, RosterSubscription, SubscriberRequest, Update, encode,
 };
-use crate::control::publisher::HEARTBEAT_EVERY;
+use crate::control::publisher::HEARTBEAT_INTERVAL;
 use crate::essential::Essentials;
 use crate::net;
 use crate::quarantine::Revision;
@@ -25,7 +25,7 @@
 /// is published.
 const SUBSCRIPTIONS_AT_ONCE: usize = 2;
 /// A replica that has sent nothing for this long is left for another one: three heartbeats.
-const SILENT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
+const SILENT: Duration = Duration::from_millis(HEARTBEAT_INTERVAL.as_millis() as u64 * 3);
 /// Longest time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Requests to a replica that wait to be written.
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -12,7 +12,7 @@
 };
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::ReaderElection;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::shared::{ReplicaView, Shared};
 use kumquatpost::control::state::{ControlState, Published};
 use kumquatpost::gateway::call::Part;
@@ -30,10 +30,10 @@
 use crate::stand_in::{StandIn, Then};
 
 /// A replica that leads, with one engine.
-fn leading() -> Rc<Scheduling> {
+fn leading() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
     let shared = shared(1, VersionedRoster::new(1, roster));
-    Rc::new(Scheduling::new(Rc::new(shared), OldWeights::default()))
+    Rc::new(SchedulerService::new(Rc::new(shared), OldWeights::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
@@ -81,12 +81,12 @@
             tokio::time::sleep(ms(5)).await;
         }
         let reading = async {
-            let is_sure = scheduling.until_sure(1).await;
-            is_sure && scheduling.with(|_| {}).is_some()
+            let is_sure = scheduling.wait_for_leadership(1).await;
+            is_sure && scheduling.with_scheduler(|_| {}).is_some()
         };
         let elected = async {
             tokio::time::sleep(ms(20)).await;
-            assert!(scheduling.with(|_| {}).is_none(), "it is not sure yet");
+            assert!(scheduling.with_scheduler(|_| {}).is_none(), "it is not sure yet");
             scheduling.shared.caught_up_at.set(Some(boot_now() + ms(600_000)));
         };
         let (is_told, ()) = tokio::join!(reading, elected);
@@ -99,7 +99,7 @@
 fn what_a_replica_reads_that_leads_no_more_is_dropped() {
     run(async |scheduling| {
         scheduling.shared.caught_up_at.set(None);
-        assert!(!scheduling.until_sure(2).await, "it does not schedule in that term");
+        assert!(!scheduling.wait_for_leadership(2).await, "it does not schedule in that term");
     });
 }
 
@@ -108,7 +108,7 @@
 }
 
 impl Asker {
-    async fn connect(scheduling: &Rc<Scheduling>) -> Asker {
+    async fn connect(scheduling: &Rc<SchedulerService>) -> Asker {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
         let (opened, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
@@ -179,7 +179,7 @@
     }
 }
 
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<Scheduling>) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<SchedulerService>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let scheduling = leading();
@@ -236,7 +236,7 @@
         left.tell(SchedulerRequest::Withdraw(1)).await;
         left.tell(SchedulerRequest::Place(2, ask())).await;
         assert_eq!(left.hear().await, SchedulerReply::Queued(2));
-        assert_eq!(scheduling.waiting(), 1);
+        assert_eq!(scheduling.waiting_count(), 1);
         drop(first);
         assert!(matches!(left.hear().await, SchedulerReply::Placed(2, Ok(_))));
     });
@@ -321,7 +321,7 @@
         listed.weights.insert("m".to_string(), 2);
         let known = VersionedRoster::new(1, Arc::new(roster([listed])));
         let shared = Rc::new(shared(1, known));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
         let mut asker = Asker::connect(&scheduling).await;
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -9,7 +9,7 @@
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::publisher;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::state::Published;
 use kumquatpost::deployment::Deployment;
 use kumquatpost::deployment::document::RunPolicy;
@@ -52,7 +52,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let shared = Rc::new(shared(1, VersionedRoster::default()));
-            let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+            let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
             let listener = TcpListener::bind(at).await.expect("a port");
             let (inputs, _kept) = mpsc::channel(1);
             tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -9,7 +9,7 @@
 use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::replica::Input;
 use kumquatpost::control::rollout::RolloutController;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::Reply;
 use kumquatpost::fleet::Listed;
@@ -52,7 +52,7 @@
     });
     let rollout = RolloutController {
         shared: shared.clone(),
-        scheduling: Rc::new(Scheduling::new(shared.clone(), OldWeights::default())),
+        scheduling: Rc::new(SchedulerService::new(shared.clone(), OldWeights::default())),
         inputs,
         order_lease: Duration::ZERO,
         loads_in_progress: Cell::new(0),
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -14,7 +14,7 @@
     Handshake, NamedAges, SchedulerReply, SchedulerRequest, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::publisher;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::{Command, ControlState};
 use kumquatpost::control::weight_ages::{due_commands, estimated_age};
@@ -39,7 +39,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let shared = Rc::new(shared(1, VersionedRoster::default()));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
