--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas: the replicated state of a deployment, its operators, and updates for entries.
+//! Replicas: consensus on the control state, the operator API, the weight rollout, the scheduler of
+//! the leader, and updates for entries.
 
 pub mod age_recorder;
 pub mod checksummed_file;
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -1,4 +1,5 @@
-//! The task around one replica: its log, its operators' commands, its peers.
+//! The event loop of a replica: drives its log, applies committed commands, and handles frames from
+//! peers and commands from operators.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,82 +22,82 @@
 use crate::log::{Entry, Index, Payload, Term};
 use crate::quarantine::Revision;
 
-/// How often timers of the log are looked at.
+/// How often Raft timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Inputs that are taken before their effects are made durable together.
+/// Most inputs handled before their effects are persisted together.
 const MAX_BATCH: usize = 256;
-/// How often replicas tell each other which entries they serve, and how often one that no leader
-/// talks to asks to join.
+/// How often a replica announces the entries connected to it, and asks to join if it is not a
+/// member or has no leader.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// A replica that has heard no leader for this long asks to join.
+/// A replica that has not heard from a leader for this long asks to join.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(900);
-/// Entries that a replica told of are counted for this long.
+/// Entries announced by a peer are counted for this long after the announcement.
 const REMOTE_ENTRIES_TTL: Duration = Duration::from_secs(2);
 
-/// Why there was no decision here.
+/// Why a command or read has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undecided {
-    /// This replica does not lead; the one on this host may.
+    /// This replica is not the leader; the leader, if known, is on this host.
     NotLeader(Option<IpAddr>),
-    /// Leadership was lost on the way: it may or may not be decided.
+    /// Leadership was lost before the outcome was known: the command may or may not be committed.
     Unknown,
 }
 
-/// What the task takes.
+/// Input to the event loop of a replica.
 pub enum Input {
     /// A frame from another replica.
     Frame {
-        /// Its id.
+        /// The sender.
         node: NodeId,
-        /// Its host.
+        /// The host of the sender.
         ip: IpAddr,
         /// The frame.
         frame: ReplicaFrame,
     },
-    /// Have a command decided.
+    /// Proposes a command and returns its result once it is committed and applied.
     Propose(Command, oneshot::Sender<Result<Reply, Undecided>>),
-    /// Read the deployment, confirmed by a quorum.
+    /// Reads the deployment linearizably, after a quorum has confirmed the leader.
     Read(oneshot::Sender<Result<Option<Published>, Undecided>>),
 }
 
-/// The task.
+/// A replica and its event loop.
 pub struct Replica {
     shared: Rc<Shared>,
     driver: Driver,
     state: ControlState,
     peer_activity: PeerActivity,
-    /// Hosts that replicas said that they are on.
+    /// The address from which each peer last connected.
     peer_addresses: BTreeMap<NodeId, IpAddr>,
     ip: IpAddr,
-    /// Voters that there should be.
+    /// The number of voters to maintain.
     desired_voters: usize,
     pending_proposals: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
     pending_reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
-    /// Entries of other replicas, with the time at which they told of them.
+    /// Entries connected to other replicas, and when each replica announced them.
     remote_entries: BTreeMap<NodeId, (BTreeSet<String>, BootTime)>,
-    /// When another replica first told of its entries.
+    /// When another replica first announced its entries.
     remote_entries_since: Option<BootTime>,
     heard_leader_at: BootTime,
     announced_at: BootTime,
     was_leader: bool,
-    /// Whether entries may rely on this replica, as the log told last, and since when.
+    /// The freshness that was last logged, and since when it holds.
     freshness: (Freshness, BootTime),
 }
 
-/// What a replica starts from.
+/// The initial values of a replica.
 pub struct ReplicaInit {
-    /// Its log.
+    /// Drives its log.
     pub driver: Driver,
-    /// The state before any snapshot and entry.
+    /// The state to which the snapshot and the log entries are applied.
     pub state: ControlState,
-    /// Its host.
+    /// The host of the replica.
     pub ip: IpAddr,
-    /// Voters that there should be.
+    /// The number of voters to maintain.
     pub desired_voters: usize,
 }
 
 impl Replica {
-    /// A replica as it starts.
+    /// Creates a replica; `run` starts it.
     pub fn new(shared: Rc<Shared>, init: ReplicaInit) -> Replica {
         Replica {
             shared,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Runs until the disk fails.
+    /// Runs until the disk fails or all senders of inputs are dropped.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -161,7 +162,8 @@
         self.peer_addresses.insert(node, ip);
         self.peer_activity.record_contact(node, now);
         match frame {
-            // What is meant for a replica whose place this one took must not keep it from joining.
+            // Addressed to a replica that ran on this host earlier. Handling it could keep this one
+            // from joining.
             ReplicaFrame::Log { to, .. } if to != self.shared.node => {}
             ReplicaFrame::Log { message, .. } => {
                 if message.is_from_leader() {
@@ -171,7 +173,7 @@
             }
             ReplicaFrame::Join => {
                 self.peer_activity.record_join_request(node, ip, now);
-                // Only the leader can let it in, and it may know but a few others.
+                // The sender may know only some of the replicas, and only the leader can add it.
                 self.shared.links.send(ip, encode(&ReplicaFrame::Hosts(self.hosts())));
             }
             ReplicaFrame::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
@@ -244,7 +246,7 @@
     }
 
     fn propose(&mut self, command: &Command, sender: oneshot::Sender<Result<Reply, Undecided>>) {
-        // Cannot fail: commands hold only types that the codec writes.
+        // Serialization cannot fail: commands contain only types that postcard supports.
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
         match self.driver.raft.propose(bytes) {
             Ok((term, index)) => drop(self.pending_proposals.insert(index, (term, sender))),
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Brings the set of voters one step closer to what it should be.
+    /// Takes the next step towards the desired set of voters, if one is needed.
     fn advance_membership(&mut self, now: BootTime) {
         let members = self.driver.raft.status().members;
         let me = self.shared.node;
@@ -297,7 +299,7 @@
             MembershipStep::Promote(node) => Change::Promote(node),
             MembershipStep::Remove(node) => Change::Remove(node),
         };
-        // Refused while another change is under way or the learner lacks entries: asked again.
+        // Rejected while another change is in progress or the learner lags; the next tick retries.
         if self.driver.raft.propose_change(change).is_ok() {
             log::info!("event=replicas_change change={change:?} voters={}", members.voters.len());
         }
@@ -309,7 +311,8 @@
         self.remote_entries.retain(|_, (_, at)| now.saturating_sub(*at) < REMOTE_ENTRIES_TTL);
         let others = self.remote_entries.values().flat_map(|(entries, _)| entries);
         let all: BTreeSet<&String> = entries.iter().chain(others).collect();
-        // Each of several replicas knows a part of the entries; by a part, each may retry too much.
+        // Without the announcements of the other replicas the count is too low, and each entry
+        // would take too large a share of the retry budget.
         let is_only = self.state.replica_addresses.keys().eq([&self.shared.node]);
         let is_settled = |from: BootTime| now.saturating_sub(from) >= ANNOUNCE_INTERVAL * 2;
         if is_only || self.remote_entries_since.is_some_and(is_settled) {
@@ -328,7 +331,7 @@
         }
     }
 
-    /// Hosts of all replicas that were ever heard of.
+    /// The hosts of all replicas known from the settings, the state and connections.
     fn hosts(&self) -> BTreeSet<IpAddr> {
         let seeds = self.shared.seeds.borrow();
         let known = self.state.replica_addresses.values().chain(self.peer_addresses.values());
@@ -339,7 +342,7 @@
         let (links, addresses, peer_addresses) =
             (self.shared.links.clone(), self.state.replica_addresses.clone(), &self.peer_addresses);
         let send = |to: NodeId, message| {
-            // Who introduced itself last knows its own address best.
+            // A peer's own handshake is more recent than the replicated address.
             if let Some(ip) = peer_addresses.get(&to).or_else(|| addresses.get(&to)) {
                 links.send(*ip, encode(&ReplicaFrame::Log { to, message }));
             }
@@ -382,7 +385,7 @@
         };
         if let Some((term, sender)) = self.pending_proposals.remove(&entry.index) {
             let result = reply.filter(|_| term == entry.term).ok_or(Undecided::Unknown);
-            // The asker may have given up waiting.
+            // The receiver may have timed out.
             let _ = sender.send(result);
         }
     }
@@ -392,7 +395,8 @@
         self.shared.observe_named(&self.state, now);
         let status = self.driver.raft.status();
         if status.is_leader {
-            // Before others hear that it leads: what a scheduler is told until then is lost.
+            // Set before the view is published: the scheduler rejects calls until the ages are
+            // known.
             self.shared.has_weight_ages.set(true);
         }
         self.shared.caught_up_at.set(self.driver.raft.caught_up_at(now));
@@ -419,7 +423,7 @@
         self.log_freshness(now);
     }
 
-    /// Logs when this replica begins to keep silent towards entries, why, and when that ends.
+    /// Logs each change of freshness. Entries get no updates from a replica that is not current.
     fn log_freshness(&mut self, now: BootTime) {
         let (before, since) = self.freshness;
         let freshness = self.shared.freshness(MAX_STALENESS);
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -1,4 +1,4 @@
-//! Runs a replica: opens its disk, listens, and starts its tasks.
+//! Starts a replica: opens its log on disk, binds its listeners and spawns its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -41,26 +41,27 @@
 use crate::reload;
 use crate::telemetry::roles::ReplicaMetrics;
 
-/// Replicas are a millisecond apart; a slow sync takes tens of them. A leader is missed after 0.3 s,
-/// and a new one leads 0.6 s later at the latest: callers of hosts that start anew wait for it.
+/// Followers time out after 0.3 s without a heartbeat, and a new leader is elected within another
+/// 0.6 s. The round trip between replicas takes about 1 ms, a slow disk sync tens of milliseconds.
 const RAFT_TIMING: RaftTiming =
     RaftTiming { heartbeat: Duration::from_millis(75), election: Duration::from_millis(300) };
-/// Entries after which a snapshot replaces them: each may hold a whole deployment of some hundred
-/// kilobytes, and a disk some hundred megabytes.
+/// Log entries between snapshots. An entry can hold a deployment of several hundred kilobytes, and
+/// the disk a few hundred megabytes.
 const SNAPSHOT_INTERVAL: Index = 256;
-/// Inputs that wait while the disk is busy.
+/// Inputs queued while the disk is busy.
 const QUEUE_LEN: usize = 1_024;
-/// Pause before a disk that failed is tried again.
+/// Delay before a failed disk is reopened.
 const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs until the process is asked to end.
+/// Runs a replica until the process is asked to stop.
 ///
 /// # Errors
-/// If it can't start.
+///
+/// If the replica cannot start.
 pub async fn run(host: HostSettings) -> Result<()> {
-    let folder = host.data_folder.clone().ok_or_else(|| missing_setting("a data folder"))?;
+    let folder = host.data_folder.clone().ok_or_else(|| missing_setting("the data folder"))?;
     let operators_address =
-        host.operators_address.ok_or_else(|| missing_setting("operators' address"))?;
+        host.operators_address.ok_or_else(|| missing_setting("the operators' address"))?;
     let identity = Identity::open(&folder, &host)?;
     log::info!(
         "event=start role=replica host={} node={} operators={operators_address} metrics={}",
@@ -150,7 +151,7 @@
     Ok(())
 }
 
-/// All metrics as text, with what is true now.
+/// Updates the gauges and renders all metrics as text.
 fn metrics_text(
     metrics: &ReplicaMetrics,
     shared: &Shared,
@@ -171,7 +172,7 @@
     metrics.text()
 }
 
-/// Runs the replica, and starts it again from its disk after the disk has failed.
+/// Runs the replica and restarts it from disk after a disk failure.
 async fn run_replica(
     host: &HostSettings,
     folder: &Path,
@@ -207,16 +208,21 @@
     }
 }
 
-/// Listens at an address.
+/// Binds a TCP listener.
 ///
 /// # Errors
-/// If it can't.
+///
+/// If the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|source| {
-        Error::start(&address.to_string(), source, "name an address of this host that is free")
+        Error::start(&address.to_string(), source, "choose a free address of this host")
     })
 }
 
 fn missing_setting(what: &str) -> Error {
-    Error::start("settings", format!("{what} is missing"), "give it to a host that runs a replica")
+    Error::start(
+        "settings",
+        format!("{what} is not set"),
+        "set it on each host that runs a replica",
+    )
 }
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one replica share: what it believes, and the list of targets that it knows.
+//! State shared by the tasks of a replica, such as its view of the control state and the roster.
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Ordering;
@@ -24,94 +24,97 @@
 use crate::quarantine::{Quarantine, Report, Revision, share};
 use crate::scheduler::weights::{self, RolloutHistories};
 
-/// Lists of one term are numbered after those of all earlier terms: replicas that have all started
-/// anew know no number, while entries go on with the one that they have.
+/// The term is shifted left by this many bits to give the first roster number of a term, so that
+/// numbers keep rising after all replicas have restarted without a roster while entries still hold
+/// one.
 const ROSTERS_PER_TERM: u32 = 24;
 
-/// Earlier lists that are kept: some seconds of a fleet in which something changes with each read.
+/// Number of earlier rosters kept: a few seconds of history if every read changes the roster.
 const EARLIER_ROSTERS: usize = 4;
 
-/// The pieces of a list of targets, as frames.
+/// The encoded frames of all pieces of a roster.
 pub type PieceFrames = Rc<[Arc<[u8]>]>;
 
-/// What the tasks of one replica share.
+/// State shared by the tasks of a replica.
 pub struct Shared {
-    /// This replica.
+    /// The id of this replica.
     pub node: NodeId,
-    /// The newest state that is known here.
+    /// The control state and leadership as this replica knows them.
     pub view: watch::Sender<ReplicaView>,
-    /// The list of targets.
+    /// The current roster.
     pub roster: watch::Sender<VersionedRoster>,
-    /// Lists of targets before that one, the last ones: what an entry holds that has just lost another
-    /// replica is one of them, and it is sent the differences alone.
+    /// The most recent earlier rosters, oldest first. An entry that fails over from another replica
+    /// usually holds one of them and needs only the difference.
     pub earlier_rosters: RefCell<VecDeque<VersionedRoster>>,
-    /// The frames that publish the whole list, with its name: all entries are sent the same.
+    /// The cached frames of a whole roster, which are the same for all entries.
     pub roster_pieces: RefCell<(RosterVersion, PieceFrames)>,
-    /// The failure domain of each replica that is known.
+    /// The failure domain of each known replica, by host.
     pub domains: watch::Sender<BTreeMap<IpAddr, DomainId>>,
-    /// The frame that publishes the last change of the list, with both names: most entries
-    /// are sent the same.
+    /// The cached frame of the last roster change, with the versions before and after it. Most
+    /// entries get the same frame.
     pub roster_update: RefCell<(RosterVersion, RosterVersion, Arc<[u8]>)>,
-    /// Who reads the list.
+    /// Decides when this replica reads the target list.
     pub reader_election: Cell<ReaderElection>,
-    /// When this replica last had all that was committed.
+    /// When this replica was last known to have all committed entries.
     pub caught_up_at: Cell<Option<BootTime>>,
-    /// Entries that are connected here, with the number of their connections.
+    /// Entries connected to this replica, with the number of connections of each.
     pub connected_entries: RefCell<BTreeMap<String, u32>>,
-    /// Entries that are connected to any replica; `None` until the others had time to send theirs.
+    /// Number of entries connected to any replica; `None` until the other replicas have had time to
+    /// announce theirs.
     pub entry_count: Cell<Option<u32>>,
-    /// Engines that are about to load other weights, or load them. They get no new prompts.
+    /// Engines that are draining for or loading other weights. They get no new prompts.
     pub changing: RefCell<BTreeSet<TargetStart>>,
-    /// When weights were named, as far as this replica knows.
+    /// When each weight version was named, as far as this replica knows.
     pub named_since: RefCell<RolloutHistories>,
-    /// Whether this process has led, or a leader has sent it how long ago weights were named. Until
-    /// then it may take old namings for new: the log lags behind ages while disks stand still.
+    /// Whether this process has been the leader or has received ages from a leader. Until then it
+    /// may take old weight versions for new ones, since ages in the log lag while disks are slow.
     pub has_weight_ages: Cell<bool>,
-    /// Requests under which targets have ended.
+    /// Requests suspected of crashing targets.
     pub quarantine: watch::Sender<Quarantine>,
-    /// The revision of that which entries must know of: most changes concern requests under which one target has
-    /// ended, and wake no entry's connection.
+    /// The quarantine revision of the last change that concerns entries. Most changes concern
+    /// requests under which a single target has ended; those need not wake the connections to
+    /// entries.
     pub suspects: watch::Sender<Revision>,
     /// Connections to other replicas.
     pub links: SharedLinks,
-    /// Hosts of replicas that the settings or other replicas named at some time.
+    /// Hosts of replicas named by the settings or by other replicas.
     pub seeds: RefCell<BTreeSet<IpAddr>>,
 }
 
-/// What one replica believes.
+/// The control state and leadership as one replica knows them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaView {
-    /// The replicated state, as far as it is applied here.
+    /// The replicated state, up to the last entry applied here.
     pub state: ControlState,
-    /// The term.
+    /// The current term.
     pub term: Term,
-    /// Whether this replica leads.
+    /// Whether this replica is the leader.
     pub leads: bool,
-    /// The leader's host, as far as is known.
+    /// The host of the leader, if known.
     pub leader: Option<IpAddr>,
 }
 
-/// Whether a replica knows all that was committed lately. If not, it publishes nothing to entries.
+/// Whether a replica is up to date. One that is not sends entries no heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It does.
+    /// It has all recently committed entries and knows the ages of weight versions.
     Current,
     /// It knows no leader.
     NoLeader,
-    /// It knows who leads, and has not had all from that one lately.
+    /// It knows the leader but has not caught up with it recently.
     Behind,
-    /// It does, but for how long ago weights were named.
+    /// It has caught up but does not know the ages of weight versions.
     AgesUnknown,
 }
 
-/// Who does not know what this replica knows once it has received a list of targets.
+/// Which replicas need the current roster after another one was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalePeers {
-    /// The list that was received is the one that is known here.
+    /// None: the received roster is the current one.
     Nobody,
-    /// The sender has an earlier list.
+    /// The sender, whose roster is older.
     Sender,
-    /// Neither list named all who leave.
+    /// All: the merged roster differs from both the received one and the previous one.
     Everybody,
 }
 
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Takes a list of targets that another replica knows. Returns to whom to send what is known now.
+    /// Merges a roster received from another replica. Returns which replicas need the result.
     pub fn observe_roster(&self, received: VersionedRoster) -> StalePeers {
         let earlier = self.roster.borrow().clone();
         let before = earlier.version();
@@ -143,18 +146,18 @@
         }
     }
 
-    /// Takes note that another replica has read the list. Returns whether the one that it knows is later than
-    /// the one that is known here.
+    /// Records a read of the target list by another replica. Returns how that replica's roster
+    /// version compares with the current one.
     pub fn observe_read(&self, version: RosterVersion, began: BootTime) -> Ordering {
         let order = version.cmp(&self.roster.borrow().version());
-        // Who knows an earlier list may have seen less than was known here before.
+        // A replica with an older roster may have read less than this one already knows.
         if order.is_ge() {
             self.note_read(began);
         }
         order
     }
 
-    /// Records that the list was read.
+    /// Records a read of the target list that began at `began` and has just ended.
     pub fn note_read(&self, began: BootTime) {
         self.reader_election.update(|mut reader_election| {
             reader_election.record_read(began);
@@ -163,8 +166,8 @@
         });
     }
 
-    /// Takes a list of targets that this replica has read, or found out more about. Returns whether
-    /// it must be sent to others.
+    /// Changes the roster after a read of the target list or a report from an engine. Returns
+    /// whether the new roster must be sent to other replicas.
     pub fn change_roster(&self, change: impl FnOnce(&mut Roster) -> bool) -> bool {
         let least = {
             let view = self.view.borrow();
@@ -193,7 +196,7 @@
         }
     }
 
-    /// The list with this name, if it is the one that is known here or one before it.
+    /// The roster with this version, if it is the current one or a recent one.
     pub fn roster_with_version(&self, version: RosterVersion) -> Option<VersionedRoster> {
         let known = self.roster.borrow();
         if known.version() == version {
@@ -202,7 +205,7 @@
         self.earlier_rosters.borrow().iter().find(|earlier| earlier.version() == version).cloned()
     }
 
-    /// The frames that publish a whole list.
+    /// The frames that transfer a whole roster.
     pub fn piece_frames(&self, list: &VersionedRoster) -> PieceFrames {
         let mut cached = self.roster_pieces.borrow_mut();
         if cached.0 != list.version() {
@@ -212,7 +215,7 @@
         cached.1.clone()
     }
 
-    /// The frame that publishes how the list differs from the one that an entry was sent.
+    /// The frame that transfers the change from the roster an entry holds to the current one.
     pub fn roster_change_frame(&self, sent: &VersionedRoster, now: &VersionedRoster) -> Arc<[u8]> {
         let mut update = self.roster_update.borrow_mut();
         let (before, version) = (sent.version(), now.version());
@@ -228,7 +231,7 @@
         update.2.clone()
     }
 
-    /// Takes when weights were named, as the replicated state tells it.
+    /// Records the weight versions in the replicated state, with their estimated ages.
     pub(super) fn observe_named(&self, state: &ControlState, now: BootTime) {
         let mut named = self.named_since.borrow_mut();
         for (model, newest) in state.weights.iter() {
@@ -246,35 +249,35 @@
         }
     }
 
-    /// Takes what another process knows of requests under which targets have ended.
+    /// Merges quarantine reports from another process.
     pub fn observe_quarantine(&self, reports: Vec<Report>) {
         share::change(&self.quarantine, |known| known.observe(reports, boot_now()));
         let revision = self.quarantine.borrow().suspects_revision();
         self.suspects.send_if_modified(|known| std::mem::replace(known, revision) != revision);
     }
 
-    /// Takes how long ago weights were named, as another process sends it.
+    /// Merges ages of weight versions from another process.
     pub fn observe_ages(&self, named: NamedAges) {
         weights::observe_ages(&mut self.named_since.borrow_mut(), named, boot_now());
     }
 
-    /// How long ago weights were named, to send to another process.
+    /// The ages of all known weight versions.
     pub fn ages(&self) -> NamedAges {
         weights::ages(&self.named_since.borrow(), boot_now())
     }
 
-    /// Whether this replica had all that was committed within the last `within`, and knows how long
-    /// ago weights were named.
+    /// Whether this replica had all committed entries at most `within` ago and knows the ages of
+    /// weight versions.
     pub fn is_current(&self, within: Duration) -> bool {
         self.freshness(within) == Freshness::Current
     }
 
-    /// How long ago this replica was last sure to have all that was committed.
+    /// Time since this replica was last known to have all committed entries.
     pub fn caught_up_age(&self) -> Duration {
         self.caught_up_at.get().map_or(Duration::MAX, |at| boot_now().saturating_sub(at))
     }
 
-    /// Whether entries may rely on what this replica knows, or why not.
+    /// Whether this replica is current, or why not. Being caught up counts for `within`.
     pub fn freshness(&self, within: Duration) -> Freshness {
         let now = boot_now();
         let is_recent = |at: BootTime| now.saturating_sub(at) <= within;
