--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -1,8 +1,9 @@
-//! A list of targets in pieces: a host that knows none serves from the first pieces on, and goes on where
-//! it was when a connection ends in the midst.
+//! Splits a roster into pieces and reassembles them. An entry without a roster can serve from the
+//! first pieces on, and resumes where it was after a broken connection.
 //!
-//! A whole list in one frame has to arrive within the time after which a silent replica is left; else it
-//! begins anew at another replica, and never ends. At 10 Mbit/s that is some 10,000 targets.
+//! A roster sent as one frame would have to arrive before the entry gives up on a silent replica,
+//! or the transfer would restart at another replica each time. At 10 Mbit/s that limits a roster to
+//! about 10,000 targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,36 +16,36 @@
 use crate::fleet::{Listed, Roster};
 use crate::ids::ServiceId;
 
-/// Targets of a piece: some 8 KB, which take a link of 10 Mbit/s some 7 ms.
+/// Targets in a piece: about 8 KB, or 7 ms on a link of 10 Mbit/s.
 const PIECE_LEN: usize = 256;
-/// More pieces are taken for damage: some million targets.
+/// More pieces than this, about a million targets, are rejected as corrupt.
 const MAX_PIECES: u32 = 4_096;
 
-/// A part of a list of targets. The pieces of a list are the same wherever it is known.
+/// A piece of a roster. All replicas split the same roster in the same way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// The list.
+    /// The version of the roster.
     pub of: RosterVersion,
-    /// Its place among the pieces, from 0.
+    /// The zero-based index of the piece.
     pub index: u32,
-    /// How many pieces there are; at least one.
+    /// The number of pieces; at least one.
     pub count: u32,
     targets: CompactTargets,
 }
 
-/// Pieces that make no list.
+/// Why pieces cannot be assembled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PieceError {
-    /// A name is missing, or the place is not one of the list's.
-    #[snafu(display("a piece of a list of targets is damaged"))]
+    /// The piece cannot be decoded, or its index or count is invalid.
+    #[snafu(display("a piece of the roster is damaged"))]
     Damaged,
-    /// All pieces together are another list than they say.
-    #[snafu(display("the pieces of a list of targets are of several lists"))]
+    /// The assembled roster does not match its version.
+    #[snafu(display("the pieces do not form the roster that they name"))]
     Mixed,
 }
 
-/// The pieces of a list: targets of services with few targets come first, so that most routes can be
-/// served before all has arrived.
+/// Splits a roster. Services with few targets come first, so that most routes can be served before
+/// all pieces have arrived.
 pub fn split(list: &VersionedRoster) -> Vec<Piece> {
     let mut by_service: BTreeMap<&ServiceId, Vec<&Listed>> = BTreeMap::new();
     for listed in list.roster.iter() {
@@ -64,35 +65,37 @@
 }
 
 impl Piece {
-    /// Its targets.
+    /// Decodes the targets of the piece.
     ///
     /// # Errors
-    /// If a name is missing.
+    ///
+    /// If the piece cannot be decoded.
     pub fn listed(&self) -> Result<Vec<Listed>, PieceError> {
         self.targets.listed().map_err(|_| PieceError::Damaged)
     }
 }
 
-/// Pieces of one list that have arrived.
+/// The pieces of one roster received so far.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
     of: RosterVersion,
-    /// The next piece that is wanted: those before it are here.
+    /// The index of the next expected piece.
     next: u32,
     targets: Vec<Listed>,
 }
 
 impl Assembly {
-    /// The list, and how many of its pieces have arrived.
+    /// The version of the roster, and the number of pieces received.
     pub fn progress(&self) -> (RosterVersion, u32) {
         (self.of, self.next)
     }
 
-    /// Takes a piece, and returns the list once that is whole. Pieces come in order; one of another list
-    /// begins that list.
+    /// Adds a piece and returns the roster once it is complete. Pieces must come in order; a piece
+    /// of another roster starts over with that one.
     ///
     /// # Errors
-    /// If the pieces make no list; they are forgotten then.
+    ///
+    /// If the pieces do not form a valid roster. They are discarded.
     pub fn take(&mut self, piece: &Piece) -> Result<Option<VersionedRoster>, PieceError> {
         if piece.of != self.of {
             *self = Assembly { of: piece.of, ..Assembly::default() };
--- a/src/control/roster_publisher.rs
+++ b/src/control/roster_publisher.rs
@@ -1,4 +1,4 @@
-//! What one entry was sent of the list of targets, and what to send it next.
+//! Tracks which roster an entry holds and produces the next frame for it.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::shared::{PieceFrames, Shared};
 use crate::fleet::Presence;
 
-/// Publishes the list of targets to one entry, once the entry has subscribed to it.
+/// Publishes the roster to one entry, once that entry has subscribed.
 #[derive(Default)]
 pub struct RosterPublisher {
     sent: Sent,
@@ -18,26 +18,26 @@
 /// What the entry was sent.
 #[derive(Default)]
 enum Sent {
-    /// It has not subscribed.
+    /// The entry has not subscribed.
     #[default]
     Silent,
-    /// It has a later list than this replica, or this replica has none yet.
+    /// The entry has a newer roster than this replica, or this replica has none yet.
     Behind(RosterVersion),
-    /// It is being sent the whole list, piece by piece.
+    /// The entry is being sent a whole roster in pieces.
     Pieces {
-        /// The list.
+        /// The roster.
         list: VersionedRoster,
-        /// Its pieces.
+        /// The frames of its pieces.
         frames: PieceFrames,
-        /// The next piece.
+        /// The index of the next piece.
         next: usize,
     },
-    /// It has this list.
+    /// The entry has this roster.
     List(VersionedRoster),
 }
 
 impl RosterPublisher {
-    /// Takes a subscription: changes alone are sent if what the entry has is known here.
+    /// Handles a subscription. Only changes are sent if the entry's roster is known here.
     pub fn subscribe(&mut self, request: RosterSubscription, shared: &Shared) {
         let RosterSubscription { whole, part: (part_of, pieces), detail } = request;
         let find_roster = |version: RosterVersion| {
@@ -51,18 +51,18 @@
         };
     }
 
-    /// Whether there are pieces to send.
+    /// Whether pieces are left to send.
     pub fn is_sending(&self) -> bool {
         matches!(self.sent, Sent::Pieces { .. })
     }
 
-    /// Whether the entry has the list that is known here, or knows its name.
+    /// Whether the entry has the current roster or was sent its version.
     pub fn is_up_to_date(&self, shared: &Shared) -> bool {
         matches!(&self.sent, Sent::List(list) if list.version() == shared.roster.borrow().version())
     }
 
-    /// The next frame for the entry, if there is one now: a piece at a time, so that other updates come
-    /// between them.
+    /// The next frame for the entry, if any. Returns one piece at a time so that other updates can
+    /// be sent in between.
     pub fn next_frame(&mut self, shared: &Shared) -> Option<Arc<[u8]>> {
         if let Sent::Behind(version) = &self.sent {
             let known = shared.roster.borrow().clone();
@@ -107,7 +107,7 @@
     }
 }
 
-/// An update that names a later list, and who leaves by it.
+/// Encodes the current version and the targets that have begun to leave since `sent`.
 fn version_frame(sent: &VersionedRoster, known: &VersionedRoster) -> Arc<[u8]> {
     let changed = sent.roster.change_to(&known.roster).changed.into_iter();
     let leaving = changed.filter(|listed| listed.presence == Presence::Leaving);
--- a/src/control/versioned_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -1,4 +1,4 @@
-//! Lists of targets with their place among other lists.
+//! Rosters with a version that orders them across replicas.
 
 use std::sync::Arc;
 
@@ -6,40 +6,40 @@
 
 use crate::fleet::{Remembered, Roster, RosterChange};
 
-/// Names a list of targets. Two replicas may give the same number to lists that differ: these differ
-/// in the digest, too. The later of two lists has the greater name.
+/// The version of a roster. Replicas may assign the same number to different rosters, whose digests
+/// then differ. Later rosters compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterVersion {
-    /// Higher than that of every list that its reader had seen.
+    /// Higher than that of any roster its creator had seen.
     pub number: u64,
-    /// Of the listed targets.
+    /// A digest of the listed targets.
     pub digest: u64,
 }
 
-/// A list of targets with its place among other lists.
+/// A roster with its version.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct VersionedRoster {
-    /// Higher than that of every list that its reader had seen.
+    /// Higher than that of any roster its creator had seen.
     pub number: u64,
-    /// That of `roster`.
+    /// The digest of `roster`.
     digest: u64,
-    /// The list.
+    /// The roster.
     pub roster: Arc<Roster>,
 }
 
 impl VersionedRoster {
-    /// A list with its number.
+    /// Assigns a number to a roster.
     pub fn new(number: u64, roster: Arc<Roster>) -> VersionedRoster {
         VersionedRoster { number, digest: roster.digest(), roster }
     }
 
-    /// Its name.
+    /// The version of the roster.
     pub fn version(&self) -> RosterVersion {
         RosterVersion { number: self.number, digest: self.digest }
     }
 
-    /// The list that comes after this one by a change; `None` if the change is of another list, or makes
-    /// another one.
+    /// Applies a change. Returns `None` if the change is based on another roster or does not lead
+    /// to `version`.
     pub fn advanced(
         &self,
         before: RosterVersion,
@@ -56,8 +56,8 @@
         (list.version() == version).then_some(list)
     }
 
-    /// Takes the later of this list and another one, and who leaves by either of them: a target that
-    /// leaves never comes back, and none gets older weights, whichever list is the later one.
+    /// Merges another roster into this one. Targets that leave according to either roster keep
+    /// leaving, and weights found on engines are kept, whichever roster is later.
     pub fn join(&mut self, other: &VersionedRoster) {
         let (later, earlier) = match other.version() > self.version() {
             true => (other, &*self),
