--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -1,4 +1,5 @@
-//! Serves connections from other replicas and from entries at the port for peers.
+//! Serves the peer port: receives frames from other replicas, publishes updates to entries, and
+//! hands scheduler clients to the scheduler service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -25,19 +26,19 @@
 use crate::quarantine::Revision;
 use crate::scheduler::weights::{self, RolloutHistories};
 
-/// How often an entry gets a heartbeat: what it knows is current.
+/// How often an entry gets a heartbeat, which tells it that its state is current.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a replica that may be behind looks whether it still is: entries wait for its heartbeat.
+/// How often a replica that is not current checks again. Entries wait for its next heartbeat.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// A replica that has not been confirmed by its leader for this long sends no heartbeats, so that entries turn to
-/// another one. Several heartbeats of the log.
+/// A replica that has not caught up with its leader for this long stops sending heartbeats, so that
+/// entries fail over to another one. Covers several Raft heartbeats.
 pub const MAX_STALENESS: Duration = Duration::from_millis(500);
-/// Longest time for the first frame.
+/// Longest wait for the handshake of a new connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection whose bytes are not acknowledged for this long is given up.
+/// A connection whose data is not acknowledged for this long is closed.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
-/// Ages of namings are repeated until they are beyond this and each bound that is known here: an
-/// entry's bound is its own.
+/// Ages are resent for at least this long after a version was named, and longer if the replica's
+/// own grace period for old weights is longer. Entries may be configured with another grace period.
 const MIN_AGE_REPEAT_PERIOD: Duration = Duration::from_secs(30);
 
 /// Accepts connections for as long as the process lives.
@@ -107,7 +108,7 @@
     }
 }
 
-/// Publishes all that there is to know to an entry, and then what changes, until it goes.
+/// Sends an entry the current state and then every change, until the connection ends.
 async fn publish_to_entry(
     read: BufReader<OwnedReadHalf>,
     mut write: OwnedWriteHalf,
@@ -165,7 +166,7 @@
     }
 }
 
-/// What an entry sends next.
+/// Reads the next request of an entry.
 async fn next_request(
     mut read: BufReader<OwnedReadHalf>,
 ) -> std::io::Result<(BufReader<OwnedReadHalf>, SubscriberRequest)> {
@@ -173,29 +174,29 @@
     Ok((read, frame))
 }
 
-/// What an entry was sent last, but for the list of targets.
+/// What was last sent to an entry, except for the roster.
 #[derive(Default)]
 struct Sent {
     version: DeploymentVersion,
-    /// A request for a confirmation that has no answer yet.
+    /// A confirmation request that has not been answered yet.
     confirm: Option<ConfirmId>,
     domains: BTreeMap<IpAddr, DomainId>,
     weights: RolloutHistories,
-    /// Whether an age that was sent last is one that a bound may depend on.
+    /// Whether the ages sent last include one that is still within the repeat period.
     repeats_ages: bool,
-    /// Who leads, and in which term.
+    /// The leader and its term.
     leader: Option<(Term, IpAddr)>,
-    /// What was known of requests under which targets have ended.
+    /// The quarantine revision that was sent.
     quarantine: Revision,
 }
 
 impl Sent {
-    /// Adds what has changed since it was last sent, as far as this replica may publish it.
+    /// Appends everything that has changed since it was last sent and may be published now.
     fn add_changes(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
-        // Before an entry that has just started knows what it needs to serve.
+        // First, since an entry serves as soon as it has received the rest.
         self.add_quarantine(shared, bytes);
-        // What this replica has is published only once it is sure not to be behind: an entry that has
-        // just started would otherwise act on an old deployment.
+        // A replica that may be behind publishes no other state: an entry that has just started
+        // would begin to serve with an outdated deployment.
         if shared.is_current(MAX_STALENESS) {
             self.add_domains(shared, bytes);
             self.add_leader(shared, bytes);
@@ -203,12 +204,13 @@
             self.add_deployment(shared, bytes);
             self.add_confirmation(shared, bytes);
         } else if self.version > 0 {
-            // What is committed stays so: for an entry that serves by an older one it is never wrong.
+            // A newer committed deployment is always safe for an entry that already has an older
+            // one.
             self.add_deployment(shared, bytes);
         }
     }
 
-    /// Confirms that the entry was sent the newest deployment, if it waits for that.
+    /// Appends the answer to a pending confirmation request. Comes after the deployment.
     fn add_confirmation(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         if let Some(id) = self.confirm.take() {
             let age = shared.caught_up_age();
@@ -216,8 +218,9 @@
         }
     }
 
-    /// Repeats ages that a bound may depend on, until they have been sent beyond it. They count from
-    /// when the entry reads them: what has lain in a socket meanwhile makes namings too young for good.
+    /// Resends the ages while any version is younger than `repeat_period`. An entry counts an age
+    /// from the moment of reading it, so a frame delayed in a socket makes a version look too
+    /// young; the next frame corrects that.
     fn repeat_ages(&mut self, repeat_period: Duration, bytes: &mut Vec<u8>) {
         if !self.repeats_ages {
             return;
@@ -228,7 +231,8 @@
         bytes.extend_from_slice(&weights_update(&self.weights));
     }
 
-    /// Adds in which failure domains replicas are, which decides where the list of targets is asked for.
+    /// Appends the failure domains of replicas, by which entries choose where to subscribe to the
+    /// roster.
     fn add_domains(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let domains = shared.domains.borrow();
         if self.domains != *domains {
@@ -237,8 +241,8 @@
         }
     }
 
-    /// Adds who leads, if another one does than before: prompts wait for its scheduler, a tenth of their
-    /// time until the next heartbeat.
+    /// Appends a heartbeat if the leader has changed. Prompts wait for the scheduler of the new
+    /// leader, and waiting for the next regular heartbeat would use a tenth of their time budget.
     fn add_leader(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let leader = {
             let view = shared.view.borrow();
@@ -250,7 +254,7 @@
         }
     }
 
-    /// Adds requests under which several targets have ended.
+    /// Appends requests under which several targets have ended.
     fn add_quarantine(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let known = shared.quarantine.borrow();
         let reports = known.suspects_since(self.quarantine, boot_now());
@@ -260,8 +264,8 @@
         }
     }
 
-    /// Adds named weights that the entry does not know yet. Before what it needs to serve: it must not place a
-    /// prompt without knowing them.
+    /// Appends weight versions that the entry does not know. Comes before the deployment, since the
+    /// entry must not place a prompt without them.
     fn add_weights(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let named = shared.named_since.borrow();
         if self.weights != *named {
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Adds the newest deployment that is committed, as far as this replica knows, if the entry has an older one.
+    /// Appends the newest deployment known here if the entry has an older one.
     fn add_deployment(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let view = shared.view.borrow();
         if let Some(published) = &view.state.published
--- a/src/control/quarantine_publisher.rs
+++ b/src/control/quarantine_publisher.rs
@@ -1,6 +1,6 @@
-//! Publishes requests under which targets have ended to other replicas, as soon as this one knows of it.
+//! Sends changes of the quarantine to all other replicas at once.
 //!
-//! What is lost on the way is found by the digests that replicas send each other.
+//! Lost frames are detected by the digests that replicas exchange periodically.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use crate::clock::boot_now;
 use crate::quarantine::Revision;
 
-/// Publishes what changes for as long as the process lives.
+/// Publishes changes for as long as the process lives.
 pub async fn keep_publishing(shared: Rc<Shared>, own: IpAddr) {
     let mut quarantine = shared.quarantine.subscribe();
     let mut sent = Revision::default();
-    // The sender lives as long as `shared`.
+    // `changed` fails only once `shared` is dropped.
     while quarantine.changed().await.is_ok() {
         let reports = {
             let known = quarantine.borrow_and_update();
