--- a/src/control/scheduler_service.rs
+++ b/src/control/scheduler_service.rs
@@ -1,4 +1,4 @@
-//! Runs the scheduler while this replica leads, and serves entries that ask it.
+//! Runs the scheduler while this replica is the leader, and serves the entries that use it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -25,64 +25,65 @@
     End, Placed, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
 };
 
-/// How often it is looked whether prompts that wait can be placed.
+/// How often queued prompts are dispatched without a triggering event.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(10);
-/// Notes that come closer together than this share a dispatch.
+/// Shortest time between dispatches triggered by placement events.
 const MIN_DISPATCH_GAP: Duration = Duration::from_millis(2);
-/// A leader that has not been confirmed for this long schedules nothing: well within the time in
-/// which no other can have been elected.
+/// A leader whose leadership was not confirmed for this long schedules nothing. Shorter than the
+/// election timeout, so no other leader can exist yet.
 const LEADERSHIP_MAX_AGE: Duration = Duration::from_millis(250);
-/// How often it is looked whether a leader is sure to lead by now: a commit takes two milliseconds or more.
+/// How often to check for confirmed leadership. A commit takes at least 2 ms.
 const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Longest time for a call that frees parts.
+/// Timeout of a request to a store to free parts.
 const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The scheduler of this replica.
+/// The scheduler of this replica with its clients.
 pub struct SchedulerService {
-    /// The replica's state.
+    /// The shared state of the replica.
     pub shared: Rc<Shared>,
-    /// How long prompts may begin on older weights once newer ones are named.
+    /// How long prompts may still start on old weights after a newer version was named.
     pub old_weights: OldWeights,
-    /// The scheduler with its term; `None` while another replica leads.
+    /// The scheduler and its term; `None` while another replica is the leader.
     pub(super) active: RefCell<Option<(Term, Scheduler)>>,
-    /// Prompts that wait.
+    /// Queued prompts.
     waiters: RefCell<HashMap<WaiterId, Waiter>>,
     next_waiter: Cell<WaiterId>,
-    /// Engines that are being asked for their weights.
+    /// Engines with a pending query for their weights.
     weight_queries: RefCell<HashSet<TargetStart>>,
     dispatched_at: Cell<BootTime>,
 }
 
-/// A prompt that waits, as its entry knows it.
+/// A queued prompt.
 struct Waiter {
     entry: Rc<EntrySession>,
-    /// The entry's number for it.
+    /// The id that the entry gave the request.
     request_id: u64,
 }
 
-/// The way back to one entry.
+/// The replies to one entry, and its open requests.
 struct EntrySession {
     answers: mpsc::UnboundedSender<SchedulerReply>,
-    /// Prompts of the entry that wait, by its numbers.
+    /// Queued prompts by request id.
     waiting: RefCell<HashMap<u64, WaiterId>>,
-    /// Placements of the entry that have not ended.
+    /// Placements that have not ended.
     active_tickets: RefCell<HashSet<TicketId>>,
 }
 
 impl EntrySession {
-    /// Answers an ask. What is placed counts from here on, whether the entry hears of it or not.
+    /// Replies to a placement request. A placement is active from here on, even if the reply is
+    /// lost.
     fn answer(&self, request_id: u64, answer: Result<Placed, SchedulerError>) {
         self.waiting.borrow_mut().remove(&request_id);
         if let Ok(placed) = &answer {
             self.active_tickets.borrow_mut().insert(placed.ticket);
         }
-        // The connection's end is noticed where it is read.
+        // If the connection has ended, `serve` sees that on the read half.
         let _ = self.answers.send(SchedulerReply::Placed(request_id, answer));
     }
 }
 
 impl SchedulerService {
-    /// A replica that does not schedule yet.
+    /// Creates a service without a scheduler.
     pub fn new(shared: Rc<Shared>, old_weights: OldWeights) -> SchedulerService {
         SchedulerService {
             shared,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Calls the scheduler, if this replica surely leads.
+    /// Calls the scheduler if this replica is confirmed to be the leader.
     pub fn with_scheduler<T>(&self, call: impl FnOnce(&mut Scheduler) -> T) -> Option<T> {
         if !self.shared.is_current(LEADERSHIP_MAX_AGE) || !self.shared.view.borrow().leads {
             return None;
@@ -104,12 +105,12 @@
         active.as_mut().map(|(_, scheduler)| call(scheduler))
     }
 
-    /// Waits until the scheduler can be told something. Returns false if this replica schedules no more in
-    /// the term.
+    /// Waits until `with_scheduler` can succeed. Returns false if this replica no longer schedules
+    /// in the term.
     ///
-    /// A leader is not sure to lead until its term's first entry is committed, and while a quorum is late.
-    /// An inventory that is lost then is read again 10 s later, and what stores hold is computed anew
-    /// until then.
+    /// Leadership is unconfirmed until the first entry of the term is committed, and while a quorum
+    /// is slow to answer. Without the wait, a store inventory read in the meantime would be lost
+    /// until the next read 10 s later, and the parts in the store recomputed.
     pub async fn wait_for_leadership(&self, term: Term) -> bool {
         while self.is_active(term) {
             if self.with_scheduler(|_| {}).is_some() {
@@ -120,7 +121,7 @@
         false
     }
 
-    /// How many prompts wait for an engine.
+    /// Number of queued prompts.
     pub fn waiting_count(&self) -> usize {
         self.waiters.borrow().len()
     }
@@ -130,7 +131,7 @@
         self.active.borrow().as_ref().is_some_and(|(active, _)| *active == term)
     }
 
-    /// Sends those that wait to another replica.
+    /// Rejects queued prompts, so that entries retry them at the new leader.
     pub(super) fn refuse_waiters(&self) {
         for Waiter { entry, request_id } in
             std::mem::take(&mut *self.waiters.borrow_mut()).into_values()
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Asks engines whose weights are not known for them.
+    /// Queries the weights of engines for which the scheduler no longer trusts its record.
     pub(super) fn query_doubted_engines(self: &Rc<SchedulerService>) {
         let doubted = self.with_scheduler(|scheduler| scheduler.doubted()).unwrap_or_default();
         for (engine, address) in doubted {
@@ -152,12 +153,13 @@
                 let weights = report.map(|report| report.weights);
                 log::info!("event=weights_queried engine={engine} weights={weights:?}");
                 if let Some(weights) = &weights {
-                    // Else an engine that runs older ones than are listed is not told to load.
+                    // The rollout relies on the roster: an engine with older weights than listed
+                    // would not be told to load.
                     scheduling.shared.change_roster(|known| known.set_weights(&engine, weights));
                 }
                 let version = weights.and_then(|weights| weights.values().next().copied());
                 scheduling.weight_queries.borrow_mut().remove(&engine);
-                // Without a scheduler there is nothing to tell.
+                // No scheduler is running if this replica has lost leadership.
                 let _ = scheduling.with_scheduler(|scheduler| scheduler.resolve(&engine, version));
             });
         }
@@ -186,16 +188,17 @@
             plan.store,
             plan.parts.len()
         );
-        // Without a clear answer they may be gone or not: they stay unfit for fetches, and are freed
-        // again.
+        // Otherwise the parts may or may not be gone: they stay excluded from fetches, and the
+        // request is repeated.
         if matches!(status, Ok(StatusCode::OK)) {
             let _ = self.with_scheduler(|scheduler| scheduler.freed(&plan));
         }
     }
 
-    /// Answers one entry until it goes.
+    /// Serves one entry until its connection ends.
     ///
     /// # Errors
+    ///
     /// If the connection breaks.
     pub async fn serve(
         &self,
@@ -222,7 +225,7 @@
         ended
     }
 
-    /// Tells what has come of prompts that waited.
+    /// Dispatches queued prompts and sends the results.
     fn dispatch(&self) {
         self.dispatched_at.set(boot_now());
         let outcomes = self.with_scheduler(|scheduler| scheduler.dispatch(boot_now()));
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Dispatches while prompts wait, for as long as the process lives.
+    /// Dispatches at regular intervals, for as long as the process lives.
     pub async fn keep_dispatching(self: Rc<SchedulerService>) {
         loop {
             tokio::time::sleep(DISPATCH_INTERVAL).await;
@@ -243,13 +246,13 @@
         }
     }
 
-    /// A store has started anew or can't be reached.
+    /// Records that a store was restarted or cannot be reached.
     pub fn lost_store(&self, store: SocketAddr) {
         let _ = self.with_scheduler(|scheduler| scheduler.lost_store(store));
     }
 }
 
-/// One entry that asks.
+/// The connection of one entry.
 struct ClientConnection<'s> {
     scheduling: &'s SchedulerService,
     entry: Rc<EntrySession>,
@@ -295,7 +298,7 @@
                 let waits = Waiter { entry: self.entry.clone(), request_id };
                 self.scheduling.waiters.borrow_mut().insert(waiter, waits);
                 self.entry.waiting.borrow_mut().insert(request_id, waiter);
-                // The connection's end is noticed where it is read.
+                // If the connection has ended, `serve` sees that on the read half.
                 let _ = self.entry.answers.send(SchedulerReply::Queued(request_id));
             }
         }
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Takes back all that the entry asked for and had.
+    /// Cancels the queued prompts of the entry and ends its placements.
     fn close(self) {
         let waiting = self.entry.waiting.take();
         waiting.into_values().for_each(|waiter| self.withdraw(waiter));
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -1,4 +1,4 @@
-//! Starts the scheduler at a leader, and keeps it in step with what the replica knows.
+//! Starts and stops the scheduler with leadership, and feeds it changes of the replica's state.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,19 +11,20 @@
 use crate::log::Term;
 use crate::scheduler::{Scheduler, TicketId};
 
-/// How often changes are taken over and frees are planned.
+/// How often state is synchronized and frees are planned.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Tickets of one term begin after those of all earlier terms.
+/// Tickets are numbered from the term shifted left by this many bits, so that they never repeat
+/// those of an earlier term.
 const TICKETS_PER_TERM: u32 = 36;
 
 impl SchedulerService {
-    /// Takes over what changes, for as long as the process lives.
+    /// Synchronizes the scheduler for as long as the process lives.
     pub async fn run(self: Rc<SchedulerService>) {
         let mut deployment_version = 0;
         let mut roster_version = RosterVersion::default();
         let mut view = self.shared.view.subscribe();
         loop {
-            // Prompts wait while a new leader does not schedule yet.
+            // Wake up at once on a change of leadership, since prompts wait for the new scheduler.
             let _ = tokio::time::timeout(POLL_INTERVAL, view.changed()).await;
             let (leads, term) = {
                 let view = self.shared.view.borrow();
@@ -74,7 +75,7 @@
             scheduler.observe_deployment(&published.deployment);
             new_stores = scheduler.stores();
             new_stores.retain(|store| !before.contains(store));
-            // Services may be others now.
+            // The deployment decides which services' targets the scheduler uses.
             scheduler.observe_roster(&roster.roster);
         }
         if roster.version() != *roster_version && *deployment_version > 0 {
