--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -1,5 +1,5 @@
-//! Reads what engines hold in memory, for a scheduler that has just begun: without it, contexts that
-//! are resident somewhere would be read again elsewhere.
+//! Reads the cache contents of all engines when a scheduler starts. Otherwise contexts that are
+//! resident on an engine would be computed again on another.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,18 +15,19 @@
 use crate::net::http::{CallError, Exchange, fetch};
 use crate::platform::stores::{self, Events};
 
-/// How long a call for events may wait for some. Shorter waits are priced as health checks.
+/// How long the engine may hold a request open until it has events. Shorter waits are charged as
+/// health checks.
 const EVENT_WAIT: Duration = Duration::from_millis(200);
-/// Longest time for an answer of some thousand events.
+/// Timeout of a request. An answer can contain several thousand events.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
-/// Engines that are read at a time. Each answer is up to some hundred kilobytes.
+/// Maximum number of engines read concurrently. An answer takes up to several hundred kilobytes.
 const MAX_CONCURRENT_READS: usize = 6;
 
-/// What has not been read after this time is not read: the scheduler has other things to do, and of
-/// thousands of engines each holds little that matters.
+/// Time limit for reading all engines. The scheduler has other work, and among thousands of engines
+/// a single one matters little.
 const TOTAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Reads the events that engines still have.
+/// Reads the events that the engines still retain and passes them to the scheduler.
 pub async fn run(
     scheduling: Rc<SchedulerService>,
     engines: Vec<(TargetStart, SocketAddr)>,
@@ -40,7 +41,7 @@
                 scheduling.wait_for_leadership(term).await;
                 let now = boot_now();
                 let recalled = scheduling.with_scheduler(|scheduler| {
-                    // Stores tell it with their next events, which may be long in coming.
+                    // Store events also carry the clock, but the next one may be a long time off.
                     page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
                     scheduler.recall(&engine, page.events)
                 });
@@ -71,11 +72,13 @@
             let page = stores::decode_events(&answer.body)?;
             match engine.may_be_born(page.start.born_ms) {
                 true => Ok(page),
-                false => {
-                    Err(format!("another start answers, born {:?}", page.start.born_ms).into())
-                }
+                false => Err(format!(
+                    "the engine was restarted; the one that answered was born at {:?}",
+                    page.start.born_ms
+                )
+                .into()),
             }
         }
-        status => Err(format!("the engine answers {status}").into()),
+        status => Err(format!("the engine answered with status {status}").into()),
     }
 }
--- a/src/control/engine_report.rs
+++ b/src/control/engine_report.rs
@@ -1,4 +1,4 @@
-//! Asks an engine for its state.
+//! Requests the state of an engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use crate::net::http::{CallError, Exchange, fetch};
 use crate::platform::engines;
 
-/// Longest time for a report.
+/// Timeout of a request.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// An engine's report; `None` if it is gone or cut off, or another start of it answers, which the list
-/// tells before long.
+/// The report of an engine. `None` if the engine cannot be reached or has been restarted; the
+/// roster will show which.
 pub async fn read(engine: &TargetStart, address: SocketAddr) -> Option<EngineReport> {
     let answer =
         fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), REPORT_TIMEOUT).await;
     let report = answer.and_then(|answer| match answer.status {
         StatusCode::OK => verify_start(engine, engines::decode_report(&answer.body)?),
-        status => Err(format!("the engine answers {status}").into()),
+        status => Err(format!("the engine answered with status {status}").into()),
     });
     let warn = |error: &CallError| {
         log::warn!("event=report_missed engine={engine} reason={:?}", error.to_string());
@@ -28,10 +28,11 @@
     report.inspect_err(warn).ok()
 }
 
-/// What another start says of itself is not believed of this one.
+/// Rejects a report from another start of the engine.
 fn verify_start(engine: &TargetStart, report: EngineReport) -> Result<EngineReport, CallError> {
     if engine.may_be_born(report.born_ms) {
         return Ok(report);
     }
-    Err(format!("another start answers, born {:?}", report.born_ms).into())
+    Err(format!("the engine was restarted; the one that answered was born at {:?}", report.born_ms)
+        .into())
 }
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -1,4 +1,4 @@
-//! Follows what one store holds, while this replica schedules.
+//! Tracks the contents of one store while this replica schedules.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,18 +12,19 @@
 use crate::net::http::{CallError, Exchange, Session};
 use crate::platform::stores;
 
-/// How long a call for events may wait for some. Shorter waits are priced as health checks.
+/// How long the store may hold a request open until it has events. Shorter waits are charged as
+/// health checks.
 const EVENT_WAIT: Duration = Duration::from_millis(400);
-/// Longest time for an answer beyond that.
+/// Time allowed for an answer in addition to `EVENT_WAIT`.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Pause between calls, so that several events come in one answer.
+/// Pause between requests, so that events are batched.
 const POLL_PAUSE: Duration = Duration::from_millis(40);
-/// Pause after a failure.
+/// Delay after a failure.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// A few events never arrive, so the whole inventory is read again this often.
+/// How often the whole inventory is read again, since events can get lost.
 const INVENTORY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Runs until this replica schedules no more in that term.
+/// Tracks the store until this replica no longer schedules in the term.
 pub async fn run(scheduling: Rc<SchedulerService>, store: SocketAddr, term: Term) {
     let mut last_logged = None;
     while scheduling.is_active(term) {
@@ -32,7 +33,7 @@
             last_logged = None;
             continue;
         };
-        // Whatever a store that stays lost does, one line tells it.
+        // Logs a repeated failure of the same kind only once.
         let kind = std::mem::discriminant(&error);
         if last_logged != Some(kind) || matches!(error, FollowError::Gap) {
             log::warn!("event=store_lost store={store} reason={:?}", error.to_string());
@@ -43,16 +44,16 @@
     }
 }
 
-/// Why a store is not followed any more.
+/// Why tracking a store has failed.
 #[derive(Debug, snafu::Snafu)]
 enum FollowError {
-    #[snafu(display("can't be reached: {source}"))]
+    #[snafu(display("the store cannot be reached: {source}"))]
     Unreachable { source: CallError },
-    #[snafu(display("it answers {status}"))]
+    #[snafu(display("the store answered with status {status}"))]
     Refused { status: StatusCode },
-    #[snafu(display("can't be understood: {source}"))]
+    #[snafu(display("the answer cannot be decoded: {source}"))]
     Unreadable { source: serde_json::Error },
-    #[snafu(display("it has started anew or lost events"))]
+    #[snafu(display("the store was restarted or events were lost"))]
     Gap,
 }
 
