--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -1,4 +1,4 @@
-//! Records how long ago weights were named, while this replica leads.
+//! Records the ages of weight versions in the log while this replica is the leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 use crate::clock::boot_now;
 use crate::scheduler::weights::OldWeights;
 
-/// How often it is looked whether one has.
+/// How often to check for ages to record.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Records ages while this replica leads, for as long as the process lives.
+/// Records ages for as long as the process lives.
 pub async fn run(shared: Rc<Shared>, inputs: mpsc::Sender<Input>, old_weights: OldWeights) {
     let Some(bound) = old_weights.last() else {
         return std::future::pending().await;
@@ -34,7 +34,8 @@
             if inputs.send(Input::Propose(command, sender)).await.is_err() {
                 return;
             }
-            // Not decided: it is due again, here or at another leader.
+            // An age that was not committed is still due in the next iteration, here or at another
+            // leader.
             let _ = decided.await;
         }
     }
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines while this replica leads.
+//! Rolls out weights: the leader orders engines to load the newest named version.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -24,53 +24,54 @@
 use crate::net::http::{Exchange, fetch};
 use crate::platform::engines;
 
-/// How often the leader looks for engines that lag.
+/// How often the leader looks for engines with outdated weights.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How often an engine that loads is asked whether it is done. Loads take 270 ms and more, and each
-/// question has a price.
+/// How often an engine is polled while it loads. A load takes at least 270 ms, and each request is
+/// charged.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(150);
-/// How long an engine that gets no new prompts may take to finish those that it runs. Streams last
-/// up to two seconds, most less than one.
+/// How long an engine that gets no new prompts may take to finish its running ones. Most streams
+/// take less than 1 s, some up to 2 s.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(600);
-/// How often it is looked whether an engine has finished, or another may load.
+/// How often to check whether an engine has drained or a load slot is free.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// An engine that has not loaded after this time is looked at anew.
+/// Time after which a load is abandoned. The engine is then picked again if it still runs outdated
+/// weights.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(6);
-/// An order is answered within milliseconds. One without an answer is given again: it is void if the
-/// first one was taken after all, or is carried out late.
+/// Timeout of an order, which is normally answered within milliseconds. Repeating an order is safe:
+/// the engine rejects the second one if it has accepted the first.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
-/// A bit more than the period that two holders must keep apart, for timers that fire late.
+/// Added to the lease wait, for timers that fire late.
 const ORDER_LEASE_MARGIN: Duration = Duration::from_millis(400);
 
-/// What orders need to know.
+/// Sends orders to engines while this replica is the leader.
 pub struct RolloutController {
-    /// The replica's state.
+    /// The shared state of the replica.
     pub shared: Rc<Shared>,
-    /// Places prompts, but not on engines that are about to load.
+    /// Keeps prompts off engines that are about to load.
     pub scheduling: Rc<SchedulerService>,
-    /// Takes commands.
+    /// Accepts commands for the replicated log.
     pub inputs: mpsc::Sender<Input>,
-    /// Orders of two holders to one engine must be at least this far apart.
+    /// Minimum time between orders of different replicas to one engine.
     pub order_lease: Duration,
-    /// Engines that load.
+    /// Number of engines that are loading.
     pub loads_in_progress: Cell<usize>,
-    /// Engines that have not answered their order. They may carry it out seconds later, and get prompts
-    /// until they do: else all others would wait for them.
+    /// Engines that have not answered an order. They may still carry it out seconds later, and get
+    /// prompts until then so that they do not hold up the rollout.
     pub unanswered: RefCell<BTreeSet<TargetStart>>,
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OrderOutcome {
-    /// The engine carries it out, or has.
+    /// The engine has accepted the order.
     Accepted,
-    /// The engine does not carry it out.
+    /// The order was not sent, or the engine has rejected it.
     Refused,
-    /// It may be carried out, now or seconds later.
+    /// The engine has not answered and may carry out the order at any time.
     Unanswered,
 }
 
-/// One of the engines that load, until it is dropped.
+/// Counts a load as in progress until dropped.
 struct LoadSlot<'o>(&'o Cell<usize>);
 
 impl<'o> LoadSlot<'o> {
@@ -99,15 +100,15 @@
             if !leads {
                 continue;
             }
-            // Taken as soon as it leads: the wait for an earlier holder is over by the time that
-            // there is something to order.
+            // Acquire the lease at the start of the term, so that the wait for the previous holder
+            // is over before there is anything to order.
             if lease_term != Some(term) {
                 lease_term = self.acquire_order_lease(term).await;
                 continue;
             }
             for load in self.pending_loads() {
                 let controller = self.clone();
-                // Before the task runs, so that the next look does not find it again.
+                // Before the task runs, so that the next iteration does not pick the engine again.
                 controller.shared.changing.borrow_mut().insert(load.engine.clone());
                 tokio::task::spawn_local(async move {
                     controller.update_weights(&load, term).await;
@@ -130,7 +131,8 @@
         next_loads(&roster.roster, &view.state.weights, &changing, &unanswered, is_engine_service)
     }
 
-    /// Becomes the only holder, and waits until no order of an earlier one can be under way.
+    /// Becomes the holder of the order lease, and waits until no order of the previous holder can
+    /// still be in flight.
     async fn acquire_order_lease(&self, term: Term) -> Option<Term> {
         let holder = self.shared.node;
         let (sender, decided) = oneshot::channel();
@@ -148,7 +150,7 @@
         Some(term)
     }
 
-    /// Has an engine load the newest weights, with as little as possible of what it runs disturbed.
+    /// Drains an engine and has it load the newest weights.
     async fn update_weights(&self, load: &PendingLoad, term: Term) {
         self.publish_changing();
         let target = self.shared.roster.borrow().roster.get(&load.engine).cloned();
@@ -157,21 +159,21 @@
         self.load(&target, load, term).await;
     }
 
-    /// Has the scheduler know at once which engines get no prompts.
+    /// Tells the scheduler which engines get no prompts.
     fn publish_changing(&self) {
         let _ = self.scheduling.with_scheduler(|scheduler| {
             scheduler.observe_changing(&self.shared.changing.borrow());
         });
     }
 
-    /// The engine has not answered its order: it gets prompts again until it carries it out.
+    /// Lets an engine get prompts again until it carries out the order that it has not answered.
     fn mark_unanswered(&self, engine: &TargetStart) {
         self.unanswered.borrow_mut().insert(engine.clone());
         self.shared.changing.borrow_mut().remove(engine);
         self.publish_changing();
     }
 
-    /// The engine carries out its order.
+    /// Keeps prompts off an engine that carries out its order.
     fn mark_loading(&self, engine: &TargetStart) {
         self.shared.changing.borrow_mut().insert(engine.clone());
         self.unanswered.borrow_mut().remove(engine);
@@ -205,21 +207,22 @@
     async fn load(&self, target: &Listed, load: &PendingLoad, term: Term) {
         let deadline = Instant::now() + LOAD_TIMEOUT;
         let mut version = load.version;
-        // Held from the order that the engine takes to the end of the load.
+        // Held from the accepted order to the end of the load.
         let mut slot = None;
         let mut was_busy = false;
         while Instant::now() < deadline && self.may_order(term) && self.is_listed(target) {
             if slot.is_none() {
-                // One that is awaited may begin at any time, and is looked at until then.
+                // An engine with an unanswered order may start to load at any time and is polled
+                // without a wait.
                 if !self.is_unanswered(&target.start) {
                     self.wait_for_load_slot(load).await;
                 }
-                // Newer ones may have been named while it waited for its turn.
+                // A newer version may have been named during the wait.
                 version = self.newest_version(load);
             }
             let report = engine_report::read(&target.start, target.address).await;
             if was_busy && report.as_ref().is_some_and(|report| !report.is_busy) {
-                // It has carried out an order, but one for weights that were replaced meanwhile.
+                // The load has ended, but with a version that is outdated by now.
                 (slot, was_busy) = (None, false);
             }
             if let Some(report) = &report
@@ -249,7 +252,7 @@
                     }
                 }
                 Some(_) => {}
-                // Gone, or cut off: the list tells before long.
+                // Gone or unreachable. The roster will show which.
                 None => return tokio::time::sleep(LOAD_POLL_INTERVAL * 2).await,
             }
             tokio::time::sleep(LOAD_POLL_INTERVAL).await;
@@ -269,7 +272,7 @@
         view.state.weights.get(&load.model).copied().unwrap_or(load.version)
     }
 
-    /// Whether this start of an engine is still the one that is there.
+    /// Whether the roster still contains this start of the engine.
     fn is_listed(&self, target: &Listed) -> bool {
         self.shared.roster.borrow().roster.get(&target.start).is_some()
     }
@@ -286,7 +289,7 @@
         report: &EngineReport,
         fencing: u64,
     ) -> OrderOutcome {
-        // The report was on its way for a while.
+        // Both may have changed while the report was in flight.
         if !self.may_order(fencing) || !self.is_listed(target) {
             return OrderOutcome::Refused;
         }
@@ -295,8 +298,8 @@
             version: load.version,
             running: match self.placed_on(target) {
                 0 => RunningPrompts::Finish,
-                // It was given prompts in the meantime: what they make under other weights is worth
-                // nothing.
+                // The engine was given prompts while its order was unanswered. What they would
+                // generate under changed weights is useless.
                 _ if self.is_unanswered(&target.start) => RunningPrompts::Finish,
                 _ => RunningPrompts::GoOn,
             },
--- a/src/control/rollout_plan.rs
+++ b/src/control/rollout_plan.rs
@@ -1,27 +1,28 @@
-//! Roll-out of weights: which engine is told next to load them. Pure.
+//! Decides which engines load new weights next. Pure.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::fleet::{Listed, Presence, Roster};
 use crate::ids::{BirthMs, ModelId, NodeId, ServiceId, TargetStart};
 
-/// One engine in this many may load at a time: more would slow down each other's loads.
+/// At most one in this many engines of a model loads at a time. More would slow each other down.
 const LOADING_DIVISOR: usize = 6;
-/// One engine in this many may be kept from new prompts at a time, to be loaded next or loading.
+/// At most one in this many engines of a model is kept from new prompts at a time, either draining
+/// or loading.
 const CHANGING_DIVISOR: usize = 4;
-/// One engine in this many may have an order that it has not answered, and may carry out seconds later.
+/// At most one in this many engines of a model may have an unanswered order in addition.
 const UNANSWERED_DIVISOR: usize = 2;
 
-/// What an engine says of itself.
+/// The state reported by an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// When the engine that reports started.
+    /// When the reporting engine process started.
     pub born_ms: Option<BirthMs>,
-    /// Orders that it has accepted since it started.
+    /// Orders accepted since the engine started.
     pub orders_accepted: u64,
-    /// Whether it carries out an order.
+    /// Whether the engine is carrying out an order.
     pub is_busy: bool,
-    /// The version of each model's weights that it runs.
+    /// The loaded weight version of each model.
     pub weights: BTreeMap<ModelId, u64>,
 }
 
@@ -30,42 +31,42 @@
 pub struct WeightOrder {
     /// The model.
     pub model: ModelId,
-    /// The version.
+    /// The version to load.
     pub version: u64,
-    /// What becomes of prompts that the engine runs.
+    /// What to do with running prompts.
     pub running: RunningPrompts,
-    /// The replica that gives the order.
+    /// The replica that sends the order.
     pub holder: NodeId,
-    /// Never falls from one holder to the next; no two holders have the same.
+    /// Fencing token. Never decreases from one holder to the next, and differs between holders.
     pub fencing: u64,
-    /// The order is void unless the engine has accepted exactly this many orders before.
+    /// The number of orders the engine must have accepted so far; otherwise it rejects this one.
     pub orders_accepted: u64,
 }
 
-/// What becomes of prompts that an engine runs when it is told to load other weights.
+/// What happens to running prompts when an engine loads other weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunningPrompts {
-    /// They finish on the old weights first.
+    /// They finish on the old weights before the load.
     Finish,
-    /// Their streams are broken off.
+    /// Their streams are cut off.
     BreakOff,
-    /// They go on under the new weights.
+    /// They continue on the new weights.
     GoOn,
 }
 
-/// An engine that runs older weights than were named.
+/// An engine with outdated weights, and the version it should load.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PendingLoad {
     /// The engine.
     pub engine: TargetStart,
     /// The model.
     pub model: ModelId,
-    /// The version that it shall load.
+    /// The version to load.
     pub version: u64,
 }
 
-/// Engines to be told now, beside those that change and those whose order is awaited. Entries of the
-/// list that name another service than one of engines name nobody to be told.
+/// Picks the engines to update next. Excludes engines in `changing` and `unanswered`, which count
+/// towards the limits, and targets whose service is not an engine service.
 pub fn next_loads(
     roster: &Roster,
     named: &BTreeMap<ModelId, u64>,
@@ -91,7 +92,7 @@
         let slots = max_changing
             .saturating_sub(changing_count)
             .min(max_in_progress.saturating_sub(in_progress));
-        // Those that have missed most go first: their bound is over first.
+        // Oldest versions first: their grace period ends first.
         let mut outdated: Vec<&Listed> = engines()
             .filter(|engine| engine.weights.get(model).is_some_and(|has| has < version))
             .filter(|engine| {
@@ -109,7 +110,7 @@
     loads
 }
 
-/// How many engines of a model may load at once.
+/// How many engines of a model may load at the same time.
 pub fn max_concurrent_loads(roster: &Roster, model: &ModelId) -> usize {
     let engines = roster.iter().filter(|target| target.weights.contains_key(model));
     (engines.count() / LOADING_DIVISOR).max(1)
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -1,5 +1,6 @@
-//! How long ago weights were named, kept in the log: a replica that starts again, or joins, would
-//! otherwise take weights that were named long ago for new, and allow older ones once more.
+//! Ages of named weight versions in the replicated log. Without them, a replica that restarts or
+//! joins would take an old version for a new one and restart the grace period of the weights before
+//! it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,14 +10,15 @@
 use crate::ids::ModelId;
 use crate::scheduler::weights::{NamedWeights, RolloutHistories, UNRECORDED};
 
-/// An age is recorded each time that it has grown by this: the ages of one naming are some nine
-/// entries of the log until its bound is over.
+/// An age is recorded each time it has grown by this much, which makes about nine log entries per
+/// version until the grace period is over.
 const RECORD_INTERVAL: Duration = UNRECORDED;
-/// A replica that had all that was committed within this time hears of a naming as it is decided.
+/// A replica that caught up within this time learns of a new version as soon as it is committed.
 const CAUGHT_UP_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// Ages that the log should have by now; `bound` is the age from which nothing depends on it. What may
-/// have passed unrecorded is not recorded as passed: each process that hears late adds it anew.
+/// The ages to record now. Ages beyond `bound` no longer matter. Only time that has certainly
+/// passed is recorded; a process that learns of a version late adds the possibly unrecorded time
+/// itself.
 pub fn due_commands(
     named: &RolloutHistories,
     recorded: &BTreeMap<ModelId, WeightAges>,
@@ -35,11 +37,10 @@
     due.collect()
 }
 
-/// How long ago weights of a model were named, at the least, as the state tells a replica that was last
-/// sure to have all at `caught_up_at`.
+/// The age of a weight version as estimated by a replica that last caught up at `caught_up_at`.
 ///
-/// One that was not sure hears of what may have been decided long before: ages may be older by what is
-/// recorded next.
+/// A replica that has not caught up recently may learn of the version long after the last record,
+/// so the interval between records is added.
 pub fn estimated_age(
     state: &ControlState,
     model: &str,
