--- a/src/control/operator_server.rs
+++ b/src/control/operator_server.rs
@@ -1,4 +1,4 @@
-//! OperatorServer' HTTP at a replica: publish and read deployments, name weights.
+//! The HTTP API for operators: publishes and reads deployments, and names weight versions.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -26,26 +26,26 @@
 use crate::telemetry::metrics::label;
 use crate::telemetry::roles::ReplicaMetrics;
 
-/// Largest body of a call.
+/// Largest accepted request body.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A decision that takes longer is answered as unknown; operators turn to another replica after a
-/// second.
+/// A command that takes longer is answered as undecided. Operator tools try another replica after
+/// one second.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// A connection whose bytes are not acknowledged for this long is given up.
+/// A connection whose data is not acknowledged for this long is closed.
 const UNACKED_TIMEOUT: Duration = Duration::from_secs(3);
-/// What operators ask for.
+/// A request from an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum OperatorCall {
-    /// Publish a valid deployment.
+    /// Publishes a deployment.
     Publish {
-        /// The deployment.
+        /// The parsed document.
         deployment: Deployment,
-        /// The text that it was read from.
+        /// The document as sent.
         text: Vec<u8>,
     },
-    /// Show the newest deployment.
+    /// Reads the newest deployment.
     ReadDeployment,
-    /// Name new weights.
+    /// Names a new weight version.
     NameWeights {
         /// The model.
         model: ModelId,
@@ -54,10 +54,11 @@
     },
 }
 
-/// Refuses a deployment that is not valid, at any replica and without asking others.
+/// Validates the deployment of a publish request. Needs no leader.
 ///
 /// # Errors
-/// Everything that is wrong with it, one line each.
+///
+/// All problems of the deployment, one per line.
 pub fn validate_call(call: OperatorCall) -> Result<OperatorCall, Refused> {
     let OperatorCall::Publish { deployment, .. } = &call else { return Ok(call) };
     let problems = validate::problems(deployment);
@@ -70,13 +71,13 @@
 
 type Answer = Response<Full<Bytes>>;
 
-/// Serves operators at one replica.
+/// Serves the operator API at one replica.
 pub struct OperatorServer {
-    /// Takes commands.
+    /// Accepts commands and reads.
     pub inputs: mpsc::Sender<Input>,
-    /// The port at which all replicas serve operators.
+    /// The operator port, which is the same at all replicas.
     pub port: u16,
-    /// Counts calls.
+    /// Counts requests.
     pub metrics: Rc<ReplicaMetrics>,
 }
 
