--- a/src/control/identity.rs
+++ b/src/control/identity.rs
@@ -1,8 +1,8 @@
-//! Who a replica is: an id that lives and dies with its disk.
+//! The durable identity of a replica, tied to its disk.
 //!
-//! The replicas that found the system derive their ids from the seeds, so that all name the same
-//! first voters without talking. A disk that is empty later belongs to a new replica with a new id,
-//! which must not be taken for the one whose votes and acknowledgements were lost.
+//! The first replicas derive their ids from the seeds, so that all of them bootstrap with the same
+//! voters without communicating. A replica whose disk was wiped gets a new random id: with its old
+//! one, it could vote twice in a term or lose entries that it has acknowledged.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -20,20 +20,22 @@
 const IDENTITY_FILE: &str = "identity";
 const LOG_FOLDER: &str = "replica";
 
-/// A replica's durable identity.
+/// The durable identity of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// The replica.
+    /// The id of the replica.
     pub node: NodeId,
-    /// The replicas that founded the system and their hosts, where this one knows them for sure.
+    /// The replicas that bootstrapped the cluster, with their hosts; empty if this replica was not
+    /// created at the first start of the cluster.
     pub founders: BTreeMap<NodeId, IpAddr>,
 }
 
 impl Identity {
-    /// Reads the identity on this disk, or makes one and keeps it.
+    /// Reads the identity from disk, or creates and saves a new one.
     ///
     /// # Errors
-    /// If the disk can't be used.
+    ///
+    /// If the disk cannot be read or written.
     pub fn open(folder: &Path, host: &HostSettings) -> Result<Identity> {
         let remedy = "check the folder's owner, mount and free space";
         let failed = |source: io::Error| Error::start("data_folder", source, remedy);
@@ -48,7 +50,7 @@
             return Ok(identity);
         }
         let identity = Identity::new(host);
-        // What lies there without a readable identity can't be trusted to be this replica's.
+        // Without an identity, an existing log may belong to another replica.
         match std::fs::remove_dir_all(folder.join(LOG_FOLDER)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(failed(error)),
             _ => {}
@@ -57,7 +59,7 @@
         Ok(identity)
     }
 
-    /// The folder of this replica's log.
+    /// The folder of the replica's log.
     pub fn log_folder(folder: &Path) -> std::path::PathBuf {
         folder.join(LOG_FOLDER)
     }
@@ -82,7 +84,7 @@
     }
 }
 
-/// The id of a replica that founds the system on a host.
+/// The id of the bootstrap replica on a host.
 fn founder_id(ip: IpAddr) -> NodeId {
     let hash = blake3::hash(ip.to_string().as_bytes());
     let mut bytes = [0; 8];
--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -1,4 +1,5 @@
-//! Connections to other replicas: one outgoing connection to each host, for frames one way.
+//! Connections to other replicas. Each replica keeps one outgoing connection per host, which
+//! carries frames in one direction only.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,16 +16,16 @@
 use crate::ids::{DomainId, NodeId};
 use crate::net;
 
-/// Frames that wait for a connection. The log sends again what is lost.
+/// Frames queued for a connection. Further frames are dropped; Raft retransmits.
 const QUEUE_LEN: usize = 64;
-/// Longest time to connect: replicas are a few milliseconds apart.
+/// Connection timeout. Replicas are a few milliseconds apart.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after a failure.
+/// Delay after a failed connection attempt.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A connection whose bytes are not acknowledged for this long is given up.
+/// A connection whose data is not acknowledged for this long is closed.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// OutgoingLink connections of one replica.
+/// The outgoing connections of a replica.
 pub struct Links {
     own_id: NodeId,
     ip: IpAddr,
@@ -33,20 +34,20 @@
     outgoing: RefCell<HashMap<IpAddr, OutgoingLink>>,
 }
 
-/// The way to one host.
+/// The connection to one host.
 struct OutgoingLink {
     frames: mpsc::Sender<Arc<[u8]>>,
-    /// Rings when the host is heard: it can be connected to now.
+    /// Notified when the host has connected to this one and is therefore reachable.
     reachable: Rc<Notify>,
 }
 
 impl Links {
-    /// No connections yet. Replicas listen at the same port on all hosts.
+    /// Creates the links without connecting. All replicas listen on the same port.
     pub fn new(own_id: NodeId, ip: IpAddr, failure_domain: DomainId, port: u16) -> Links {
         Links { own_id, ip, failure_domain, port, outgoing: RefCell::default() }
     }
 
-    /// Queues a frame for a host. A full queue loses it.
+    /// Queues a frame for a host. The frame is dropped if the queue is full.
     pub fn send(&self, to: IpAddr, frame: Arc<[u8]>) {
         let mut outgoing = self.outgoing.borrow_mut();
         let link = outgoing.entry(to).or_insert_with(|| {
@@ -65,11 +66,11 @@
             ));
             OutgoingLink { frames, reachable }
         });
-        // Whoever waits for an answer asks again.
+        // Senders that need an answer retry.
         drop(link.frames.try_send(frame));
     }
 
-    /// A host was heard: a try to connect that hangs or waits since it was down is begun anew.
+    /// Retries a pending connection attempt at once, since the host has just connected to this one.
     pub fn host_reachable(&self, host: IpAddr) {
         if let Some(link) = self.outgoing.borrow().get(&host) {
             link.reachable.notify_waiters();
@@ -94,10 +95,10 @@
                     log::info!("event=replica_lost to={to} reason={:?}", error.to_string());
                 }
             }
-            // Heard meanwhile, it need not be waited for.
+            // Wait less if the host becomes reachable.
             None => drop(tokio::time::timeout(RECONNECT_DELAY, reachable.notified()).await),
         }
-        // What waited is stale by now.
+        // Frames queued in the meantime are outdated.
         while frames.try_recv().is_ok() {}
     }
 }
--- a/src/control/voter_set.rs
+++ b/src/control/voter_set.rs
@@ -1,5 +1,6 @@
-//! Which replicas vote: joins, promotions of those that have caught up, and removals of those whose
-//! place was taken. Pure; the leader asks for one step at a time.
+//! Decides membership changes: adds replicas that ask to join, promotes learners that have caught
+//! up, and removes replicas that failed or were replaced. Pure; the leader takes one step at a
+//! time.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,51 +10,52 @@
 use crate::ids::NodeId;
 use crate::log::Members;
 
-/// A voter that was not heard for this long gives its place to a replica that has caught up. Longer
-/// than an election and a slow sync; short enough that a repair ends before the next loss is due
-/// (4 s after a replacement starts).
+/// A voter not heard from for this long is replaced by a learner. Longer than an election or a slow
+/// disk sync, and short enough for the repair to end before the next failure, expected 4 s after a
+/// replacement starts at the earliest.
 pub const VOTER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A replica that asks to join counts as present for this long.
+/// A join request counts for this long after it was received.
 const JOIN_REQUEST_TTL: Duration = Duration::from_secs(2);
-/// A learner that was not heard for this long is taken out.
+/// A learner not heard from for this long is removed.
 const LEARNER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Learners kept beside the voters.
+/// Maximum number of learners.
 const MAX_LEARNERS: usize = 4;
 
-/// A step towards a sound set of voters.
+/// A step towards the desired set of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipStep {
-    /// Record where a replica is reached.
+    /// Records the address of a replica.
     SetAddress(NodeId, IpAddr),
-    /// Let a replica learn.
+    /// Adds a replica as a learner.
     AddLearner(NodeId),
-    /// Let a learner vote, if it has caught up.
+    /// Makes a learner a voter, once it has caught up.
     Promote(NodeId),
-    /// Take a replica out.
+    /// Removes a replica.
     Remove(NodeId),
 }
 
-/// Who asked to join and who was heard, as the leader knows it.
+/// The leader's record of join requests and of when each replica was last heard from.
 #[derive(Clone, Debug, Default)]
 pub struct PeerActivity {
     join_requests: BTreeMap<NodeId, (IpAddr, BootTime)>,
     last_heard: BTreeMap<NodeId, BootTime>,
-    /// Nobody counts as silent earlier than this, plus the period.
+    /// Lower bound for the last contact with any replica: silence is measured from here at the
+    /// earliest.
     tracked_since: BootTime,
 }
 
 impl PeerActivity {
-    /// Starts over: this replica has just become the leader.
+    /// Discards all records when this replica becomes the leader.
     pub fn reset(&mut self, now: BootTime) {
         *self = PeerActivity { tracked_since: now, ..PeerActivity::default() };
     }
 
-    /// A replica asks to join.
+    /// Records a request to join.
     pub fn record_join_request(&mut self, node: NodeId, ip: IpAddr, now: BootTime) {
         self.join_requests.insert(node, (ip, now));
     }
 
-    /// A replica was heard.
+    /// Records contact with a replica.
     pub fn record_contact(&mut self, node: NodeId, now: BootTime) {
         self.last_heard.insert(node, now);
     }
@@ -63,7 +65,7 @@
         now.saturating_sub(last)
     }
 
-    /// The next step; `wanted` is how many voters there should be.
+    /// The next step towards `desired_voters` voters, if one is needed.
     pub fn next_step(
         &self,
         own_id: NodeId,
@@ -87,7 +89,8 @@
                 return Some(MembershipStep::AddLearner(*node));
             }
         }
-        // Another replica asked from its host after it did: its disk is gone.
+        // Another replica on the same host has asked to join more recently, so the disk of this one
+        // was replaced.
         let is_superseded = |node: NodeId| {
             let ip = addresses.get(&node);
             let own = self.join_requests.get(&node).map(|(_, at)| *at);
