--- a/src/control/reader_election.rs
+++ b/src/control/reader_election.rs
@@ -1,75 +1,79 @@
-//! Which replica reads the platform's list of targets, and when. Pure.
+//! Decides when a replica reads the platform's target list. Pure.
 //!
-//! The leader reads regularly. Another replica does once it is asked to, or once nobody has for long. From
-//! the moment at which the list shows that a target leaves until a replica knows it, at most 1.97 s
-//! pass, of the 3 s after which that target must get no new work, if one of the first two that are asked
-//! reaches the list, and 2.53 s as long as one replica does. Of the former: 0.35 s for an answer that came just
-//! too early, 0.5 s to the leader's next call, 0.35 s until it asks others, the rest until one of these has read.
+//! The leader reads at regular intervals. Another replica reads when it is asked to, or when nobody
+//! has read for a while. A leaving target must get no new work 3 s after the list shows it as
+//! leaving. A replica knows of it at most 1.97 s after the list does if the list answers one of the
+//! first two replicas that are asked, and 2.53 s if it answers any replica. The 1.97 s are made up
+//! of 0.35 s for an answer just before the change, 0.5 s until the next read of the leader, 0.35 s
+//! until the leader asks others, and the time until one of those has read.
 
 use std::time::Duration;
 
 use crate::clock::BootTime;
 
-/// How often the list is read. It lags by about 800 ms by itself, and a leaving target must get no
-/// new work 3 s after it is listed so; each read has a price.
+/// How often the list is read. It lags by about 800 ms, and a leaving target must get no new work 3
+/// s after it is listed as leaving. Each request is charged.
 pub const READ_INTERVAL: Duration = Duration::from_millis(500);
-/// A page that has not come after this time makes another replica read, too. Many times what it takes.
+/// The leader asks other replicas to read when a page takes longer than this, which is many times
+/// the usual duration.
 pub const SLOW_PAGE_TIMEOUT: Duration = Duration::from_millis(350);
-/// Longest time for one page.
+/// Timeout of a request for a page.
 pub const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// How often a replica that does not lead looks whether it must read.
+/// How often a replica that is not the leader checks whether it should read.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// A replica that does not lead reads the list once nobody has for this long.
+/// A replica that is not the leader reads when nobody has read for this long.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Spreads replicas that take over at the same time.
+/// Maximum random delay added to `TAKEOVER_TIMEOUT`, so that replicas do not take over all at once.
 const TAKEOVER_JITTER: Duration = Duration::from_millis(600);
-/// Replicas that were asked read one after another: the next one only if those before it are late, too,
-/// since each call has a price, and more of them make a slow list slower.
+/// Delay between the reads of consecutive replicas on request. A replica reads only if those before
+/// it are slow too, since requests are charged and slow down a list under load.
 const REQUEST_STAGGER: Duration = Duration::from_millis(400);
 
-/// What a replica knows of reads of the list, by itself and others.
+/// What a replica knows of the reads of the list by all replicas.
 #[derive(Clone, Copy, Debug)]
 pub struct ReaderElection {
-    /// When the newest read that is known to have succeeded began: an answer tells nothing later.
+    /// When the latest successful read began. The read shows no changes made after that.
     read_at: BootTime,
-    /// How long that read took: a list of many pages takes a second.
+    /// Duration of the latest read. A list with many pages takes about 1 s.
     last_duration: Duration,
-    /// When a replica first said that it fails to read, unless one has read since.
+    /// When another replica first asked for a read, if no read has begun and succeeded since.
     requested_at: Option<BootTime>,
 }
 
 impl ReaderElection {
-    /// Nothing is known; a replica that has just started waits for others first.
+    /// Starts as if the list was read at `now`, so that a replica that has just started waits for
+    /// others first.
     pub fn new(now: BootTime) -> ReaderElection {
         ReaderElection { read_at: now, last_duration: Duration::ZERO, requested_at: None }
     }
 
-    /// When the newest read began.
+    /// When the latest successful read began.
     pub fn read_at(&self) -> BootTime {
         self.read_at
     }
 
-    /// A read that began then has succeeded.
+    /// Records a successful read that began at `began`.
     pub fn record_read(&mut self, began: BootTime) {
         self.read_at = self.read_at.max(began);
         self.requested_at = self.requested_at.filter(|requested| began < *requested);
     }
 
-    /// The newest read took so long.
+    /// Records the duration of the latest read.
     pub fn record_duration(&mut self, last_duration: Duration) {
         self.last_duration = last_duration;
     }
 
-    /// Another replica fails to read, or is late.
+    /// Records that another replica fails to read or gets slow answers.
     pub fn record_request(&mut self, now: BootTime) {
         self.requested_at = self.requested_at.or(Some(now));
     }
 
-    /// When a replica that does not lead reads. Its place among the others is between 0 and 1, and
-    /// `before` of them are asked before it; a long list is read every `read_every`.
+    /// When a replica that is not the leader should read. `jitter` is between 0 and 1, `rank` is
+    /// the number of replicas that are to read before it on request, and `read_interval` is the
+    /// regular interval.
     pub fn takeover_at(&self, jitter: f64, rank: usize, read_interval: Duration) -> BootTime {
         let idle_timeout = TAKEOVER_TIMEOUT + TAKEOVER_JITTER.mul_f64(jitter);
-        // That read, and the next one.
+        // Time for the latest read and the next one.
         let read_time = self.last_duration * 2;
         let idle_deadline = self.read_at + read_time + idle_timeout.max(read_interval * 2);
         let requested =
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list of targets: the leader does, and another replica when it falls silent.
+//! Polls the platform's target list and updates the roster. The leader reads; other replicas take
+//! over when it does not.
 
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
@@ -21,27 +22,29 @@
 use crate::platform::instances::{self, Page};
 use crate::telemetry::roles::ReplicaMetrics;
 
-/// A list is read once in this time at the least, however few calls it takes.
+/// Upper limit of the interval between reads, however low the allowed rate is.
 const MAX_READ_INTERVAL_S: f64 = 60.0;
-/// Readers use at most this part of the calls that the list takes: when a leader changes, two read.
+/// Share of the allowed rate that one reader uses. Two replicas read for a while when the leader
+/// changes.
 const RATE_SHARE: f64 = 0.6;
-/// A page that was asked for too often is asked for again within this time, so many times.
+/// A page refused with status 429 is requested again after a random delay of up to
+/// `PAGE_RETRY_DELAY`, at most `MAX_PAGE_RETRIES` times.
 const PAGE_RETRY_DELAY: Duration = Duration::from_millis(250);
 const MAX_PAGE_RETRIES: u32 = 8;
-/// More pages than this are taken for a mistake.
+/// A list with more pages than this is rejected.
 const MAX_PAGES: usize = 1_000;
 
-/// Where the list is, and how often it may be asked.
+/// The address of the target list and its rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetListSource {
     /// The address.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all hosts together.
+    /// Requests per second allowed from all hosts together; 0 if no limit is known.
     pub rate_per_s: f64,
 }
 
 impl TargetListSource {
-    /// How often a list of so many pages may be read.
+    /// The interval between reads of a list with this many pages.
     pub fn read_interval(&self, pages: usize) -> Duration {
         if self.rate_per_s <= 0.0 {
             return READ_INTERVAL;
@@ -51,7 +54,7 @@
     }
 }
 
-/// Reads for as long as the process lives, whenever it is this replica's turn.
+/// Reads the list for as long as the process lives, whenever this replica should.
 pub async fn run(
     shared: Rc<Shared>,
     own: IpAddr,
@@ -62,13 +65,13 @@
     Reader { shared, own, list: list.address, metrics, next_request_at }.run(list).await;
 }
 
-/// The list's reader at one replica.
+/// Reads the target list at one replica.
 struct Reader {
     shared: Rc<Shared>,
     own: IpAddr,
     list: SocketAddr,
     metrics: Rc<ReplicaMetrics>,
-    /// Others are asked to read once for each read here that fails.
+    /// Other replicas are asked to read at most once per failed read.
     next_request_at: Cell<BootTime>,
 }
 
@@ -109,13 +112,13 @@
         }
     }
 
-    /// Has other replicas read at once: the list may be out of this one's reach alone, and what leaves
-    /// must be known everywhere in time.
+    /// Asks the other replicas to read. The list may be unreachable from this host only, and
+    /// leaving targets must be known everywhere in time.
     fn request_reads(&self) {
         let now = boot_now();
         let view = self.shared.view.borrow();
-        // Others who read were asked with all the rest, or come one after another: asked once more, all
-        // of them would go on reading for as long as the list is slow.
+        // Replicas that read on request do not ask again: the requests would keep all of them
+        // reading for as long as the list is slow.
         if !view.leads || now < self.next_request_at.get() {
             return;
         }
@@ -156,10 +159,10 @@
                 return Ok(TargetList { listing: listing.finish()?, pages });
             }
         }
-        Err("the list does not end".into())
+        Err("the target list has too many pages".into())
     }
 
-    /// Reads a page, again after a while if the list has been asked too often.
+    /// Reads a page, and retries if the rate limit was exceeded.
     async fn read_page(&self, token: Option<&str>) -> Result<Page, CallError> {
         let mut retries = 0;
         loop {
@@ -170,12 +173,12 @@
                     retries += 1;
                     tokio::time::sleep(PAGE_RETRY_DELAY.mul_f64(rand::rng().random())).await;
                 }
-                status => return Err(format!("the list answers {status}").into()),
+                status => return Err(format!("the target list answers {status}").into()),
             }
         }
     }
 
-    /// Fetches a page, and has others read if it takes long.
+    /// Requests a page, and asks the other replicas to read if the answer is slow.
     async fn fetch_page(&self, token: Option<&str>) -> Result<Answer, CallError> {
         let call = Exchange::new(self.list, Method::GET, &instances::page_path(token));
         let mut fetching = pin!(fetch(call, PAGE_TIMEOUT));
@@ -189,7 +192,7 @@
     }
 }
 
-/// What tells another replica that has one list of the next one.
+/// The frame that updates a replica from the roster `before` to `now`.
 fn roster_change(before: &VersionedRoster, now: &VersionedRoster) -> ReplicaFrame {
     let RosterChange { changed, gone } = before.roster.change_to(&now.roster);
     ReplicaFrame::RosterChanged {
@@ -201,14 +204,15 @@
     }
 }
 
-/// Waits until this replica should read: as soon as it leads, since all replicas may have just started
-/// and entries wait for the first list, and then regularly, or once another one fails to or nobody does.
+/// Waits until this replica should read. A new leader reads at once, since entries wait for a first
+/// roster after all replicas have restarted. After that the leader reads at regular intervals;
+/// other replicas read when asked to, or when nobody has read for a while.
 async fn wait_for_turn(shared: &Shared, own: IpAddr, read_interval: Duration) {
     let mut view = shared.view.subscribe();
     let led = view.borrow_and_update().leads;
     tokio::select! {
         () = tokio::time::sleep(read_interval) => {}
-        // The sender lives as long as `shared`.
+        // Never fails: `shared` holds the sender.
         _ = view.wait_for(|view| view.leads && !led) => {}
     }
     let jitter = rand::rng().random();
@@ -227,14 +231,14 @@
     }
 }
 
-/// How many replicas that don't lead are asked to read before this one.
+/// This replica's position in the order in which replicas that are not the leader read on request.
 fn request_rank(shared: &Shared, own: IpAddr) -> usize {
     let view = shared.view.borrow();
     let others = view.state.replica_addresses.values().filter(|ip| Some(**ip) != view.leader);
     others.filter(|ip| **ip < own).count()
 }
 
-/// Tells that this replica reads the list, which another one did before.
+/// Logs that this replica reads the list after another one did.
 fn log_turn(shared: &Shared) {
     let unread = boot_now().saturating_sub(shared.reader_election.get().read_at());
     log::info!(
@@ -245,7 +249,7 @@
     );
 }
 
-/// A whole list.
+/// A complete target list.
 struct TargetList {
     listing: Listing,
     pages: usize,
--- a/src/control/unreadable_log.rs
+++ b/src/control/unreadable_log.rs
@@ -1,4 +1,4 @@
-//! Tells of entries of the platform's list that can't be read.
+//! Logs entries of the target list that cannot be parsed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use crate::clock::BootTime;
 use crate::fleet::{Listing, UnreadableEntry};
 
-/// A line is written no more often than this, whatever other writers do.
+/// Shortest time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Entries that one line names.
+/// Maximum number of entries in a log line.
 const MAX_LOGGED_ENTRIES: usize = 5;
 
-/// Writes a line when the entries that can't be read are others than before.
+/// Logs the unreadable entries when they change.
 #[derive(Debug, Default)]
 pub struct UnreadableEntryLog {
     logged_entries: BTreeSet<UnreadableEntry>,
@@ -19,7 +19,8 @@
 }
 
 impl UnreadableEntryLog {
-    /// Takes a list that was read. Returns whether a line was written.
+    /// Logs the unreadable entries of a list that was read, if they differ from those logged last.
+    /// Returns whether a line was logged.
     pub fn log_if_changed(&mut self, listing: &Listing, now: BootTime) -> bool {
         let is_due = self.logged_at.is_none_or(|at| now >= at + LOG_INTERVAL);
         if *listing.unreadable() == self.logged_entries || !is_due {
