--- a/src/control/checksummed_file.rs
+++ b/src/control/checksummed_file.rs
@@ -1,4 +1,4 @@
-//! Soft state in a file of a replica: a checksum, then the content.
+//! Files for a replica's soft state: a checksum followed by the postcard encoding.
 
 use std::fs::File;
 use std::io;
@@ -7,37 +7,39 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The checksum before the content.
+/// Size of the checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// What a write must outlast.
+/// The kind of failure that a write must survive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// The process.
+    /// The process ends; the host keeps running.
     ProcessCrash,
-    /// A loss of power.
+    /// The host loses power.
     PowerLoss,
 }
 
-/// Reads what was kept.
+/// Reads a file.
 ///
 /// # Errors
-/// A reason, if nothing that can be read was.
+///
+/// If the file is missing, damaged or cannot be decoded.
 pub fn load<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, String> {
     let bytes = std::fs::read(folder.join(name)).map_err(|error| error.to_string())?;
     let Some((checksum, body)) = bytes.split_at_checked(CHECKSUM_BYTES) else {
-        return Err("too short".to_string());
+        return Err("the file is too short".to_string());
     };
     if checksum != crc32fast::hash(body).to_le_bytes() {
-        return Err("the checksum differs".to_string());
+        return Err("the checksum does not match".to_string());
     }
     postcard::from_bytes(body).map_err(|error| error.to_string())
 }
 
-/// Replaces what was kept, all at once.
+/// Replaces a file atomically.
 ///
 /// # Errors
-/// Those of the disk.
+///
+/// If the file cannot be written.
 pub fn write<T: Serialize>(
     folder: &Path,
     name: &str,
--- a/src/control/quarantine_file.rs
+++ b/src/control/quarantine_file.rs
@@ -1,7 +1,7 @@
-//! Requests under which targets have ended, on a replica's disk: after a loss of power at all hosts nobody
-//! else knows them, and each would end targets once more until it is known again.
+//! Keeps the quarantine on a replica's disk. After a power loss on all hosts no other copy is left,
+//! and each request in it could crash targets again.
 //!
-//! Ages count on from when they were written: what a host without power misses lengthens a hold.
+//! Ages resume from the time of writing, so time without power lengthens a quarantine.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,16 +14,16 @@
 use crate::quarantine::{Quarantine, Report, Revision};
 
 const FILE: &str = "quarantine";
-/// Between writes: ends of several targets come together.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
+/// Shortest time between writes. Several targets tend to end at about the same time.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What was kept; nothing if nothing was that can be read.
+/// Reads the quarantine; empty if the file is missing or damaged.
 pub fn load(folder: &Path) -> Quarantine {
     let mut quarantine = Quarantine::default();
     match checksummed_file::load::<Vec<Report>>(folder, FILE) {
         Ok(reports) => {
             log::info!("event=quarantine_restored requests={}", reports.len());
-            // All of it is news.
+            // The result only tells whether anything was new.
             let _ = quarantine.observe(reports, boot_now());
         }
         Err(reason) => log::info!("event=quarantine_not_restored reason={reason:?}"),
@@ -31,12 +31,12 @@
     quarantine
 }
 
-/// Keeps it on disk for as long as the process lives.
+/// Writes changes to disk for as long as the process lives.
 pub async fn keep_writing(shared: Rc<Shared>, folder: PathBuf) {
     let mut quarantine = shared.quarantine.subscribe();
     let mut written = Revision::default();
     let mut has_failed = false;
-    // The sender lives as long as `shared`.
+    // `changed` fails only once `shared` is dropped.
     while quarantine.changed().await.is_ok() {
         let (news, all, revision) = {
             let known = quarantine.borrow_and_update();
@@ -59,6 +59,6 @@
                 quarantine.mark_changed();
             }
         }
-        tokio::time::sleep(WRITE_EVERY).await;
+        tokio::time::sleep(WRITE_INTERVAL).await;
     }
 }
--- a/src/control/roster_file.rs
+++ b/src/control/roster_file.rs
@@ -1,9 +1,9 @@
-//! The list of targets on a replica's disk: reading it anew takes a second where it has many pages, and
-//! entries that start wait for it.
+//! Keeps the roster on a replica's disk. Reading a target list of many pages takes about 1 s, and
+//! entries that start wait for a roster.
 //!
-//! The list is soft state: it is written without a sync, at most once a second, and what can't be read is
-//! as if nothing was kept. Targets that have left meanwhile answer as another start, or not at all, until
-//! the leader has read the list.
+//! The roster is soft state. It is written without a sync, and a damaged file is ignored. A target
+//! that has left since the write no longer answers, or answers as another start, until the leader
+//! has read the list.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -15,13 +15,14 @@
 use super::shared::Shared;
 
 const FILE: &str = "targets";
-/// Between writes: lists change with each read while targets come and go.
-const WRITE_EVERY: Duration = Duration::from_secs(1);
+/// Shortest time between writes. The roster may change with each read.
+const WRITE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The list that was kept; the default if there is none that can be read.
+/// Reads the roster; the default if the file is missing or damaged.
 pub fn load(folder: &Path) -> VersionedRoster {
     match checksummed_file::load::<VersionedRoster>(folder, FILE) {
-        // Kept before the first read: entries must not take that for the list.
+        // Written before the first read of the target list. Entries must not take it for an empty
+        // fleet.
         Ok(list) if list.roster.is_empty() => VersionedRoster::default(),
         Ok(list) => {
             log::info!("event=targets_restored number={} count={}", list.number, list.roster.len());
@@ -34,11 +35,11 @@
     }
 }
 
-/// Keeps the list on disk for as long as the process lives.
+/// Writes changes to disk for as long as the process lives.
 pub async fn keep_writing(shared: Rc<Shared>, folder: PathBuf) {
     let mut roster = shared.roster.subscribe();
     let mut has_failed = false;
-    // The sender lives as long as `shared`.
+    // `changed` fails only once `shared` is dropped.
     while roster.changed().await.is_ok() {
         let list = roster.borrow_and_update().clone();
         let into = folder.clone();
@@ -51,6 +52,6 @@
             log::warn!("event=targets_write_failed reason={:?}", error.to_string());
         }
         has_failed = failure.is_some();
-        tokio::time::sleep(WRITE_EVERY).await;
+        tokio::time::sleep(WRITE_INTERVAL).await;
     }
 }
