--- a/src/control/links.rs
+++ b/src/control/links.rs
@@ -57,13 +57,8 @@
             let handshake =
                 encode(&Handshake::Replica { node: self.own_id, ip: self.ip, failure_domain });
             let address = SocketAddr::new(to, self.port);
-            let notified_reachable = reachable.clone();
-            tokio::task::spawn_local(keep_connected(
-                address,
-                handshake,
-                receiver,
-                notified_reachable,
-            ));
+            let notify = reachable.clone();
+            tokio::task::spawn_local(keep_connected(address, handshake, receiver, notify));
             OutgoingLink { frames, reachable }
         });
         // Senders that need an answer retry.
--- a/src/control/operator_server.rs
+++ b/src/control/operator_server.rs
@@ -84,8 +84,8 @@
 impl OperatorServer {
     /// Accepts connections for as long as the process lives.
     pub async fn accept(self: Rc<OperatorServer>, listener: TcpListener) {
-        let take = |stream| drop(tokio::task::spawn_local(self.clone().serve(stream)));
-        net::accept_each(listener, take).await;
+        let spawn_connection = |stream| drop(tokio::task::spawn_local(self.clone().serve(stream)));
+        net::accept_each(listener, spawn_connection).await;
     }
 
     async fn serve(self: Rc<OperatorServer>, stream: TcpStream) {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -47,7 +47,7 @@
     scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) {
-    let take = |stream| {
+    let spawn_connection = |stream| {
         let (scheduling, inputs) = (scheduling.clone(), inputs.clone());
         tokio::task::spawn_local(async move {
             if let Err(error) = serve(stream, scheduling, inputs).await {
@@ -55,7 +55,7 @@
             }
         });
     };
-    net::accept_each(listener, take).await;
+    net::accept_each(listener, spawn_connection).await;
 }
 
 async fn serve(
--- a/src/control/quarantine_publisher.rs
+++ b/src/control/quarantine_publisher.rs
@@ -11,7 +11,7 @@
 use crate::quarantine::Revision;
 
 /// Publishes changes for as long as the process lives.
-pub async fn keep_publishing(shared: Rc<Shared>, own: IpAddr) {
+pub async fn keep_publishing(shared: Rc<Shared>, own_ip: IpAddr) {
     let mut quarantine = shared.quarantine.subscribe();
     let mut sent = Revision::default();
     // `changed` fails only once `shared` is dropped.
@@ -24,7 +24,7 @@
         };
         if !reports.is_empty() {
             let state = shared.view.borrow().state.clone();
-            shared.broadcast(&state, own, &ReplicaFrame::Quarantine(reports));
+            shared.broadcast(&state, own_ip, &ReplicaFrame::Quarantine(reports));
         }
     }
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -181,10 +181,10 @@
             ReplicaFrame::RosterChanged { before, version, changed, gone, remembered } => {
                 let change = changed.listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
-                let heard = change
+                let updated = change
                     .ok()
-                    .and_then(|change| known.advanced(before, version, change, remembered));
-                match heard {
+                    .and_then(|change| known.with_change(before, version, change, remembered));
+                match updated {
                     Some(roster) => self.observe_roster(roster, ip),
                     None => self.shared.links.send(ip, encode(&ReplicaFrame::RosterRequested)),
                 }
@@ -280,9 +280,9 @@
     /// Takes the next step towards the desired set of voters, if one is needed.
     fn advance_membership(&mut self, now: BootTime) {
         let members = self.driver.raft.status().members;
-        let me = self.shared.node;
+        let own_id = self.shared.node;
         let step = self.peer_activity.next_step(
-            me,
+            own_id,
             &members,
             &self.state.replica_addresses,
             self.desired_voters,
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -135,10 +135,10 @@
     /// still be in flight.
     async fn acquire_order_lease(&self, term: Term) -> Option<Term> {
         let holder = self.shared.node;
-        let (sender, decided) = oneshot::channel();
+        let (sender, reply) = oneshot::channel();
         let command = Command::AcquireOrderLease { holder };
         self.inputs.send(Input::Propose(command, sender)).await.ok()?;
-        let Ok(Ok(Reply::OrderLease { previous })) = decided.await else { return None };
+        let Ok(Ok(Reply::OrderLease { previous })) = reply.await else { return None };
         if previous.is_some_and(|previous| previous != holder) {
             log::info!(
                 "event=orders_wait previous={previous:?} wait_ms={}",
--- a/src/control/roster_publisher.rs
+++ b/src/control/roster_publisher.rs
@@ -20,20 +20,20 @@
 enum Sent {
     /// The entry has not subscribed.
     #[default]
-    Silent,
+    Unsubscribed,
     /// The entry has a newer roster than this replica, or this replica has none yet.
     Behind(RosterVersion),
     /// The entry is being sent a whole roster in pieces.
     Pieces {
         /// The roster.
-        list: VersionedRoster,
+        roster: VersionedRoster,
         /// The frames of its pieces.
         frames: PieceFrames,
         /// The index of the next piece.
         next: usize,
     },
     /// The entry has this roster.
-    List(VersionedRoster),
+    Complete(VersionedRoster),
 }
 
 impl RosterPublisher {
@@ -41,12 +41,12 @@
     pub fn subscribe(&mut self, request: RosterSubscription, shared: &Shared) {
         let RosterSubscription { whole, part: (part_of, pieces), detail } = request;
         let find_roster = |version: RosterVersion| {
-            shared.roster_with_version(version).filter(|list| list.number > 0)
+            shared.roster_with_version(version).filter(|roster| roster.number > 0)
         };
         self.detail = detail;
         self.sent = match (find_roster(whole), find_roster(part_of)) {
-            (Some(list), _) => Sent::List(list),
-            (None, Some(list)) => Sent::pieces(list, pieces as usize, shared),
+            (Some(roster), _) => Sent::Complete(roster),
+            (None, Some(roster)) => Sent::pieces(roster, pieces as usize, shared),
             (None, None) => Sent::Behind(whole),
         };
     }
@@ -58,59 +58,62 @@
 
     /// Whether the entry has the current roster or was sent its version.
     pub fn is_up_to_date(&self, shared: &Shared) -> bool {
-        matches!(&self.sent, Sent::List(list) if list.version() == shared.roster.borrow().version())
+        matches!(
+            &self.sent,
+            Sent::Complete(roster) if roster.version() == shared.roster.borrow().version()
+        )
     }
 
     /// The next frame for the entry, if any. Returns one piece at a time so that other updates can
     /// be sent in between.
     pub fn next_frame(&mut self, shared: &Shared) -> Option<Arc<[u8]>> {
         if let Sent::Behind(version) = &self.sent {
-            let known = shared.roster.borrow().clone();
-            if known.number == 0 || known.version() < *version {
+            let current = shared.roster.borrow().clone();
+            if current.number == 0 || current.version() < *version {
                 return None;
             }
-            self.sent = match known.version() == *version {
-                true => Sent::List(known),
-                false => Sent::pieces(known, 0, shared),
+            self.sent = match current.version() == *version {
+                true => Sent::Complete(current),
+                false => Sent::pieces(current, 0, shared),
             };
         }
         match &mut self.sent {
-            Sent::Pieces { list, frames, next } => {
+            Sent::Pieces { roster, frames, next } => {
                 let frame = frames.get(*next).cloned();
                 *next += 1;
                 if *next >= frames.len() {
-                    self.sent = Sent::List(list.clone());
+                    self.sent = Sent::Complete(roster.clone());
                 }
                 frame
             }
-            Sent::List(sent) => {
-                let known = shared.roster.borrow().clone();
-                if known.version() == sent.version() {
+            Sent::Complete(sent) => {
+                let current = shared.roster.borrow().clone();
+                if current.version() == sent.version() {
                     return None;
                 }
                 let frame = match self.detail {
-                    RosterDetail::Changes => shared.roster_change_frame(sent, &known),
-                    RosterDetail::Versions => version_frame(sent, &known),
+                    RosterDetail::Changes => shared.roster_change_frame(sent, &current),
+                    RosterDetail::Versions => version_frame(sent, &current),
                 };
-                *sent = known;
+                *sent = current;
                 Some(frame)
             }
-            Sent::Silent | Sent::Behind(_) => None,
+            Sent::Unsubscribed | Sent::Behind(_) => None,
         }
     }
 }
 
 impl Sent {
-    fn pieces(list: VersionedRoster, next: usize, shared: &Shared) -> Sent {
-        let frames = shared.piece_frames(&list);
-        Sent::Pieces { list, frames, next }
+    fn pieces(roster: VersionedRoster, next: usize, shared: &Shared) -> Sent {
+        let frames = shared.piece_frames(&roster);
+        Sent::Pieces { roster, frames, next }
     }
 }
 
 /// Encodes the current version and the targets that have begun to leave since `sent`.
-fn version_frame(sent: &VersionedRoster, known: &VersionedRoster) -> Arc<[u8]> {
-    let changed = sent.roster.change_to(&known.roster).changed.into_iter();
+fn version_frame(sent: &VersionedRoster, current: &VersionedRoster) -> Arc<[u8]> {
+    let changed = sent.roster.change_to(&current.roster).changed.into_iter();
     let leaving = changed.filter(|listed| listed.presence == Presence::Leaving);
     let leaving = leaving.map(|listed| listed.start).collect();
-    encode(&Update::RosterVersionOnly { version: known.version(), leaving })
+    encode(&Update::RosterVersionOnly { version: current.version(), leaving })
 }
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -57,18 +57,18 @@
 /// Reads the list for as long as the process lives, whenever this replica should.
 pub async fn run(
     shared: Rc<Shared>,
-    own: IpAddr,
+    own_ip: IpAddr,
     list: TargetListSource,
     metrics: Rc<ReplicaMetrics>,
 ) {
     let next_request_at = Cell::default();
-    Reader { shared, own, list: list.address, metrics, next_request_at }.run(list).await;
+    Reader { shared, own_ip, list: list.address, metrics, next_request_at }.run(list).await;
 }
 
 /// Reads the target list at one replica.
 struct Reader {
     shared: Rc<Shared>,
-    own: IpAddr,
+    own_ip: IpAddr,
     list: SocketAddr,
     metrics: Rc<ReplicaMetrics>,
     /// Other replicas are asked to read at most once per failed read.
@@ -82,9 +82,9 @@
         let mut pages = 1;
         let mut last_own_read = None;
         loop {
-            wait_for_turn(&self.shared, self.own, list.read_interval(pages)).await;
+            wait_for_turn(&self.shared, self.own_ip, list.read_interval(pages)).await;
             if last_own_read != Some(self.shared.reader_election.get().read_at()) {
-                log_turn(&self.shared);
+                log_reader_change(&self.shared);
             }
             let began = boot_now();
             match self.read().await {
@@ -124,7 +124,7 @@
         }
         self.next_request_at.set(now + READ_INTERVAL);
         let state = &view.state;
-        self.shared.broadcast(state, self.own, &ReplicaFrame::TargetListReadFailed);
+        self.shared.broadcast(state, self.own_ip, &ReplicaFrame::TargetListReadFailed);
     }
 
     fn record_targets(&self, targets: Vec<Listed>, began: BootTime) {
@@ -142,10 +142,10 @@
         if changed {
             let (number, count) = (roster.number, roster.roster.len());
             log::info!("event=targets_changed number={number} count={count}");
-            self.shared.broadcast(state, self.own, &roster_change(&before, &roster));
+            self.shared.broadcast(state, self.own_ip, &roster_change(&before, &roster));
         }
         let age = boot_now().saturating_sub(began);
-        self.shared.broadcast(state, self.own, &ReplicaFrame::TargetListRead { version, age });
+        self.shared.broadcast(state, self.own_ip, &ReplicaFrame::TargetListRead { version, age });
     }
 
     async fn read(&self) -> Result<TargetList, CallError> {
@@ -207,7 +207,7 @@
 /// Waits until this replica should read. A new leader reads at once, since entries wait for a first
 /// roster after all replicas have restarted. After that the leader reads at regular intervals;
 /// other replicas read when asked to, or when nobody has read for a while.
-async fn wait_for_turn(shared: &Shared, own: IpAddr, read_interval: Duration) {
+async fn wait_for_turn(shared: &Shared, own_ip: IpAddr, read_interval: Duration) {
     let mut view = shared.view.subscribe();
     let led = view.borrow_and_update().leads;
     tokio::select! {
@@ -220,7 +220,7 @@
         && boot_now()
             < shared.reader_election.get().takeover_at(
                 jitter,
-                request_rank(shared, own),
+                request_rank(shared, own_ip),
                 read_interval,
             )
     {
@@ -232,14 +232,14 @@
 }
 
 /// This replica's position in the order in which replicas that are not the leader read on request.
-fn request_rank(shared: &Shared, own: IpAddr) -> usize {
+fn request_rank(shared: &Shared, own_ip: IpAddr) -> usize {
     let view = shared.view.borrow();
     let others = view.state.replica_addresses.values().filter(|ip| Some(**ip) != view.leader);
-    others.filter(|ip| **ip < own).count()
+    others.filter(|ip| **ip < own_ip).count()
 }
 
 /// Logs that this replica reads the list after another one did.
-fn log_turn(shared: &Shared) {
+fn log_reader_change(shared: &Shared) {
     let unread = boot_now().saturating_sub(shared.reader_election.get().read_at());
     log::info!(
         "event=target_list_reader_changed leads={} unread_ms={} number={}",
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -106,9 +106,11 @@
     tasks.spawn("peers", publisher::accept(peers, scheduling.clone(), inputs.clone()));
     let metrics = Rc::new(ReplicaMetrics::new()?);
     let address = SocketAddr::new(host.ip, host.metrics_port);
-    let (measured, waiting) = (shared.clone(), scheduling.clone());
-    let shown = metrics.clone();
-    let metrics_text = move || (StatusCode::OK, metrics_text(&shown, &measured, &waiting));
+    let (metrics_shared, metrics_scheduling) = (shared.clone(), scheduling.clone());
+    let metrics_handle = metrics.clone();
+    let metrics_text = move || {
+        (StatusCode::OK, metrics_text(&metrics_handle, &metrics_shared, &metrics_scheduling))
+    };
     tasks.spawn("metrics", text_server::serve(listen(address).await?, metrics_text));
     let operators = Rc::new(OperatorServer {
         inputs: inputs.clone(),
--- a/src/control/scheduler_service.rs
+++ b/src/control/scheduler_service.rs
@@ -295,8 +295,8 @@
                 self.entry.answer(request_id, outcome.map_err(SchedulerError::from))
             }
             Some(None) => {
-                let waits = Waiter { entry: self.entry.clone(), request_id };
-                self.scheduling.waiters.borrow_mut().insert(waiter, waits);
+                let queued = Waiter { entry: self.entry.clone(), request_id };
+                self.scheduling.waiters.borrow_mut().insert(waiter, queued);
                 self.entry.waiting.borrow_mut().insert(request_id, waiter);
                 // If the connection has ended, `serve` sees that on the read half.
                 let _ = self.entry.answers.send(SchedulerReply::Queued(request_id));
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -15,7 +15,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Tickets are numbered from the term shifted left by this many bits, so that they never repeat
 /// those of an earlier term.
-const TICKETS_PER_TERM: u32 = 36;
+const TICKET_NUMBER_BITS: u32 = 36;
 
 impl SchedulerService {
     /// Synchronizes the scheduler for as long as the process lives.
@@ -39,7 +39,7 @@
             }
             if !self.is_active(term) {
                 log::info!("event=scheduler_started term={term}");
-                let first_ticket = term << TICKETS_PER_TERM;
+                let first_ticket = term << TICKET_NUMBER_BITS;
                 *self.active.borrow_mut() = Some((term, self.new_scheduler(first_ticket)));
                 (deployment_version, roster_version) = (0, RosterVersion::default());
             }
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -27,7 +27,7 @@
 /// The term is shifted left by this many bits to give the first roster number of a term, so that
 /// numbers keep rising after all replicas have restarted without a roster while entries still hold
 /// one.
-const ROSTERS_PER_TERM: u32 = 24;
+const ROSTER_NUMBER_BITS: u32 = 24;
 
 /// Number of earlier rosters kept: a few seconds of history if every read changes the roster.
 const EARLIER_ROSTERS: usize = 4;
@@ -120,10 +120,10 @@
 
 impl Shared {
     /// Sends a frame to the hosts of all other replicas.
-    pub fn broadcast(&self, state: &ControlState, own: IpAddr, frame: &ReplicaFrame) {
+    pub fn broadcast(&self, state: &ControlState, own_ip: IpAddr, frame: &ReplicaFrame) {
         let bytes = encode(frame);
         let hosts: BTreeSet<IpAddr> = state.replica_addresses.values().copied().collect();
-        for host in hosts.into_iter().filter(|host| *host != own) {
+        for host in hosts.into_iter().filter(|host| *host != own_ip) {
             self.links.send(host, bytes.clone());
         }
     }
@@ -133,7 +133,7 @@
         let earlier = self.roster.borrow().clone();
         let before = earlier.version();
         let changed = self.roster.send_if_modified(|known| {
-            known.join(&received);
+            known.merge(&received);
             known.version() != before
         });
         if changed {
@@ -169,23 +169,24 @@
     /// Changes the roster after a read of the target list or a report from an engine. Returns
     /// whether the new roster must be sent to other replicas.
     pub fn change_roster(&self, change: impl FnOnce(&mut Roster) -> bool) -> bool {
-        let least = {
+        let min_number = {
             let view = self.view.borrow();
-            if view.leads { view.term << ROSTERS_PER_TERM } else { 0 }
+            if view.leads { view.term << ROSTER_NUMBER_BITS } else { 0 }
         };
         let earlier = self.roster.borrow().clone();
-        let is_news = self.roster.send_if_modified(|known| {
+        let must_send = self.roster.send_if_modified(|known| {
             let changed = change(Arc::make_mut(&mut known.roster));
-            let is_news = changed || known.number < least;
-            if is_news {
-                *known = VersionedRoster::new(known.number.max(least) + 1, known.roster.clone());
+            let must_send = changed || known.number < min_number;
+            if must_send {
+                *known =
+                    VersionedRoster::new(known.number.max(min_number) + 1, known.roster.clone());
             }
-            is_news
+            must_send
         });
-        if is_news {
+        if must_send {
             self.remember_earlier(earlier);
         }
-        is_news
+        must_send
     }
 
     fn remember_earlier(&self, roster: VersionedRoster) {
--- a/src/control/versioned_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -40,7 +40,7 @@
 
     /// Applies a change. Returns `None` if the change is based on another roster or does not lead
     /// to `version`.
-    pub fn advanced(
+    pub fn with_change(
         &self,
         before: RosterVersion,
         version: RosterVersion,
@@ -58,15 +58,15 @@
 
     /// Merges another roster into this one. Targets that leave according to either roster keep
     /// leaving, and weights found on engines are kept, whichever roster is later.
-    pub fn join(&mut self, other: &VersionedRoster) {
+    pub fn merge(&mut self, other: &VersionedRoster) {
         let (later, earlier) = match other.version() > self.version() {
             true => (other, &*self),
             false => (&*self, other),
         };
         let mut roster = later.roster.clone();
-        let joined = Arc::make_mut(&mut roster);
-        let lacked_leaving = joined.learn_leaving(&earlier.roster);
-        let lacked_weights = joined.learn_weights(&earlier.roster);
+        let merged = Arc::make_mut(&mut roster);
+        let lacked_leaving = merged.learn_leaving(&earlier.roster);
+        let lacked_weights = merged.learn_weights(&earlier.roster);
         let number = match lacked_leaving || lacked_weights {
             true => later.number + 1,
             false => later.number,
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -329,10 +329,14 @@
     };
     let (first, first_remembered) = change(&before, &left);
     let (second, second_remembered) = change(&left, &gone);
-    let told =
-        before.advanced(before.version(), left.version(), first.clone(), first_remembered.clone());
+    let told = before.with_change(
+        before.version(),
+        left.version(),
+        first.clone(),
+        first_remembered.clone(),
+    );
     let told = told.expect("it is of that list");
-    let told = told.advanced(left.version(), gone.version(), second, second_remembered);
+    let told = told.with_change(left.version(), gone.version(), second, second_remembered);
     let told = told.expect("it is of that list");
     assert_eq!(told.version(), gone.version());
     // A lagging list shows it once more, as live.
@@ -340,7 +344,7 @@
     roster.take(before.roster.iter().cloned().collect());
     assert_eq!(roster.get(&leaves).map(|listed| listed.presence), Some(Presence::Leaving));
     let other = VersionedRoster::new(6, before.roster.clone());
-    assert_eq!(other.advanced(before.version(), left.version(), first, first_remembered), None);
+    assert_eq!(other.with_change(before.version(), left.version(), first, first_remembered), None);
 }
 
 /// Bytes that make no list, and pieces out of order.
