--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -151,7 +151,8 @@
                     sent.repeat_ages(repeat_period, &mut bytes);
                     bytes.extend_from_slice(&heartbeat(shared));
                 }
-                next_poll = Instant::now() + if is_current { HEARTBEAT_INTERVAL } else { POLL_INTERVAL };
+                next_poll =
+                    Instant::now() + if is_current { HEARTBEAT_INTERVAL } else { POLL_INTERVAL };
             }
         }
         sent.add_changes(shared, &mut bytes);
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -24,7 +24,7 @@
 
 /// How often Raft timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// Most inputs handled before their effects are persisted together.
+/// Maximum number of inputs handled before their effects are persisted together.
 const MAX_BATCH: usize = 256;
 /// How often a replica announces the entries connected to it, and asks to join if it is not a
 /// member or has no leader.
@@ -37,7 +37,7 @@
 /// Why a command or read has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undecided {
-    /// This replica is not the leader; the leader, if known, is on this host.
+    /// This replica is not the leader; contains the host of the leader, if known.
     NotLeader(Option<IpAddr>),
     /// Leadership was lost before the outcome was known: the command may or may not be committed.
     Unknown,
@@ -66,7 +66,7 @@
     driver: Driver,
     state: ControlState,
     peer_activity: PeerActivity,
-    /// The address from which each peer last connected.
+    /// The host that each peer gave in its last handshake.
     peer_addresses: BTreeMap<NodeId, IpAddr>,
     ip: IpAddr,
     /// The number of voters to maintain.
@@ -423,7 +423,7 @@
         self.log_freshness(now);
     }
 
-    /// Logs each change of freshness. Entries get no updates from a replica that is not current.
+    /// Logs each change of freshness. A replica that is not current sends entries no heartbeats.
     fn log_freshness(&mut self, now: BootTime) {
         let (before, since) = self.freshness;
         let freshness = self.shared.freshness(MAX_STALENESS);
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -222,7 +222,7 @@
             }
             let report = engine_report::read(&target.start, target.address).await;
             if was_busy && report.as_ref().is_some_and(|report| !report.is_busy) {
-                // The load has ended, but with a version that is outdated by now.
+                // The load has ended. Another order is needed if it was for an outdated version.
                 (slot, was_busy) = (None, false);
             }
             if let Some(report) = &report
@@ -289,7 +289,7 @@
         report: &EngineReport,
         fencing: u64,
     ) -> OrderOutcome {
-        // Both may have changed while the report was in flight.
+        // Leadership or the roster may have changed while the report was in flight.
         if !self.may_order(fencing) || !self.is_listed(target) {
             return OrderOutcome::Refused;
         }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -45,8 +45,8 @@
 /// 0.6 s. The round trip between replicas takes about 1 ms, a slow disk sync tens of milliseconds.
 const RAFT_TIMING: RaftTiming =
     RaftTiming { heartbeat: Duration::from_millis(75), election: Duration::from_millis(300) };
-/// Log entries between snapshots. An entry can hold a deployment of several hundred kilobytes, and
-/// the disk a few hundred megabytes.
+/// Log entries between snapshots. A log entry can hold a deployment of several hundred kilobytes,
+/// and the disk a few hundred megabytes.
 const SNAPSHOT_INTERVAL: Index = 256;
 /// Inputs queued while the disk is busy.
 const QUEUE_LEN: usize = 1_024;
--- a/src/control/scheduler_service.rs
+++ b/src/control/scheduler_service.rs
@@ -30,7 +30,7 @@
 /// Shortest time between dispatches triggered by placement events.
 const MIN_DISPATCH_GAP: Duration = Duration::from_millis(2);
 /// A leader whose leadership was not confirmed for this long schedules nothing. Shorter than the
-/// election timeout, so no other leader can exist yet.
+/// election timeout, so no other leader can have been elected.
 const LEADERSHIP_MAX_AGE: Duration = Duration::from_millis(250);
 /// How often to check for confirmed leadership. A commit takes at least 2 ms.
 const LEADERSHIP_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -108,9 +108,9 @@
     /// Waits until `with_scheduler` can succeed. Returns false if this replica no longer schedules
     /// in the term.
     ///
-    /// Leadership is unconfirmed until the first entry of the term is committed, and while a quorum
-    /// is slow to answer. Without the wait, a store inventory read in the meantime would be lost
-    /// until the next read 10 s later, and the parts in the store recomputed.
+    /// Leadership is unconfirmed until the first log entry of the term is committed, and while a
+    /// quorum is slow to answer. Without the wait, a store inventory read in the meantime would be
+    /// lost until the next read 10 s later, and the parts in the store recomputed.
     pub async fn wait_for_leadership(&self, term: Term) -> bool {
         while self.is_active(term) {
             if self.with_scheduler(|_| {}).is_some() {
@@ -188,8 +188,8 @@
             plan.store,
             plan.parts.len()
         );
-        // Otherwise the parts may or may not be gone: they stay excluded from fetches, and the
-        // request is repeated.
+        // Without a success status the parts may or may not be gone: they stay excluded from
+        // fetches, and the request is repeated.
         if matches!(status, Ok(StatusCode::OK)) {
             let _ = self.with_scheduler(|scheduler| scheduler.freed(&plan));
         }
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -55,7 +55,7 @@
     pub roster_update: RefCell<(RosterVersion, RosterVersion, Arc<[u8]>)>,
     /// Decides when this replica reads the target list.
     pub reader_election: Cell<ReaderElection>,
-    /// When this replica was last known to have all committed entries.
+    /// When this replica was last known to have every committed log entry.
     pub caught_up_at: Cell<Option<BootTime>>,
     /// Entries connected to this replica, with the number of connections of each.
     pub connected_entries: RefCell<BTreeMap<String, u32>>,
@@ -67,7 +67,7 @@
     /// When each weight version was named, as far as this replica knows.
     pub named_since: RefCell<RolloutHistories>,
     /// Whether this process has been the leader or has received ages from a leader. Until then it
-    /// may take old weight versions for new ones, since ages in the log lag while disks are slow.
+    /// may take old weight versions for new ones, since recorded ages lag while disks are slow.
     pub has_weight_ages: Cell<bool>,
     /// Requests suspected of crashing targets.
     pub quarantine: watch::Sender<Quarantine>,
@@ -94,10 +94,10 @@
     pub leader: Option<IpAddr>,
 }
 
-/// Whether a replica is up to date. One that is not sends entries no heartbeats.
+/// Whether a replica is up to date. A replica that is not current sends entries no heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It has all recently committed entries and knows the ages of weight versions.
+    /// It has every recently committed log entry and knows the ages of weight versions.
     Current,
     /// It knows no leader.
     NoLeader,
@@ -267,13 +267,13 @@
         weights::ages(&self.named_since.borrow(), boot_now())
     }
 
-    /// Whether this replica had all committed entries at most `within` ago and knows the ages of
-    /// weight versions.
+    /// Whether this replica had every committed log entry at most `within` ago and knows the ages
+    /// of weight versions.
     pub fn is_current(&self, within: Duration) -> bool {
         self.freshness(within) == Freshness::Current
     }
 
-    /// Time since this replica was last known to have all committed entries.
+    /// Time since this replica was last known to have every committed log entry.
     pub fn caught_up_age(&self) -> Duration {
         self.caught_up_at.get().map_or(Duration::MAX, |at| boot_now().saturating_sub(at))
     }
--- a/src/control/voter_set.rs
+++ b/src/control/voter_set.rs
@@ -39,8 +39,8 @@
 pub struct PeerActivity {
     join_requests: BTreeMap<NodeId, (IpAddr, BootTime)>,
     last_heard: BTreeMap<NodeId, BootTime>,
-    /// Lower bound for the last contact with any replica: silence is measured from here at the
-    /// earliest.
+    /// Silence is measured from here at the earliest, so that replicas are not removed for silence
+    /// before this one became the leader.
     tracked_since: BootTime,
 }
 
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -1,6 +1,6 @@
-//! Ages of named weight versions in the replicated log. Without them, a replica that restarts or
-//! joins would take an old version for a new one and restart the grace period of the weights before
-//! it.
+//! Ages of weight versions, kept in the replicated log. Without them, a replica that restarts or
+//! joins would take an old version for a new one and restart the grace period for the versions
+//! before it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
