--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -352,7 +352,7 @@
      "let takes = self.list_from.is_none() && (is_best || waited);", "let takes = is_best || waited;",
      "deployment", "many_hosts"),
     ("platform: pieces of several lists are one", "src/control/pieces.rs",
-     "match list.version() == self.of {", "match true {", "deployment", "many_hosts"),
+     "match versioned.version() == self.of {", "match true {", "deployment", "many_hosts"),
     ("platform: a kept list is not checked", "src/control/checksummed_file.rs",
      "if checksum != crc32fast::hash(body).to_le_bytes() {", "if false {", "deployment", "kept_targets"),
     ("platform: a replica that is told a change forgets who has left", "src/fleet/roster.rs",
--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -73,12 +73,12 @@
             match engine.may_be_born(page.start.born_ms) {
                 true => Ok(page),
                 false => Err(format!(
-                    "the engine was restarted; the one that answered was born at {:?}",
+                    "another start of the engine answered, born {:?}",
                     page.start.born_ms
                 )
                 .into()),
             }
         }
-        status => Err(format!("the engine answered with status {status}").into()),
+        status => Err(format!("the engine answered {status}").into()),
     }
 }
--- a/src/control/engine_report.rs
+++ b/src/control/engine_report.rs
@@ -20,7 +20,7 @@
         fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), REPORT_TIMEOUT).await;
     let report = answer.and_then(|answer| match answer.status {
         StatusCode::OK => verify_start(engine, engines::decode_report(&answer.body)?),
-        status => Err(format!("the engine answered with status {status}").into()),
+        status => Err(format!("the engine answered {status}").into()),
     });
     let warn = |error: &CallError| {
         log::warn!("event=report_missed engine={engine} reason={:?}", error.to_string());
@@ -33,6 +33,5 @@
     if engine.may_be_born(report.born_ms) {
         return Ok(report);
     }
-    Err(format!("the engine was restarted; the one that answered was born at {:?}", report.born_ms)
-        .into())
+    Err(format!("another start of the engine answered, born {:?}", report.born_ms).into())
 }
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -41,14 +41,14 @@
     Damaged,
     /// The assembled roster does not match its version.
     #[snafu(display("the pieces do not form the roster that they name"))]
-    Mixed,
+    VersionMismatch,
 }
 
 /// Splits a roster. Services with few targets come first, so that most routes can be served before
 /// all pieces have arrived.
-pub fn split(list: &VersionedRoster) -> Vec<Piece> {
+pub fn split(versioned: &VersionedRoster) -> Vec<Piece> {
     let mut by_service: BTreeMap<&ServiceId, Vec<&Listed>> = BTreeMap::new();
-    for listed in list.roster.iter() {
+    for listed in versioned.roster.iter() {
         by_service.entry(&listed.service).or_default().push(listed);
     }
     let mut services: Vec<Vec<&Listed>> = by_service.into_values().collect();
@@ -59,7 +59,7 @@
         let from = index as usize * PIECE_LEN;
         let to = targets.len().min(from + PIECE_LEN);
         let targets = CompactTargets::of(targets[from..to].iter().copied());
-        Piece { of: list.version(), index, count, targets }
+        Piece { of: versioned.version(), index, count, targets }
     };
     (0..count).map(piece).collect()
 }
@@ -120,10 +120,10 @@
             return Ok(None);
         }
         let roster = Roster::of_targets(std::mem::take(&mut self.targets));
-        let list = VersionedRoster::new(self.of.number, Arc::new(roster));
-        match list.version() == self.of {
-            true => Ok(Some(list)),
-            false => Err(PieceError::Mixed),
+        let versioned = VersionedRoster::new(self.of.number, Arc::new(roster));
+        match versioned.version() == self.of {
+            true => Ok(Some(versioned)),
+            false => Err(PieceError::VersionMismatch),
         }
     }
 }
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -124,7 +124,7 @@
     let mut suspects = shared.suspects.subscribe();
     view.mark_changed();
     let mut sent = Sent { version: deployment, ..Sent::default() };
-    let mut list = RosterPublisher::default();
+    let mut roster_publisher = RosterPublisher::default();
     let mut incoming = pin!(next_request(read));
     let mut next_poll = Instant::now();
     loop {
@@ -134,13 +134,13 @@
             request = &mut incoming => {
                 let (read, frame) = request?;
                 match frame {
-                    SubscriberRequest::SubscribeRoster(request) => list.subscribe(request, shared),
+                    SubscriberRequest::SubscribeRoster(request) => roster_publisher.subscribe(request, shared),
                     SubscriberRequest::Quarantine(reports) => shared.observe_quarantine(reports),
                     SubscriberRequest::Confirm(id) => sent.confirm = Some(id),
                 }
                 incoming.set(next_request(read));
             }
-            () = tokio::task::yield_now(), if is_current && list.is_sending() => {}
+            () = tokio::task::yield_now(), if is_current && roster_publisher.is_sending() => {}
             changed = domains.changed() => changed.map_err(std::io::Error::other)?,
             changed = view.changed() => changed.map_err(std::io::Error::other)?,
             changed = suspects.changed() => changed.map_err(std::io::Error::other)?,
@@ -157,7 +157,7 @@
         }
         sent.add_changes(shared, &mut bytes);
         if shared.is_current(MAX_STALENESS)
-            && let Some(frame) = list.next_frame(shared)
+            && let Some(frame) = roster_publisher.next_frame(shared)
         {
             bytes.extend_from_slice(&frame);
         }
@@ -228,7 +228,7 @@
         }
         let now = boot_now();
         let is_young = |(_, since): (u64, BootTime)| now.saturating_sub(since) < repeat_period;
-        self.repeats_ages = self.weights.values().any(|namings| namings.iter().any(is_young));
+        self.repeats_ages = self.weights.values().any(|versions| versions.iter().any(is_young));
         bytes.extend_from_slice(&weights_update(&self.weights));
     }
 
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -173,7 +173,7 @@
                     retries += 1;
                     tokio::time::sleep(PAGE_RETRY_DELAY.mul_f64(rand::rng().random())).await;
                 }
-                status => return Err(format!("the target list answers {status}").into()),
+                status => return Err(format!("the target list answered {status}").into()),
             }
         }
     }
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -49,7 +49,7 @@
 enum FollowError {
     #[snafu(display("the store cannot be reached: {source}"))]
     Unreachable { source: CallError },
-    #[snafu(display("the store answered with status {status}"))]
+    #[snafu(display("the store answered {status}"))]
     Refused { status: StatusCode },
     #[snafu(display("the answer cannot be decoded: {source}"))]
     Unreadable { source: serde_json::Error },
--- a/src/control/versioned_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -52,8 +52,8 @@
         }
         let mut roster = Roster::clone(&self.roster);
         roster.advance(change, remembered);
-        let list = VersionedRoster::new(version.number, Arc::new(roster));
-        (list.version() == version).then_some(list)
+        let changed_roster = VersionedRoster::new(version.number, Arc::new(roster));
+        (changed_roster.version() == version).then_some(changed_roster)
     }
 
     /// Merges another roster into this one. Targets that leave according to either roster keep
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -25,8 +25,9 @@
     bound: Duration,
     now: BootTime,
 ) -> Vec<Command> {
-    let all =
-        named.iter().flat_map(|(model, namings)| namings.certain(now).map(move |one| (model, one)));
+    let all = named
+        .iter()
+        .flat_map(|(model, versions)| versions.certain(now).map(move |one| (model, one)));
     let due = all.filter_map(|(model, (version, age))| {
         let known = recorded.get(model).and_then(|ages| ages.get(&version));
         let known = known.copied().unwrap_or_default();
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -361,7 +361,7 @@
         split(&VersionedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
     let mut forged = others[0].clone();
     forged.of = pieces[0].of;
-    assert_eq!(Assembly::default().take(&forged).err(), Some(PieceError::Mixed));
+    assert_eq!(Assembly::default().take(&forged).err(), Some(PieceError::VersionMismatch));
     let last = u32::MAX;
     let mut endless = pieces[0].clone();
     endless.count = last;
