--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -41,7 +41,7 @@
                 scheduling.wait_for_leadership(term).await;
                 let now = boot_now();
                 let recalled = scheduling.with_scheduler(|scheduler| {
-                    // Store events also carry the clock, but the next one may be a long time off.
+                    // Later events from stores carry the clock too, but may be a long time off.
                     page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
                     scheduler.recall(&engine, page.events)
                 });
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -39,7 +39,7 @@
     /// The piece cannot be decoded, or its index or count is invalid.
     #[snafu(display("a piece of the roster is damaged"))]
     Damaged,
-    /// The assembled roster does not match its version.
+    /// The assembled roster does not have the version that the pieces state.
     #[snafu(display("the pieces do not form the roster that they name"))]
     VersionMismatch,
 }
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -194,10 +194,10 @@
 impl Sent {
     /// Appends everything that has changed since it was last sent and may be published now.
     fn add_changes(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
-        // First, since an entry serves as soon as it has received the rest.
+        // Before anything else, since an entry starts to serve once it has received the rest.
         self.add_quarantine(shared, bytes);
-        // A replica that may be behind publishes no other state: an entry that has just started
-        // would begin to serve with an outdated deployment.
+        // A replica that may be behind publishes nothing else to a new entry, which would begin to
+        // serve with an outdated deployment.
         if shared.is_current(MAX_STALENESS) {
             self.add_domains(shared, bytes);
             self.add_leader(shared, bytes);
--- a/src/control/reader_election.rs
+++ b/src/control/reader_election.rs
@@ -1,18 +1,18 @@
-//! Decides when a replica reads the platform's target list. Pure.
+//! Decides when a replica reads the platform's target list. Performs no I/O.
 //!
 //! The leader reads at regular intervals. Another replica reads when it is asked to, or when nobody
 //! has read for a while. A leaving target must get no new work 3 s after the list shows it as
-//! leaving. A replica knows of it at most 1.97 s after the list does if the list answers one of the
-//! first two replicas that are asked, and 2.53 s if it answers any replica. The 1.97 s are made up
-//! of 0.35 s for an answer just before the change, 0.5 s until the next read of the leader, 0.35 s
-//! until the leader asks others, and the time until one of those has read.
+//! leaving. A replica learns of it within 1.97 s if one of the first two replicas that are asked
+//! can read the list, and within 2.53 s if any replica can. The 1.97 s consist of 0.35 s for an
+//! answer sent just before the change, 0.5 s until the next read by the leader, 0.35 s until the
+//! leader asks others, and the time until one of those has read.
 
 use std::time::Duration;
 
 use crate::clock::BootTime;
 
-/// How often the list is read. It lags by about 800 ms, and a leaving target must get no new work 3
-/// s after it is listed as leaving. Each request is charged.
+/// How often the list is read. The list lags by about 800 ms, and a target must get no new work
+/// from 3 s after it is listed as leaving. Each request is charged.
 pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// The leader asks other replicas to read when a page takes longer than this, which is many times
 /// the usual duration.
--- a/src/control/rollout_plan.rs
+++ b/src/control/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! Decides which engines load new weights next. Pure.
+//! Decides which engines load new weights next. Performs no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -24,7 +24,7 @@
         let mut roster_version = RosterVersion::default();
         let mut view = self.shared.view.subscribe();
         loop {
-            // Wake up at once on a change of leadership, since prompts wait for the new scheduler.
+            // A change of leadership wakes this up early, since prompts wait for the new scheduler.
             let _ = tokio::time::timeout(POLL_INTERVAL, view.changed()).await;
             let (leads, term) = {
                 let view = self.shared.view.borrow();
--- a/src/control/voter_set.rs
+++ b/src/control/voter_set.rs
@@ -1,6 +1,6 @@
 //! Decides membership changes: adds replicas that ask to join, promotes learners that have caught
-//! up, and removes replicas that failed or were replaced. Pure; the leader takes one step at a
-//! time.
+//! up, and removes replicas that failed or were replaced. Performs no I/O; the leader takes one
+//! step at a time.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
