--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -134,7 +134,9 @@
             request = &mut incoming => {
                 let (read, frame) = request?;
                 match frame {
-                    SubscriberRequest::SubscribeRoster(request) => roster_publisher.subscribe(request, shared),
+                    SubscriberRequest::SubscribeRoster(request) => {
+                        roster_publisher.subscribe(request, shared)
+                    }
                     SubscriberRequest::Quarantine(reports) => shared.observe_quarantine(reports),
                     SubscriberRequest::Confirm(id) => sent.confirm = Some(id),
                 }
