--- a/src/control/reader_election.rs
+++ b/src/control/reader_election.rs
@@ -59,8 +59,8 @@
     }
 
     /// Records the duration of the latest read.
-    pub fn record_duration(&mut self, last_duration: Duration) {
-        self.last_duration = last_duration;
+    pub fn record_duration(&mut self, duration: Duration) {
+        self.last_duration = duration;
     }
 
     /// Records that another replica fails to read or gets slow answers.
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -207,11 +207,11 @@
     }
 
     /// The frames that transfer a whole roster.
-    pub fn piece_frames(&self, list: &VersionedRoster) -> PieceFrames {
+    pub fn piece_frames(&self, roster: &VersionedRoster) -> PieceFrames {
         let mut cached = self.roster_pieces.borrow_mut();
-        if cached.0 != list.version() {
-            let frames = pieces::split(list).into_iter().map(Update::RosterPiece);
-            *cached = (list.version(), frames.map(|piece| encode(&piece)).collect());
+        if cached.0 != roster.version() {
+            let frames = pieces::split(roster).into_iter().map(Update::RosterPiece);
+            *cached = (roster.version(), frames.map(|piece| encode(&piece)).collect());
         }
         cached.1.clone()
     }
