--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -1,4 +1,4 @@
-//! Records how long ago weights were named, while this replica leads.
+//! Records the ages of weight versions in the log while this replica is the leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,29 +7,25 @@
 
 use super::replica::Input;
 use super::shared::Shared;
-use super::weight_ages::due;
+use super::weight_ages::due_commands;
 use crate::clock::boot_now;
 use crate::scheduler::weights::OldWeights;
 
-/// How often it is looked whether one has.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How often to check for ages to record.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Records ages while this replica leads, for as long as the process lives.
-pub async fn keep_recording(
-    shared: Rc<Shared>,
-    inputs: mpsc::Sender<Input>,
-    old_weights: OldWeights,
-) {
+/// Records ages for as long as the process lives.
+pub async fn run(shared: Rc<Shared>, inputs: mpsc::Sender<Input>, old_weights: OldWeights) {
     let Some(bound) = old_weights.last() else {
         return std::future::pending().await;
     };
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let due = {
-            let belief = shared.belief.borrow();
+            let view = shared.view.borrow();
             let named = shared.named_since.borrow();
-            match belief.leads {
-                true => due(&named, &belief.state.weight_ages, bound, boot_now()),
+            match view.leads {
+                true => due_commands(&named, &view.state.weight_ages, bound, boot_now()),
                 false => Vec::new(),
             }
         };
@@ -38,7 +34,8 @@
             if inputs.send(Input::Propose(command, sender)).await.is_err() {
                 return;
             }
-            // Not decided: it is due again, here or at another leader.
+            // An age that was not committed is still due in the next iteration, here or at another
+            // leader.
             let _ = decided.await;
         }
     }
--- a/src/control/kept_file.rs
+++ b/src/control/checksummed_file.rs
@@ -1,4 +1,4 @@
-//! Soft state in a file of a replica: a checksum, then the content.
+//! Files for a replica's soft state: a checksum followed by the postcard encoding.
 
 use std::fs::File;
 use std::io;
@@ -7,53 +7,55 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The checksum before the content.
+/// Size of the checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// What a write must outlast.
+/// The kind of failure that a write must survive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlasts {
-    /// The process.
-    Process,
-    /// A loss of power.
+pub enum Durability {
+    /// The process ends; the host keeps running.
+    ProcessCrash,
+    /// The host loses power.
     PowerLoss,
 }
 
-/// Reads what was kept.
+/// Reads a file.
 ///
 /// # Errors
-/// A reason, if nothing that can be read was.
+///
+/// If the file is missing, damaged or cannot be decoded.
 pub fn load<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, String> {
     let bytes = std::fs::read(folder.join(name)).map_err(|error| error.to_string())?;
     let Some((checksum, body)) = bytes.split_at_checked(CHECKSUM_BYTES) else {
-        return Err("too short".to_string());
+        return Err("the file is too short".to_string());
     };
     if checksum != crc32fast::hash(body).to_le_bytes() {
-        return Err("the checksum differs".to_string());
+        return Err("the checksum does not match".to_string());
     }
     postcard::from_bytes(body).map_err(|error| error.to_string())
 }
 
-/// Replaces what was kept, all at once.
+/// Replaces a file atomically.
 ///
 /// # Errors
-/// Those of the disk.
+///
+/// If the file cannot be written.
 pub fn write<T: Serialize>(
     folder: &Path,
     name: &str,
     content: &T,
-    outlasts: Outlasts,
+    durability: Durability,
 ) -> io::Result<()> {
     let body = postcard::to_stdvec(content).map_err(io::Error::other)?;
     let mut bytes = crc32fast::hash(&body).to_le_bytes().to_vec();
     bytes.extend_from_slice(&body);
     let draft = folder.join(format!("{name}.draft"));
     std::fs::write(&draft, bytes)?;
-    if outlasts == Outlasts::PowerLoss {
+    if durability == Durability::PowerLoss {
         File::open(&draft)?.sync_all()?;
     }
     std::fs::rename(&draft, folder.join(name))?;
-    if outlasts == Outlasts::PowerLoss {
+    if durability == Durability::PowerLoss {
         File::open(folder)?.sync_all()?;
     }
     Ok(())
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,31 +1,32 @@
-//! Replicas: the replicated state of a deployment, its operators, and updates for entries.
+//! Replicas: consensus on the control state, the operator API, the weight rollout, the scheduler of
+//! the leader, and updates for entries.
 
 pub mod age_recorder;
-pub mod forming;
+pub mod checksummed_file;
+pub mod engine_cache_reader;
+pub mod engine_report;
 pub mod frames;
 pub mod identity;
-pub mod kept_file;
-pub mod kept_quarantine;
-pub mod kept_targets;
 pub mod links;
-pub mod list_publisher;
-pub mod memory_reader;
-pub mod numbered_roster;
-pub mod operators;
-pub mod ordering;
+pub mod operator_server;
 pub mod pieces;
 pub mod publisher;
+pub mod quarantine_file;
 pub mod quarantine_publisher;
 pub mod reader_election;
 pub mod replica;
-pub mod report;
+pub mod rollout;
+pub mod rollout_plan;
+pub mod roster_file;
+pub mod roster_publisher;
 pub mod roster_reader;
 pub mod run;
+pub mod scheduler_service;
 mod scheduler_sync;
-pub mod scheduling;
 pub mod shared;
 pub mod state;
 pub mod store_reader;
-pub mod unreadable;
+pub mod unreadable_log;
+pub mod versioned_roster;
+pub mod voter_set;
 pub mod weight_ages;
-pub mod weights;
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -1,8 +1,9 @@
-//! A list of targets in pieces: a host that knows none serves from the first pieces on, and goes on where
-//! it was when a connection ends in the midst.
+//! Splits a roster into pieces and reassembles them. An entry without a roster can serve from the
+//! first pieces on, and resumes where it was after a broken connection.
 //!
-//! A whole list in one frame has to arrive within the time after which a silent replica is left; else it
-//! begins anew at another replica, and never ends. At 10 Mbit/s that is some 10,000 targets.
+//! A roster sent as one frame would have to arrive before the entry gives up on a silent replica,
+//! or the transfer would restart at another replica each time. At 10 Mbit/s that limits a roster to
+//! about 10,000 targets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,44 +11,44 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use super::numbered_roster::{NumberedRoster, RosterName};
+use super::versioned_roster::{RosterVersion, VersionedRoster};
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Roster};
 use crate::ids::ServiceId;
 
-/// Targets of a piece: some 8 KB, which take a link of 10 Mbit/s some 7 ms.
+/// Targets in a piece: about 8 KB, or 7 ms on a link of 10 Mbit/s.
 const PIECE_LEN: usize = 256;
-/// More pieces are taken for damage: some million targets.
+/// More pieces than this, about a million targets, are rejected as corrupt.
 const MAX_PIECES: u32 = 4_096;
 
-/// A part of a list of targets. The pieces of a list are the same wherever it is known.
+/// A piece of a roster. All replicas split the same roster in the same way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Piece {
-    /// The list.
-    pub of: RosterName,
-    /// Its place among the pieces, from 0.
+    /// The version of the roster.
+    pub of: RosterVersion,
+    /// The zero-based index of the piece.
     pub index: u32,
-    /// How many pieces there are; at least one.
+    /// The number of pieces; at least one.
     pub count: u32,
     targets: CompactTargets,
 }
 
-/// Pieces that make no list.
+/// Why pieces cannot be assembled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PieceError {
-    /// A name is missing, or the place is not one of the list's.
-    #[snafu(display("a piece of a list of targets is damaged"))]
+    /// The piece cannot be decoded, or its index or count is invalid.
+    #[snafu(display("a piece of the roster is damaged"))]
     Damaged,
-    /// All pieces together are another list than they say.
-    #[snafu(display("the pieces of a list of targets are of several lists"))]
-    Mixed,
+    /// The assembled roster does not have the version that the pieces state.
+    #[snafu(display("the pieces do not form the roster that they name"))]
+    VersionMismatch,
 }
 
-/// The pieces of a list: targets of services with few targets come first, so that most routes can be
-/// served before all has arrived.
-pub fn split(list: &NumberedRoster) -> Vec<Piece> {
+/// Splits a roster. Services with few targets come first, so that most routes can be served before
+/// all pieces have arrived.
+pub fn split(versioned: &VersionedRoster) -> Vec<Piece> {
     let mut by_service: BTreeMap<&ServiceId, Vec<&Listed>> = BTreeMap::new();
-    for listed in list.roster.iter() {
+    for listed in versioned.roster.iter() {
         by_service.entry(&listed.service).or_default().push(listed);
     }
     let mut services: Vec<Vec<&Listed>> = by_service.into_values().collect();
@@ -58,42 +59,44 @@
         let from = index as usize * PIECE_LEN;
         let to = targets.len().min(from + PIECE_LEN);
         let targets = CompactTargets::of(targets[from..to].iter().copied());
-        Piece { of: list.name(), index, count, targets }
+        Piece { of: versioned.version(), index, count, targets }
     };
     (0..count).map(piece).collect()
 }
 
 impl Piece {
-    /// Its targets.
+    /// Decodes the targets of the piece.
     ///
     /// # Errors
-    /// If a name is missing.
+    ///
+    /// If the piece cannot be decoded.
     pub fn listed(&self) -> Result<Vec<Listed>, PieceError> {
         self.targets.listed().map_err(|_| PieceError::Damaged)
     }
 }
 
-/// Pieces of one list that have arrived.
+/// The pieces of one roster received so far.
 #[derive(Clone, Debug, Default)]
 pub struct Assembly {
-    of: RosterName,
-    /// The next piece that is wanted: those before it are here.
+    of: RosterVersion,
+    /// The index of the next expected piece.
     next: u32,
     targets: Vec<Listed>,
 }
 
 impl Assembly {
-    /// The list, and how many of its pieces have arrived.
-    pub fn progress(&self) -> (RosterName, u32) {
+    /// The version of the roster, and the number of pieces received.
+    pub fn progress(&self) -> (RosterVersion, u32) {
         (self.of, self.next)
     }
 
-    /// Takes a piece, and returns the list once that is whole. Pieces come in order; one of another list
-    /// begins that list.
+    /// Adds a piece and returns the roster once it is complete. Pieces must come in order; a piece
+    /// of another roster starts over with that one.
     ///
     /// # Errors
-    /// If the pieces make no list; they are forgotten then.
-    pub fn take(&mut self, piece: &Piece) -> Result<Option<NumberedRoster>, PieceError> {
+    ///
+    /// If the pieces do not form a valid roster. They are discarded.
+    pub fn take(&mut self, piece: &Piece) -> Result<Option<VersionedRoster>, PieceError> {
         if piece.of != self.of {
             *self = Assembly { of: piece.of, ..Assembly::default() };
         }
@@ -107,7 +110,7 @@
         added
     }
 
-    fn add(&mut self, piece: &Piece) -> Result<Option<NumberedRoster>, PieceError> {
+    fn add(&mut self, piece: &Piece) -> Result<Option<VersionedRoster>, PieceError> {
         if piece.index != self.next || piece.index >= piece.count || piece.count > MAX_PIECES {
             return Err(PieceError::Damaged);
         }
@@ -117,10 +120,10 @@
             return Ok(None);
         }
         let roster = Roster::of_targets(std::mem::take(&mut self.targets));
-        let list = NumberedRoster::new(self.of.number, Arc::new(roster));
-        match list.name() == self.of {
-            true => Ok(Some(list)),
-            false => Err(PieceError::Mixed),
+        let versioned = VersionedRoster::new(self.of.number, Arc::new(roster));
+        match versioned.version() == self.of {
+            true => Ok(Some(versioned)),
+            false => Err(PieceError::VersionMismatch),
         }
     }
 }
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -1,4 +1,5 @@
-//! Serves connections from other replicas and from entries at the port for peers.
+//! Serves the peer port: receives frames from other replicas, publishes updates to entries, and
+//! hands scheduler clients to the scheduler service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -12,10 +13,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use super::frames::{self, ConfirmId, FromSubscriber, Introduction, ToReplica, Update, encode};
-use super::list_publisher::ListPublisher;
+use super::frames::{self, ConfirmId, Handshake, ReplicaFrame, SubscriberRequest, Update, encode};
 use super::replica::Input;
-use super::scheduling::Scheduling;
+use super::roster_publisher::RosterPublisher;
+use super::scheduler_service::SchedulerService;
 use super::shared::Shared;
 use crate::clock::{BootTime, boot_now};
 use crate::deployment::document::DeploymentVersion;
@@ -25,28 +26,28 @@
 use crate::quarantine::Revision;
 use crate::scheduler::weights::{self, RolloutHistories};
 
-/// How often an entry gets a heartbeat: what it knows is current.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(250);
-/// How often a replica that may be behind looks whether it still is: entries wait for its heartbeat.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
-/// A replica that has not been confirmed by its leader for this long sends no heartbeats, so that entries turn to
-/// another one. Several heartbeats of the log.
-pub const CURRENT_WITHIN: Duration = Duration::from_millis(500);
-/// Longest time for the first frame.
-const INTRODUCTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
-/// Ages of namings are repeated until they are beyond this and each bound that is known here: an
-/// entry's bound is its own.
-const AGES_REPEATED_FOR: Duration = Duration::from_secs(30);
+/// How often an entry gets a heartbeat, which tells it that its state is current.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// How often a replica that is not current checks again. Entries wait for its next heartbeat.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// A replica that has not caught up with its leader for this long stops sending heartbeats, so that
+/// entries fail over to another one. Covers several Raft heartbeats.
+pub const MAX_STALENESS: Duration = Duration::from_millis(500);
+/// Longest wait for the handshake of a new connection.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+/// A connection whose data is not acknowledged for this long is closed.
+const UNACKED_TIMEOUT: Duration = Duration::from_secs(1);
+/// Ages are resent for at least this long after a version was named, and longer if the replica's
+/// own grace period for old weights is longer. Entries may be configured with another grace period.
+const MIN_AGE_REPEAT_PERIOD: Duration = Duration::from_secs(30);
 
 /// Accepts connections for as long as the process lives.
 pub async fn accept(
     listener: TcpListener,
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) {
-    let take = |stream| {
+    let spawn_connection = |stream| {
         let (scheduling, inputs) = (scheduling.clone(), inputs.clone());
         tokio::task::spawn_local(async move {
             if let Err(error) = serve(stream, scheduling, inputs).await {
@@ -54,38 +55,38 @@
             }
         });
     };
-    net::accept_each(listener, take).await;
+    net::accept_each(listener, spawn_connection).await;
 }
 
 async fn serve(
     stream: TcpStream,
-    scheduling: Rc<Scheduling>,
+    scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) -> std::io::Result<()> {
-    net::notice_silence(&stream, UNACKNOWLEDGED)?;
+    net::notice_silence(&stream, UNACKED_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::new(read);
-    let introduction = frames::read(&mut read);
+    let handshake = frames::read(&mut read);
     let shared = &scheduling.shared;
-    match tokio::time::timeout(INTRODUCTION_TIMEOUT, introduction).await?? {
-        Introduction::Replica { node, ip, failure_domain } => {
-            shared.links.heard(ip);
+    match tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await?? {
+        Handshake::Replica { node, ip, failure_domain } => {
+            shared.links.host_reachable(ip);
             shared.domains.send_if_modified(|known| {
                 known.insert(ip, failure_domain.clone()).as_ref() != Some(&failure_domain)
             });
             loop {
-                let frame: ToReplica = frames::read(&mut read).await?;
+                let frame: ReplicaFrame = frames::read(&mut read).await?;
                 if inputs.send(Input::Frame { node, ip, frame }).await.is_err() {
                     return Ok(());
                 }
             }
         }
-        Introduction::Entry { name, failure_domain, deployment, named } => {
+        Handshake::Entry { name, failure_domain, deployment, named } => {
             log::info!("event=entry_connected entry={name} failure_domain={failure_domain}");
             shared.observe_ages(named);
-            *shared.own_entries.borrow_mut().entry(name.clone()).or_default() += 1;
+            *shared.connected_entries.borrow_mut().entry(name.clone()).or_default() += 1;
             let ended = publish_to_entry(read, write, &scheduling, deployment).await;
-            let mut entries = shared.own_entries.borrow_mut();
+            let mut entries = shared.connected_entries.borrow_mut();
             if let Some(count) = entries.get_mut(&name) {
                 *count -= 1;
             }
@@ -96,7 +97,7 @@
             );
             Ok(())
         }
-        Introduction::SchedulerClient { name } => {
+        Handshake::SchedulerClient { name } => {
             let ended = scheduling.serve(read, write).await;
             log::info!(
                 "event=scheduler_client_disconnected entry={name} reason={:?}",
@@ -107,54 +108,58 @@
     }
 }
 
-/// Publishes all that there is to know to an entry, and then what changes, until it goes.
+/// Sends an entry the current state and then every change, until the connection ends.
 async fn publish_to_entry(
     read: BufReader<OwnedReadHalf>,
     mut write: OwnedWriteHalf,
-    scheduling: &Scheduling,
+    scheduling: &SchedulerService,
     deployment: DeploymentVersion,
 ) -> std::io::Result<()> {
     let shared = &scheduling.shared;
-    let repeated_for = scheduling.old_weights.last().unwrap_or_default().max(AGES_REPEATED_FOR);
-    let mut belief = shared.belief.subscribe();
+    let repeat_period =
+        scheduling.old_weights.last().unwrap_or_default().max(MIN_AGE_REPEAT_PERIOD);
+    let mut view = shared.view.subscribe();
     let mut roster = shared.roster.subscribe();
     let mut domains = shared.domains.subscribe();
     let mut suspects = shared.suspects.subscribe();
-    belief.mark_changed();
+    view.mark_changed();
     let mut sent = Sent { version: deployment, ..Sent::default() };
-    let mut list = ListPublisher::default();
-    let mut request = pin!(next_request(read));
-    let mut next_look = Instant::now();
+    let mut roster_publisher = RosterPublisher::default();
+    let mut incoming = pin!(next_request(read));
+    let mut next_poll = Instant::now();
     loop {
         let mut bytes = Vec::new();
-        let is_current = shared.is_current(CURRENT_WITHIN);
+        let is_current = shared.is_current(MAX_STALENESS);
         tokio::select! {
-            asked = &mut request => {
-                let (read, frame) = asked?;
+            request = &mut incoming => {
+                let (read, frame) = request?;
                 match frame {
-                    FromSubscriber::FollowTargets(asked) => list.subscribe(asked, shared),
-                    FromSubscriber::Quarantine(reports) => shared.observe_quarantine(reports),
-                    FromSubscriber::Confirm(id) => sent.confirm = Some(id),
+                    SubscriberRequest::SubscribeRoster(request) => {
+                        roster_publisher.subscribe(request, shared)
+                    }
+                    SubscriberRequest::Quarantine(reports) => shared.observe_quarantine(reports),
+                    SubscriberRequest::Confirm(id) => sent.confirm = Some(id),
                 }
-                request.set(next_request(read));
+                incoming.set(next_request(read));
             }
-            () = tokio::task::yield_now(), if is_current && list.is_sending() => {}
+            () = tokio::task::yield_now(), if is_current && roster_publisher.is_sending() => {}
             changed = domains.changed() => changed.map_err(std::io::Error::other)?,
-            changed = belief.changed() => changed.map_err(std::io::Error::other)?,
+            changed = view.changed() => changed.map_err(std::io::Error::other)?,
             changed = suspects.changed() => changed.map_err(std::io::Error::other)?,
             changed = roster.changed() => changed.map_err(std::io::Error::other)?,
-            () = tokio::time::sleep_until(next_look) => {
+            () = tokio::time::sleep_until(next_poll) => {
                 if is_current {
                     sent.add_domains(shared, &mut bytes);
-                    sent.repeat_ages(repeated_for, &mut bytes);
+                    sent.repeat_ages(repeat_period, &mut bytes);
                     bytes.extend_from_slice(&heartbeat(shared));
                 }
-                next_look = Instant::now() + if is_current { HEARTBEAT_EVERY } else { LOOK_EVERY };
+                next_poll =
+                    Instant::now() + if is_current { HEARTBEAT_INTERVAL } else { POLL_INTERVAL };
             }
         }
         sent.add_changes(shared, &mut bytes);
-        if shared.is_current(CURRENT_WITHIN)
-            && let Some(frame) = list.next_frame(shared)
+        if shared.is_current(MAX_STALENESS)
+            && let Some(frame) = roster_publisher.next_frame(shared)
         {
             bytes.extend_from_slice(&frame);
         }
@@ -164,50 +169,51 @@
     }
 }
 
-/// What an entry sends next.
+/// Reads the next request of an entry.
 async fn next_request(
     mut read: BufReader<OwnedReadHalf>,
-) -> std::io::Result<(BufReader<OwnedReadHalf>, FromSubscriber)> {
+) -> std::io::Result<(BufReader<OwnedReadHalf>, SubscriberRequest)> {
     let frame = frames::read(&mut read).await?;
     Ok((read, frame))
 }
 
-/// What an entry was sent last, but for the list of targets.
+/// What was last sent to an entry, except for the roster.
 #[derive(Default)]
 struct Sent {
     version: DeploymentVersion,
-    /// A request for a confirmation that has no answer yet.
+    /// A confirmation request that has not been answered yet.
     confirm: Option<ConfirmId>,
     domains: BTreeMap<IpAddr, DomainId>,
     weights: RolloutHistories,
-    /// Whether an age that was sent last is one that a bound may depend on.
+    /// Whether the ages sent last include one that is still within the repeat period.
     repeats_ages: bool,
-    /// Who leads, and in which term.
+    /// The leader and its term.
     leader: Option<(Term, IpAddr)>,
-    /// What was known of requests under which targets have ended.
+    /// The quarantine revision that was sent.
     quarantine: Revision,
 }
 
 impl Sent {
-    /// Adds what has changed since it was last sent, as far as this replica may publish it.
+    /// Appends everything that has changed since it was last sent and may be published now.
     fn add_changes(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
-        // Before an entry that has just started knows what it needs to serve.
+        // Before anything else, since an entry starts to serve once it has received the rest.
         self.add_quarantine(shared, bytes);
-        // What this replica has is published only once it is sure not to be behind: an entry that has
-        // just started would otherwise act on an old deployment.
-        if shared.is_current(CURRENT_WITHIN) {
+        // A replica that may be behind publishes nothing else to a new entry, which would begin to
+        // serve with an outdated deployment.
+        if shared.is_current(MAX_STALENESS) {
             self.add_domains(shared, bytes);
             self.add_leader(shared, bytes);
             self.add_weights(shared, bytes);
             self.add_deployment(shared, bytes);
             self.add_confirmation(shared, bytes);
         } else if self.version > 0 {
-            // What is committed stays so: for an entry that serves by an older one it is never wrong.
+            // A newer committed deployment is always safe for an entry that already has an older
+            // one.
             self.add_deployment(shared, bytes);
         }
     }
 
-    /// Confirms that the entry was sent the newest deployment, if it waits for that.
+    /// Appends the answer to a pending confirmation request. Comes after the deployment.
     fn add_confirmation(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         if let Some(id) = self.confirm.take() {
             let age = shared.caught_up_age();
@@ -215,19 +221,21 @@
         }
     }
 
-    /// Repeats ages that a bound may depend on, until they have been sent beyond it. They count from
-    /// when the entry reads them: what has lain in a socket meanwhile makes namings too young for good.
-    fn repeat_ages(&mut self, repeated_for: Duration, bytes: &mut Vec<u8>) {
+    /// Resends the ages while any version is younger than `repeat_period`. An entry counts an age
+    /// from the moment of reading it, so a frame delayed in a socket makes a version look too
+    /// young; the next frame corrects that.
+    fn repeat_ages(&mut self, repeat_period: Duration, bytes: &mut Vec<u8>) {
         if !self.repeats_ages {
             return;
         }
         let now = boot_now();
-        let is_young = |(_, since): (u64, BootTime)| now.saturating_sub(since) < repeated_for;
-        self.repeats_ages = self.weights.values().any(|namings| namings.iter().any(is_young));
+        let is_young = |(_, since): (u64, BootTime)| now.saturating_sub(since) < repeat_period;
+        self.repeats_ages = self.weights.values().any(|versions| versions.iter().any(is_young));
         bytes.extend_from_slice(&weights_update(&self.weights));
     }
 
-    /// Adds in which failure domains replicas are, which decides where the list of targets is asked for.
+    /// Appends the failure domains of replicas, by which entries choose where to subscribe to the
+    /// roster.
     fn add_domains(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let domains = shared.domains.borrow();
         if self.domains != *domains {
@@ -236,12 +244,12 @@
         }
     }
 
-    /// Adds who leads, if another one does than before: prompts wait for its scheduler, a tenth of their
-    /// time until the next heartbeat.
+    /// Appends a heartbeat if the leader has changed. Prompts wait for the scheduler of the new
+    /// leader, and waiting for the next regular heartbeat would use a tenth of their time budget.
     fn add_leader(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let leader = {
-            let belief = shared.belief.borrow();
-            belief.leader.map(|leader| (belief.term, leader))
+            let view = shared.view.borrow();
+            view.leader.map(|leader| (view.term, leader))
         };
         if leader.is_some() && leader != self.leader {
             self.leader = leader;
@@ -249,7 +257,7 @@
         }
     }
 
-    /// Adds requests under which several targets have ended.
+    /// Appends requests under which several targets have ended.
     fn add_quarantine(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let known = shared.quarantine.borrow();
         let reports = known.suspect_reports_since(self.quarantine, boot_now());
@@ -259,8 +267,8 @@
         }
     }
 
-    /// Adds named weights that the entry does not know yet. Before what it needs to serve: it must not place a
-    /// prompt without knowing them.
+    /// Appends weight versions that the entry does not know. Comes before the deployment, since the
+    /// entry must not place a prompt without them.
     fn add_weights(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
         let named = shared.named_since.borrow();
         if self.weights != *named {
@@ -270,10 +278,10 @@
         }
     }
 
-    /// Adds the newest deployment that is committed, as far as this replica knows, if the entry has an older one.
+    /// Appends the newest deployment known here if the entry has an older one.
     fn add_deployment(&mut self, shared: &Shared, bytes: &mut Vec<u8>) {
-        let belief = shared.belief.borrow();
-        if let Some(published) = &belief.state.published
+        let view = shared.view.borrow();
+        if let Some(published) = &view.state.published
             && published.version() > self.version
         {
             self.version = published.version();
@@ -287,8 +295,8 @@
 }
 
 fn heartbeat(shared: &Shared) -> std::sync::Arc<[u8]> {
-    let belief = shared.belief.borrow();
-    let replicas: BTreeSet<_> = belief.state.places.values().copied().collect();
-    let entries = shared.entries.get().map(|entries| entries.max(1));
-    encode(&Update::Heartbeat { replicas, entries, leader: belief.leader, term: belief.term })
+    let view = shared.view.borrow();
+    let replicas: BTreeSet<_> = view.state.replica_addresses.values().copied().collect();
+    let entries = shared.entry_count.get().map(|entries| entries.max(1));
+    encode(&Update::Heartbeat { replicas, entries, leader: view.leader, term: view.term })
 }
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -1,4 +1,5 @@
-//! The task around one replica: its log, its operators' commands, its peers.
+//! The event loop of a replica: drives its log, applies committed commands, and handles frames from
+//! peers and commands from operators.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,11 +9,11 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::forming::{Presence, Step};
-use super::frames::{NumberedRoster, ToReplica, encode};
-use super::publisher::CURRENT_WITHIN;
-use super::shared::{Belief, Currency, Shared, StalePeers};
+use super::frames::{ReplicaFrame, VersionedRoster, encode};
+use super::publisher::MAX_STALENESS;
+use super::shared::{Freshness, ReplicaView, Shared, StalePeers};
 use super::state::{Command, ControlState, Published, Reply};
+use super::voter_set::{MembershipStep, PeerActivity};
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::RosterChange;
 use crate::ids::NodeId;
@@ -21,229 +22,234 @@
 use crate::log::{Entry, Index, Payload, Term};
 use crate::quarantine::Revision;
 
-/// How often timers of the log are looked at.
-const TICK: Duration = Duration::from_millis(25);
-/// Inputs that are taken before their effects are made durable together.
-const BATCH: usize = 256;
-/// How often replicas tell each other which entries they serve, and how often one that no leader
-/// talks to asks to join.
-const TELL: Duration = Duration::from_millis(500);
-/// A replica that has heard no leader for this long asks to join.
-const ASK_TO_JOIN_AFTER: Duration = Duration::from_millis(900);
-/// Entries that a replica told of are counted for this long.
-const ENTRIES_LAST: Duration = Duration::from_secs(2);
+/// How often Raft timers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum number of inputs handled before their effects are persisted together.
+const MAX_BATCH: usize = 256;
+/// How often a replica announces the entries connected to it, and asks to join if it is not a
+/// member or has no leader.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+/// A replica that has not heard from a leader for this long asks to join.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(900);
+/// Entries announced by a peer are counted for this long after the announcement.
+const REMOTE_ENTRIES_TTL: Duration = Duration::from_secs(2);
 
-/// Why there was no decision here.
+/// Why a command or read has no result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Undecided {
-    /// This replica does not lead; the one on this host may.
+    /// This replica is not the leader; contains the host of the leader, if known.
     NotLeader(Option<IpAddr>),
-    /// Leadership was lost on the way: it may or may not be decided.
+    /// Leadership was lost before the outcome was known: the command may or may not be committed.
     Unknown,
 }
 
-/// What the task takes.
+/// Input to the event loop of a replica.
 pub enum Input {
     /// A frame from another replica.
     Frame {
-        /// Its id.
+        /// The sender.
         node: NodeId,
-        /// Its host.
+        /// The host of the sender.
         ip: IpAddr,
         /// The frame.
-        frame: ToReplica,
+        frame: ReplicaFrame,
     },
-    /// Have a command decided.
+    /// Proposes a command and returns its result once it is committed and applied.
     Propose(Command, oneshot::Sender<Result<Reply, Undecided>>),
-    /// Read the deployment, confirmed by a quorum.
+    /// Reads the deployment linearizably, after a quorum has confirmed the leader.
     Read(oneshot::Sender<Result<Option<Published>, Undecided>>),
 }
 
-/// The task.
+/// A replica and its event loop.
 pub struct Replica {
     shared: Rc<Shared>,
     driver: Driver,
     state: ControlState,
-    presence: Presence,
-    /// Hosts that replicas said that they are on.
-    introduced: BTreeMap<NodeId, IpAddr>,
+    peer_activity: PeerActivity,
+    /// The host that each peer gave in its last handshake.
+    peer_addresses: BTreeMap<NodeId, IpAddr>,
     ip: IpAddr,
-    /// Voters that there should be.
-    wanted: usize,
-    decisions: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
-    reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
-    /// Entries of other replicas, with the time at which they told of them.
-    others_entries: BTreeMap<NodeId, (BTreeSet<String>, BootTime)>,
-    /// When another replica first told of its entries.
-    others_heard_from: Option<BootTime>,
+    /// The number of voters to maintain.
+    desired_voters: usize,
+    pending_proposals: BTreeMap<Index, (Term, oneshot::Sender<Result<Reply, Undecided>>)>,
+    pending_reads: BTreeMap<ReadId, oneshot::Sender<Result<Option<Published>, Undecided>>>,
+    /// Entries connected to other replicas, and when each replica announced them.
+    remote_entries: BTreeMap<NodeId, (BTreeSet<String>, BootTime)>,
+    /// When another replica first announced its entries.
+    remote_entries_since: Option<BootTime>,
     heard_leader_at: BootTime,
-    told_at: BootTime,
-    led: bool,
-    /// Whether entries may rely on this replica, as the log told last, and since when.
-    currency: (Currency, BootTime),
+    announced_at: BootTime,
+    was_leader: bool,
+    /// The freshness that was last logged, and since when it holds.
+    freshness: (Freshness, BootTime),
 }
 
-/// What a replica starts from.
-pub struct Start {
-    /// Its log.
+/// The initial values of a replica.
+pub struct ReplicaInit {
+    /// Drives its log.
     pub driver: Driver,
-    /// The state before any snapshot and entry.
+    /// The state to which the snapshot and the log entries are applied.
     pub state: ControlState,
-    /// Its host.
+    /// The host of the replica.
     pub ip: IpAddr,
-    /// Voters that there should be.
-    pub wanted: usize,
+    /// The number of voters to maintain.
+    pub desired_voters: usize,
 }
 
 impl Replica {
-    /// A replica as it starts.
-    pub fn new(shared: Rc<Shared>, start: Start) -> Replica {
+    /// Creates a replica; `run` starts it.
+    pub fn new(shared: Rc<Shared>, init: ReplicaInit) -> Replica {
         Replica {
             shared,
-            driver: start.driver,
-            state: start.state,
-            presence: Presence::default(),
-            introduced: BTreeMap::new(),
-            ip: start.ip,
-            wanted: start.wanted,
-            decisions: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            others_entries: BTreeMap::new(),
-            others_heard_from: None,
+            driver: init.driver,
+            state: init.state,
+            peer_activity: PeerActivity::default(),
+            peer_addresses: BTreeMap::new(),
+            ip: init.ip,
+            desired_voters: init.desired_voters,
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            remote_entries: BTreeMap::new(),
+            remote_entries_since: None,
             heard_leader_at: boot_now(),
-            told_at: BootTime::ZERO,
-            led: false,
-            currency: (Currency::NoLeader, boot_now()),
+            announced_at: BootTime::ZERO,
+            was_leader: false,
+            freshness: (Freshness::NoLeader, boot_now()),
         }
     }
 
-    /// Runs until the disk fails.
+    /// Runs until the disk fails or all senders of inputs are dropped.
     pub async fn run(mut self, inputs: &mut mpsc::Receiver<Input>) {
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let save_ended = self.driver.save_ended();
         while !self.driver.raft.status().stopped {
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.handle_all(input, inputs),
+                    Some(input) => self.handle_batch(input, inputs),
                     None => return,
                 },
                 _ = ticks.tick() => self.tick(),
                 () = save_ended.notified() => {}
             }
-            self.settle();
+            self.process_outputs();
         }
     }
 
-    fn handle_all(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
-        self.take(first);
-        for _ in 1..BATCH {
+    fn handle_batch(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
+        self.handle_input(first);
+        for _ in 1..MAX_BATCH {
             match inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Frame { node, ip, frame } => self.handle_frame(node, ip, frame),
             Input::Propose(command, sender) => self.propose(&command, sender),
             Input::Read(sender) => match self.driver.raft.read() {
-                Ok(read) => drop(self.reads.insert(read, sender)),
+                Ok(read) => drop(self.pending_reads.insert(read, sender)),
                 Err(not_leader) => drop(sender.send(Err(self.not_leader(not_leader)))),
             },
         }
     }
 
-    fn handle_frame(&mut self, node: NodeId, ip: IpAddr, frame: ToReplica) {
+    fn handle_frame(&mut self, node: NodeId, ip: IpAddr, frame: ReplicaFrame) {
         let now = boot_now();
-        self.introduced.insert(node, ip);
-        self.presence.heard(node, now);
+        self.peer_addresses.insert(node, ip);
+        self.peer_activity.record_contact(node, now);
         match frame {
-            // What is meant for a replica whose place this one took must not keep it from joining.
-            ToReplica::Log { to, .. } if to != self.shared.node => {}
-            ToReplica::Log { message, .. } => {
+            // Addressed to a replica that ran on this host earlier. Handling it could keep this one
+            // from joining.
+            ReplicaFrame::Log { to, .. } if to != self.shared.node => {}
+            ReplicaFrame::Log { message, .. } => {
                 if message.is_from_leader() {
                     self.heard_leader_at = now;
                 }
                 self.driver.raft.receive(node, message, now);
             }
-            ToReplica::Join => {
-                self.presence.asked(node, ip, now);
-                // Only the leader can let it in, and it may know but a few others.
-                self.shared.links.send(ip, encode(&ToReplica::Hosts(self.hosts())));
+            ReplicaFrame::Join => {
+                self.peer_activity.record_join_request(node, ip, now);
+                // The sender may know only some of the replicas, and only the leader can add it.
+                self.shared.links.send(ip, encode(&ReplicaFrame::Hosts(self.hosts())));
             }
-            ToReplica::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
-            ToReplica::Roster(roster) => self.observe_roster(roster, ip),
-            ToReplica::RosterChanged { before, name, changed, gone, remembered } => {
+            ReplicaFrame::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
+            ReplicaFrame::Roster(roster) => self.observe_roster(roster, ip),
+            ReplicaFrame::RosterChanged { before, version, changed, gone, remembered } => {
                 let change = changed.listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
-                let heard =
-                    change.ok().and_then(|change| known.advanced(before, name, change, remembered));
-                match heard {
+                let updated = change
+                    .ok()
+                    .and_then(|change| known.with_change(before, version, change, remembered));
+                match updated {
                     Some(roster) => self.observe_roster(roster, ip),
-                    None => self.shared.links.send(ip, encode(&ToReplica::RosterWanted)),
+                    None => self.shared.links.send(ip, encode(&ReplicaFrame::RosterRequested)),
                 }
             }
-            ToReplica::RosterUnread => self.shared.reading.update(|mut reading| {
-                reading.was_asked(now);
-                reading
-            }),
-            ToReplica::RosterRead { name, age } => match self
-                .shared
-                .observe_read(name, now.saturating_sub(age))
-            {
-                Ordering::Less => self.publish_roster(ip),
-                Ordering::Equal => {}
-                Ordering::Greater => self.shared.links.send(ip, encode(&ToReplica::RosterWanted)),
-            },
-            ToReplica::RosterWanted => self.publish_roster(ip),
-            ToReplica::Quarantine(reports) => self.shared.observe_quarantine(reports),
-            ToReplica::QuarantineDigest(digest) => {
+            ReplicaFrame::TargetListReadFailed => {
+                self.shared.reader_election.update(|mut reader_election| {
+                    reader_election.record_request(now);
+                    reader_election
+                })
+            }
+            ReplicaFrame::TargetListRead { version, age } => {
+                match self.shared.observe_read(version, now.saturating_sub(age)) {
+                    Ordering::Less => self.send_roster(ip),
+                    Ordering::Equal => {}
+                    Ordering::Greater => {
+                        self.shared.links.send(ip, encode(&ReplicaFrame::RosterRequested))
+                    }
+                }
+            }
+            ReplicaFrame::RosterRequested => self.send_roster(ip),
+            ReplicaFrame::Quarantine(reports) => self.shared.observe_quarantine(reports),
+            ReplicaFrame::QuarantineDigest(digest) => {
                 let known = self.shared.quarantine.borrow();
                 if known.digest() != digest {
                     let reports = known.reports_since(Revision::default(), now);
-                    self.shared.links.send(ip, encode(&ToReplica::Quarantine(reports)));
+                    self.shared.links.send(ip, encode(&ReplicaFrame::Quarantine(reports)));
                 }
             }
-            ToReplica::NamedAgesWanted => {
+            ReplicaFrame::NamedAgesRequested => {
                 let leads = self.driver.raft.status().is_leader;
-                let ages = ToReplica::NamedAges { named: self.shared.ages(), leads };
+                let ages = ReplicaFrame::NamedAges { named: self.shared.ages(), leads };
                 self.shared.links.send(ip, encode(&ages));
             }
-            ToReplica::NamedAges { named, leads } => {
+            ReplicaFrame::NamedAges { named, leads } => {
                 self.shared.observe_ages(named);
-                self.shared.knows_ages.set(leads || self.shared.knows_ages.get());
+                self.shared.has_weight_ages.set(leads || self.shared.has_weight_ages.get());
             }
-            ToReplica::Entries(entries) => {
-                self.others_entries.insert(node, (entries, now));
-                self.others_heard_from.get_or_insert(now);
+            ReplicaFrame::Entries(entries) => {
+                self.remote_entries.insert(node, (entries, now));
+                self.remote_entries_since.get_or_insert(now);
             }
         }
     }
 
-    fn observe_roster(&self, roster: NumberedRoster, from: IpAddr) {
+    fn observe_roster(&self, roster: VersionedRoster, from: IpAddr) {
         match self.shared.observe_roster(roster) {
             StalePeers::Nobody => {}
-            StalePeers::Sender => self.publish_roster(from),
+            StalePeers::Sender => self.send_roster(from),
             StalePeers::Everybody => {
                 let roster = self.shared.roster.borrow().clone();
-                self.shared.broadcast(&self.state, self.ip, &ToReplica::Roster(roster));
+                self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::Roster(roster));
             }
         }
     }
 
-    fn publish_roster(&self, to: IpAddr) {
+    fn send_roster(&self, to: IpAddr) {
         let roster = self.shared.roster.borrow().clone();
-        self.shared.links.send(to, encode(&ToReplica::Roster(roster)));
+        self.shared.links.send(to, encode(&ReplicaFrame::Roster(roster)));
     }
 
     fn propose(&mut self, command: &Command, sender: oneshot::Sender<Result<Reply, Undecided>>) {
-        // Cannot fail: commands hold only types that the codec writes.
+        // Serialization cannot fail: commands contain only types that postcard supports.
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
         match self.driver.raft.propose(bytes) {
-            Ok((term, index)) => drop(self.decisions.insert(index, (term, sender))),
+            Ok((term, index)) => drop(self.pending_proposals.insert(index, (term, sender))),
             Err(not_leader) => drop(sender.send(Err(self.not_leader(not_leader)))),
         }
     }
@@ -252,93 +258,101 @@
         let now = boot_now();
         self.driver.raft.tick(now);
         let status = self.driver.raft.status();
-        if status.is_leader && !self.led {
-            self.presence.reset(now);
+        if status.is_leader && !self.was_leader {
+            self.peer_activity.reset(now);
         }
-        self.led = status.is_leader;
+        self.was_leader = status.is_leader;
         if status.is_leader {
             self.heard_leader_at = now;
             self.advance_membership(now);
         } else {
-            self.reads.clear();
+            self.pending_reads.clear();
         }
-        if !self.shared.knows_ages.get() {
-            self.shared.broadcast(&self.state, self.ip, &ToReplica::NamedAgesWanted);
+        if !self.shared.has_weight_ages.get() {
+            self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::NamedAgesRequested);
         }
-        if now >= self.told_at + TELL {
-            self.told_at = now;
-            self.publish_entries(now);
+        if now >= self.announced_at + ANNOUNCE_INTERVAL {
+            self.announced_at = now;
+            self.announce(now);
         }
     }
 
-    /// Brings the set of voters one step closer to what it should be.
+    /// Takes the next step towards the desired set of voters, if one is needed.
     fn advance_membership(&mut self, now: BootTime) {
         let members = self.driver.raft.status().members;
-        let me = self.shared.node;
-        let step = self.presence.next_step(me, &members, &self.state.places, self.wanted, now);
+        let own_id = self.shared.node;
+        let step = self.peer_activity.next_step(
+            own_id,
+            &members,
+            &self.state.replica_addresses,
+            self.desired_voters,
+            now,
+        );
         let Some(step) = step else { return };
         let change = match step {
-            Step::Place(node, ip) => {
+            MembershipStep::SetAddress(node, ip) => {
                 let (sender, _) = oneshot::channel();
-                self.propose(&Command::Place { node, ip }, sender);
+                self.propose(&Command::SetReplicaAddress { node, ip }, sender);
                 return;
             }
-            Step::AddLearner(node) => Change::AddLearner(node),
-            Step::Promote(node) => Change::Promote(node),
-            Step::Remove(node) => Change::Remove(node),
+            MembershipStep::AddLearner(node) => Change::AddLearner(node),
+            MembershipStep::Promote(node) => Change::Promote(node),
+            MembershipStep::Remove(node) => Change::Remove(node),
         };
-        // Refused while another change is under way or the learner lacks entries: asked again.
+        // Rejected while another change is in progress or the learner lags; the next tick retries.
         if self.driver.raft.propose_change(change).is_ok() {
             log::info!("event=replicas_change change={change:?} voters={}", members.voters.len());
         }
     }
 
-    fn publish_entries(&mut self, now: BootTime) {
-        let entries: BTreeSet<String> = self.shared.own_entries.borrow().keys().cloned().collect();
-        self.others_entries.retain(|_, (_, at)| now.saturating_sub(*at) < ENTRIES_LAST);
-        let others = self.others_entries.values().flat_map(|(entries, _)| entries);
+    fn announce(&mut self, now: BootTime) {
+        let entries: BTreeSet<String> =
+            self.shared.connected_entries.borrow().keys().cloned().collect();
+        self.remote_entries.retain(|_, (_, at)| now.saturating_sub(*at) < REMOTE_ENTRIES_TTL);
+        let others = self.remote_entries.values().flat_map(|(entries, _)| entries);
         let all: BTreeSet<&String> = entries.iter().chain(others).collect();
-        // Each of several replicas knows a part of the entries; by a part, each may retry too much.
-        let is_only = self.state.places.keys().eq([&self.shared.node]);
-        let has_heard = |from: BootTime| now.saturating_sub(from) >= TELL * 2;
-        if is_only || self.others_heard_from.is_some_and(has_heard) {
-            self.shared.entries.set(Some(all.len() as u32));
+        // Without the announcements of the other replicas the count is too low, and each entry
+        // would take too large a share of the retry budget.
+        let is_only = self.state.replica_addresses.keys().eq([&self.shared.node]);
+        let is_settled = |from: BootTime| now.saturating_sub(from) >= ANNOUNCE_INTERVAL * 2;
+        if is_only || self.remote_entries_since.is_some_and(is_settled) {
+            self.shared.entry_count.set(Some(all.len() as u32));
         }
-        self.shared.broadcast(&self.state, self.ip, &ToReplica::Entries(entries.clone()));
+        self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::Entries(entries.clone()));
         let digest = self.shared.quarantine.borrow().digest();
-        self.shared.broadcast(&self.state, self.ip, &ToReplica::QuarantineDigest(digest));
-        let is_alone = now.saturating_sub(self.heard_leader_at) >= ASK_TO_JOIN_AFTER;
+        self.shared.broadcast(&self.state, self.ip, &ReplicaFrame::QuarantineDigest(digest));
+        let is_leaderless = now.saturating_sub(self.heard_leader_at) >= LEADERLESS_TIMEOUT;
         let is_member = self.driver.raft.status().members.all().any(|id| id == self.shared.node);
-        if is_alone || !is_member {
-            let join = encode(&ToReplica::Join);
+        if is_leaderless || !is_member {
+            let join = encode(&ReplicaFrame::Join);
             for host in self.hosts().into_iter().filter(|host| *host != self.ip) {
                 self.shared.links.send(host, join.clone());
             }
         }
     }
 
-    /// Hosts of all replicas that were ever heard of.
+    /// The hosts of all replicas known from the settings, the state and connections.
     fn hosts(&self) -> BTreeSet<IpAddr> {
         let seeds = self.shared.seeds.borrow();
-        let known = self.state.places.values().chain(self.introduced.values());
+        let known = self.state.replica_addresses.values().chain(self.peer_addresses.values());
         seeds.iter().chain(known).copied().collect()
     }
 
-    fn settle(&mut self) {
-        let (links, places, introduced) =
-            (self.shared.links.clone(), self.state.places.clone(), &self.introduced);
+    fn process_outputs(&mut self) {
+        let (links, addresses, peer_addresses) =
+            (self.shared.links.clone(), self.state.replica_addresses.clone(), &self.peer_addresses);
         let send = |to: NodeId, message| {
-            // Who introduced itself last knows its own address best.
-            if let Some(ip) = introduced.get(&to).or_else(|| places.get(&to)) {
-                links.send(*ip, encode(&ToReplica::Log { to, message }));
+            // A peer's own handshake is more recent than the replicated address.
+            if let Some(ip) = peer_addresses.get(&to).or_else(|| addresses.get(&to)) {
+                links.send(*ip, encode(&ReplicaFrame::Log { to, message }));
             }
         };
         for output in self.driver.process_effects(send) {
             match output {
-                Output::Restore(snapshot) => match ControlState::restored(&snapshot.data) {
+                Output::Restore(snapshot) => match ControlState::from_snapshot(&snapshot.data) {
                     Ok(state) => {
                         self.state = state;
-                        self.decisions.retain(|index, _| *index > snapshot.index);
+                        self.pending_proposals.retain(|index, _| *index > snapshot.index);
                     }
                     Err(_) => {
                         log::error!("event=snapshot_damaged remedy=\"replace this replica\"");
@@ -347,7 +361,7 @@
                 },
                 Output::Apply(entry) => self.apply(&entry),
                 Output::Read(read) => {
-                    if let Some(sender) = self.reads.remove(&read) {
+                    if let Some(sender) = self.pending_reads.remove(&read) {
                         drop(sender.send(Ok(self.state.published.clone())));
                     }
                 }
@@ -355,7 +369,7 @@
         }
         let state = &self.state;
         self.driver.compact(|| state.snapshot());
-        self.publish();
+        self.publish_view();
     }
 
     fn apply(&mut self, entry: &Entry) {
@@ -369,69 +383,70 @@
             },
             Payload::Noop | Payload::Members(_) => None,
         };
-        if let Some((term, sender)) = self.decisions.remove(&entry.index) {
-            let decided = reply.filter(|_| term == entry.term).ok_or(Undecided::Unknown);
-            // The asker may have given up waiting.
-            let _ = sender.send(decided);
+        if let Some((term, sender)) = self.pending_proposals.remove(&entry.index) {
+            let result = reply.filter(|_| term == entry.term).ok_or(Undecided::Unknown);
+            // The receiver may have timed out.
+            let _ = sender.send(result);
         }
     }
 
-    fn publish(&mut self) {
+    fn publish_view(&mut self) {
         let now = boot_now();
         self.shared.observe_named(&self.state, now);
         let status = self.driver.raft.status();
         if status.is_leader {
-            // Before others hear that it leads: what a scheduler is told until then is lost.
-            self.shared.knows_ages.set(true);
+            // Set before the view is published: the scheduler rejects calls until the ages are
+            // known.
+            self.shared.has_weight_ages.set(true);
         }
         self.shared.caught_up_at.set(self.driver.raft.caught_up_at(now));
-        let leader = status.leader.and_then(|node| self.place_of(node));
-        let belief = Belief {
+        let leader = status.leader.and_then(|node| self.address_of(node));
+        let view = ReplicaView {
             state: self.state.clone(),
             term: status.term,
             leads: status.is_leader,
             leader,
         };
-        self.shared.belief.send_if_modified(|before| {
-            if before.leads != belief.leads || before.leader != belief.leader {
+        self.shared.view.send_if_modified(|before| {
+            if before.leads != view.leads || before.leader != view.leader {
                 log::info!(
                     "event=leader_changed term={} leader={:?} here={}",
-                    belief.term,
-                    belief.leader,
-                    belief.leads
+                    view.term,
+                    view.leader,
+                    view.leads
                 );
             }
-            let changed = *before != belief;
-            *before = belief;
+            let changed = *before != view;
+            *before = view;
             changed
         });
-        self.log_currency(now);
+        self.log_freshness(now);
     }
 
-    /// Logs when this replica begins to keep silent towards entries, why, and when that ends.
-    fn log_currency(&mut self, now: BootTime) {
-        let (before, since) = self.currency;
-        let currency = self.shared.currency(CURRENT_WITHIN);
-        if currency == before {
+    /// Logs each change of freshness. A replica that is not current sends entries no heartbeats.
+    fn log_freshness(&mut self, now: BootTime) {
+        let (before, since) = self.freshness;
+        let freshness = self.shared.freshness(MAX_STALENESS);
+        if freshness == before {
             return;
         }
-        self.currency = (currency, now);
+        self.freshness = (freshness, now);
         log::info!(
-            "event=replica_currency now={currency:?} before={before:?} lasted_ms={} term={}",
+            "event=replica_currency now={freshness:?} before={before:?} lasted_ms={} term={}",
             now.saturating_sub(since).as_millis(),
             self.driver.raft.term()
         );
     }
 
-    fn place_of(&self, node: NodeId) -> Option<IpAddr> {
+    fn address_of(&self, node: NodeId) -> Option<IpAddr> {
         if node == self.shared.node {
             return Some(self.ip);
         }
-        self.introduced.get(&node).or_else(|| self.state.places.get(&node)).copied()
+        self.peer_addresses.get(&node).or_else(|| self.state.replica_addresses.get(&node)).copied()
     }
 
     fn not_leader(&self, not_leader: NotLeader) -> Undecided {
         let other = not_leader.leader.filter(|node| *node != self.shared.node);
-        Undecided::NotLeader(other.and_then(|node| self.place_of(node)))
+        Undecided::NotLeader(other.and_then(|node| self.address_of(node)))
     }
 }
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list of targets: the leader does, and another replica when it falls silent.
+//! Polls the platform's target list and updates the roster. The leader reads; other replicas take
+//! over when it does not.
 
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
@@ -9,10 +10,10 @@
 use http::{Method, StatusCode};
 use rand::RngExt;
 
-use super::frames::{NumberedRoster, ToReplica};
-use super::reader_election::{LATE_AFTER, LOOK_EVERY, PAGE_TIMEOUT, READ_EVERY};
+use super::frames::{ReplicaFrame, VersionedRoster};
+use super::reader_election::{PAGE_TIMEOUT, POLL_INTERVAL, READ_INTERVAL, SLOW_PAGE_TIMEOUT};
 use super::shared::Shared;
-use super::unreadable::UnreadableLines;
+use super::unreadable_log::UnreadableEntryLog;
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Listing, RosterChange};
@@ -21,62 +22,69 @@
 use crate::platform::instances::{self, Page};
 use crate::telemetry::roles::ReplicaMetrics;
 
-/// A list is read once in this time at the least, however few calls it takes.
-const RAREST_READ_S: f64 = 60.0;
-/// Readers use at most this part of the calls that the list takes: when a leader changes, two read.
-const RATE_PART: f64 = 0.6;
-/// A page that was asked for too often is asked for again within this time, so many times.
-const PAGE_AGAIN: Duration = Duration::from_millis(250);
-const PAGE_TRIES: u32 = 8;
-/// More pages than this are taken for a mistake.
+/// Upper limit of the interval between reads, however low the allowed rate is.
+const MAX_READ_INTERVAL_S: f64 = 60.0;
+/// Share of the allowed rate that one reader uses. Two replicas read for a while when the leader
+/// changes.
+const RATE_SHARE: f64 = 0.6;
+/// A page refused with status 429 is requested again after a random delay of up to
+/// `PAGE_RETRY_DELAY`, at most `MAX_PAGE_RETRIES` times.
+const PAGE_RETRY_DELAY: Duration = Duration::from_millis(250);
+const MAX_PAGE_RETRIES: u32 = 8;
+/// A list with more pages than this is rejected.
 const MAX_PAGES: usize = 1_000;
 
-/// Where the list is, and how often it may be asked.
+/// The address of the target list and its rate limit.
 #[derive(Clone, Copy, Debug)]
-pub struct ListAddress {
+pub struct TargetListSource {
     /// The address.
     pub address: SocketAddr,
-    /// Calls a second that it takes from all hosts together.
+    /// Requests per second allowed from all hosts together; 0 if no limit is known.
     pub rate_per_s: f64,
 }
 
-impl ListAddress {
-    /// How often a list of so many pages may be read.
-    pub fn read_every(&self, pages: usize) -> Duration {
+impl TargetListSource {
+    /// The interval between reads of a list with this many pages.
+    pub fn read_interval(&self, pages: usize) -> Duration {
         if self.rate_per_s <= 0.0 {
-            return READ_EVERY;
+            return READ_INTERVAL;
         }
-        let by_rate_s = pages as f64 / (self.rate_per_s * RATE_PART);
-        READ_EVERY.max(Duration::from_secs_f64(by_rate_s.min(RAREST_READ_S)))
+        let by_rate_s = pages as f64 / (self.rate_per_s * RATE_SHARE);
+        READ_INTERVAL.max(Duration::from_secs_f64(by_rate_s.min(MAX_READ_INTERVAL_S)))
     }
 }
 
-/// Reads for as long as the process lives, whenever it is this replica's turn.
-pub async fn run(shared: Rc<Shared>, own: IpAddr, list: ListAddress, metrics: Rc<ReplicaMetrics>) {
-    let asks_again_at = Cell::default();
-    Reader { shared, own, list: list.address, metrics, asks_again_at }.run(list).await;
+/// Reads the list for as long as the process lives, whenever this replica should.
+pub async fn run(
+    shared: Rc<Shared>,
+    own_ip: IpAddr,
+    list: TargetListSource,
+    metrics: Rc<ReplicaMetrics>,
+) {
+    let next_request_at = Cell::default();
+    Reader { shared, own_ip, list: list.address, metrics, next_request_at }.run(list).await;
 }
 
-/// The list's reader at one replica.
+/// Reads the target list at one replica.
 struct Reader {
     shared: Rc<Shared>,
-    own: IpAddr,
+    own_ip: IpAddr,
     list: SocketAddr,
     metrics: Rc<ReplicaMetrics>,
-    /// Others are asked to read once for each read here that fails.
-    asks_again_at: Cell<BootTime>,
+    /// Other replicas are asked to read at most once per failed read.
+    next_request_at: Cell<BootTime>,
 }
 
 impl Reader {
-    async fn run(&self, list: ListAddress) {
+    async fn run(&self, list: TargetListSource) {
         let mut failing = false;
-        let mut unreadable = UnreadableLines::default();
+        let mut unreadable = UnreadableEntryLog::default();
         let mut pages = 1;
-        let mut last_own = None;
+        let mut last_own_read = None;
         loop {
-            wait_for_turn(&self.shared, self.own, list.read_every(pages)).await;
-            if last_own != Some(self.shared.reading.get().read_at()) {
-                log_turn(&self.shared);
+            wait_for_turn(&self.shared, self.own_ip, list.read_interval(pages)).await;
+            if last_own_read != Some(self.shared.reader_election.get().read_at()) {
+                log_reader_change(&self.shared);
             }
             let began = boot_now();
             match self.read().await {
@@ -88,12 +96,12 @@
                     pages = read.pages;
                     let count = read.listing.unreadable_count() as u64;
                     self.metrics.unreadable_entries.add(count, &[]);
-                    unreadable.note(&read.listing, boot_now());
-                    self.take(read.listing.into_targets(), began);
-                    last_own = Some(self.shared.reading.get().read_at());
+                    unreadable.log_if_changed(&read.listing, boot_now());
+                    self.record_targets(read.listing.into_targets(), began);
+                    last_own_read = Some(self.shared.reader_election.get().read_at());
                 }
                 Err(error) => {
-                    self.ask_others();
+                    self.request_reads();
                     if !failing {
                         let reason = error.to_string();
                         log::warn!("event=target_list_lost list={} reason={reason:?}", self.list);
@@ -104,24 +112,24 @@
         }
     }
 
-    /// Has other replicas read at once: the list may be out of this one's reach alone, and what leaves
-    /// must be known everywhere in time.
-    fn ask_others(&self) {
+    /// Asks the other replicas to read. The list may be unreachable from this host only, and
+    /// leaving targets must be known everywhere in time.
+    fn request_reads(&self) {
         let now = boot_now();
-        let belief = self.shared.belief.borrow();
-        // Others who read were asked with all the rest, or come one after another: asked once more, all
-        // of them would go on reading for as long as the list is slow.
-        if !belief.leads || now < self.asks_again_at.get() {
+        let view = self.shared.view.borrow();
+        // Replicas that read on request do not ask again: the requests would keep all of them
+        // reading for as long as the list is slow.
+        if !view.leads || now < self.next_request_at.get() {
             return;
         }
-        self.asks_again_at.set(now + READ_EVERY);
-        let state = &belief.state;
-        self.shared.broadcast(state, self.own, &ToReplica::RosterUnread);
+        self.next_request_at.set(now + READ_INTERVAL);
+        let state = &view.state;
+        self.shared.broadcast(state, self.own_ip, &ReplicaFrame::TargetListReadFailed);
     }
 
-    fn take(&self, targets: Vec<Listed>, began: BootTime) {
+    fn record_targets(&self, targets: Vec<Listed>, began: BootTime) {
         self.shared.note_read(began);
-        let published = self.shared.belief.borrow().state.published.clone();
+        let published = self.shared.view.borrow().state.published.clone();
         let is_named = |service: &ServiceId| {
             published.as_ref().is_some_and(|known| known.deployment.services.contains_key(service))
         };
@@ -129,18 +137,18 @@
         let changed =
             self.shared.change_roster(|known| known.take(known.without_unnamed(targets, is_named)));
         let roster = self.shared.roster.borrow().clone();
-        let name = roster.name();
-        let state = &self.shared.belief.borrow().state;
+        let version = roster.version();
+        let state = &self.shared.view.borrow().state;
         if changed {
             let (number, count) = (roster.number, roster.roster.len());
             log::info!("event=targets_changed number={number} count={count}");
-            self.shared.broadcast(state, self.own, &change_between(&before, &roster));
+            self.shared.broadcast(state, self.own_ip, &roster_change(&before, &roster));
         }
         let age = boot_now().saturating_sub(began);
-        self.shared.broadcast(state, self.own, &ToReplica::RosterRead { name, age });
+        self.shared.broadcast(state, self.own_ip, &ReplicaFrame::TargetListRead { version, age });
     }
 
-    async fn read(&self) -> Result<Read, CallError> {
+    async fn read(&self) -> Result<TargetList, CallError> {
         let mut listing = Listing::default();
         let mut token: Option<String> = None;
         for pages in 1..=MAX_PAGES {
@@ -148,96 +156,101 @@
             page.entries.into_iter().for_each(|entry| listing.add(entry));
             token = page.next;
             if token.is_none() {
-                return Ok(Read { listing: listing.finish()?, pages });
+                return Ok(TargetList { listing: listing.finish()?, pages });
             }
         }
-        Err("the list does not end".into())
+        Err("the target list has too many pages".into())
     }
 
-    /// Reads a page, again after a while if the list has been asked too often.
+    /// Reads a page, and retries if the rate limit was exceeded.
     async fn read_page(&self, token: Option<&str>) -> Result<Page, CallError> {
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
             let answer = self.fetch_page(token).await?;
             match answer.status {
                 StatusCode::OK => return Ok(instances::decode(&answer.body)?),
-                StatusCode::TOO_MANY_REQUESTS if tries < PAGE_TRIES => {
-                    tries += 1;
-                    tokio::time::sleep(PAGE_AGAIN.mul_f64(rand::rng().random())).await;
+                StatusCode::TOO_MANY_REQUESTS if retries < MAX_PAGE_RETRIES => {
+                    retries += 1;
+                    tokio::time::sleep(PAGE_RETRY_DELAY.mul_f64(rand::rng().random())).await;
                 }
-                status => return Err(format!("the list answers {status}").into()),
+                status => return Err(format!("the target list answered {status}").into()),
             }
         }
     }
 
-    /// Fetches a page, and has others read if it takes long.
+    /// Requests a page, and asks the other replicas to read if the answer is slow.
     async fn fetch_page(&self, token: Option<&str>) -> Result<Answer, CallError> {
         let call = Exchange::new(self.list, Method::GET, &instances::page_path(token));
         let mut fetching = pin!(fetch(call, PAGE_TIMEOUT));
-        match tokio::time::timeout(LATE_AFTER, &mut fetching).await {
+        match tokio::time::timeout(SLOW_PAGE_TIMEOUT, &mut fetching).await {
             Ok(answer) => answer,
             Err(_) => {
-                self.ask_others();
+                self.request_reads();
                 fetching.await
             }
         }
     }
 }
 
-/// What tells another replica that has one list of the next one.
-fn change_between(before: &NumberedRoster, now: &NumberedRoster) -> ToReplica {
+/// The frame that updates a replica from the roster `before` to `now`.
+fn roster_change(before: &VersionedRoster, now: &VersionedRoster) -> ReplicaFrame {
     let RosterChange { changed, gone } = before.roster.change_to(&now.roster);
-    ToReplica::RosterChanged {
-        before: before.name(),
-        name: now.name(),
+    ReplicaFrame::RosterChanged {
+        before: before.version(),
+        version: now.version(),
         changed: CompactTargets::of(changed.iter()),
         gone,
         remembered: before.roster.remembered_by(&now.roster),
     }
 }
 
-/// Waits until this replica should read: as soon as it leads, since all replicas may have just started
-/// and entries wait for the first list, and then regularly, or once another one fails to or nobody does.
-async fn wait_for_turn(shared: &Shared, own: IpAddr, read_every: Duration) {
-    let mut belief = shared.belief.subscribe();
-    let led = belief.borrow_and_update().leads;
+/// Waits until this replica should read. A new leader reads at once, since entries wait for a first
+/// roster after all replicas have restarted. After that the leader reads at regular intervals;
+/// other replicas read when asked to, or when nobody has read for a while.
+async fn wait_for_turn(shared: &Shared, own_ip: IpAddr, read_interval: Duration) {
+    let mut view = shared.view.subscribe();
+    let led = view.borrow_and_update().leads;
     tokio::select! {
-        () = tokio::time::sleep(read_every) => {}
-        // The sender lives as long as `shared`.
-        _ = belief.wait_for(|belief| belief.leads && !led) => {}
+        () = tokio::time::sleep(read_interval) => {}
+        // Never fails: `shared` holds the sender.
+        _ = view.wait_for(|view| view.leads && !led) => {}
     }
-    let place = rand::rng().random();
-    while !shared.belief.borrow().leads
+    let jitter = rand::rng().random();
+    while !shared.view.borrow().leads
         && boot_now()
-            < shared.reading.get().takes_over_at(place, asked_before(shared, own), read_every)
+            < shared.reader_election.get().takeover_at(
+                jitter,
+                request_rank(shared, own_ip),
+                read_interval,
+            )
     {
         tokio::select! {
-            () = tokio::time::sleep(LOOK_EVERY) => {}
-            _ = belief.wait_for(|belief| belief.leads) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
+            _ = view.wait_for(|view| view.leads) => {}
         }
     }
 }
 
-/// How many replicas that don't lead are asked to read before this one.
-fn asked_before(shared: &Shared, own: IpAddr) -> usize {
-    let belief = shared.belief.borrow();
-    let others = belief.state.places.values().filter(|ip| Some(**ip) != belief.leader);
-    others.filter(|ip| **ip < own).count()
+/// This replica's position in the order in which replicas that are not the leader read on request.
+fn request_rank(shared: &Shared, own_ip: IpAddr) -> usize {
+    let view = shared.view.borrow();
+    let others = view.state.replica_addresses.values().filter(|ip| Some(**ip) != view.leader);
+    others.filter(|ip| **ip < own_ip).count()
 }
 
-/// Tells that this replica reads the list, which another one did before.
-fn log_turn(shared: &Shared) {
-    let unread = boot_now().saturating_sub(shared.reading.get().read_at());
+/// Logs that this replica reads the list after another one did.
+fn log_reader_change(shared: &Shared) {
+    let unread = boot_now().saturating_sub(shared.reader_election.get().read_at());
     log::info!(
         "event=target_list_reader_changed leads={} unread_ms={} number={}",
-        shared.belief.borrow().leads,
+        shared.view.borrow().leads,
         unread.as_millis(),
         shared.roster.borrow().number
     );
 }
 
-/// A whole list.
-struct Read {
+/// A complete target list.
+struct TargetList {
     listing: Listing,
     pages: usize,
 }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -1,4 +1,4 @@
-//! Runs a replica: opens its disk, listens, and starts its tasks.
+//! Starts a replica: opens its log on disk, binds its listeners and spawns its tasks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -13,21 +13,22 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 
-use super::age_recorder;
-use super::frames::RosterName;
+use super::frames::RosterVersion;
 use super::identity::Identity;
-use super::kept_quarantine;
-use super::kept_targets;
+use super::{age_recorder, quarantine_file, roster_file};
+
 use super::links::Links;
-use super::operators::Operators;
-use super::ordering::Ordering;
+
 use super::publisher;
 use super::quarantine_publisher;
 use super::reader_election::ReaderElection;
-use super::replica::{Input, Replica, Start};
-use super::roster_reader::{self, ListAddress};
-use super::scheduling::Scheduling;
-use super::shared::{Belief, Shared};
+use super::replica::{Input, Replica, ReplicaInit};
+use super::roster_reader::{self, TargetListSource};
+
+use super::operator_server::OperatorServer;
+use super::rollout::RolloutController;
+use super::scheduler_service::SchedulerService;
+use super::shared::{ReplicaView, Shared};
 use super::state::ControlState;
 use crate::clock::boot_now;
 use crate::error::{Error, Result};
@@ -41,27 +42,29 @@
 use crate::reload;
 use crate::telemetry::roles::ReplicaMetrics;
 
-/// Replicas are a millisecond apart; a slow sync takes tens of them. A leader is missed after 0.3 s,
-/// and a new one leads 0.6 s later at the latest: callers of hosts that start anew wait for it.
-const TIMING: RaftTiming = RaftTiming {
+/// Followers time out after 0.3 s without a heartbeat, and a new leader is elected within another
+/// 0.6 s. The round trip between replicas takes about 1 ms, a slow disk sync tens of milliseconds.
+const RAFT_TIMING: RaftTiming = RaftTiming {
     heartbeat_interval: Duration::from_millis(75),
     election_timeout: Duration::from_millis(300),
 };
-/// Entries after which a snapshot replaces them: each may hold a whole deployment of some hundred
-/// kilobytes, and a disk some hundred megabytes.
-const SNAPSHOT_EVERY: Index = 256;
-/// Inputs that wait while the disk is busy.
+/// Log entries between snapshots. A log entry can hold a deployment of several hundred kilobytes,
+/// and the disk a few hundred megabytes.
+const SNAPSHOT_INTERVAL: Index = 256;
+/// Inputs queued while the disk is busy.
 const QUEUE_LEN: usize = 1_024;
-/// Pause before a disk that failed is tried again.
-const DISK_AGAIN: Duration = Duration::from_secs(1);
+/// Delay before a failed disk is reopened.
+const DISK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Runs until the process is asked to end.
+/// Runs a replica until the process is asked to stop.
 ///
 /// # Errors
-/// If it can't start.
+///
+/// If the replica cannot start.
 pub async fn run(host: HostSettings) -> Result<()> {
-    let folder = host.data_folder.clone().ok_or_else(|| missing("a data folder"))?;
-    let operators_address = host.operators_address.ok_or_else(|| missing("operators' address"))?;
+    let folder = host.data_folder.clone().ok_or_else(|| missing_setting("the data folder"))?;
+    let operators_address =
+        host.operators_address.ok_or_else(|| missing_setting("the operators' address"))?;
     let identity = Identity::open(&folder, &host)?;
     log::info!(
         "event=start role=replica host={} node={} operators={operators_address} metrics={}",
@@ -69,26 +72,30 @@
         identity.node,
         SocketAddr::new(host.ip, host.metrics_port)
     );
-    let kept = kept_targets::load(&folder);
+    let restored_roster = roster_file::load(&folder);
     let links =
         Rc::new(Links::new(identity.node, host.ip, host.failure_domain.clone(), host.peer_port));
     let seeds: BTreeSet<IpAddr> = host.seeds.iter().map(|seed| seed.ip()).collect();
     let shared = Rc::new(Shared {
         node: identity.node,
-        belief: watch::Sender::new(Belief::default()),
-        roster: watch::Sender::new(kept),
+        view: watch::Sender::new(ReplicaView::default()),
+        roster: watch::Sender::new(restored_roster),
         earlier_rosters: RefCell::default(),
-        roster_pieces: RefCell::new((RosterName::default(), Rc::from([]))),
+        roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
         domains: watch::Sender::new([(host.ip, host.failure_domain.clone())].into()),
-        roster_update: RefCell::new((RosterName::default(), RosterName::default(), Arc::from([]))),
-        reading: Cell::new(ReaderElection::new(boot_now())),
+        roster_update: RefCell::new((
+            RosterVersion::default(),
+            RosterVersion::default(),
+            Arc::from([]),
+        )),
+        reader_election: Cell::new(ReaderElection::new(boot_now())),
         caught_up_at: Cell::new(None),
-        own_entries: RefCell::default(),
-        entries: Cell::new(None),
+        connected_entries: RefCell::default(),
+        entry_count: Cell::new(None),
         changing: RefCell::default(),
         named_since: RefCell::default(),
-        knows_ages: Cell::new(false),
-        quarantine: watch::Sender::new(kept_quarantine::load(&folder)),
+        has_weight_ages: Cell::new(false),
+        quarantine: watch::Sender::new(quarantine_file::load(&folder)),
         suspects: watch::Sender::default(),
         links,
         seeds: RefCell::new(seeds),
@@ -96,50 +103,51 @@
     let (inputs, receiver) = mpsc::channel(QUEUE_LEN);
     let peers = listen(SocketAddr::new(host.ip, host.peer_port)).await?;
     let (tasks, mut first_end) = essentials();
-    let scheduling = Rc::new(Scheduling::new(shared.clone(), host.periods.old_weights));
+    let scheduling = Rc::new(SchedulerService::new(shared.clone(), host.periods.old_weights));
     tasks.spawn("scheduling", scheduling.clone().run());
     tasks.spawn("dispatching", scheduling.clone().keep_dispatching());
     tasks.spawn("peers", publisher::accept(peers, scheduling.clone(), inputs.clone()));
     let metrics = Rc::new(ReplicaMetrics::new()?);
     let address = SocketAddr::new(host.ip, host.metrics_port);
-    let (measured, waiting) = (shared.clone(), scheduling.clone());
-    let shown = metrics.clone();
-    let metrics_text = move || (StatusCode::OK, metrics_text(&shown, &measured, &waiting));
+    let (metrics_shared, metrics_scheduling) = (shared.clone(), scheduling.clone());
+    let metrics_handle = metrics.clone();
+    let metrics_text = move || {
+        (StatusCode::OK, metrics_text(&metrics_handle, &metrics_shared, &metrics_scheduling))
+    };
     tasks.spawn("metrics", text_server::serve(listen(address).await?, metrics_text));
-    let operators = Rc::new(Operators {
+    let operators = Rc::new(OperatorServer {
         inputs: inputs.clone(),
         port: operators_address.port(),
         metrics: metrics.clone(),
     });
     tasks.spawn("operators", operators.accept(listen(operators_address).await?));
     if let Some(address) = host.target_list {
-        let list = ListAddress { address, rate_per_s: host.target_list_reads_per_s };
+        let list = TargetListSource { address, rate_per_s: host.target_list_reads_per_s };
         tasks.spawn(
             "target_list",
             roster_reader::run(shared.clone(), host.ip, list, metrics.clone()),
         );
     }
-    tasks.spawn("kept_targets", kept_targets::keep_writing(shared.clone(), folder.clone()));
-    tasks.spawn("kept_quarantine", kept_quarantine::keep_writing(shared.clone(), folder.clone()));
+    tasks.spawn("kept_targets", roster_file::keep_writing(shared.clone(), folder.clone()));
+    tasks.spawn("kept_quarantine", quarantine_file::keep_writing(shared.clone(), folder.clone()));
     tasks.spawn("quarantine", quarantine_publisher::keep_publishing(shared.clone(), host.ip));
-    let recording =
-        age_recorder::keep_recording(shared.clone(), inputs.clone(), host.periods.old_weights);
+    let recording = age_recorder::run(shared.clone(), inputs.clone(), host.periods.old_weights);
     tasks.spawn("weight_ages", recording);
-    let apart = host.periods.min_order_interval;
-    let ordering = Rc::new(Ordering {
+    let order_lease = host.periods.min_order_interval;
+    let rollout = Rc::new(RolloutController {
         shared: shared.clone(),
         scheduling: scheduling.clone(),
         inputs,
-        apart,
-        loading: Cell::new(0),
-        awaited: RefCell::default(),
+        order_lease,
+        loads_in_progress: Cell::new(0),
+        unanswered: RefCell::default(),
     });
-    tasks.spawn("ordering", ordering.run());
+    tasks.spawn("ordering", rollout.run());
     let reloaded = reload::keep_reading(host.clone(), |host| {
         shared.seeds.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
-        ended = keep_running(&host, &folder, &identity, shared.clone(), receiver) => ended,
+        ended = run_replica(&host, &folder, &identity, shared.clone(), receiver) => ended,
         asked = crate::commands::until_asked_to_end() => asked,
         failed = reloaded => failed,
         error = first_end.wait() => Err(error),
@@ -148,25 +156,29 @@
     Ok(())
 }
 
-/// All metrics as text, with what is true now.
-fn metrics_text(metrics: &ReplicaMetrics, shared: &Shared, scheduling: &Scheduling) -> String {
-    let belief = shared.belief.borrow();
-    metrics.term.record(belief.term, &[]);
-    metrics.leads.record(belief.leads.into(), &[]);
-    let version = belief.state.published.as_ref().map_or(0, |published| published.version());
+/// Updates the gauges and renders all metrics as text.
+fn metrics_text(
+    metrics: &ReplicaMetrics,
+    shared: &Shared,
+    scheduling: &SchedulerService,
+) -> String {
+    let view = shared.view.borrow();
+    metrics.term.record(view.term, &[]);
+    metrics.leads.record(view.leads.into(), &[]);
+    let version = view.state.published.as_ref().map_or(0, |published| published.version());
     metrics.deployment_version.record(version, &[]);
-    if let Some(entries) = shared.entries.get() {
+    if let Some(entries) = shared.entry_count.get() {
         metrics.entries.record(entries.into(), &[]);
     }
     metrics.requests_held.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
-    let age = boot_now().saturating_sub(shared.reading.get().read_at());
+    let age = boot_now().saturating_sub(shared.reader_election.get().read_at());
     metrics.target_list_age_s.record(age.as_secs_f64(), &[]);
-    metrics.waiting.record(scheduling.waiting() as u64, &[]);
+    metrics.waiting.record(scheduling.waiting_count() as u64, &[]);
     metrics.text()
 }
 
-/// Runs the replica, and starts it again from its disk after the disk has failed.
-async fn keep_running(
+/// Runs the replica and restarts it from disk after a disk failure.
+async fn run_replica(
     host: &HostSettings,
     folder: &Path,
     identity: &Identity,
@@ -181,36 +193,41 @@
             Err(error) if is_first => return Err(error),
             Err(error) => {
                 log::warn!("event=disk_still_fails reason={:?}", error.to_string());
-                tokio::time::sleep(DISK_AGAIN).await;
+                tokio::time::sleep(DISK_RETRY_DELAY).await;
                 continue;
             }
         };
         is_first = false;
         let members = Members::from_voters(identity.founders.keys().copied());
         let seed = rand::rng().random();
-        let raft = Raft::new(identity.node, members, TIMING, recovered, seed, boot_now());
-        let start = Start {
-            driver: Driver::new(raft, disk, SNAPSHOT_EVERY),
-            state: ControlState::founded(identity.founders.clone()),
+        let raft = Raft::new(identity.node, members, RAFT_TIMING, recovered, seed, boot_now());
+        let init = ReplicaInit {
+            driver: Driver::new(raft, disk, SNAPSHOT_INTERVAL),
+            state: ControlState::bootstrap(identity.founders.clone()),
             ip: host.ip,
-            wanted: host.tolerated_losses * 2 + 1,
+            desired_voters: host.tolerated_losses * 2 + 1,
         };
-        Replica::new(shared.clone(), start).run(&mut inputs).await;
+        Replica::new(shared.clone(), init).run(&mut inputs).await;
         shared.caught_up_at.set(None);
-        tokio::time::sleep(DISK_AGAIN).await;
+        tokio::time::sleep(DISK_RETRY_DELAY).await;
     }
 }
 
-/// Listens at an address.
+/// Binds a TCP listener.
 ///
 /// # Errors
-/// If it can't.
+///
+/// If the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address).await.map_err(|source| {
-        Error::start(&address.to_string(), source, "name an address of this host that is free")
+        Error::start(&address.to_string(), source, "choose a free address of this host")
     })
 }
 
-fn missing(what: &str) -> Error {
-    Error::start("settings", format!("{what} is missing"), "give it to a host that runs a replica")
+fn missing_setting(what: &str) -> Error {
+    Error::start(
+        "settings",
+        format!("{what} is not set"),
+        "set it on each host that runs a replica",
+    )
 }
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -1,33 +1,34 @@
-//! Starts the scheduler at a leader, and keeps it in step with what the replica knows.
+//! Starts and stops the scheduler with leadership, and feeds it changes of the replica's state.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::frames::RosterName;
-use super::memory_reader;
-use super::scheduling::Scheduling;
+use super::engine_cache_reader;
+use super::frames::RosterVersion;
+use super::scheduler_service::SchedulerService;
 use super::store_reader;
 use crate::clock::boot_now;
 use crate::log::Term;
 use crate::scheduler::{Scheduler, TicketId};
 
-/// How often changes are taken over and frees are planned.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Tickets of one term begin after those of all earlier terms.
-const TICKETS_PER_TERM: u32 = 36;
+/// How often state is synchronized and frees are planned.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Tickets are numbered from the term shifted left by this many bits, so that they never repeat
+/// those of an earlier term.
+const TICKET_NUMBER_BITS: u32 = 36;
 
-impl Scheduling {
-    /// Takes over what changes, for as long as the process lives.
-    pub async fn run(self: Rc<Scheduling>) {
-        let mut version = 0;
-        let mut roster_name = RosterName::default();
-        let mut belief = self.shared.belief.subscribe();
+impl SchedulerService {
+    /// Synchronizes the scheduler for as long as the process lives.
+    pub async fn run(self: Rc<SchedulerService>) {
+        let mut deployment_version = 0;
+        let mut roster_version = RosterVersion::default();
+        let mut view = self.shared.view.subscribe();
         loop {
-            // Prompts wait while a new leader does not schedule yet.
-            let _ = tokio::time::timeout(LOOK_EVERY, belief.changed()).await;
+            // A change of leadership wakes this up early, since prompts wait for the new scheduler.
+            let _ = tokio::time::timeout(POLL_INTERVAL, view.changed()).await;
             let (leads, term) = {
-                let belief = self.shared.belief.borrow();
-                (belief.leads, belief.term)
+                let view = self.shared.view.borrow();
+                (view.leads, view.term)
             };
             if !leads {
                 if self.active.borrow_mut().take().is_some() {
@@ -38,12 +39,12 @@
             }
             if !self.is_active(term) {
                 log::info!("event=scheduler_started term={term}");
-                let first_ticket = term << TICKETS_PER_TERM;
+                let first_ticket = term << TICKET_NUMBER_BITS;
                 *self.active.borrow_mut() = Some((term, self.new_scheduler(first_ticket)));
-                (version, roster_name) = (0, RosterName::default());
+                (deployment_version, roster_version) = (0, RosterVersion::default());
             }
-            self.sync(term, &mut version, &mut roster_name);
-            self.ask_doubted();
+            self.sync(term, &mut deployment_version, &mut roster_version);
+            self.query_doubted_engines();
             self.free_parts();
         }
     }
@@ -55,30 +56,35 @@
         scheduler
     }
 
-    fn sync(self: &Rc<Scheduling>, term: Term, version: &mut u64, roster_name: &mut RosterName) {
-        let belief = self.shared.belief.borrow();
+    fn sync(
+        self: &Rc<SchedulerService>,
+        term: Term,
+        deployment_version: &mut u64,
+        roster_version: &mut RosterVersion,
+    ) {
+        let view = self.shared.view.borrow();
         let roster = self.shared.roster.borrow();
         let mut active = self.active.borrow_mut();
         let Some((_, scheduler)) = active.as_mut() else { return };
         let mut new_stores = Vec::new();
-        if let Some(published) = &belief.state.published
-            && published.version() > *version
+        if let Some(published) = &view.state.published
+            && published.version() > *deployment_version
         {
-            *version = published.version();
+            *deployment_version = published.version();
             let before = scheduler.stores();
             scheduler.observe_deployment(&published.deployment);
             new_stores = scheduler.stores();
             new_stores.retain(|store| !before.contains(store));
-            // Services may be others now.
+            // The deployment decides which services' targets the scheduler uses.
             scheduler.observe_roster(&roster.roster);
         }
-        if roster.name() != *roster_name && *version > 0 {
-            let is_first = roster_name.number == 0;
-            *roster_name = roster.name();
+        if roster.version() != *roster_version && *deployment_version > 0 {
+            let is_first = roster_version.number == 0;
+            *roster_version = roster.version();
             scheduler.observe_roster(&roster.roster);
             if is_first {
                 let engines = scheduler.engines();
-                tokio::task::spawn_local(memory_reader::run(self.clone(), engines, term));
+                tokio::task::spawn_local(engine_cache_reader::run(self.clone(), engines, term));
             }
         }
         scheduler.observe_changing(&self.shared.changing.borrow());
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -1,5 +1,6 @@
-//! How long ago weights were named, kept in the log: a replica that starts again, or joins, would
-//! otherwise take weights that were named long ago for new, and allow older ones once more.
+//! Ages of weight versions, kept in the replicated log. Without them, a replica that restarts or
+//! joins would take an old version for a new one and restart the grace period for the versions
+//! before it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,38 +10,39 @@
 use crate::ids::ModelId;
 use crate::scheduler::weights::{NamedWeights, RolloutHistories, UNRECORDED};
 
-/// An age is recorded each time that it has grown by this: the ages of one naming are some nine
-/// entries of the log until its bound is over.
-const RECORD_EVERY: Duration = UNRECORDED;
-/// A replica that had all that was committed within this time hears of a naming as it is decided.
-const HEARD_AT_ONCE_WITHIN: Duration = Duration::from_millis(500);
+/// An age is recorded each time it has grown by this much, which makes about nine log entries per
+/// version until the grace period is over.
+const RECORD_INTERVAL: Duration = UNRECORDED;
+/// A replica that caught up within this time learns of a new version as soon as it is committed.
+const CAUGHT_UP_MAX_AGE: Duration = Duration::from_millis(500);
 
-/// Ages that the log should have by now; `bound` is the age from which nothing depends on it. What may
-/// have passed unrecorded is not recorded as passed: each process that hears late adds it anew.
-pub fn due(
+/// The ages to record now. Ages beyond `bound` no longer matter. Only time that has certainly
+/// passed is recorded; a process that learns of a version late adds the possibly unrecorded time
+/// itself.
+pub fn due_commands(
     named: &RolloutHistories,
     recorded: &BTreeMap<ModelId, WeightAges>,
     bound: Duration,
     now: BootTime,
 ) -> Vec<Command> {
-    let all =
-        named.iter().flat_map(|(model, namings)| namings.certain(now).map(move |one| (model, one)));
+    let all = named
+        .iter()
+        .flat_map(|(model, versions)| versions.certain(now).map(move |one| (model, one)));
     let due = all.filter_map(|(model, (version, age))| {
         let known = recorded.get(model).and_then(|ages| ages.get(&version));
         let known = known.copied().unwrap_or_default();
-        let is_due = known < bound && age >= (known + RECORD_EVERY).min(bound);
+        let is_due = known < bound && age >= (known + RECORD_INTERVAL).min(bound);
         let weights = NamedWeights { version, age };
         is_due.then(|| Command::RecordAge { model: model.clone(), weights })
     });
     due.collect()
 }
 
-/// How long ago weights of a model were named, at the least, as the state tells a replica that was last
-/// sure to have all at `caught_up_at`.
+/// The age of a weight version as estimated by a replica that last caught up at `caught_up_at`.
 ///
-/// One that was not sure hears of what may have been decided long before: ages may be older by what is
-/// recorded next.
-pub fn age_of(
+/// A replica that has not caught up recently may learn of the version long after the last record,
+/// so the interval between records is added.
+pub fn estimated_age(
     state: &ControlState,
     model: &str,
     version: u64,
@@ -49,7 +51,6 @@
 ) -> Duration {
     let recorded = state.weight_ages.get(model).and_then(|ages| ages.get(&version));
     let recorded = recorded.copied().unwrap_or_default();
-    let is_heard_at_once =
-        caught_up_at.is_some_and(|at| now.saturating_sub(at) < HEARD_AT_ONCE_WITHIN);
-    if is_heard_at_once { recorded } else { recorded + RECORD_EVERY }
+    let is_caught_up = caught_up_at.is_some_and(|at| now.saturating_sub(at) < CAUGHT_UP_MAX_AGE);
+    if is_caught_up { recorded } else { recorded + RECORD_INTERVAL }
 }
--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::clock::{BootTime, boot_now};
-use crate::control::frames::{FromEntry, SchedulerError, encode};
+use crate::control::frames::{SchedulerError, SchedulerRequest, encode};
 use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
 
 /// How long to wait for the first reply before the entry selects a target itself. Usual replies
@@ -58,7 +58,7 @@
             }
         }
         if is_open {
-            self.client.send(&FromEntry::Withdraw(self.number));
+            self.client.send(&SchedulerRequest::Withdraw(self.number));
         }
     }
 }
@@ -113,7 +113,7 @@
         }
         let queue_timeout = request.time_left;
         let mut pending = self.register();
-        if !self.send(&FromEntry::Place(pending.number, request)) {
+        if !self.send(&SchedulerRequest::Place(pending.number, request)) {
             return None;
         }
         match tokio::time::timeout(REPLY_TIMEOUT, pending.replies.recv()).await {
@@ -143,7 +143,7 @@
     /// Reports an event of a placement. It is lost if there is no connection, but the scheduler
     /// expires placements by itself.
     pub fn send_event(&self, event: PlacementEvent) {
-        self.send(&FromEntry::Event(event));
+        self.send(&SchedulerRequest::Event(event));
     }
 
     /// Returns a placement that will not be used.
@@ -182,7 +182,7 @@
         }
     }
 
-    fn send(&self, frame: &FromEntry) -> bool {
+    fn send(&self, frame: &SchedulerRequest) -> bool {
         let outgoing = self.outgoing.borrow();
         outgoing.as_ref().is_some_and(|outgoing| outgoing.try_send(encode(frame)).is_ok())
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -17,7 +17,7 @@
 use super::scheduler_client::SchedulerClient;
 use super::subscription_policy::{HeldRoster, Subscriptions};
 use crate::clock::{BootTime, boot_now};
-use crate::control::frames::{ConfirmId, NumberedRoster, RosterName, Update};
+use crate::control::frames::{ConfirmId, RosterVersion, Update, VersionedRoster};
 use crate::control::pieces::{Assembly, Piece, PieceError};
 use crate::deployment::document::DeploymentVersion;
 use crate::deployment::{Deployment, Table};
@@ -106,7 +106,7 @@
     /// Chooses the replicas to subscribe to.
     pub subscriptions: RefCell<Subscriptions>,
     /// The roster: all targets that the platform lists.
-    roster: RefCell<NumberedRoster>,
+    roster: RefCell<VersionedRoster>,
     /// A roster that has been received in part.
     assembly: RefCell<Assembly>,
     /// Weight versions that were announced for each model, and when.
@@ -265,8 +265,8 @@
     }
 
     /// The name of the complete roster in use.
-    pub fn roster_name(&self) -> RosterName {
-        self.roster.borrow().name()
+    pub fn roster_name(&self) -> RosterVersion {
+        self.roster.borrow().version()
     }
 
     /// Whether a target is in the roster in use.
@@ -313,21 +313,23 @@
             }
             Update::Domains(domains) => self.subscriptions.borrow_mut().observe_domains(domains),
             Update::RosterPiece(piece) => self.observe_piece(&piece)?,
-            Update::RosterNamed { leaving, .. } => self.fleet.borrow_mut().leave(leaving.iter()),
-            Update::RosterChanged { before, name, changed, gone } => {
+            Update::RosterVersionOnly { leaving, .. } => {
+                self.fleet.borrow_mut().leave(leaving.iter())
+            }
+            Update::RosterChanged { before, version, changed, gone } => {
                 let change = RosterChange { changed: changed.listed()?, gone };
                 self.observe_leaving(change.changed.iter());
                 let known = self.roster.borrow().clone();
-                if known.name() >= name {
+                if known.version() >= version {
                     return Ok(());
                 }
-                if known.name() != before {
+                if known.version() != before {
                     return Err(RosterMismatch);
                 }
                 let mut roster = known.roster;
                 Arc::make_mut(&mut roster).apply(change);
-                let changed = NumberedRoster::new(name.number, roster);
-                if changed.name() != name {
+                let changed = VersionedRoster::new(version.number, roster);
+                if changed.version() != version {
                     return Err(RosterMismatch);
                 }
                 self.replace_roster(changed);
@@ -396,13 +398,13 @@
     }
 
     /// Applies a complete roster, which is ignored unless it is later than the known one.
-    pub fn observe_roster(&self, roster: NumberedRoster) {
+    pub fn observe_roster(&self, roster: VersionedRoster) {
         self.observe_leaving(roster.roster.iter());
         self.replace_roster(roster);
     }
 
-    fn replace_roster(&self, roster: NumberedRoster) {
-        if roster.name() <= self.roster.borrow().name() {
+    fn replace_roster(&self, roster: VersionedRoster) {
+        if roster.version() <= self.roster.borrow().version() {
             return;
         }
         self.fleet.borrow_mut().take(&roster.roster);
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -12,8 +12,10 @@
 use super::subscription_policy::Subscription;
 use super::termination;
 use crate::clock::boot_now;
-use crate::control::frames::{self, FollowTargets, FromSubscriber, Introduction, Update, encode};
-use crate::control::publisher::HEARTBEAT_EVERY;
+use crate::control::frames::{
+    self, Handshake, RosterSubscription, SubscriberRequest, Update, encode,
+};
+use crate::control::publisher::HEARTBEAT_INTERVAL;
 use crate::essential::Essentials;
 use crate::net;
 use crate::quarantine::Revision;
@@ -23,7 +25,7 @@
 /// were cut off from the leader at that time.
 const SUBSCRIPTIONS_AT_ONCE: usize = 2;
 /// A subscription without updates for this long, which is three heartbeats, is ended.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(HEARTBEAT_EVERY.as_millis() as u64 * 3);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(HEARTBEAT_INTERVAL.as_millis() as u64 * 3);
 /// Connect timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Capacity of the queue of requests to a replica.
@@ -76,7 +78,7 @@
     let stream = net::connect(to, CONNECT_TIMEOUT, SILENCE_TIMEOUT).await?;
     let (read, mut write) = stream.into_split();
     let (requests, requested) = mpsc::channel(REQUEST_QUEUE_LEN);
-    let introduction = Introduction::Entry {
+    let introduction = Handshake::Entry {
         name: gateway.host.name.clone(),
         failure_domain: gateway.host.failure_domain.clone(),
         deployment: gateway.table().map_or(0, |table| table.deployment().version),
@@ -93,7 +95,7 @@
 async fn send(
     gateway: &Gateway,
     mut write: OwnedWriteHalf,
-    mut requested: mpsc::Receiver<FollowTargets>,
+    mut requested: mpsc::Receiver<RosterSubscription>,
 ) -> std::io::Result<()> {
     let mut quarantine = gateway.quarantine.subscribe();
     // A restarted replica may have lost its quarantine, so it gets all reports at first.
@@ -107,13 +109,13 @@
     loop {
         let frame = tokio::select! {
             request = requested.recv() => match request {
-                Some(request) => FromSubscriber::FollowTargets(request),
+                Some(request) => SubscriberRequest::SubscribeRoster(request),
                 // The receiving half has ended.
                 None => return Ok(()),
             },
             changed = confirm.changed() => {
                 changed.map_err(std::io::Error::other)?;
-                FromSubscriber::Confirm(*confirm.borrow_and_update())
+                SubscriberRequest::Confirm(*confirm.borrow_and_update())
             }
             changed = quarantine.changed() => {
                 changed.map_err(std::io::Error::other)?;
@@ -123,7 +125,7 @@
                 if reports.is_empty() {
                     continue;
                 }
-                FromSubscriber::Quarantine(reports)
+                SubscriberRequest::Quarantine(reports)
             }
         };
         write.write_all(&encode(&frame)).await?;
@@ -134,7 +136,7 @@
     gateway: &Gateway,
     subscription: &mut Subscription,
     read: OwnedReadHalf,
-    requests: mpsc::Sender<FollowTargets>,
+    requests: mpsc::Sender<RosterSubscription>,
 ) -> std::io::Result<()> {
     let replica = subscription.replica;
     let mut read = BufReader::new(read);
@@ -142,8 +144,8 @@
         let update: Update =
             tokio::time::timeout(SILENCE_TIMEOUT, frames::read(&mut read)).await??;
         let is_heartbeat = matches!(update, Update::Heartbeat { .. });
-        if let Update::RosterNamed { name, .. } = &update {
-            subscription.observe_name(*name, boot_now());
+        if let Update::RosterVersionOnly { version, .. } = &update {
+            subscription.observe_name(*version, boot_now());
         }
         let known = gateway.roster_name();
         gateway.observe(update).map_err(std::io::Error::other)?;
--- a/src/gateway/subscription_policy.rs
+++ b/src/gateway/subscription_policy.rs
@@ -13,7 +13,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::clock::BootTime;
-use crate::control::frames::{FollowTargets, ListDetail, RosterName};
+use crate::control::frames::{RosterDetail, RosterSubscription, RosterVersion};
 use crate::ids::DomainId;
 
 /// A local replica that could not be reached is not preferred for this long. Other replicas send
@@ -49,30 +49,30 @@
     pub replica: IpAddr,
     started_at: BootTime,
     /// Which roster updates the replica was asked for, if any.
-    requested: Option<ListDetail>,
+    requested: Option<RosterDetail>,
     /// The latest roster that the replica announced by name alone and that is not held yet, with
     /// the time since when such a roster has been missing.
-    announced: Option<(RosterName, BootTime)>,
+    announced: Option<(RosterVersion, BootTime)>,
 }
 
 /// What an entry holds of rosters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HeldRoster {
     /// The complete roster; the default if there is none.
-    pub whole: RosterName,
+    pub whole: RosterVersion,
     /// A partially received roster, and the number of its pieces received.
-    pub part: (RosterName, u32),
+    pub part: (RosterVersion, u32),
 }
 
 impl Subscription {
     /// Records that the replica announced a roster by name.
-    pub fn observe_name(&mut self, name: RosterName, now: BootTime) {
+    pub fn observe_name(&mut self, name: RosterVersion, now: BootTime) {
         let first = self.announced.map_or(now, |(_, first)| first);
         self.announced = Some((name, first));
     }
 
     /// Whether an announced roster has been missing for too long.
-    fn misses_changes(&mut self, whole: RosterName, now: BootTime) -> bool {
+    fn misses_changes(&mut self, whole: RosterVersion, now: BootTime) -> bool {
         self.announced = self.announced.filter(|(name, _)| *name > whole);
         self.announced.is_some_and(|(_, first)| now >= first + CHANGES_TIMEOUT)
     }
@@ -150,7 +150,7 @@
         held: HeldRoster,
         replicas: &BTreeSet<IpAddr>,
         now: BootTime,
-    ) -> Option<FollowTargets> {
+    ) -> Option<RosterSubscription> {
         let misses_changes = subscription.misses_changes(held.whole, now);
         let detail = match subscription.requested {
             None if held.whole.number == 0 && !self.claims_roster(subscription, replicas, now) => {
@@ -158,14 +158,14 @@
             }
             None => self.detail_for(subscription.replica),
             // The other replica should have sent the changes by now.
-            Some(ListDetail::Names) if misses_changes => ListDetail::Changes,
+            Some(RosterDetail::Versions) if misses_changes => RosterDetail::Changes,
             Some(_) => return None,
         };
         subscription.requested = Some(detail);
-        if detail == ListDetail::Changes {
+        if detail == RosterDetail::Changes {
             self.changes_from = Some(subscription.replica);
         }
-        Some(FollowTargets { whole: held.whole, part: held.part, detail })
+        Some(RosterSubscription { whole: held.whole, part: held.part, detail })
     }
 
     /// Whether an entry without a roster receives it from this replica. If so, it is received from
@@ -188,11 +188,11 @@
     }
 
     /// The local replica, or else the first one, sends all changes; the other one only names.
-    fn detail_for(&self, replica: IpAddr) -> ListDetail {
+    fn detail_for(&self, replica: IpAddr) -> RosterDetail {
         let is_local = self.domains.get(&replica) == Some(&self.own_domain);
         match is_local || self.changes_from.is_none() {
-            true => ListDetail::Changes,
-            false => ListDetail::Names,
+            true => RosterDetail::Changes,
+            false => RosterDetail::Versions,
         }
     }
 
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -7,12 +7,13 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NumberedRoster, RosterName, SchedulerError, ToEntry, encode, read,
+    Handshake, RosterVersion, SchedulerError, SchedulerReply, SchedulerRequest, VersionedRoster,
+    encode, read,
 };
 use kumquatpost::control::links::Links;
 use kumquatpost::control::reader_election::ReaderElection;
-use kumquatpost::control::scheduling::Scheduling;
-use kumquatpost::control::shared::{Belief, Shared};
+use kumquatpost::control::scheduler_service::SchedulerService;
+use kumquatpost::control::shared::{ReplicaView, Shared};
 use kumquatpost::control::state::{ControlState, Published};
 use kumquatpost::gateway::metadata::Part;
 use kumquatpost::gateway::scheduler_connection;
@@ -29,35 +30,39 @@
 use crate::stand_in::{StandIn, Then};
 
 /// A replica that leads, with one engine.
-fn leading() -> Rc<Scheduling> {
+fn leading() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
-    let shared = shared(1, NumberedRoster::new(1, roster));
-    Rc::new(Scheduling::new(Rc::new(shared), OldWeights::default()))
+    let shared = shared(1, VersionedRoster::new(1, roster));
+    Rc::new(SchedulerService::new(Rc::new(shared), OldWeights::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
-pub fn shared(term: Term, roster: NumberedRoster) -> Shared {
+pub fn shared(term: Term, roster: VersionedRoster) -> Shared {
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
-    let state = ControlState { published, ..ControlState::founded(BTreeMap::new()) };
-    let belief = Belief { state, term, leads: true, leader: None };
+    let state = ControlState { published, ..ControlState::bootstrap(BTreeMap::new()) };
+    let view = ReplicaView { state, term, leads: true, leader: None };
     let ip = "127.0.0.1".parse().expect("an address");
     Shared {
         node: 1,
-        belief: watch::Sender::new(belief),
+        view: watch::Sender::new(view),
         roster: watch::Sender::new(roster),
         earlier_rosters: RefCell::default(),
-        roster_pieces: RefCell::new((RosterName::default(), Rc::from([]))),
+        roster_pieces: RefCell::new((RosterVersion::default(), Rc::from([]))),
         domains: watch::Sender::new([(ip, "hall".into())].into()),
-        roster_update: RefCell::new((RosterName::default(), RosterName::default(), Arc::from([]))),
-        reading: Cell::new(ReaderElection::new(boot_now())),
+        roster_update: RefCell::new((
+            RosterVersion::default(),
+            RosterVersion::default(),
+            Arc::from([]),
+        )),
+        reader_election: Cell::new(ReaderElection::new(boot_now())),
         // Sure to lead for as long as a test runs.
         caught_up_at: Cell::new(Some(boot_now() + ms(600_000))),
-        own_entries: RefCell::default(),
-        entries: Cell::new(None),
+        connected_entries: RefCell::default(),
+        entry_count: Cell::new(None),
         changing: RefCell::default(),
         named_since: RefCell::default(),
-        knows_ages: Cell::new(true),
+        has_weight_ages: Cell::new(true),
         quarantine: watch::Sender::default(),
         suspects: watch::Sender::default(),
         links: Rc::new(Links::new(1, ip, "hall".into(), 1)),
@@ -76,12 +81,12 @@
             tokio::time::sleep(ms(5)).await;
         }
         let reading = async {
-            let is_sure = scheduling.until_sure(1).await;
-            is_sure && scheduling.with(|_| {}).is_some()
+            let is_sure = scheduling.wait_for_leadership(1).await;
+            is_sure && scheduling.with_scheduler(|_| {}).is_some()
         };
         let elected = async {
             tokio::time::sleep(ms(20)).await;
-            assert!(scheduling.with(|_| {}).is_none(), "it is not sure yet");
+            assert!(scheduling.with_scheduler(|_| {}).is_none(), "it is not sure yet");
             scheduling.shared.caught_up_at.set(Some(boot_now() + ms(600_000)));
         };
         let (is_told, ()) = tokio::join!(reading, elected);
@@ -94,7 +99,7 @@
 fn what_a_replica_reads_that_leads_no_more_is_dropped() {
     run(async |scheduling| {
         scheduling.shared.caught_up_at.set(None);
-        assert!(!scheduling.until_sure(2).await, "it does not schedule in that term");
+        assert!(!scheduling.wait_for_leadership(2).await, "it does not schedule in that term");
     });
 }
 
@@ -103,7 +108,7 @@
 }
 
 impl Asker {
-    async fn connect(scheduling: &Rc<Scheduling>) -> Asker {
+    async fn connect(scheduling: &Rc<SchedulerService>) -> Asker {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
         let (opened, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
@@ -116,21 +121,21 @@
         Asker { stream: BufReader::new(opened.expect("it connects")) }
     }
 
-    async fn tell(&mut self, frame: FromEntry) {
+    async fn tell(&mut self, frame: SchedulerRequest) {
         self.stream.write_all(&encode(&frame)).await.expect("it reads");
     }
 
-    async fn hear(&mut self) -> ToEntry {
+    async fn hear(&mut self) -> SchedulerReply {
         read(&mut self.stream).await.expect("a frame")
     }
 
     /// Asks, and waits if it must.
     async fn placed_in_the_end(&mut self) -> Placed {
-        self.tell(FromEntry::Place(1, ask())).await;
+        self.tell(SchedulerRequest::Place(1, ask())).await;
         loop {
             match self.hear().await {
-                ToEntry::Queued(1) => {}
-                ToEntry::Placed(1, Ok(placed)) => return placed,
+                SchedulerReply::Queued(1) => {}
+                SchedulerReply::Placed(1, Ok(placed)) => return placed,
                 other => panic!("{other:?}"),
             }
         }
@@ -139,14 +144,14 @@
     /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
     async fn placed(&mut self) -> Placed {
         loop {
-            self.tell(FromEntry::Place(1, ask())).await;
+            self.tell(SchedulerRequest::Place(1, ask())).await;
             let mut answer = self.hear().await;
-            if answer == ToEntry::Queued(1) {
+            if answer == SchedulerReply::Queued(1) {
                 answer = self.hear().await;
             }
             match answer {
-                ToEntry::Placed(1, Ok(placed)) => return placed,
-                ToEntry::Placed(
+                SchedulerReply::Placed(1, Ok(placed)) => return placed,
+                SchedulerReply::Placed(
                     1,
                     Err(SchedulerError::NotScheduling | SchedulerError::Placement(_)),
                 ) => {
@@ -174,7 +179,7 @@
     }
 }
 
-fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<Scheduling>) -> F) {
+fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<SchedulerService>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let scheduling = leading();
@@ -190,12 +195,14 @@
         let mut killed = Asker::connect(&scheduling).await;
         killed.placed().await;
         let mut other = Asker::connect(&scheduling).await;
-        other.tell(FromEntry::Place(7, ask())).await;
-        assert_eq!(other.hear().await, ToEntry::Queued(7), "the engine is busy");
+        other.tell(SchedulerRequest::Place(7, ask())).await;
+        assert_eq!(other.hear().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
         // Without it, the scheduler would forget them only after 20 s.
         let heard = tokio::time::timeout(ms(15_000), other.hear()).await;
-        let ToEntry::Placed(7, Ok(placed)) = heard.expect("soon") else { panic!("not placed") };
+        let SchedulerReply::Placed(7, Ok(placed)) = heard.expect("soon") else {
+            panic!("not placed")
+        };
         assert_eq!(placed.trace.running, 0);
     });
 }
@@ -207,10 +214,10 @@
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
         let mut killed = Asker::connect(&scheduling).await;
-        killed.tell(FromEntry::Place(1, ask())).await;
-        assert_eq!(killed.hear().await, ToEntry::Queued(1));
+        killed.tell(SchedulerRequest::Place(1, ask())).await;
+        assert_eq!(killed.hear().await, SchedulerReply::Queued(1));
         drop(first);
-        assert!(matches!(killed.hear().await, ToEntry::Placed(1, Ok(_))));
+        assert!(matches!(killed.hear().await, SchedulerReply::Placed(1, Ok(_))));
         drop(killed);
         let mut last = Asker::connect(&scheduling).await;
         let placed = tokio::time::timeout(ms(15_000), last.placed_in_the_end());
@@ -224,14 +231,14 @@
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
         let mut left = Asker::connect(&scheduling).await;
-        left.tell(FromEntry::Place(1, ask())).await;
-        assert_eq!(left.hear().await, ToEntry::Queued(1));
-        left.tell(FromEntry::Withdraw(1)).await;
-        left.tell(FromEntry::Place(2, ask())).await;
-        assert_eq!(left.hear().await, ToEntry::Queued(2));
-        assert_eq!(scheduling.waiting(), 1);
+        left.tell(SchedulerRequest::Place(1, ask())).await;
+        assert_eq!(left.hear().await, SchedulerReply::Queued(1));
+        left.tell(SchedulerRequest::Withdraw(1)).await;
+        left.tell(SchedulerRequest::Place(2, ask())).await;
+        assert_eq!(left.hear().await, SchedulerReply::Queued(2));
+        assert_eq!(scheduling.waiting_count(), 1);
         drop(first);
-        assert!(matches!(left.hear().await, ToEntry::Placed(2, Ok(_))));
+        assert!(matches!(left.hear().await, SchedulerReply::Placed(2, Ok(_))));
     });
 }
 
@@ -240,10 +247,13 @@
     run(|scheduling| async move {
         let mut first = Asker::connect(&scheduling).await;
         first.placed().await;
-        first.tell(FromEntry::Place(2, ask())).await;
-        assert_eq!(first.hear().await, ToEntry::Queued(2));
-        scheduling.shared.belief.send_modify(|belief| belief.leads = false);
-        assert_eq!(first.hear().await, ToEntry::Placed(2, Err(SchedulerError::NotScheduling)));
+        first.tell(SchedulerRequest::Place(2, ask())).await;
+        assert_eq!(first.hear().await, SchedulerReply::Queued(2));
+        scheduling.shared.view.send_modify(|view| view.leads = false);
+        assert_eq!(
+            first.hear().await,
+            SchedulerReply::Placed(2, Err(SchedulerError::NotScheduling))
+        );
     });
 }
 
@@ -260,15 +270,15 @@
         tokio::task::spawn_local(async move {
             let (stream, _) = listener.accept().await.expect("the entry connects");
             let mut stream = BufReader::new(stream);
-            let _: Introduction = read(&mut stream).await.expect("who it is");
+            let _: Handshake = read(&mut stream).await.expect("who it is");
             for asked in 1..=4 {
                 let frame = read(&mut stream).await.expect("it asks again");
-                let FromEntry::Place(number, _) = frame else { panic!("{frame:?}") };
+                let SchedulerRequest::Place(number, _) = frame else { panic!("{frame:?}") };
                 let answer = match asked {
                     4 => Ok(Placed { target: start("i-1"), ..Placed::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
-                let answer = encode(&ToEntry::Placed(number, answer));
+                let answer = encode(&SchedulerReply::Placed(number, answer));
                 stream.write_all(&answer).await.expect("the entry reads");
             }
             std::future::pending::<()>().await;
@@ -309,18 +319,20 @@
         let engine = StandIn::start(vec![(ok(report), Then::KeepOpen); 20]).await;
         let mut listed = target("i-1", "llm", engine.address);
         listed.weights.insert("m".to_string(), 2);
-        let known = NumberedRoster::new(1, Arc::new(roster([listed])));
+        let known = VersionedRoster::new(1, Arc::new(roster([listed])));
         let shared = Rc::new(shared(1, known));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
         let mut asker = Asker::connect(&scheduling).await;
         let placed = asker.placed().await;
         assert_eq!(placed.weight_version, Some(2));
         let end = End::OtherWeights(Some(1));
-        asker.tell(FromEntry::Event(PlacementEvent::Ended { ticket: placed.ticket, end })).await;
+        asker
+            .tell(SchedulerRequest::Event(PlacementEvent::Ended { ticket: placed.ticket, end }))
+            .await;
         let mut changes = shared.roster.subscribe();
-        let is_listed = |known: &NumberedRoster| {
+        let is_listed = |known: &VersionedRoster| {
             known.roster.get(&start("i-1")).is_some_and(|engine| engine.weights["m"] == 1)
         };
         let listed = tokio::time::timeout(ms(15_000), changes.wait_for(is_listed)).await;
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use kumquatpost::clock::boot_now;
-use kumquatpost::control::frames::NumberedRoster;
+use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::publisher;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::state::Published;
 use kumquatpost::deployment::Deployment;
 use kumquatpost::deployment::document::RunPolicy;
@@ -51,8 +51,8 @@
     fn serve(&self, at: SocketAddr) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-            let shared = Rc::new(shared(1, NumberedRoster::default()));
-            let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+            let shared = Rc::new(shared(1, VersionedRoster::default()));
+            let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
             let listener = TcpListener::bind(at).await.expect("a port");
             let (inputs, _kept) = mpsc::channel(1);
             tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
@@ -60,10 +60,10 @@
                 let is_behind = self.is_behind.load(Ordering::SeqCst);
                 shared.caught_up_at.set((!is_behind).then(|| boot_now() + ms(600_000)));
                 let deployment = Arc::new(deployment(self.version.load(Ordering::SeqCst)));
-                shared.belief.send_if_modified(|belief| {
-                    let known = belief.state.published.as_ref().map(Published::version);
+                shared.view.send_if_modified(|view| {
+                    let known = view.state.published.as_ref().map(Published::version);
                     let is_new = known != Some(deployment.version);
-                    belief.state.published = Some(Published { text: Arc::default(), deployment });
+                    view.state.published = Some(Published { text: Arc::default(), deployment });
                     is_new
                 });
                 tokio::time::sleep(ms(5)).await;
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -3,8 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::{self, FromEntry, Introduction, ToEntry, ToReplica, Update};
-use kumquatpost::control::roster_reader::ListAddress;
+use kumquatpost::control::frames::{
+    self, Handshake, ReplicaFrame, SchedulerReply, SchedulerRequest, Update,
+};
+use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::control::state::ControlState;
 use kumquatpost::deployment::validate;
 use kumquatpost::fleet::{Listing, Roster};
@@ -39,25 +41,25 @@
         let _ = listing.finish().map(|listing| Roster::default().take(listing.into_targets()));
     });
     let _ = settings::decode(bytes).map(|host| {
-        let list = ListAddress {
+        let list = TargetListSource {
             address: host.target_list.unwrap_or(crate::fixtures::address(1)),
             rate_per_s: host.target_list_reads_per_s,
         };
-        list.read_every(1_000)
+        list.read_interval(1_000)
     });
     let _ = engines::decode_report(bytes);
     follow_store(bytes);
     let _ = operator::decode(&http::Method::POST, "/version-put", bytes);
-    let _ = ControlState::restored(bytes);
+    let _ = ControlState::from_snapshot(bytes);
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let mut framed = (bytes.len() as u32).to_le_bytes().to_vec();
     framed.extend_from_slice(bytes);
     for bytes in [bytes, &framed] {
         runtime.block_on(async {
-            let _ = frames::read::<Introduction>(&mut &*bytes).await;
-            let _ = frames::read::<FromEntry>(&mut &*bytes).await;
-            let _ = frames::read::<ToEntry>(&mut &*bytes).await;
-            let _ = frames::read::<ToReplica>(&mut &*bytes).await;
+            let _ = frames::read::<Handshake>(&mut &*bytes).await;
+            let _ = frames::read::<SchedulerRequest>(&mut &*bytes).await;
+            let _ = frames::read::<SchedulerReply>(&mut &*bytes).await;
+            let _ = frames::read::<ReplicaFrame>(&mut &*bytes).await;
             let _ = frames::read::<Update>(&mut &*bytes).await;
         });
     }
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kumquatpost::control::frames::NumberedRoster;
-use kumquatpost::control::ordering::Ordering;
+use kumquatpost::control::frames::VersionedRoster;
 use kumquatpost::control::replica::Input;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::rollout::RolloutController;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::Reply;
 use kumquatpost::fleet::Listed;
@@ -38,27 +38,27 @@
 
 /// A leader that has named weights 2, and knows of an engine in its start 1 that runs weights 1.
 fn lead(engine: Listed) -> Rc<Shared> {
-    let roster = NumberedRoster::new(1, Arc::new(roster([engine])));
+    let roster = VersionedRoster::new(1, Arc::new(roster([engine])));
     let shared = shared(1, roster);
     let named = Arc::new(BTreeMap::from([("m".to_string(), 2)]));
-    shared.belief.send_modify(|belief| belief.state.weights = named);
+    shared.view.send_modify(|view| view.state.weights = named);
     let shared = Rc::new(shared);
     let (inputs, mut commands) = mpsc::channel(8);
     tokio::task::spawn_local(async move {
         while let Some(Input::Propose(_, sender)) = commands.recv().await {
             // The right to order is free.
-            let _ = sender.send(Ok(Reply::Orders { previous: None }));
+            let _ = sender.send(Ok(Reply::OrderLease { previous: None }));
         }
     });
-    let ordering = Ordering {
+    let rollout = RolloutController {
         shared: shared.clone(),
-        scheduling: Rc::new(Scheduling::new(shared.clone(), OldWeights::default())),
+        scheduling: Rc::new(SchedulerService::new(shared.clone(), OldWeights::default())),
         inputs,
-        apart: Duration::ZERO,
-        loading: Cell::new(0),
-        awaited: RefCell::default(),
+        order_lease: Duration::ZERO,
+        loads_in_progress: Cell::new(0),
+        unanswered: RefCell::default(),
     };
-    tokio::task::spawn_local(Rc::new(ordering).run());
+    tokio::task::spawn_local(Rc::new(rollout).run());
     shared
 }
 
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -11,13 +11,13 @@
 
 use kumquatpost::clock::boot_now;
 use kumquatpost::control::frames::{
-    FromEntry, Introduction, NamedAges, NumberedRoster, ToEntry, Update, encode, read,
+    Handshake, NamedAges, SchedulerReply, SchedulerRequest, Update, VersionedRoster, encode, read,
 };
 use kumquatpost::control::publisher;
-use kumquatpost::control::scheduling::Scheduling;
+use kumquatpost::control::scheduler_service::SchedulerService;
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::{Command, ControlState};
-use kumquatpost::control::weight_ages::{age_of, due};
+use kumquatpost::control::weight_ages::{due_commands, estimated_age};
 use kumquatpost::essential::essentials;
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
@@ -38,8 +38,8 @@
 fn tell_as_a_replica(at: SocketAddr, is_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let shared = Rc::new(shared(1, NumberedRoster::default()));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let shared = Rc::new(shared(1, VersionedRoster::default()));
+        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
@@ -52,7 +52,7 @@
                 let now = boot_now();
                 let model = "m".to_string();
                 observe_named(&mut shared.named_since.borrow_mut(), &model, 2, now, now);
-                shared.belief.send_modify(|_| {});
+                shared.view.send_modify(|_| {});
             }
         }
     });
@@ -94,13 +94,13 @@
     let (mut stream, _) = listener.accept().await.expect("the entry connects");
     let (read_half, mut write) = stream.split();
     let mut from_entry = BufReader::new(read_half);
-    let _: Introduction = read(&mut from_entry).await.expect("who it is");
+    let _: Handshake = read(&mut from_entry).await.expect("who it is");
     // It ends with the test.
     while let Ok(frame) = read(&mut from_entry).await {
-        if let FromEntry::Place(number, _) = frame {
+        if let SchedulerRequest::Place(number, _) = frame {
             let placed =
                 Placed { target: start("i-1"), weight_version: Some(1), ..Placed::default() };
-            let answer = encode(&ToEntry::Placed(number, Ok(placed)));
+            let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
     }
@@ -143,10 +143,10 @@
 /// gets older ones.
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     leader.change_roster(|known| known.take(listed(1)));
     let reader = shared(4, leader.roster.borrow().clone());
-    reader.belief.send_modify(|belief| belief.leads = false);
+    reader.view.send_modify(|view| view.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
@@ -161,7 +161,7 @@
 /// The engine's own word goes before what was believed of it, also where the belief was too high.
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
-    let leader = shared(4, NumberedRoster::default());
+    let leader = shared(4, VersionedRoster::default());
     leader.change_roster(|known| known.take(listed(2)));
     let other = shared(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
@@ -183,11 +183,11 @@
     // The leader is lost each 1.2 s.
     for _ in 0..3 {
         // A replica that has just started hears it, and leads.
-        let age = age_of(&state, &model, 2, None, now);
+        let age = estimated_age(&state, &model, 2, None, now);
         let mut named = RolloutHistories::new();
         observe_named(&mut named, &model, 2, now.saturating_sub(age), now);
         now += ms(1_200);
-        for command in due(&named, &state.weight_ages, bound, now) {
+        for command in due_commands(&named, &state.weight_ages, bound, now) {
             state.apply(command);
         }
     }
@@ -204,17 +204,17 @@
     let model = "m".to_string();
     let mut log = ControlState::default();
     log.apply(Command::NameWeights { model: model.clone(), version: 2 });
-    let runs_on = shared(1, NumberedRoster::default());
+    let runs_on = shared(1, VersionedRoster::default());
     let named_at = boot_now().saturating_sub(ms(3_500));
     observe_named(&mut runs_on.named_since.borrow_mut(), &model, 2, named_at, boot_now());
-    let started = shared(1, NumberedRoster::default());
-    started.knows_ages.set(false);
+    let started = shared(1, VersionedRoster::default());
+    started.has_weight_ages.set(false);
     assert!(!started.is_current(ms(500)), "it may take old namings for new");
-    let age = age_of(&log, &model, 2, None, boot_now());
+    let age = estimated_age(&log, &model, 2, None, boot_now());
     let since = boot_now().saturating_sub(age);
     observe_named(&mut started.named_since.borrow_mut(), &model, 2, since, boot_now());
     started.observe_ages(runs_on.ages());
-    started.knows_ages.set(true);
+    started.has_weight_ages.set(true);
     assert!(started.is_current(ms(500)));
     assert!(started.ages()[&model][0].age >= ms(3_500), "{:?}", started.ages());
 }
@@ -226,7 +226,7 @@
     let core = Core::start(3);
     core.publish(1);
     let named = vec![NamedWeights { version: 2, age: ms(60_000) }];
-    let entry = Introduction::Entry {
+    let entry = Handshake::Entry {
         name: "entry".into(),
         failure_domain: "hall".into(),
         deployment: 0,
@@ -286,7 +286,7 @@
 /// How many entries share the retries, as a replica tells an entry first. Until it can know, it tells none.
 async fn sharing(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
     let mut stream = TcpStream::connect(replica).await?;
-    let entry = Introduction::Entry {
+    let entry = Handshake::Entry {
         name: name.into(),
         failure_domain: "hall".into(),
         deployment: 0,
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -2,9 +2,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use kumquatpost::control::rollout_plan::{
+    RunningPrompts, WeightOrder, max_concurrent_loads, next_loads,
+};
 use kumquatpost::control::state::{Command, ControlState};
-use kumquatpost::control::weight_ages::{age_of, due};
-use kumquatpost::control::weights::{RunningPrompts, WeightOrder, loads_at_once, next_loads};
+use kumquatpost::control::weight_ages::{due_commands, estimated_age};
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::platform::engines;
 use kumquatpost::scheduler::weights::{NamedWeights, RolloutHistories, observe_named};
@@ -32,7 +34,7 @@
 #[test]
 fn a_quarter_of_the_engines_is_kept_from_prompts_and_a_sixth_loads() {
     let roster = engines_with(&[1; 12]);
-    assert_eq!(loads_at_once(&roster, &"m".to_string()), 2);
+    assert_eq!(max_concurrent_loads(&roster, &"m".to_string()), 2);
     let mut under_way = BTreeSet::new();
     for expected in [3, 0] {
         let next = next_loads(&roster, &named(2), &under_way, &BTreeSet::new(), is_llm);
@@ -45,19 +47,19 @@
 #[test]
 fn engines_that_are_awaited_leave_their_place_to_others_but_some_are_never_told_at_once() {
     let roster = engines_with(&[1; 12]);
-    let (changing, mut awaited) = (BTreeSet::new(), BTreeSet::new());
+    let (changing, mut unanswered) = (BTreeSet::new(), BTreeSet::new());
     let mut told = Vec::new();
     for _ in 0..5 {
-        let next = next_loads(&roster, &named(2), &changing, &awaited, is_llm);
+        let next = next_loads(&roster, &named(2), &changing, &unanswered, is_llm);
         told.push(next.len());
-        awaited.extend(next.into_iter().map(|lagging| lagging.engine));
+        unanswered.extend(next.into_iter().map(|lagging| lagging.engine));
     }
     assert_eq!(told, [3, 3, 3, 0, 0]);
 }
 
 #[test]
 fn a_small_fleet_goes_on_one_by_one() {
-    assert_eq!(loads_at_once(&engines_with(&[1, 1, 1]), &"m".to_string()), 1);
+    assert_eq!(max_concurrent_loads(&engines_with(&[1, 1, 1]), &"m".to_string()), 1);
     assert_eq!(
         next_loads(
             &engines_with(&[1, 1, 1]),
@@ -161,7 +163,7 @@
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     let mut recorded_at = Vec::new();
     for at in (10_000..60_000).step_by(100) {
-        for command in due(&named, &state.weight_ages, ms(8_400), ms(at)) {
+        for command in due_commands(&named, &state.weight_ages, ms(8_400), ms(at)) {
             recorded_at.push(at);
             state.apply(command);
         }
@@ -177,7 +179,8 @@
 fn a_replica_that_hears_of_a_naming_late_takes_it_for_old() {
     let mut state = ControlState::default();
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
-    let age = |state: &ControlState, caught_up_at| age_of(state, "m", 2, caught_up_at, ms(50_000));
+    let age =
+        |state: &ControlState, caught_up_at| estimated_age(state, "m", 2, caught_up_at, ms(50_000));
     assert_eq!(age(&state, Some(ms(49_900))), ms(0), "it was there when it was named");
     assert_eq!(age(&state, None), ms(1_000), "it has just started");
     assert_eq!(age(&state, Some(ms(40_000))), ms(1_000), "it was away");
