--- a/src/control/memory_reader.rs
+++ b/src/control/memory_reader.rs
@@ -38,7 +38,7 @@
                 let recalled = scheduling.with(|scheduler| {
                     // Stores tell it with their next events, which may be long in coming.
                     page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
-                    scheduler.recall(&engine, page.events)
+                    scheduler.observe_cache_events(&engine, page.events)
                 });
                 recalled.unwrap_or_default()
             }
@@ -54,7 +54,7 @@
         .take_until(tokio::time::sleep(READS_FOR))
         .fold((0, 0), |(read, sum), parts| async move { (read + 1, sum + parts) })
         .await;
-    let _ = scheduling.with(|scheduler| scheduler.memories_read());
+    let _ = scheduling.with(|scheduler| scheduler.set_engine_caches_known());
     log::info!("event=engine_caches_read engines={read} of={count} parts={parts}");
 }
 
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -51,7 +51,7 @@
     fn new_scheduler(&self, first_ticket: TicketId) -> Scheduler {
         let mut scheduler = Scheduler::new(first_ticket, boot_now());
         scheduler.set_old_weights(self.old_weights);
-        scheduler.await_memories(boot_now());
+        scheduler.await_cache_state(boot_now());
         scheduler
     }
 
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::engine::Engine;
-use super::memory::PartKey;
+use super::engine_cache::PartKey;
 use super::messages::{DecisionTrace, NotFetched, PlacementRequest, ReadAgain};
 use super::pace::Pace;
 use super::source::{Source, Transfer, sources};
@@ -94,7 +94,7 @@
         };
         let was_read = |key: &PartKey| {
             stores.clone().any(|store| store.knows(*key))
-                || engines.clone().any(|engine| engine.memory.holds(*key))
+                || engines.clone().any(|engine| engine.cache.contains(*key))
         };
         let (sources, was_read) = (
             keys[..shared].iter().map(found).collect(),
@@ -112,7 +112,7 @@
         now: BootTime,
     ) -> Option<Candidate> {
         let ask = self.ask;
-        let resident = self.keys.iter().take_while(|key| engine.memory.holds(**key)).count();
+        let resident = self.keys.iter().take_while(|key| engine.cache.contains(**key)).count();
         let resident_tokens = ask.parts[..resident].iter().map(|part| part.tokens).sum::<u64>();
         if !has_room(engine, ask.prompt_tokens - resident_tokens.min(ask.prompt_tokens), ask) {
             return None;
--- a/src/scheduler/engine.rs
+++ b/src/scheduler/engine.rs
@@ -4,8 +4,8 @@
 
 use rustc_hash::FxHashMap;
 
+use super::engine_cache::{EngineCache, PartKey};
 use super::link::Link;
-use super::memory::{Memory, PartKey};
 use super::messages::TicketId;
 use super::pace::Pace;
 use crate::clock::BootTime;
@@ -29,7 +29,7 @@
     /// The weights that it runs, as last heard of.
     pub weight_version: Option<u64>,
     /// Its memory.
-    pub memory: Memory,
+    pub cache: EngineCache,
     /// Its soundness.
     pub health: Health,
     /// Tokens that it holds at the most.
@@ -87,7 +87,7 @@
         Engine {
             listed,
             weight_version,
-            memory: Memory::new(capacity_tokens),
+            cache: EngineCache::new(capacity_tokens),
             health: Health::default(),
             capacity_tokens,
             link: Link::new(link_mbps),
@@ -103,7 +103,7 @@
     pub fn set_weights(&mut self, version: Option<u64>) {
         if version.is_some() && self.weight_version != version {
             self.weight_version = version;
-            self.memory = Memory::new(self.capacity_tokens);
+            self.cache = EngineCache::new(self.capacity_tokens);
         }
     }
 
@@ -129,7 +129,7 @@
     pub fn has_read(&mut self, ticket: TicketId, pace: &mut Pace, now: BootTime) {
         let Some(running) = self.running.get_mut(&ticket) else { return };
         let Some(reading) = running.reading.take() else { return };
-        running.load.parts.iter().for_each(|key| self.memory.read(*key));
+        running.load.parts.iter().for_each(|key| self.cache.mark_computed(*key));
         if reading.found_idle {
             pace.measured(running.load.read_tokens, now.saturating_sub(running.since));
         }
@@ -143,9 +143,9 @@
         let Some(running) = self.running.remove(&ticket) else { return };
         self.generated_tokens -= running.load.output_tokens;
         for key in &running.load.parts {
-            self.memory.end_use(*key);
+            self.cache.release(*key);
             if running.reading.is_some() {
-                self.memory.forget(*key);
+                self.cache.discard(*key);
             }
         }
         if let Some(reading) = running.reading {
@@ -183,7 +183,7 @@
 
     /// Tokens that its running prompts use or will use.
     pub fn busy_tokens(&self) -> u64 {
-        self.memory.in_use() + self.generated_tokens
+        self.cache.in_use_tokens() + self.generated_tokens
     }
 
     fn slip(&mut self, by_ms: f64, now: BootTime) {
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -7,9 +7,9 @@
 
 mod candidate;
 pub mod engine;
+pub mod engine_cache;
 pub mod lateness;
 pub mod link;
-pub mod memory;
 pub mod messages;
 pub mod pace;
 pub mod plan;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -10,8 +10,8 @@
 
 use super::candidate::{Candidate, RequiredPrefix, shared_count};
 use super::engine::{Engine, Load};
+use super::engine_cache::PartKey;
 use super::lateness::Lateness;
-use super::memory::PartKey;
 use super::messages::{DecisionTrace, End, Placed, PlacementEvent, PlacementRequest, TicketId};
 use super::pace::Pace;
 use super::queue::{Queue, WaiterId, Waiting};
@@ -36,7 +36,7 @@
 const STUCK_AT_MOST: usize = 8;
 /// Prompts that come to a new scheduler wait for this long at the most for engines' memories and stores'
 /// inventories: 18 engines and six stores take 50 ms, 140 engines some 150 ms.
-const MEMORIES_READ_WITHIN: Duration = Duration::from_millis(150);
+const WARM_UP_TIMEOUT: Duration = Duration::from_millis(150);
 /// Kept between the last free that an earlier scheduler decided and the first fetch, for clocks that are
 /// read a little apart.
 const FREE_VOID_MARGIN: Duration = Duration::from_millis(20);
@@ -84,7 +84,7 @@
     /// Until this time prompts wait for what engines and stores hold to be read, unless it has been.
     warm_until: BootTime,
     /// Whether engines' memories have been read.
-    knows_memories: bool,
+    engine_caches_known: bool,
     weights: Weights,
 }
 
@@ -128,28 +128,29 @@
             frees_from: now + FIRST_FREES_AFTER,
             fetches_from: now,
             warm_until: now,
-            knows_memories: true,
+            engine_caches_known: true,
             weights: Weights::new(now),
         }
     }
 
     /// Has prompts wait until it is known what engines and stores hold. Called before the first prompt:
     /// those of an outage come at once, and would be read again where they don't lie.
-    pub fn await_memories(&mut self, now: BootTime) {
-        self.warm_until = now + MEMORIES_READ_WITHIN;
+    pub fn await_cache_state(&mut self, now: BootTime) {
+        self.warm_until = now + WARM_UP_TIMEOUT;
         self.fetches_from = now + FREE_LASTS + FREE_VOID_MARGIN;
-        self.knows_memories = false;
+        self.engine_caches_known = false;
     }
 
     /// Engines' memories have been read, as far as they can be.
-    pub fn memories_read(&mut self) {
-        self.knows_memories = true;
+    pub fn set_engine_caches_known(&mut self) {
+        self.engine_caches_known = true;
     }
 
     /// Whether prompts need not wait for what engines and stores hold.
-    fn is_informed(&self, now: BootTime) -> bool {
-        let knows_stores = self.clock.is_some() && self.stores.values().all(Store::is_known);
-        (self.knows_memories && knows_stores && now >= self.fetches_from) || now >= self.warm_until
+    fn has_cache_state(&self, now: BootTime) -> bool {
+        let stores_known = self.clock.is_some() && self.stores.values().all(Store::is_known);
+        (self.engine_caches_known && stores_known && now >= self.fetches_from)
+            || now >= self.warm_until
     }
 
     /// Takes a prompt: it is placed at once or refused, or it waits and comes out of `dispatch`.
@@ -159,7 +160,7 @@
         ask: PlacementRequest,
         now: BootTime,
     ) -> Option<PlacementResult> {
-        let must_wait = !self.queue.is_empty() || !self.is_informed(now);
+        let must_wait = !self.queue.is_empty() || !self.has_cache_state(now);
         let waiting = Waiting { waiter, ask, since: now };
         if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&waiting, now) {
             return Some(outcome);
@@ -179,7 +180,7 @@
         let mut outcomes: Vec<(WaiterId, PlacementResult)> = hopeless
             .map(|waiting| (waiting.waiter, Err(PlacementError::Busy(come_back(waiting.waiter)))))
             .collect();
-        if !self.is_informed(now) {
+        if !self.has_cache_state(now) {
             return outcomes;
         }
         let mut stuck = Vec::new();
@@ -299,7 +300,7 @@
         if let Some(engine) = self.engines.get_mut(&target) {
             weight_version = engine.weight_version;
             for (key, part) in keys.iter().zip(&ask.parts) {
-                engine.memory.begin_use(*key, part.tokens);
+                engine.cache.acquire(*key, part.tokens);
             }
             let resident_or_fetched =
                 candidate.trace.resident_tokens + candidate.trace.fetched_tokens;
--- a/src/scheduler/plan/intake.rs
+++ b/src/scheduler/plan/intake.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{Presence, Roster};
 use crate::ids::TargetStart;
 use crate::scheduler::engine::Engine;
-use crate::scheduler::memory::PartKey;
+use crate::scheduler::engine_cache::PartKey;
 use crate::scheduler::store::{FreePlan, Inventory, Store, StoreEvent, part_key};
 use crate::scheduler::weights::{OldWeights, RolloutHistories};
 
@@ -103,7 +103,7 @@
 
     /// Takes what an engine has told of its memory, in the order in which it happened. Returns how
     /// many parts of its present weights it holds.
-    pub fn recall(&mut self, engine: &TargetStart, events: Vec<StoreEvent>) -> usize {
+    pub fn observe_cache_events(&mut self, engine: &TargetStart, events: Vec<StoreEvent>) -> usize {
         let Some(engine) = self.engines.get_mut(engine) else { return 0 };
         let weights = format!("/{}", engine.weight_version.unwrap_or_default());
         let mut held: BTreeMap<(String, String), (usize, u64)> = BTreeMap::new();
@@ -121,7 +121,7 @@
             .map(|((salt, id), (order, tokens))| (*order, part_key(salt, id), *tokens))
             .collect();
         parts.sort_unstable_by_key(|(order, ..)| *order);
-        parts.iter().for_each(|(_, key, tokens)| engine.memory.recall(*key, *tokens));
+        parts.iter().for_each(|(_, key, tokens)| engine.cache.insert_idle(*key, *tokens));
         parts.len()
     }
 
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::engine::Engine;
+use super::engine_cache::PartKey;
 use super::link::Link;
-use super::memory::PartKey;
 use super::store::Store;
 use crate::clock::BootTime;
 use crate::fleet::Presence;
@@ -75,7 +75,7 @@
     now: BootTime,
 ) -> Vec<Source<'a>> {
     let mut having: Vec<&Engine> =
-        engines.filter(|engine| engine.memory.has_read(key) && is_fetchable(engine)).collect();
+        engines.filter(|engine| engine.cache.is_computed(key) && is_fetchable(engine)).collect();
     having.sort_by_key(|engine| engine.link.queue(now));
     let engines = having.into_iter().take(ENGINES_AT_MOST).map(Source::engine);
     stores.filter(|store| store.is_whole(key)).map(Source::store).chain(engines).collect()
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -9,8 +9,8 @@
 
 use rustc_hash::FxHashMap;
 
+use super::engine_cache::PartKey;
 use super::link::Link;
-use super::memory::PartKey;
 use crate::clock::BootTime;
 use crate::deployment::StoreTraits;
 use crate::gateway::call::Part;
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -81,7 +81,7 @@
     }
     if let Ok(page) = stores::decode_events(bytes) {
         page.clock_ms.into_iter().for_each(|at_ms| scheduler.read_clock(at_ms, ms(5_000)));
-        scheduler.recall(&crate::fixtures::start("i-00"), page.events.clone());
+        scheduler.observe_cache_events(&crate::fixtures::start("i-00"), page.events.clone());
         scheduler.observe_events(store, page.events, ms(5_000));
     }
     scheduler.submit(1, ask_of(1, 1, 1), ms(5_001));
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -85,7 +85,7 @@
 #[test]
 fn prompts_wait_until_a_new_scheduler_knows_what_is_kept() {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.await_memories(ms(0));
+    scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     let ask = ask_of(0, 1, 1);
@@ -93,7 +93,7 @@
     let context = &ask.parts[0];
     let part =
         StoredPart { salt: "all/m/1".into(), id: context.id.clone(), tokens: context.tokens };
-    scheduler.recall(&start("i-01"), vec![StoreEvent::Stored(part)]);
+    scheduler.observe_cache_events(&start("i-01"), vec![StoreEvent::Stored(part)]);
     assert_eq!(scheduler.dispatch(ms(20)), [], "the store's contents are not known");
     let empty = Inventory { start: store_start(1), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), empty, ms(25));
@@ -101,7 +101,7 @@
     scheduler.read_clock(5, ms(35));
     assert_eq!(scheduler.dispatch(ms(60)), [], "frees of an earlier scheduler may be under way");
     assert_eq!(scheduler.dispatch(ms(75)), [], "engines' memories are not all read");
-    scheduler.memories_read();
+    scheduler.set_engine_caches_known();
     let (waiter, outcome) = scheduler.dispatch(ms(80)).remove(0);
     let placed = outcome.expect("it is placed");
     assert_eq!((waiter, placed.target, placed.trace.resident_tokens), (1, start("i-01"), 9_100));
@@ -110,7 +110,7 @@
 #[test]
 fn prompts_do_not_wait_for_long_for_a_store_that_does_not_answer() {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.await_memories(ms(0));
+    scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     assert_eq!(scheduler.submit(1, ask_of(0, 1, 1), ms(10)), None);
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -61,11 +61,14 @@
     let mut scheduler = in_first_start();
     list(&mut scheduler, &starts().1);
     let part = StoredPart { salt: "all/m/1".into(), id: "1-context-1".into(), tokens: 650 };
-    assert_eq!(scheduler.recall(&starts().0, vec![StoreEvent::Stored(part.clone())]), 0);
+    assert_eq!(
+        scheduler.observe_cache_events(&starts().0, vec![StoreEvent::Stored(part.clone())]),
+        0
+    );
     assert_eq!(submit(&mut scheduler, 1, 10).trace.resident_tokens, 0);
     // Its own is.
     let mut scheduler = in_first_start();
-    assert_eq!(scheduler.recall(&starts().0, vec![StoreEvent::Stored(part)]), 1);
+    assert_eq!(scheduler.observe_cache_events(&starts().0, vec![StoreEvent::Stored(part)]), 1);
     assert_eq!(submit(&mut scheduler, 1, 10).trace.resident_tokens, 650);
 }
 
