--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -19,7 +19,7 @@
 use crate::log::{Message, Term};
 use crate::quarantine::Report;
 use crate::scheduler::weights::NamedWeights;
-use crate::scheduler::{Placed, PlacementError, PlacementEvent, PlacementRequest};
+use crate::scheduler::{Placement, PlacementError, PlacementEvent, PlacementRequest};
 
 /// A longer frame is taken for damage. Larger than any deployment with its text: a body of an
 /// operator's call is at most 4 MiB.
@@ -113,7 +113,7 @@
     /// The prompt waits for an engine with room; `Placed` follows.
     Queued(u64),
     /// Where a prompt runs.
-    Placed(u64, Result<Placed, SchedulerError>),
+    Placed(u64, Result<Placement, SchedulerError>),
 }
 
 /// Why a prompt was not placed.
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -22,7 +22,7 @@
 use crate::scheduler::store::{FREE_LASTS, FreePlan};
 use crate::scheduler::weights::OldWeights;
 use crate::scheduler::{
-    End, Placed, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
+    EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
 };
 
 /// How often it is looked whether prompts that wait can be placed.
@@ -71,7 +71,7 @@
 
 impl EntryLink {
     /// Answers an ask. What is placed counts from here on, whether the entry hears of it or not.
-    fn answer(&self, number: u64, answer: Result<Placed, SchedulerError>) {
+    fn answer(&self, number: u64, answer: Result<Placement, SchedulerError>) {
         self.waiting.borrow_mut().remove(&number);
         if let Ok(placed) = &answer {
             self.placed.borrow_mut().insert(placed.ticket);
@@ -316,7 +316,7 @@
         let waiting = self.entry.waiting.take();
         waiting.into_values().for_each(|waiter| self.withdraw(waiter));
         for ticket in self.entry.placed.take() {
-            let note = PlacementEvent::Ended { ticket, end: End::Left };
+            let note = PlacementEvent::Ended { ticket, end: EndReason::Cancelled };
             let _ = self.scheduling.with(|scheduler| scheduler.observe(&note, boot_now()));
         }
     }
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -35,11 +35,11 @@
     /// The prompt, if it is one.
     pub prompt: Option<&'a Prompt>,
     /// Those who may share kept cache with the request; empty for everybody.
-    pub cache_wall: &'a str,
+    pub cache_namespace: &'a str,
     /// Targets that this request was sent to before.
     pub tried: &'a [TargetStart],
     /// Breaks ties.
-    pub drawn: u64,
+    pub tie_breaker: u64,
     /// When weights were named.
     pub named: &'a RolloutHistories,
     /// How long prompts may begin on older ones.
@@ -50,10 +50,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionError {
     /// No target of the service is listed.
-    NoneListed,
+    NoTargetListed,
     /// All that are listed are out of order, or this request was sent to them before.
-    NoneSound,
-    /// All that are sound run older weights than must be in force by now.
+    NoHealthyTarget,
+    /// All that are healthy run older weights than must be in force by now.
     OldWeights,
 }
 
@@ -78,32 +78,38 @@
 /// If there is none.
 pub fn choose(
     view: &FleetView,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     now: BootTime,
 ) -> Result<Choice, SelectionError> {
     let mut is_listed = false;
-    let mut sound = Vec::new();
-    for state in view.live(ask.service) {
+    let mut healthy = Vec::new();
+    for state in view.live(criteria.service) {
         is_listed = true;
-        let was_tried = ask.tried.contains(&state.listed.start);
+        let was_tried = criteria.tried.contains(&state.listed.start);
         if !was_tried && state.health.admits(state.running, now) {
-            sound.push(state);
+            healthy.push(state);
         }
     }
-    if sound.is_empty() {
-        return Err(if is_listed { SelectionError::NoneSound } else { SelectionError::NoneListed });
+    if healthy.is_empty() {
+        return Err(if is_listed {
+            SelectionError::NoHealthyTarget
+        } else {
+            SelectionError::NoTargetListed
+        });
     }
-    let choices = match ask.prompt {
-        Some(prompt) => engine_choices(&sound, prompt, ask, now),
-        None => plain_choices(&sound, now),
+    let choices = match criteria.prompt {
+        Some(prompt) => engine_choices(&healthy, prompt, criteria, now),
+        None => plain_choices(&healthy, now),
     };
     let best = choices.into_iter().min_by(|(a, tie_a), (b, tie_b)| {
-        a.expected.cmp(&b.expected).then(mixed(tie_a, ask.drawn).cmp(&mixed(tie_b, ask.drawn)))
+        a.expected
+            .cmp(&b.expected)
+            .then(mixed(tie_a, criteria.tie_breaker).cmp(&mixed(tie_b, criteria.tie_breaker)))
     });
     best.map(|(choice, _)| choice).ok_or(SelectionError::OldWeights)
 }
 
-fn plain_choices(sound: &[&TargetState], now: BootTime) -> Vec<(Choice, u64)> {
+fn plain_choices(healthy: &[&TargetState], now: BootTime) -> Vec<(Choice, u64)> {
     let choice = |state: &&TargetState| {
         let load = state.load(now);
         let expected = DELAY_PER_PLAIN_REQUEST.mul_f64(load);
@@ -111,19 +117,19 @@
         let choice = Choice { target, load, home: 0, expected, weight_version: None };
         (choice, tie(state))
     };
-    sound.iter().map(choice).collect()
+    healthy.iter().map(choice).collect()
 }
 
 fn engine_choices(
-    sound: &[&TargetState],
+    healthy: &[&TargetState],
     prompt: &Prompt,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     now: BootTime,
 ) -> Vec<(Choice, u64)> {
     let context = prompt.shared_parts().last().map_or("", |part| part.id.as_str());
-    let key = FxBuildHasher.hash_one((ask.cache_wall, context));
+    let key = FxBuildHasher.hash_one((criteria.cache_namespace, context));
     let mut ranked: Vec<(u64, &TargetState)> =
-        sound.iter().map(|state| (mixed(&tie(state), key), *state)).collect();
+        healthy.iter().map(|state| (mixed(&tie(state), key), *state)).collect();
     ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
     let own = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
     ranked
@@ -139,7 +145,7 @@
                 };
             let read_ms = (own as f64 + again) / READ_TOKENS_PER_MS;
             let expected = DELAY_PER_REQUEST.mul_f64(load) + Duration::from_secs_f64(read_ms / 1e3);
-            let (weight_version, cost_ms) = weights_of(state, prompt, ask, now + expected)?;
+            let (weight_version, cost_ms) = weights_of(state, prompt, criteria, now + expected)?;
             let expected = expected + Duration::from_secs_f64(cost_ms / 1e3);
             let target = state.listed.start.clone();
             Some((Choice { target, load, home, expected, weight_version }, tie(state)))
@@ -155,10 +161,10 @@
 fn weights_of(
     state: &TargetState,
     prompt: &Prompt,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     read_by: BootTime,
 ) -> Option<(Option<u64>, f64)> {
-    let named = ask.named.get(&prompt.model);
+    let named = criteria.named.get(&prompt.model);
     let has = state.weights.get(&prompt.model).copied().filter(|version| *version > 0);
     match (has, named.and_then(RolloutHistory::newest)) {
         // The newest are expected of it: it refuses if it runs others, and says which. So it may be
@@ -166,7 +172,7 @@
         (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_MS)),
         _ => {
             let begins_by = read_by + BEGINS_WITHIN;
-            let cost_ms = ask.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;
+            let cost_ms = criteria.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;
             Some((has, cost_ms))
         }
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -22,7 +22,7 @@
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
-use crate::scheduler::End;
+use crate::scheduler::EndReason;
 
 /// Connections that are tried for one attempt. A target that can't be reached has run nothing.
 const CONNECTIONS_TRIED: usize = 4;
@@ -85,28 +85,28 @@
         let ticket = chosen.placed.as_ref().map(|placed| placed.ticket);
         let mut at_target = AtTarget::new(gateway, &target, ticket, reading);
         let Some(mut connection) = connect(gateway, &target, job.ends_at, record).await else {
-            at_target.ends(End::Unreachable);
+            at_target.ends(EndReason::Unreachable);
             avoid.push(target);
             continue;
         };
         // The scheduler may hear later than this entry that the target leaves, and connecting takes time.
         if !gateway.fleet.borrow().takes_work(&target) {
             record.failed(&target, "it takes no new work");
-            at_target.ends(End::NotRun);
+            at_target.ends(EndReason::NotRun);
             avoid.push(target);
             continue;
         }
         // Its word may have lain for long at an entry that was starved, and connecting takes time.
         if !place::may_still_begin(gateway, job, &chosen) {
             record.failed(&target, "its weights must be replaced by now");
-            at_target.ends(End::NotRun);
+            at_target.ends(EndReason::NotRun);
             gateway.give_back(&target, connection);
             avoid.push(target);
             continue;
         }
         // It may have waited for its place for long.
         if let Some(left) = held_for(gateway, job, record) {
-            at_target.ends(End::NotRun);
+            at_target.ends(EndReason::NotRun);
             gateway.give_back(&target, connection);
             return Err(Missed::Held(left));
         }
@@ -124,12 +124,12 @@
             Ok(Sent::Answered(answer)) => answer,
             Ok(Sent::NotSent(reason)) => {
                 record.failed(&target, &reason);
-                at_target.ends(End::NotRun);
+                at_target.ends(EndReason::NotRun);
                 continue;
             }
             Ok(Sent::Broken(reason)) => {
                 record.failed(&target, &reason);
-                at_target.ends(End::Failed);
+                at_target.ends(EndReason::Failed);
                 drop(at_target);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 examine::broke_off(gateway, job, &target, sent_at, record).await;
@@ -137,7 +137,7 @@
             }
             Err(_) => {
                 record.failed(&target, "no answer in time");
-                at_target.ends(End::Failed);
+                at_target.ends(EndReason::Failed);
                 gateway.fleet.borrow_mut().failed(&target, Fault::Target, now);
                 return Err(Missed::TimedOut(target));
             }
@@ -146,7 +146,7 @@
         let answered = Answered { target, answer, outcome, connection, at_target, sent_at };
         return judge(gateway, job, answered, record);
     }
-    Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoneSound)))
+    Err(Missed::Unplaced(NoChoice::NoTarget(SelectionError::NoHealthyTarget)))
 }
 
 /// How much longer the request must not reach a target.
@@ -226,7 +226,7 @@
     if is_other {
         // The connection carries an answer to an earlier request: nothing on it can be trusted.
         record.failed(target, "answer to another request");
-        at_target.ends(End::Failed);
+        at_target.ends(EndReason::Failed);
         return Err(Missed::MayHaveRun(answered.target));
     }
     if answer.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -235,13 +235,13 @@
         if is_replaced {
             gateway.fleet.borrow_mut().replaced(target);
             examine::has_ended(gateway, target, "another target answers at its address");
-            at_target.ends(End::Replaced);
+            at_target.ends(EndReason::Replaced);
         } else {
             if let Some(prompt) = &job.call.prompt {
                 let has = outcome.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
-            at_target.ends(End::OtherWeights(outcome.weight_version));
+            at_target.ends(EndReason::WeightMismatch(outcome.weight_version));
         }
         return Err(Missed::NotRun(answered.target));
     }
@@ -250,7 +250,7 @@
     }
     if outcome.did_not_run {
         record.failed(target, &format!("not run, status {}", answer.status().as_u16()));
-        at_target.ends(End::NotRun);
+        at_target.ends(EndReason::NotRun);
         let Answered { target, connection, outcome, .. } = answered;
         if !outcome.closes {
             gateway.give_back(&target, connection);
@@ -258,7 +258,7 @@
         return Err(Missed::NotRun(target));
     }
     if answer.status().is_server_error() {
-        at_target.ends(End::Failed);
+        at_target.ends(EndReason::Failed);
         gateway.fleet.borrow_mut().failed(target, Fault::Target, now);
     }
     Ok(answered)
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -10,7 +10,7 @@
 use crate::fleet::placement;
 use crate::ids::TargetStart;
 use crate::scheduler::weights::{BEGINS_WITHIN, OldWeights, RolloutHistory};
-use crate::scheduler::{Placed, PlacementError, PlacementRequest};
+use crate::scheduler::{Placement, PlacementError, PlacementRequest};
 
 /// An entry that has a part of the list of targets waits so long for one that a prompt was placed at: the
 /// rest of the list takes a tenth of a second.
@@ -21,7 +21,7 @@
     /// The target.
     pub target: TargetStart,
     /// The scheduler's word, if it is its choice.
-    pub placed: Option<Placed>,
+    pub placed: Option<Placement>,
     /// The weights that the engine must run.
     pub weight_version: Option<u64>,
     /// What the choice rests on, as key=value pairs.
@@ -65,7 +65,7 @@
     alone(gateway, job, avoid)
 }
 
-fn by_scheduler(placed: Placed) -> Chosen {
+fn by_scheduler(placed: Placement) -> Chosen {
     let trace = format!(
         "by=scheduler weights={} running={} ahead_ms={} resident_tokens={} fetched_tokens={} \
          again_nowhere_whole={} again_link_full={} again_link_slow={} expected_ms={} waited_ms={} \
@@ -75,9 +75,9 @@
         placed.trace.ahead_ms,
         placed.trace.resident_tokens,
         placed.trace.fetched_tokens,
-        placed.trace.read_again.nowhere_whole_tokens,
-        placed.trace.read_again.link_full_tokens,
-        placed.trace.read_again.link_slow_tokens,
+        placed.trace.recomputed.nowhere_whole_tokens,
+        placed.trace.recomputed.link_full_tokens,
+        placed.trace.recomputed.link_slow_tokens,
         placed.trace.expected_ms,
         placed.trace.waited_ms,
         placed.save.iter().flatten().count(),
@@ -90,9 +90,9 @@
     let ask = placement::Criteria {
         service: &job.service,
         prompt: job.call.prompt.as_ref(),
-        cache_wall: &job.cache_wall,
+        cache_namespace: &job.cache_wall,
         tried: avoid,
-        drawn: job.drawn,
+        tie_breaker: job.drawn,
         named: &gateway.named_since.borrow(),
         old_weights: gateway.host.periods.old_weights,
     };
@@ -160,14 +160,14 @@
     Some(PlacementRequest {
         service: job.service.clone(),
         model: prompt.model.clone(),
-        wall: job.cache_wall.clone(),
+        cache_namespace: job.cache_wall.clone(),
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
         priority: job.rank.order(),
         objective: job.route.objective,
         time_left: job.ends_at.saturating_duration_since(tokio::time::Instant::now()),
-        waited: job.arrived.elapsed(),
+        elapsed: job.arrived.elapsed(),
         avoid,
     })
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -22,7 +22,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::Fault;
 use crate::ids::TargetStart;
-use crate::scheduler::End;
+use crate::scheduler::EndReason;
 
 /// A body up to this length is taken as a whole before any of it is relayed, so that one that breaks
 /// off can be asked for again.
@@ -169,7 +169,7 @@
     fn finish(&mut self) {
         self.record.end(Ended::Relayed(StatusCode::OK.as_u16()));
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Whole);
+            source.at_target.ends(EndReason::Completed);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
             self.gateway.answered_whole(&self.job);
             if !source.outcome.closes {
@@ -182,7 +182,7 @@
     async fn go_on_elsewhere(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
-            source.at_target.ends(End::Failed);
+            source.at_target.ends(EndReason::Failed);
             self.record.failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(&source.target, Fault::Target, boot_now());
             let (target, sent_at) = (source.target.clone(), source.sent_at);
--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::{BootTime, boot_now};
 use crate::control::frames::{FromEntry, SchedulerError, encode};
-use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
+use crate::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest};
 
 /// An answer takes one or two milliseconds. After this time the entry decides alone.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(40);
@@ -30,7 +30,7 @@
 /// How often it is asked again meanwhile.
 const ASK_AGAIN_EVERY: Duration = Duration::from_millis(30);
 
-type Answer = Result<Placed, SchedulerError>;
+type Answer = Result<Placement, SchedulerError>;
 
 /// What the scheduler says to a placement request.
 pub(super) enum Reply {
@@ -147,8 +147,8 @@
     }
 
     /// Gives back a placement that is not used.
-    pub fn give_back(&self, placed: &Placed) {
-        self.tell(PlacementEvent::Ended { ticket: placed.ticket, end: End::NotRun });
+    pub fn give_back(&self, placed: &Placement) {
+        self.tell(PlacementEvent::Ended { ticket: placed.ticket, end: EndReason::NotRun });
     }
 
     /// A connection is made: requests go through this channel.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -30,7 +30,7 @@
 use crate::quarantine::evidence::BrokenRuns;
 use crate::quarantine::{Quarantine, share};
 use crate::scheduler::weights::{self, RolloutHistories};
-use crate::scheduler::{End, PlacementEvent, TicketId};
+use crate::scheduler::{EndReason, PlacementEvent, TicketId};
 use crate::telemetry::roles::EntryMetrics;
 
 /// Entries that are assumed to share the retry budget until a replica tells how many there are.
@@ -437,7 +437,7 @@
     gateway: Rc<Gateway>,
     dispatch: Option<Dispatch>,
     ticket: Option<TicketId>,
-    end: End,
+    end: EndReason,
 }
 
 impl AtTarget {
@@ -449,7 +449,12 @@
         reading_tokens: u64,
     ) -> AtTarget {
         let dispatch = gateway.fleet.borrow_mut().begin(target, reading_tokens);
-        AtTarget { gateway: gateway.clone(), dispatch: Some(dispatch), ticket, end: End::Left }
+        AtTarget {
+            gateway: gateway.clone(),
+            dispatch: Some(dispatch),
+            ticket,
+            end: EndReason::Cancelled,
+        }
     }
 
     /// Its prompt has been read: the first part of the answer is here.
@@ -460,12 +465,16 @@
         }
         if let Some(ticket) = self.ticket {
             let (weight_version, load) = (outcome.weight_version, outcome.load);
-            self.gateway.scheduler.tell(PlacementEvent::FirstPart { ticket, weight_version, load });
+            self.gateway.scheduler.tell(PlacementEvent::FirstToken {
+                ticket,
+                weight_version,
+                load,
+            });
         }
     }
 
     /// How it ends. Without a word, the caller has left.
-    pub fn ends(&mut self, end: End) {
+    pub fn ends(&mut self, end: EndReason) {
         self.end = end;
     }
 }
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -5,7 +5,7 @@
 
 use super::engine::Engine;
 use super::engine_cache::PartKey;
-use super::messages::{DecisionTrace, NotFetched, PlacementRequest, ReadAgain};
+use super::messages::{DecisionTrace, PlacementRequest, RecomputeReason, RecomputedTokens};
 use super::pace::Pace;
 use super::source::{Source, Transfer, sources};
 use super::store::{Store, part_key};
@@ -16,15 +16,15 @@
 const DELAY_PER_RUNNING_MS: f64 = 2.0;
 /// What a request that was not placed here delays the next one: a mean prompt of 3,600 tokens.
 const DELAY_PER_OTHER_MS: f64 = 25.0;
-/// Reading tokens again that are kept somewhere else costs this much beside the time that it takes:
+/// Reading tokens recomputed_parts that are kept somewhere else costs this much beside the time that it takes:
 /// operators weigh work that is thrown away.
-const READ_AGAIN_MS_PER_TOKEN: f64 = 0.03;
+const RECOMPUTE_MS_PER_TOKEN: f64 = 0.03;
 /// A fetch costs this much for each millisecond that it keeps its links from others, beside its own time:
 /// fetches between failure domains keep them twice as long, and where links are full what can't be fetched
-/// is read again.
+/// is read recomputed_parts.
 const LINK_TIME_WEIGHT: f64 = 0.5;
 /// Running prompts take at most this part of an engine's memory: beyond it they push each other
-/// out, and what was read must be read again.
+/// out, and what was read must be read recomputed_parts.
 const MEMORY_PART: f64 = 0.9;
 /// A fetch that would take longer is not worth waiting for: it would not be started.
 const LONGEST_FETCH: Duration = Duration::from_millis(1_000);
@@ -33,7 +33,7 @@
 
 /// A prompt as all engines with the same weights see it: worked out once, looked at for each.
 pub struct RequiredPrefix<'a> {
-    ask: &'a PlacementRequest,
+    request: &'a PlacementRequest,
     /// The text under which its parts are kept. Other weights make other parts.
     pub salt: String,
     /// Its parts.
@@ -43,8 +43,8 @@
     /// Where each shared part can be fetched from.
     sources: Vec<Vec<Source<'a>>>,
     /// Whether some engine has read each shared part, or reads it: its tokens are thrown away if another
-    /// one reads it again.
-    was_read: Vec<bool>,
+    /// one reads it recomputed_parts.
+    was_computed: Vec<bool>,
 }
 
 /// How an engine would get at a prompt.
@@ -67,9 +67,9 @@
 }
 
 /// How many parts others share: all but the last, which belongs to the request itself.
-pub fn shared_count(ask: &PlacementRequest) -> usize {
-    match ask.parts.len() {
-        0 | 1 => ask.parts.len(),
+pub fn shared_count(request: &PlacementRequest) -> usize {
+    match request.parts.len() {
+        0 | 1 => request.parts.len(),
         count => count - 1,
     }
 }
@@ -78,29 +78,35 @@
     /// Works out what all engines with these weights have in common. Without `may_fetch`, nothing is
     /// fetched.
     pub fn new(
-        ask: &'a PlacementRequest,
+        request: &'a PlacementRequest,
         weight_version: Option<u64>,
         stores: impl Iterator<Item = &'a Store> + Clone,
         engines: impl Iterator<Item = &'a Engine> + Clone,
         may_fetch: bool,
         now: BootTime,
     ) -> RequiredPrefix<'a> {
-        let salt = format!("{}/{}/{}", ask.wall, ask.model, weight_version.unwrap_or_default());
-        let keys: Vec<PartKey> = ask.parts.iter().map(|part| part_key(&salt, &part.id)).collect();
-        let shared = shared_count(ask);
+        let salt = format!(
+            "{}/{}/{}",
+            request.cache_namespace,
+            request.model,
+            weight_version.unwrap_or_default()
+        );
+        let keys: Vec<PartKey> =
+            request.parts.iter().map(|part| part_key(&salt, &part.id)).collect();
+        let shared = shared_count(request);
         let found = |key: &PartKey| match may_fetch {
             true => sources(*key, stores.clone(), engines.clone(), now),
             false => Vec::new(),
         };
-        let was_read = |key: &PartKey| {
+        let was_computed = |key: &PartKey| {
             stores.clone().any(|store| store.knows(*key))
                 || engines.clone().any(|engine| engine.cache.contains(*key))
         };
-        let (sources, was_read) = (
+        let (sources, was_computed) = (
             keys[..shared].iter().map(found).collect(),
-            keys[..shared].iter().map(was_read).collect(),
+            keys[..shared].iter().map(was_computed).collect(),
         );
-        RequiredPrefix { ask, salt, keys, shared, sources, was_read }
+        RequiredPrefix { request, salt, keys, shared, sources, was_computed }
     }
 
     /// How an engine would get at it; `None` if the engine has no room.
@@ -111,13 +117,17 @@
         pace: &Pace,
         now: BootTime,
     ) -> Option<Candidate> {
-        let ask = self.ask;
+        let request = self.request;
         let resident = self.keys.iter().take_while(|key| engine.cache.contains(**key)).count();
-        let resident_tokens = ask.parts[..resident].iter().map(|part| part.tokens).sum::<u64>();
-        if !has_room(engine, ask.prompt_tokens - resident_tokens.min(ask.prompt_tokens), ask) {
+        let resident_tokens = request.parts[..resident].iter().map(|part| part.tokens).sum::<u64>();
+        if !has_room(
+            engine,
+            request.prompt_tokens - resident_tokens.min(request.prompt_tokens),
+            request,
+        ) {
             return None;
         }
-        let mut fetch = vec![None; ask.parts.len()];
+        let mut fetch = vec![None; request.parts.len()];
         let mut fetched_tokens = 0;
         let (mut fetch_ms, mut link_ms): (f64, f64) = (0.0, 0.0);
         for (at, fetched) in fetch.iter_mut().enumerate().take(self.shared) {
@@ -128,7 +138,7 @@
             match found {
                 _ if at < resident => {}
                 Some((_, found)) => {
-                    fetched_tokens += ask.parts[at].tokens;
+                    fetched_tokens += request.parts[at].tokens;
                     fetch_ms = fetch_ms.max(millis(found.queue + found.transfer));
                     link_ms += millis(found.transfer);
                 }
@@ -136,30 +146,30 @@
                 None => break,
             }
         }
-        let again: Vec<usize> = (resident.min(self.shared)..self.shared)
-            .filter(|at| fetch[*at].is_none() && self.was_read[*at])
+        let recomputed_parts: Vec<usize> = (resident.min(self.shared)..self.shared)
+            .filter(|at| fetch[*at].is_none() && self.was_computed[*at])
             .collect();
-        let (mut read_again, mut again_tokens) = (ReadAgain::default(), 0);
-        for at in again {
-            let tokens = ask.parts[at].tokens;
-            again_tokens += tokens;
-            *read_again.reason(self.why_not_fetched(at, engine, now)) += tokens;
+        let (mut recomputed, mut recomputed_tokens) = (RecomputedTokens::default(), 0);
+        for at in recomputed_parts {
+            let tokens = request.parts[at].tokens;
+            recomputed_tokens += tokens;
+            *recomputed.for_reason(self.recompute_reason(at, engine, now)) += tokens;
         }
-        let read_tokens = ask.prompt_tokens.saturating_sub(resident_tokens + fetched_tokens);
+        let read_tokens = request.prompt_tokens.saturating_sub(resident_tokens + fetched_tokens);
         let ahead_ms = millis(engine.reads_for(now))
             + f64::from(engine.placed()) * DELAY_PER_RUNNING_MS
             + engine.others(now) * DELAY_PER_OTHER_MS;
         let rest_ms = millis(pace.reading(read_tokens)) + millis(pace.base());
         let expected_ms = ahead_ms.max(fetch_ms) + rest_ms;
         let cost_ms = expected_ms
-            + again_tokens as f64 * READ_AGAIN_MS_PER_TOKEN
+            + recomputed_tokens as f64 * RECOMPUTE_MS_PER_TOKEN
             + link_ms * LINK_TIME_WEIGHT;
         let trace = DecisionTrace {
             running: engine.placed(),
             ahead_ms: ahead_ms as u32,
             resident_tokens,
             fetched_tokens,
-            read_again,
+            recomputed,
             expected_ms: expected_ms as u32,
             waited_ms: 0,
         };
@@ -174,7 +184,7 @@
         traits: &EngineTraits,
         now: BootTime,
     ) -> Option<(SocketAddr, Transfer)> {
-        let size_bytes = (self.ask.parts[at].tokens * traits.token_bytes) as f64;
+        let size_bytes = (self.request.parts[at].tokens * traits.token_bytes) as f64;
         let ways = self
             .sources_for(at, engine)
             .map(|source| (source.address, source.transfer(size_bytes, engine, now)));
@@ -183,14 +193,14 @@
         ways.filter(|(_, way)| takes(way) <= longest).min_by_key(|(_, way)| takes(way))
     }
 
-    /// Why a part is read again that could be fetched from nowhere in time.
-    fn why_not_fetched(&self, at: usize, engine: &Engine, now: BootTime) -> NotFetched {
+    /// Why a part is read recomputed_parts that could be fetched from nowhere in time.
+    fn recompute_reason(&self, at: usize, engine: &Engine, now: BootTime) -> RecomputeReason {
         let queues =
             self.sources_for(at, engine).map(|source| source.transfer(0.0, engine, now).queue);
         match queues.min() {
-            None => NotFetched::NowhereWhole,
-            Some(queue) if queue > self.longest_fetch() / 2 => NotFetched::LinkFull,
-            Some(_) => NotFetched::LinkSlow,
+            None => RecomputeReason::NowhereWhole,
+            Some(queue) if queue > self.longest_fetch() / 2 => RecomputeReason::LinkFull,
+            Some(_) => RecomputeReason::LinkSlow,
         }
     }
 
@@ -204,20 +214,20 @@
     }
 
     fn longest_fetch(&self) -> Duration {
-        let most = self.ask.objective.mul_f64(FETCH_PART);
-        match self.ask.waited < most {
+        let most = self.request.objective.mul_f64(FETCH_PART);
+        match self.request.elapsed < most {
             true => most.min(LONGEST_FETCH),
-            // It can't be on time, or need not be: better late than read again while engines have most
+            // It can't be on time, or need not be: better late than read recomputed_parts while engines have most
             // to do for others.
             false => LONGEST_FETCH,
         }
     }
 }
 
-fn has_room(engine: &Engine, new_tokens: u64, ask: &PlacementRequest) -> bool {
+fn has_room(engine: &Engine, new_tokens: u64, request: &PlacementRequest) -> bool {
     let room = (engine.capacity_tokens as f64 * MEMORY_PART) as u64;
     let has_slot = engine.listed.slots == 0 || engine.placed() < engine.listed.slots;
-    let fits = engine.busy_tokens() + new_tokens + ask.output_tokens <= room;
+    let fits = engine.busy_tokens() + new_tokens + request.output_tokens <= room;
     // What is too large for any engine's rest gets an engine of its own.
     has_slot && (fits || engine.placed() == 0)
 }
--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -19,7 +19,7 @@
     /// The model.
     pub model: ModelId,
     /// Names those who may share kept cache with it.
-    pub wall: String,
+    pub cache_namespace: String,
     /// The parts of the prompt, in order. The last one belongs to the request itself.
     pub parts: Vec<Part>,
     /// Tokens in the prompt.
@@ -33,14 +33,14 @@
     /// How much of the caller's time is left.
     pub time_left: Duration,
     /// How much of it has passed at the entry.
-    pub waited: Duration,
+    pub elapsed: Duration,
     /// Engines that this request was sent to before, or that the entry can't reach.
     pub avoid: Vec<TargetStart>,
 }
 
 /// Where a prompt runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct Placement {
     /// Names the placement.
     pub ticket: TicketId,
     /// The engine.
@@ -71,7 +71,7 @@
     /// Tokens that are fetched.
     pub fetched_tokens: u64,
     /// Tokens of shared parts that were read before, and are read again.
-    pub read_again: ReadAgain,
+    pub recomputed: RecomputedTokens,
     /// Expected time to the first part of the answer.
     pub expected_ms: u32,
     /// How long the prompt waited for an engine with room.
@@ -80,7 +80,7 @@
 
 /// Tokens of shared parts that are read again, by why they are not fetched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReadAgain {
+pub struct RecomputedTokens {
     /// No store and no engine has them whole: a save or another's reading has not ended.
     pub nowhere_whole_tokens: u64,
     /// The links that they would come over have too much to carry before.
@@ -91,7 +91,7 @@
 
 /// Why a part is not fetched that was read before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotFetched {
+pub enum RecomputeReason {
     /// No store and no engine has it whole.
     NowhereWhole,
     /// Other transfers go first, for too long.
@@ -100,18 +100,18 @@
     LinkSlow,
 }
 
-impl ReadAgain {
+impl RecomputedTokens {
     /// All of them.
-    pub fn tokens(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.nowhere_whole_tokens + self.link_full_tokens + self.link_slow_tokens
     }
 
     /// The tokens that one reason stands for.
-    pub fn reason(&mut self, why: NotFetched) -> &mut u64 {
+    pub fn for_reason(&mut self, why: RecomputeReason) -> &mut u64 {
         match why {
-            NotFetched::NowhereWhole => &mut self.nowhere_whole_tokens,
-            NotFetched::LinkFull => &mut self.link_full_tokens,
-            NotFetched::LinkSlow => &mut self.link_slow_tokens,
+            RecomputeReason::NowhereWhole => &mut self.nowhere_whole_tokens,
+            RecomputeReason::LinkFull => &mut self.link_full_tokens,
+            RecomputeReason::LinkSlow => &mut self.link_slow_tokens,
         }
     }
 }
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlacementEvent {
     /// The first part of the answer is here.
-    FirstPart {
+    FirstToken {
         /// The placement.
         ticket: TicketId,
         /// The weights that the engine runs.
@@ -133,17 +133,17 @@
         /// The placement.
         ticket: TicketId,
         /// How.
-        end: End,
+        end: EndReason,
     },
 }
 
 /// How a request left an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum EndReason {
     /// With a whole answer.
-    Whole,
+    Completed,
     /// The caller left, or its time was over.
-    Left,
+    Cancelled,
     /// The engine could not be reached.
     Unreachable,
     /// The engine broke off or answered with a failure of its own.
@@ -151,7 +151,7 @@
     /// The engine did not run it.
     NotRun,
     /// The engine runs other weights.
-    OtherWeights(Option<u64>),
+    WeightMismatch(Option<u64>),
     /// Another target answers at the engine's address.
     Replaced,
 }
--- a/src/scheduler/mod.rs
+++ b/src/scheduler/mod.rs
@@ -18,6 +18,6 @@
 pub mod store;
 pub mod weights;
 
-pub use messages::{End, Placed, PlacementEvent, PlacementRequest, TicketId};
+pub use messages::{EndReason, Placement, PlacementEvent, PlacementRequest, TicketId};
 pub use plan::{PlacementError, PlacementResult, Scheduler};
 pub use queue::WaiterId;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -12,7 +12,9 @@
 use super::engine::{Engine, Load};
 use super::engine_cache::PartKey;
 use super::lateness::Lateness;
-use super::messages::{DecisionTrace, End, Placed, PlacementEvent, PlacementRequest, TicketId};
+use super::messages::{
+    DecisionTrace, EndReason, Placement, PlacementEvent, PlacementRequest, TicketId,
+};
 use super::pace::Pace;
 use super::queue::{Queue, WaiterId, Waiting};
 use super::source::distance;
@@ -47,15 +49,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum PlacementError {
     /// No engine of the service is known here.
-    NoneListed,
+    NoTargetListed,
     /// All that are known are out of order, or must be avoided.
-    NoneSound,
+    NoHealthyTarget,
     /// None will have room in time. Come back after this time.
     Busy(Duration),
 }
 
 /// A placement, or why there is none.
-pub type PlacementResult = Result<Placed, PlacementError>;
+pub type PlacementResult = Result<Placement, PlacementError>;
 
 /// The engines' clock, as it was read.
 #[derive(Clone, Copy, Debug)]
@@ -157,11 +159,11 @@
     pub fn submit(
         &mut self,
         waiter: WaiterId,
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: BootTime,
     ) -> Option<PlacementResult> {
         let must_wait = !self.queue.is_empty() || !self.has_cache_state(now);
-        let waiting = Waiting { waiter, ask, since: now };
+        let waiting = Waiting { waiter, request, since: now };
         if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&waiting, now) {
             return Some(outcome);
         }
@@ -207,28 +209,29 @@
 
     /// Places a prompt on the engine where it costs least.
     fn try_place(&mut self, waiting: &Waiting, now: BootTime) -> PlacementAttempt {
-        let ask = &waiting.ask;
-        let Some(traits) = self.traits.get(&ask.service) else {
-            return PlacementAttempt::Done(Err(PlacementError::NoneListed));
+        let request = &waiting.request;
+        let Some(traits) = self.traits.get(&request.service) else {
+            return PlacementAttempt::Done(Err(PlacementError::NoTargetListed));
         };
-        let pace = self.paces.get(&ask.service).copied().unwrap_or_default();
-        let (mut is_listed, mut is_sound, mut is_free) = (false, false, false);
+        let pace = self.paces.get(&request.service).copied().unwrap_or_default();
+        let (mut is_listed, mut is_healthy, mut is_free) = (false, false, false);
         let mut best: Option<(&TargetStart, Candidate)> = None;
         let mut required: Vec<(Option<u64>, RequiredPrefix<'_>)> = Vec::new();
         for (id, engine) in &self.engines {
-            if engine.listed.service != ask.service || engine.listed.presence != Presence::Live {
+            if engine.listed.service != request.service || engine.listed.presence != Presence::Live
+            {
                 continue;
             }
             is_listed = true;
-            if ask.avoid.contains(id) || !engine.health.admits(engine.placed(), now) {
+            if request.avoid.contains(id) || !engine.health.admits(engine.placed(), now) {
                 continue;
             }
-            is_sound = true;
+            is_healthy = true;
             if engine.reads_for(now) >= READS_AHEAD || self.weights.keep_from(id) {
                 continue;
             }
             let Some(weights_cost_ms) =
-                self.weights.cost_ms(&ask.model, engine.weight_version, now)
+                self.weights.cost_ms(&request.model, engine.weight_version, now)
             else {
                 continue;
             };
@@ -240,7 +243,7 @@
                 let may_fetch = self.clock.is_some() && now >= self.fetches_from;
                 required.push((
                     version,
-                    RequiredPrefix::new(ask, version, stores, engines, may_fetch, now),
+                    RequiredPrefix::new(request, version, stores, engines, may_fetch, now),
                 ));
                 required.len() - 1
             });
@@ -254,9 +257,9 @@
             }
         }
         let Some((target, candidate)) = best else {
-            return match (is_listed, is_sound, is_free) {
-                (false, ..) => PlacementAttempt::Done(Err(PlacementError::NoneListed)),
-                (_, false, _) => PlacementAttempt::Done(Err(PlacementError::NoneSound)),
+            return match (is_listed, is_healthy, is_free) {
+                (false, ..) => PlacementAttempt::Done(Err(PlacementError::NoTargetListed)),
+                (_, false, _) => PlacementAttempt::Done(Err(PlacementError::NoHealthyTarget)),
                 (.., false) => PlacementAttempt::AllBusy,
                 _ => PlacementAttempt::NoRoom,
             };
@@ -277,43 +280,43 @@
         keys: Vec<PartKey>,
         waiting: &Waiting,
         now: BootTime,
-    ) -> Placed {
-        let ask = &waiting.ask;
+    ) -> Placement {
+        let request = &waiting.request;
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let shared = shared_count(ask);
-        let mut save = vec![None; ask.parts.len()];
+        let shared = shared_count(request);
+        let mut save = vec![None; request.parts.len()];
         for (at, saved) in save.iter_mut().enumerate().take(shared) {
             let key = keys[at];
             if let Some(address) = candidate.fetch[at] {
                 let is_resident = at < candidate.resident;
-                self.grant_fetch(address, key, &ask.parts[at], &target, is_resident, now);
+                self.grant_fetch(address, key, &request.parts[at], &target, is_resident, now);
             }
             if self.stores.values().any(|store| store.knows(key)) {
                 self.stores.values_mut().for_each(|store| store.touch(key, now));
             } else {
-                *saved = self.grant_save(key, &salt, &ask.parts[at], &target, now);
+                *saved = self.grant_save(key, &salt, &request.parts[at], &target, now);
             }
         }
         let clock_ms = self.engines_clock_ms(now).unwrap_or_default();
         let mut weight_version = None;
         if let Some(engine) = self.engines.get_mut(&target) {
             weight_version = engine.weight_version;
-            for (key, part) in keys.iter().zip(&ask.parts) {
+            for (key, part) in keys.iter().zip(&request.parts) {
                 engine.cache.acquire(*key, part.tokens);
             }
             let resident_or_fetched =
                 candidate.trace.resident_tokens + candidate.trace.fetched_tokens;
             let load = Load {
                 parts: keys,
-                read_tokens: ask.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
-                output_tokens: ask.output_tokens,
+                read_tokens: request.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
+                output_tokens: request.output_tokens,
                 fetch: Duration::from_secs_f64(candidate.fetch_ms / 1e3),
             };
-            let pace = self.paces.entry(ask.service.clone()).or_default();
+            let pace = self.paces.entry(request.service.clone()).or_default();
             engine.begin(ticket, load, pace, now);
         }
-        let parts = candidate.fetch.iter().zip(&ask.parts).skip(candidate.resident);
+        let parts = candidate.fetch.iter().zip(&request.parts).skip(candidate.resident);
         let largest = parts.filter(|(store, _)| store.is_some()).max_by_key(|(_, p)| p.tokens);
         let slowest = largest
             .and_then(|(store, _)| *store)
@@ -329,7 +332,7 @@
                 expected_ms: candidate.ahead_ms.max(candidate.fetch_ms) + candidate.rest_ms,
             },
         );
-        Placed {
+        Placement {
             ticket,
             target,
             salt,
@@ -400,7 +403,7 @@
     /// Takes what became of a placement.
     pub fn observe(&mut self, event: &PlacementEvent, now: BootTime) {
         match event {
-            PlacementEvent::FirstPart { ticket, weight_version, load } => {
+            PlacementEvent::FirstToken { ticket, weight_version, load } => {
                 let Some(known) = self.tickets.get_mut(ticket) else { return };
                 let fetched_from = known.slowest.take();
                 let (fetch_ms, expected_ms) = (known.fetch_ms, known.expected_ms);
@@ -430,10 +433,10 @@
                 // Of several prompts that were sent under the same belief, one shows that it is wrong.
                 let is_same_belief = engine.weight_version == known.weight_version;
                 let is_doubted = match end {
-                    End::OtherWeights(None) => is_same_belief,
+                    EndReason::WeightMismatch(None) => is_same_belief,
                     // Older ones than are believed by all: the list must learn of it, too, or the
                     // engine would never be told to load newer ones.
-                    End::OtherWeights(has) => *has < known.weight_version,
+                    EndReason::WeightMismatch(has) => *has < known.weight_version,
                     _ => false,
                 };
                 observe_end(engine, *end, now);
@@ -469,14 +472,14 @@
     }
 }
 
-fn observe_end(engine: &mut Engine, end: End, now: BootTime) {
+fn observe_end(engine: &mut Engine, end: EndReason, now: BootTime) {
     match end {
-        End::Whole => engine.health.succeeded(),
-        End::Left | End::NotRun => {}
-        End::Unreachable => engine.health.unreachable(now),
-        End::Failed => engine.health.failed(Fault::Target, now),
-        End::OtherWeights(version) => engine.set_weights(version),
-        End::Replaced => engine.listed.presence = Presence::Leaving,
+        EndReason::Completed => engine.health.succeeded(),
+        EndReason::Cancelled | EndReason::NotRun => {}
+        EndReason::Unreachable => engine.health.unreachable(now),
+        EndReason::Failed => engine.health.failed(Fault::Target, now),
+        EndReason::WeightMismatch(version) => engine.set_weights(version),
+        EndReason::Replaced => engine.listed.presence = Presence::Leaving,
     }
 }
 
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -24,19 +24,19 @@
     /// Its name.
     pub waiter: WaiterId,
     /// What it asks.
-    pub ask: PlacementRequest,
+    pub request: PlacementRequest,
     /// When it came.
     pub since: BootTime,
 }
 
 impl Waiting {
     fn gives_up_at(&self) -> BootTime {
-        let objective = self.ask.objective;
+        let objective = self.request.objective;
         let most = match objective.is_zero() {
             true => WAIT_WITHOUT_OBJECTIVE,
             false => objective.mul_f64(WAIT_PART),
         };
-        self.since + most.min(self.ask.time_left)
+        self.since + most.min(self.request.time_left)
     }
 }
 
@@ -82,8 +82,8 @@
         if self.picks.is_multiple_of(OLDEST_FIRST_ONE_IN) {
             return self.waiting.pop_front();
         }
-        let most_urgent = self.waiting.iter().map(|waiting| waiting.ask.priority).min()?;
-        let place = self.waiting.iter().position(|w| w.ask.priority == most_urgent)?;
+        let most_urgent = self.waiting.iter().map(|waiting| waiting.request.priority).min()?;
+        let place = self.waiting.iter().position(|w| w.request.priority == most_urgent)?;
         self.waiting.remove(place)
     }
 
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -18,7 +18,7 @@
 use kumquatpost::gateway::scheduler_connection;
 use kumquatpost::log::Term;
 use kumquatpost::scheduler::weights::OldWeights;
-use kumquatpost::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
+use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -125,7 +125,7 @@
     }
 
     /// Asks, and waits if it must.
-    async fn placed_in_the_end(&mut self) -> Placed {
+    async fn placed_in_the_end(&mut self) -> Placement {
         self.tell(FromEntry::Place(1, ask())).await;
         loop {
             match self.hear().await {
@@ -137,7 +137,7 @@
     }
 
     /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
-    async fn placed(&mut self) -> Placed {
+    async fn placed(&mut self) -> Placement {
         loop {
             self.tell(FromEntry::Place(1, ask())).await;
             let mut answer = self.hear().await;
@@ -164,7 +164,7 @@
     PlacementRequest {
         service: "llm".to_string(),
         model: "m".to_string(),
-        wall: "all".to_string(),
+        cache_namespace: "all".to_string(),
         parts: vec![part("context", 40_000), part("own", 10_000)],
         prompt_tokens: 50_000,
         output_tokens: 10,
@@ -265,7 +265,7 @@
                 let frame = read(&mut stream).await.expect("it asks again");
                 let FromEntry::Place(number, _) = frame else { panic!("{frame:?}") };
                 let answer = match asked {
-                    4 => Ok(Placed { target: start("i-1"), ..Placed::default() }),
+                    4 => Ok(Placement { target: start("i-1"), ..Placement::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
                 let answer = encode(&ToEntry::Placed(number, answer));
@@ -317,7 +317,7 @@
         let mut asker = Asker::connect(&scheduling).await;
         let placed = asker.placed().await;
         assert_eq!(placed.weight_version, Some(2));
-        let end = End::OtherWeights(Some(1));
+        let end = EndReason::WeightMismatch(Some(1));
         asker.tell(FromEntry::Event(PlacementEvent::Ended { ticket: placed.ticket, end })).await;
         let mut changes = shared.roster.subscribe();
         let is_listed = |known: &NumberedRoster| {
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -25,7 +25,7 @@
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::scheduler_connection;
 use kumquatpost::gateway::state::Gateway;
-use kumquatpost::scheduler::Placed;
+use kumquatpost::scheduler::Placement;
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
 
@@ -225,7 +225,7 @@
                 .iter()
                 .find(|engine| !ask.avoid.iter().any(|avoided| avoided.id == **engine));
             let target = engine.expect("one is left").to_string();
-            let placed = Placed { target: start(&target), ..Placed::default() };
+            let placed = Placement { target: start(&target), ..Placement::default() };
             let answer = encode(&ToEntry::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -13,7 +13,7 @@
 use kumquatpost::ids::TargetStart;
 use kumquatpost::scheduler::store::{Inventory, StoreEvent, StoredPart};
 use kumquatpost::scheduler::{
-    End, Placed, PlacementEvent, PlacementRequest, PlacementResult, Scheduler, WaiterId,
+    EndReason, Placement, PlacementEvent, PlacementRequest, PlacementResult, Scheduler, WaiterId,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -67,7 +67,7 @@
     PlacementRequest {
         service: "llm".to_string(),
         model: "m".to_string(),
-        wall: "all".to_string(),
+        cache_namespace: "all".to_string(),
         parts: vec![
             part(format!("{kind}-context-{context}"), context_tokens),
             part(format!("{kind}-own-{own}"), own_tokens),
@@ -77,28 +77,28 @@
         priority,
         objective: ms(objective_ms),
         time_left: ms(8_000),
-        waited: ms(0),
+        elapsed: ms(0),
         avoid: Vec::new(),
     }
 }
 
-pub fn placed(outcome: Option<PlacementResult>) -> Placed {
+pub fn placed(outcome: Option<PlacementResult>) -> Placement {
     outcome.expect("it need not wait").expect("it is placed")
 }
 
-pub fn end(scheduler: &mut Scheduler, ticket: u64, end: End, now: Duration) {
+pub fn end(scheduler: &mut Scheduler, ticket: u64, end: EndReason, now: Duration) {
     scheduler.observe(&PlacementEvent::Ended { ticket, end }, now);
 }
 
 pub fn first(scheduler: &mut Scheduler, ticket: u64, now: Duration) {
     scheduler
-        .observe(&PlacementEvent::FirstPart { ticket, weight_version: Some(1), load: None }, now);
+        .observe(&PlacementEvent::FirstToken { ticket, weight_version: Some(1), load: None }, now);
 }
 
 /// Makes what was granted to be saved whole.
 pub fn finish_saves(
     scheduler: &mut Scheduler,
-    placed: &Placed,
+    placed: &Placement,
     ask: &PlacementRequest,
     now: Duration,
 ) {
@@ -201,7 +201,7 @@
         };
         if self.dead.contains(&placed.target) {
             self.scheduler.observe(
-                &PlacementEvent::Ended { ticket: placed.ticket, end: End::Unreachable },
+                &PlacementEvent::Ended { ticket: placed.ticket, end: EndReason::Unreachable },
                 self.now,
             );
             self.asks.insert(waiter, (kind, ask.clone(), since));
@@ -214,7 +214,7 @@
         let kept = placed.trace.resident_tokens + placed.trace.fetched_tokens;
         let tokens = ask.prompt_tokens.saturating_sub(kept);
         self.tally.read_tokens += tokens;
-        self.tally.again_tokens += placed.trace.read_again.tokens();
+        self.tally.again_tokens += placed.trace.recomputed.total();
         let free_at = self.free_at.entry(placed.target.clone()).or_default();
         *free_at = (*free_at).max(self.now)
             + Duration::from_secs_f64(tokens as f64 / READ_TOKENS_PER_MS / 1e3);
@@ -248,7 +248,9 @@
                         false => self.tally.late += 1,
                     }
                 }
-                Due::End { ticket } => end(&mut self.scheduler, ticket, End::Whole, self.now),
+                Due::End { ticket } => {
+                    end(&mut self.scheduler, ticket, EndReason::Completed, self.now)
+                }
             }
         }
     }
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -29,7 +29,15 @@
     let named = const { &RolloutHistories::new() };
     let old_weights = OldWeights::default();
     let prompt = Some(prompt);
-    Criteria { service: "llm", prompt, cache_wall: wall, tried: &[], drawn, named, old_weights }
+    Criteria {
+        service: "llm",
+        prompt,
+        cache_namespace: wall,
+        tried: &[],
+        tie_breaker: drawn,
+        named,
+        old_weights,
+    }
 }
 
 /// Weights 2 were named then.
@@ -97,13 +105,13 @@
     for _ in 0..3 {
         view.failed(&id(1), Fault::Target, ms(1));
     }
-    assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoneSound));
+    assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoHealthyTarget));
     assert!(choose(&view, &ask(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
     let tried = [id(0), id(1)];
     let again = Criteria { tried: &tried, ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &again, ms(600)), Err(SelectionError::NoneSound));
+    assert_eq!(choose(&view, &again, ms(600)), Err(SelectionError::NoHealthyTarget));
     let elsewhere = Criteria { service: "nowhere", ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &elsewhere, ms(0)), Err(SelectionError::NoneListed));
+    assert_eq!(choose(&view, &elsewhere, ms(0)), Err(SelectionError::NoTargetListed));
 }
 
 /// Plain services: calls spread over their targets by what runs there.
--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -8,7 +8,7 @@
 
 use kumquatpost::ids::TargetStart;
 use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
-use kumquatpost::scheduler::{End, PlacementError, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
 use crate::fixtures::{ms, roster, start};
 use crate::load::{ask_of, end, engines, placed, scheduler};
@@ -54,7 +54,7 @@
         let at = ms(context * 200);
         let placed = placed(scheduler.submit(context, ask_of(1, context, context), at));
         assert_eq!(placed.target, start("i-01"));
-        end(&mut scheduler, placed.ticket, End::Whole, at + ms(150));
+        end(&mut scheduler, placed.ticket, EndReason::Completed, at + ms(150));
     }
     scheduler.observe_changing(&names(&["i-00", "i-01"]));
     assert!(scheduler.submit(90, ask_of(1, 90, 90), ms(9_000)).is_none(), "it waits");
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -6,7 +6,7 @@
 use kumquatpost::deployment::ServiceRole;
 use kumquatpost::scheduler::pace::Pace;
 use kumquatpost::scheduler::store::{Inventory, StoredPart};
-use kumquatpost::scheduler::{End, PlacementError, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{
@@ -26,8 +26,8 @@
     ));
     assert_eq!((two.save[0], two.fetch[0]), (None, None), "its save has been granted already");
     finish_saves(&mut scheduler, &one, &ask, ms(200));
-    end(&mut scheduler, one.ticket, End::Whole, ms(300));
-    end(&mut scheduler, two.ticket, End::Left, ms(300));
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(300));
     let avoid = vec![one.target];
     let three = placed(scheduler.submit(3, PlacementRequest { avoid, ..ask }, ms(400)));
     assert_eq!(three.fetch[0], Some(address(9_000)));
@@ -60,15 +60,15 @@
     let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
     finish_saves(&mut scheduler, &one, &ask, ms(200));
     first(&mut scheduler, one.ticket, ms(200));
-    end(&mut scheduler, one.ticket, End::Whole, ms(300));
-    let walled = PlacementRequest { wall: "only:beta".to_string(), ..ask.clone() };
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    let walled = PlacementRequest { cache_namespace: "only:beta".to_string(), ..ask.clone() };
     let two = placed(scheduler.submit(2, walled, ms(400)));
     assert_eq!((two.trace.resident_tokens, two.fetch[0]), (0, None));
     assert_ne!(two.salt, one.salt);
-    end(&mut scheduler, two.ticket, End::Left, ms(410));
+    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(410));
     let three = placed(scheduler.submit(3, ask_of(0, 1, 3), ms(420)));
     assert_eq!(three.trace.resident_tokens, 9_100);
-    end(&mut scheduler, three.ticket, End::OtherWeights(Some(2)), ms(430));
+    end(&mut scheduler, three.ticket, EndReason::WeightMismatch(Some(2)), ms(430));
     let four = placed(scheduler.submit(4, ask, ms(440)));
     assert_eq!(
         (four.weight_version, four.trace.resident_tokens, four.fetch[0]),
@@ -82,12 +82,12 @@
     let mut scheduler = scheduler(1);
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(11)));
-    end(&mut scheduler, one.ticket, End::OtherWeights(None), ms(20));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
     assert!(scheduler.submit(3, ask_of(1, 1, 3), ms(21)).is_none(), "it waits");
     assert_eq!(scheduler.doubted(), [(start("i-00"), address(0))]);
     scheduler.resolve(&one.target, Some(2));
     // What was sent before, under the same belief, tells nothing new.
-    end(&mut scheduler, two.ticket, End::OtherWeights(None), ms(30));
+    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(None), ms(30));
     assert_eq!(scheduler.doubted(), []);
     let (_, outcome) = scheduler.dispatch(ms(31)).remove(0);
     assert_eq!(outcome.expect("placed").weight_version, Some(2));
@@ -118,15 +118,18 @@
 fn out_of_order_and_leaving_engines_get_nothing() {
     let mut scheduler = scheduler(2);
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
-    end(&mut scheduler, one.ticket, End::Unreachable, ms(20));
+    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(20));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(30)));
     assert_ne!(two.target, one.target);
-    end(&mut scheduler, two.ticket, End::Replaced, ms(40));
-    assert_eq!(scheduler.submit(3, ask_of(1, 1, 3), ms(50)), Some(Err(PlacementError::NoneSound)));
+    end(&mut scheduler, two.ticket, EndReason::Replaced, ms(40));
+    assert_eq!(
+        scheduler.submit(3, ask_of(1, 1, 3), ms(50)),
+        Some(Err(PlacementError::NoHealthyTarget))
+    );
     let three = placed(scheduler.submit(4, ask_of(1, 1, 4), ms(700)));
     assert_eq!(three.target, one.target, "tried again after a while");
     let elsewhere = PlacementRequest { service: "app".to_string(), ..ask_of(1, 1, 5) };
-    assert_eq!(scheduler.submit(5, elsewhere, ms(710)), Some(Err(PlacementError::NoneListed)));
+    assert_eq!(scheduler.submit(5, elsewhere, ms(710)), Some(Err(PlacementError::NoTargetListed)));
 }
 
 #[test]
@@ -136,7 +139,7 @@
     assert_eq!(scheduler.submit(2, ask_of(0, 2, 2), ms(1)), None, "the engine is busy");
     assert_eq!(scheduler.submit(3, ask_of(0, 3, 3), ms(2)), None);
     scheduler.withdraw(2);
-    end(&mut scheduler, one.ticket, End::Left, ms(3));
+    end(&mut scheduler, one.ticket, EndReason::Cancelled, ms(3));
     let outcomes = scheduler.dispatch(ms(4));
     assert_eq!(outcomes.iter().map(|(waiter, _)| *waiter).collect::<Vec<_>>(), [3]);
 }
@@ -173,7 +176,7 @@
         for (waiter, outcome) in scheduler.dispatch(ms(at)) {
             let Ok(placed) = outcome else { continue };
             order.push(waiter);
-            end(&mut scheduler, placed.ticket, End::Whole, ms(at));
+            end(&mut scheduler, placed.ticket, EndReason::Completed, ms(at));
         }
     }
     let less_urgent = order.iter().take(50).filter(|waiter| **waiter <= 10).count();
@@ -275,8 +278,8 @@
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(80)));
     assert_eq!(one.weight_version, Some(2));
-    end(&mut scheduler, one.ticket, End::OtherWeights(Some(3)), ms(90));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(3)), ms(90));
     assert_eq!(scheduler.doubted(), [], "newer ones come to the list by themselves");
-    end(&mut scheduler, two.ticket, End::OtherWeights(Some(1)), ms(91));
+    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(Some(1)), ms(91));
     assert_eq!(scheduler.doubted().len(), 1);
 }
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -7,13 +7,13 @@
 use kumquatpost::fleet::Presence;
 use kumquatpost::scheduler::lateness::Lateness;
 use kumquatpost::scheduler::store::{Inventory, StoreEvent, StoredPart};
-use kumquatpost::scheduler::{End, Placed, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, Placement, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
 
 /// Two engines and a store that is lost, after one engine was given a context.
-fn after_one() -> (Scheduler, PlacementRequest, Placed) {
+fn after_one() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
     scheduler.lost_store(address(9_000));
     let ask = ask_of(0, 1, 1);
@@ -21,7 +21,7 @@
     (scheduler, ask, one)
 }
 
-fn elsewhere(ask: &PlacementRequest, one: &Placed) -> PlacementRequest {
+fn elsewhere(ask: &PlacementRequest, one: &Placement) -> PlacementRequest {
     PlacementRequest { avoid: vec![one.target.clone()], ..ask.clone() }
 }
 
@@ -30,13 +30,13 @@
     let (mut scheduler, ask, one) = after_one();
     let early = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(20)));
     assert_eq!(early.fetch[0], None, "it may not be whole yet");
-    assert_eq!(early.trace.read_again.nowhere_whole_tokens, 9_100);
-    end(&mut scheduler, early.ticket, End::Left, ms(30));
+    assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
+    end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
     first(&mut scheduler, one.ticket, ms(130));
     let later = placed(scheduler.submit(3, elsewhere(&ask, &one), ms(140)));
     let from = if one.target.id == "i-00" { address(0) } else { address(1) };
     assert_eq!((later.fetch[0], later.trace.fetched_tokens), (Some(from), 9_100));
-    assert_eq!(later.trace.read_again.tokens(), 0);
+    assert_eq!(later.trace.recomputed.total(), 0);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 
     let (mut scheduler, ask, one) = after_one();
     first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, End::Unreachable, ms(135));
+    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(135));
     let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!(two.fetch[0], None);
 }
@@ -62,7 +62,7 @@
 fn an_engine_that_changed_its_weights_has_nothing_to_fetch() {
     let (mut scheduler, ask, one) = after_one();
     first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, End::OtherWeights(Some(2)), ms(135));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
     let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!((two.weight_version, two.fetch[0]), (Some(1), None));
 }
@@ -181,11 +181,11 @@
     // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
     for n in 0..50 {
         let placed = placed(scheduler.submit(n, ask_of(0, n, n), ms(10)));
-        end(&mut scheduler, placed.ticket, End::Left, ms(10));
+        end(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
     }
     let hurried = placed(scheduler.submit(50, ask_of(0, 50, 50), ms(11)));
-    assert_eq!(hurried.trace.read_again.link_full_tokens, 9_100);
-    end(&mut scheduler, hurried.ticket, End::Left, ms(11));
-    let late = PlacementRequest { waited: ms(600), ..ask_of(0, 51, 51) };
+    assert_eq!(hurried.trace.recomputed.link_full_tokens, 9_100);
+    end(&mut scheduler, hurried.ticket, EndReason::Cancelled, ms(11));
+    let late = PlacementRequest { elapsed: ms(600), ..ask_of(0, 51, 51) };
     assert_eq!(placed(scheduler.submit(51, late, ms(12))).trace.fetched_tokens, 9_100);
 }
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -6,7 +6,7 @@
 use kumquatpost::gateway::call::TargetLoad;
 use kumquatpost::ids::TargetStart;
 use kumquatpost::scheduler::store::{StoreEvent, StoredPart};
-use kumquatpost::scheduler::{End, Placed, PlacementEvent, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, born, ms, roster, target};
 use crate::load::{ask_of, end, placed, scheduler};
@@ -30,14 +30,14 @@
     scheduler
 }
 
-fn submit(scheduler: &mut Scheduler, waiter: u64, at_ms: u64) -> Placed {
+fn submit(scheduler: &mut Scheduler, waiter: u64, at_ms: u64) -> Placement {
     placed(scheduler.submit(waiter, ask_of(1, 1, waiter), ms(at_ms)))
 }
 
 fn first_part(scheduler: &mut Scheduler, ticket: u64, weights: u64, at_ms: u64) {
     let load = Some(TargetLoad { running: 90, waiting: 90, slots: 48 });
     scheduler.observe(
-        &PlacementEvent::FirstPart { ticket, weight_version: Some(weights), load },
+        &PlacementEvent::FirstToken { ticket, weight_version: Some(weights), load },
         ms(at_ms),
     );
 }
@@ -47,10 +47,10 @@
     let mut scheduler = in_first_start();
     let one = submit(&mut scheduler, 1, 10);
     first_part(&mut scheduler, one.ticket, 1, 80);
-    end(&mut scheduler, one.ticket, End::Whole, ms(200));
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(200));
     let again = submit(&mut scheduler, 2, 2_000);
     assert_eq!(again.trace.resident_tokens, 650, "the context is resident");
-    end(&mut scheduler, again.ticket, End::Whole, ms(2_100));
+    end(&mut scheduler, again.ticket, EndReason::Completed, ms(2_100));
     list(&mut scheduler, &starts().1);
     let anew = submit(&mut scheduler, 3, 4_000);
     assert_eq!((&anew.target, anew.trace.resident_tokens), (&starts().1, 0));
@@ -76,20 +76,20 @@
 fn notes_on_placements_at_an_earlier_start_change_nothing_of_the_later_one() {
     let (first, second) = starts();
     let mut scheduler = in_first_start();
-    let early: Vec<Placed> = (0..8).map(|n| submit(&mut scheduler, n, 10 + n * 300)).collect();
+    let early: Vec<Placement> = (0..8).map(|n| submit(&mut scheduler, n, 10 + n * 300)).collect();
     list(&mut scheduler, &second);
     assert_eq!((scheduler.placed_on(&first), scheduler.placed_on(&second)), (8, 0));
     // Answers that were on their way: of other weights and a full engine, failures, a refusal.
     first_part(&mut scheduler, early[0].ticket, 7, 3_000);
     let ends = [
-        End::Whole,
-        End::Failed,
-        End::Failed,
-        End::Failed,
-        End::OtherWeights(Some(7)),
-        End::OtherWeights(None),
-        End::Replaced,
-        End::Unreachable,
+        EndReason::Completed,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::Failed,
+        EndReason::WeightMismatch(Some(7)),
+        EndReason::WeightMismatch(None),
+        EndReason::Replaced,
+        EndReason::Unreachable,
     ];
     for (placed, how) in early.iter().zip(ends) {
         end(&mut scheduler, placed.ticket, how, ms(3_001));
@@ -106,7 +106,7 @@
     let (first, second) = starts();
     let mut scheduler = in_first_start();
     let one = submit(&mut scheduler, 1, 10);
-    end(&mut scheduler, one.ticket, End::OtherWeights(None), ms(20));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
     assert_eq!(scheduler.doubted(), [(first.clone(), address(1))]);
     list(&mut scheduler, &second);
     assert_eq!(scheduler.doubted(), [], "the later start gave no reason for it");
@@ -140,7 +140,7 @@
     assert_eq!(scheduler.placed_on(&first), 1);
     scheduler.observe_roster(&roster([listed(&first), other.clone()]));
     first_part(&mut scheduler, one.ticket, 1, 700);
-    end(&mut scheduler, one.ticket, End::Whole, ms(800));
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(800));
     let again = PlacementRequest { avoid: vec![other.start], ..ask_of(1, 1, 3) };
     let again = placed(scheduler.submit(3, again, ms(2_000)));
     assert_eq!((again.target, again.trace.resident_tokens), (first, 650));
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -21,7 +21,7 @@
 use kumquatpost::essential::essentials;
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
-use kumquatpost::scheduler::Placed;
+use kumquatpost::scheduler::Placement;
 use kumquatpost::scheduler::weights::{NamedWeights, OldWeights, RolloutHistories, observe_named};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -99,7 +99,7 @@
     while let Ok(frame) = read(&mut from_entry).await {
         if let FromEntry::Place(number, _) = frame {
             let placed =
-                Placed { target: start("i-1"), weight_version: Some(1), ..Placed::default() };
+                Placement { target: start("i-1"), weight_version: Some(1), ..Placement::default() };
             let answer = encode(&ToEntry::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
