--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -207,7 +207,7 @@
      "self.shared.roster.borrow().roster.get(&target.start).is_some()",
      "self.shared.roster.borrow().roster.get(&target.start).is_some() || true", "deployment", "orders"),
     ("platform: starts: a missing entry loses what an engine runs", "src/scheduler/plan/intake.rs",
-     "roster.get(start).is_some() || engine.placed() > 0", "roster.get(start).is_some() || engine.placed() > 1_000", "deployment", "starts"),
+     "roster.get(start).is_some() || engine.active_placements() > 0", "roster.get(start).is_some() || engine.active_placements() > 1_000", "deployment", "starts"),
     ("platform: starts: an entry of a service that is not named ends a target", "src/fleet/roster.rs",
      "is_named(&entry.service) || !(in_use.contains(id) || was_in_use(id))", "true",
      "deployment", "roster::an_entry_of_a_service"),
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -83,7 +83,7 @@
         }
         scheduler.observe_changing(&self.shared.changing.borrow());
         scheduler.observe_named(&self.shared.named_since.borrow());
-        scheduler.forget_lost(boot_now());
+        scheduler.expire_tickets(boot_now());
         for store in new_stores {
             tokio::task::spawn_local(store_reader::run(self.clone(), store, term));
         }
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -6,7 +6,7 @@
 use super::engine::Engine;
 use super::engine_cache::PartKey;
 use super::messages::{DecisionTrace, PlacementRequest, RecomputeReason, RecomputedTokens};
-use super::pace::Pace;
+use super::prefill::PrefillEstimator;
 use super::source::{Source, Transfer, sources};
 use super::store::{Store, part_key};
 use crate::clock::BootTime;
@@ -114,7 +114,7 @@
         &self,
         engine: &Engine,
         traits: &EngineTraits,
-        pace: &Pace,
+        estimator: &PrefillEstimator,
         now: BootTime,
     ) -> Option<Candidate> {
         let request = self.request;
@@ -155,17 +155,18 @@
             recomputed_tokens += tokens;
             *recomputed.for_reason(self.recompute_reason(at, engine, now)) += tokens;
         }
-        let read_tokens = request.prompt_tokens.saturating_sub(resident_tokens + fetched_tokens);
-        let ahead_ms = millis(engine.reads_for(now))
-            + f64::from(engine.placed()) * DELAY_PER_RUNNING_MS
-            + engine.others(now) * DELAY_PER_OTHER_MS;
-        let rest_ms = millis(pace.reading(read_tokens)) + millis(pace.base());
+        let prefill_tokens = request.prompt_tokens.saturating_sub(resident_tokens + fetched_tokens);
+        let ahead_ms = millis(engine.prefill_backlog(now))
+            + f64::from(engine.active_placements()) * DELAY_PER_RUNNING_MS
+            + engine.other_requests(now) * DELAY_PER_OTHER_MS;
+        let rest_ms =
+            millis(estimator.prefill_time(prefill_tokens)) + millis(estimator.base_latency());
         let expected_ms = ahead_ms.max(fetch_ms) + rest_ms;
         let cost_ms = expected_ms
             + recomputed_tokens as f64 * RECOMPUTE_MS_PER_TOKEN
             + link_ms * LINK_TIME_WEIGHT;
         let trace = DecisionTrace {
-            running: engine.placed(),
+            running: engine.active_placements(),
             ahead_ms: ahead_ms as u32,
             resident_tokens,
             fetched_tokens,
@@ -226,10 +227,10 @@
 
 fn has_room(engine: &Engine, new_tokens: u64, request: &PlacementRequest) -> bool {
     let room = (engine.capacity_tokens as f64 * MEMORY_PART) as u64;
-    let has_slot = engine.listed.slots == 0 || engine.placed() < engine.listed.slots;
-    let fits = engine.busy_tokens() + new_tokens + request.output_tokens <= room;
+    let has_slot = engine.listed.slots == 0 || engine.active_placements() < engine.listed.slots;
+    let fits = engine.committed_tokens() + new_tokens + request.output_tokens <= room;
     // What is too large for any engine's rest gets an engine of its own.
-    has_slot && (fits || engine.placed() == 0)
+    has_slot && (fits || engine.active_placements() == 0)
 }
 
 fn millis(duration: Duration) -> f64 {
--- a/src/scheduler/engine.rs
+++ b/src/scheduler/engine.rs
@@ -7,7 +7,7 @@
 use super::engine_cache::{EngineCache, PartKey};
 use super::link::Link;
 use super::messages::TicketId;
-use super::pace::Pace;
+use super::prefill::PrefillEstimator;
 use crate::clock::BootTime;
 use crate::fleet::Listed;
 use crate::gateway::call::TargetLoad;
@@ -15,11 +15,11 @@
 
 /// A load that answers tell counts for less and less, and for nothing after this time: about how
 /// long a prompt runs.
-const LOAD_LASTS: Duration = Duration::from_millis(800);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(800);
 /// A placement that nobody has ended after this time was lost with its entry.
-const TICKET_LASTS: Duration = Duration::from_secs(20);
-/// How much of an error in the expected end of reading corrects what is expected next.
-const CORRECTED_PART: f64 = 0.5;
+const TICKET_TTL: Duration = Duration::from_secs(20);
+/// How much of an error in the expected end of prefill corrects what is expected next.
+const DRIFT_CORRECTION: f64 = 0.5;
 
 /// An engine.
 #[derive(Clone, Debug)]
@@ -37,43 +37,43 @@
     /// Over which it fetches.
     pub link: Link,
     /// When it has read all that was placed here, if it reads one prompt after another.
-    read_free_at: BootTime,
+    prefill_free_at: BootTime,
     /// By how much it has fallen behind what was expected, in all.
-    slipped_ms: f64,
-    running: FxHashMap<TicketId, Running>,
+    drift_ms: f64,
+    running: FxHashMap<TicketId, RunningPrompt>,
     /// Tokens that running prompts may still generate.
-    generated_tokens: u64,
-    reported: Option<(u32, BootTime)>,
+    reserved_output_tokens: u64,
+    reported_load: Option<(u32, BootTime)>,
 }
 
 /// A prompt for an engine.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct PromptLoad {
     /// Its parts.
     pub parts: Vec<PartKey>,
     /// Tokens that the engine must read.
-    pub read_tokens: u64,
+    pub prefill_tokens: u64,
     /// Tokens that it may generate.
     pub output_tokens: u64,
     /// How long fetches of parts of it take before it is read.
-    pub fetch: Duration,
+    pub fetch_time: Duration,
 }
 
 #[derive(Clone, Debug)]
-struct Running {
-    load: Load,
+struct RunningPrompt {
+    load: PromptLoad,
     since: BootTime,
-    /// What is expected of its reading, until it has been read.
-    reading: Option<Reading>,
+    /// What is expected of its prefill, ends_at it has been read.
+    prefill: Option<PendingPrefill>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reading {
-    takes: Duration,
-    until: BootTime,
-    /// The engine's slip when `until` was worked out.
-    slipped_ms: f64,
-    found_idle: bool,
+struct PendingPrefill {
+    duration: Duration,
+    ends_at: BootTime,
+    /// The engine's add_drift when `ends_at` was worked out.
+    drift_ms: f64,
+    engine_was_idle: bool,
 }
 
 impl Engine {
@@ -91,11 +91,11 @@
             health: Health::default(),
             capacity_tokens,
             link: Link::new(link_mbps),
-            read_free_at: BootTime::ZERO,
-            slipped_ms: 0.0,
+            prefill_free_at: BootTime::ZERO,
+            drift_ms: 0.0,
             running: FxHashMap::default(),
-            generated_tokens: 0,
-            reported: None,
+            reserved_output_tokens: 0,
+            reported_load: None,
         }
     }
 
@@ -108,90 +108,103 @@
     }
 
     /// How long it still reads what was placed here.
-    pub fn reads_for(&self, now: BootTime) -> Duration {
-        self.read_free_at.saturating_sub(now)
+    pub fn prefill_backlog(&self, now: BootTime) -> Duration {
+        self.prefill_free_at.saturating_sub(now)
     }
 
     /// Takes a prompt.
-    pub fn begin(&mut self, ticket: TicketId, load: Load, pace: &Pace, now: BootTime) {
-        let takes = pace.reading(load.read_tokens);
-        let found_idle = self.running.is_empty() && self.others(now) < 0.5 && load.fetch.is_zero();
+    pub fn begin(
+        &mut self,
+        ticket: TicketId,
+        load: PromptLoad,
+        estimator: &PrefillEstimator,
+        now: BootTime,
+    ) {
+        let duration = estimator.prefill_time(load.prefill_tokens);
+        let engine_was_idle =
+            self.running.is_empty() && self.other_requests(now) < 0.5 && load.fetch_time.is_zero();
         // Others are read while it is fetched.
-        let until = self.read_free_at.max(now + load.fetch) + takes;
-        self.read_free_at = self.read_free_at.max(now) + takes;
-        let slipped_ms = self.slipped_ms;
-        let reading = Reading { takes, until, slipped_ms, found_idle };
-        self.generated_tokens += load.output_tokens;
-        self.running.insert(ticket, Running { load, since: now, reading: Some(reading) });
+        let ends_at = self.prefill_free_at.max(now + load.fetch_time) + duration;
+        self.prefill_free_at = self.prefill_free_at.max(now) + duration;
+        let drift_ms = self.drift_ms;
+        let prefill = PendingPrefill { duration, ends_at, drift_ms, engine_was_idle };
+        self.reserved_output_tokens += load.output_tokens;
+        self.running.insert(ticket, RunningPrompt { load, since: now, prefill: Some(prefill) });
     }
 
     /// The prompt has been read.
-    pub fn has_read(&mut self, ticket: TicketId, pace: &mut Pace, now: BootTime) {
+    pub fn end_prefill(
+        &mut self,
+        ticket: TicketId,
+        estimator: &mut PrefillEstimator,
+        now: BootTime,
+    ) {
         let Some(running) = self.running.get_mut(&ticket) else { return };
-        let Some(reading) = running.reading.take() else { return };
+        let Some(prefill) = running.prefill.take() else { return };
         running.load.parts.iter().for_each(|key| self.cache.mark_computed(*key));
-        if reading.found_idle {
-            pace.measured(running.load.read_tokens, now.saturating_sub(running.since));
+        if prefill.engine_was_idle {
+            estimator.observe(running.load.prefill_tokens, now.saturating_sub(running.since));
         }
-        let expected_ms = (reading.until + pace.base()).as_secs_f64() * 1e3
-            + (self.slipped_ms - reading.slipped_ms);
-        self.slip((now.as_secs_f64() * 1e3 - expected_ms) * CORRECTED_PART, now);
+        let expected_ms = (prefill.ends_at + estimator.base_latency()).as_secs_f64() * 1e3
+            + (self.drift_ms - prefill.drift_ms);
+        self.add_drift((now.as_secs_f64() * 1e3 - expected_ms) * DRIFT_CORRECTION, now);
     }
 
     /// The prompt has left. What it had not read is not resident.
     pub fn end(&mut self, ticket: TicketId, now: BootTime) {
         let Some(running) = self.running.remove(&ticket) else { return };
-        self.generated_tokens -= running.load.output_tokens;
+        self.reserved_output_tokens -= running.load.output_tokens;
         for key in &running.load.parts {
             self.cache.release(*key);
-            if running.reading.is_some() {
+            if running.prefill.is_some() {
                 self.cache.discard(*key);
             }
         }
-        if let Some(reading) = running.reading {
-            let unread = reading.until.saturating_sub(now).min(reading.takes);
-            self.read_free_at = self.read_free_at.saturating_sub(unread).max(now);
+        if let Some(prefill) = running.prefill {
+            let unread = prefill.ends_at.saturating_sub(now).min(prefill.duration);
+            self.prefill_free_at = self.prefill_free_at.saturating_sub(unread).max(now);
         }
     }
 
     /// Forgets placements that were lost with their entries.
-    pub fn forget_lost(&mut self, now: BootTime) {
-        let is_lost = |running: &Running| now.saturating_sub(running.since) > TICKET_LASTS;
+    pub fn expire_tickets(&mut self, now: BootTime) {
+        let is_lost = |running: &RunningPrompt| now.saturating_sub(running.since) > TICKET_TTL;
         let lost: Vec<TicketId> =
             self.running.iter().filter(|(_, r)| is_lost(r)).map(|(ticket, _)| *ticket).collect();
         lost.into_iter().for_each(|ticket| self.end(ticket, now));
     }
 
     /// Takes the load that an answer tells.
-    pub fn reported(&mut self, load: TargetLoad, now: BootTime) {
-        let others = (load.running + load.waiting).saturating_sub(self.running.len() as u32);
-        self.reported = Some((others, now));
+    pub fn observe_load(&mut self, load: TargetLoad, now: BootTime) {
+        let other_requests =
+            (load.running + load.waiting).saturating_sub(self.running.len() as u32);
+        self.reported_load = Some((other_requests, now));
     }
 
     /// Prompts that were placed here and have not ended.
-    pub fn placed(&self) -> u32 {
+    pub fn active_placements(&self) -> u32 {
         self.running.len() as u32
     }
 
     /// Requests that it runs or holds and that were not placed here.
-    pub fn others(&self, now: BootTime) -> f64 {
-        self.reported.map_or(0.0, |(others, at)| {
+    pub fn other_requests(&self, now: BootTime) -> f64 {
+        self.reported_load.map_or(0.0, |(other_requests, at)| {
             let age = now.saturating_sub(at).as_secs_f64();
-            f64::from(others) * (1.0 - age / LOAD_LASTS.as_secs_f64()).max(0.0)
+            f64::from(other_requests) * (1.0 - age / REPORTED_LOAD_TTL.as_secs_f64()).max(0.0)
         })
     }
 
     /// Tokens that its running prompts use or will use.
-    pub fn busy_tokens(&self) -> u64 {
-        self.cache.in_use_tokens() + self.generated_tokens
+    pub fn committed_tokens(&self) -> u64 {
+        self.cache.in_use_tokens() + self.reserved_output_tokens
     }
 
-    fn slip(&mut self, by_ms: f64, now: BootTime) {
-        self.slipped_ms += by_ms;
+    fn add_drift(&mut self, by_ms: f64, now: BootTime) {
+        self.drift_ms += by_ms;
         let by = Duration::from_secs_f64(by_ms.abs() / 1e3);
-        self.read_free_at = match by_ms >= 0.0 {
-            true => self.read_free_at.max(now) + by,
-            false => self.read_free_at.saturating_sub(by),
+        self.prefill_free_at = match by_ms >= 0.0 {
+            true => self.prefill_free_at.max(now) + by,
+            false => self.prefill_free_at.saturating_sub(by),
         };
     }
 }
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -9,13 +9,13 @@
 use rustc_hash::FxHashMap;
 
 use super::candidate::{Candidate, RequiredPrefix, shared_count};
-use super::engine::{Engine, Load};
+use super::engine::{Engine, PromptLoad};
 use super::engine_cache::PartKey;
 use super::lateness::Lateness;
 use super::messages::{
     DecisionTrace, EndReason, Placement, PlacementEvent, PlacementRequest, TicketId,
 };
-use super::pace::Pace;
+use super::prefill::PrefillEstimator;
 use super::queue::{Queue, WaiterId, Waiting};
 use super::source::distance;
 use super::store::{FETCH_LASTS, FREE_LASTS, Store};
@@ -72,7 +72,7 @@
     engines: BTreeMap<TargetStart, Engine>,
     traits: HashMap<ServiceId, EngineTraits>,
     stores: BTreeMap<SocketAddr, Store>,
-    paces: HashMap<ServiceId, Pace>,
+    estimators: HashMap<ServiceId, PrefillEstimator>,
     /// Recent delay of first tokens beyond what was expected: queueing delay at engines, which must not
     /// lower the bandwidth estimate of a link.
     lateness: HashMap<ServiceId, Lateness>,
@@ -121,7 +121,7 @@
             engines: BTreeMap::new(),
             traits: HashMap::new(),
             stores: BTreeMap::new(),
-            paces: HashMap::new(),
+            estimators: HashMap::new(),
             lateness: HashMap::new(),
             queue: Queue::default(),
             tickets: FxHashMap::default(),
@@ -213,7 +213,7 @@
         let Some(traits) = self.traits.get(&request.service) else {
             return PlacementAttempt::Done(Err(PlacementError::NoTargetListed));
         };
-        let pace = self.paces.get(&request.service).copied().unwrap_or_default();
+        let estimator = self.estimators.get(&request.service).copied().unwrap_or_default();
         let (mut is_listed, mut is_healthy, mut is_free) = (false, false, false);
         let mut best: Option<(&TargetStart, Candidate)> = None;
         let mut required: Vec<(Option<u64>, RequiredPrefix<'_>)> = Vec::new();
@@ -223,11 +223,12 @@
                 continue;
             }
             is_listed = true;
-            if request.avoid.contains(id) || !engine.health.admits(engine.placed(), now) {
+            if request.avoid.contains(id) || !engine.health.admits(engine.active_placements(), now)
+            {
                 continue;
             }
             is_healthy = true;
-            if engine.reads_for(now) >= READS_AHEAD || self.weights.keep_from(id) {
+            if engine.prefill_backlog(now) >= READS_AHEAD || self.weights.keep_from(id) {
                 continue;
             }
             let Some(weights_cost_ms) =
@@ -247,7 +248,7 @@
                 ));
                 required.len() - 1
             });
-            let Some(mut candidate) = required[known].1.candidate(engine, traits, &pace, now)
+            let Some(mut candidate) = required[known].1.candidate(engine, traits, &estimator, now)
             else {
                 continue;
             };
@@ -307,14 +308,14 @@
             }
             let resident_or_fetched =
                 candidate.trace.resident_tokens + candidate.trace.fetched_tokens;
-            let load = Load {
+            let load = PromptLoad {
                 parts: keys,
-                read_tokens: request.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
+                prefill_tokens: request.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
                 output_tokens: request.output_tokens,
-                fetch: Duration::from_secs_f64(candidate.fetch_ms / 1e3),
+                fetch_time: Duration::from_secs_f64(candidate.fetch_ms / 1e3),
             };
-            let pace = self.paces.entry(request.service.clone()).or_default();
-            engine.begin(ticket, load, pace, now);
+            let estimator = self.estimators.entry(request.service.clone()).or_default();
+            engine.begin(ticket, load, estimator, now);
         }
         let parts = candidate.fetch.iter().zip(&request.parts).skip(candidate.resident);
         let largest = parts.filter(|(store, _)| store.is_some()).max_by_key(|(_, p)| p.tokens);
@@ -411,16 +412,16 @@
                 let target = known.target.clone();
                 let Some(engine) = self.engines.get(&target) else { return };
                 let lateness = self.lateness.entry(engine.listed.service.clone()).or_default();
-                let own_late_ms = late_ms - lateness.usual_ms();
+                let own_late_ms = late_ms - lateness.median_ms();
                 lateness.add(late_ms);
                 if let Some(address) = fetched_from {
                     self.measured(address, &target, fetch_ms, fetch_ms + own_late_ms, now);
                 }
                 let Some(engine) = self.engines.get_mut(&target) else { return };
-                let pace = self.paces.entry(engine.listed.service.clone()).or_default();
-                engine.has_read(*ticket, pace, now);
+                let estimator = self.estimators.entry(engine.listed.service.clone()).or_default();
+                engine.end_prefill(*ticket, estimator, now);
                 if let Some(load) = load {
-                    engine.reported(*load, now);
+                    engine.observe_load(*load, now);
                 }
                 if *weight_version > engine.weight_version {
                     engine.set_weights(*weight_version);
@@ -467,8 +468,8 @@
     }
 
     /// Forgets placements that were lost with their entries.
-    pub fn forget_lost(&mut self, now: BootTime) {
-        self.engines.values_mut().for_each(|engine| engine.forget_lost(now));
+    pub fn expire_tickets(&mut self, now: BootTime) {
+        self.engines.values_mut().for_each(|engine| engine.expire_tickets(now));
     }
 }
 
--- a/src/scheduler/plan/intake.rs
+++ b/src/scheduler/plan/intake.rs
@@ -50,7 +50,7 @@
 
     /// Prompts that were placed on an engine and have not ended.
     pub fn placed_on(&self, engine: &TargetStart) -> u32 {
-        self.engines.get(engine).map_or(0, Engine::placed)
+        self.engines.get(engine).map_or(0, Engine::active_placements)
     }
 
     /// Takes a deployment.
@@ -77,7 +77,8 @@
     /// Takes a list of targets.
     pub fn observe_roster(&mut self, roster: &Roster) {
         // Until their prompts have ended: a target whose entry is missing for a while comes back.
-        self.engines.retain(|start, engine| roster.get(start).is_some() || engine.placed() > 0);
+        self.engines
+            .retain(|start, engine| roster.get(start).is_some() || engine.active_placements() > 0);
         for engine in self.engines.values_mut().filter(|e| roster.get(&e.listed.start).is_none()) {
             engine.listed.presence = Presence::Leaving;
         }
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::ServiceRole;
-use kumquatpost::scheduler::pace::Pace;
+use kumquatpost::scheduler::prefill::PrefillEstimator;
 use kumquatpost::scheduler::store::{Inventory, StoredPart};
 use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
@@ -243,13 +243,13 @@
 #[test]
 fn an_engines_pace_is_learned_also_if_it_is_far_from_what_was_assumed() {
     for (tokens_per_ms, base_ms) in [(30.0, 120), (140.0, 53), (300.0, 10)] {
-        let mut pace = Pace::default();
+        let mut pace = PrefillEstimator::default();
         for n in 0..3_000 {
             let tokens = 100 + (n * 37) % 5_000;
             let reads = Duration::from_secs_f64(tokens as f64 / tokens_per_ms / 1e3);
-            pace.measured(tokens, reads + ms(base_ms));
+            pace.observe(tokens, reads + ms(base_ms));
         }
-        let learned = pace.reading(1_000) + pace.base();
+        let learned = pace.prefill_time(1_000) + pace.base_latency();
         let real = Duration::from_secs_f64(1_000.0 / tokens_per_ms / 1e3) + ms(base_ms);
         let ratio = learned.as_secs_f64() / real.as_secs_f64();
         assert!((0.8..1.25).contains(&ratio), "{tokens_per_ms} {base_ms}: {ratio}");
@@ -259,12 +259,12 @@
 /// A scheduler that takes over after entries were left alone finds engines full that it thinks idle.
 #[test]
 fn times_of_engines_that_were_not_idle_hardly_count() {
-    let mut pace = Pace::default();
-    let before = pace.reading(1_000) + pace.base();
+    let mut pace = PrefillEstimator::default();
+    let before = pace.prefill_time(1_000) + pace.base_latency();
     for n in 0..60 {
-        pace.measured(200 + n * 40, ms(1_500));
+        pace.observe(200 + n * 40, ms(1_500));
     }
-    let after = pace.reading(1_000) + pace.base();
+    let after = pace.prefill_time(1_000) + pace.base_latency();
     assert!(after < before * 3, "{before:?} became {after:?}");
 }
 
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -134,12 +134,12 @@
 #[test]
 fn what_delays_most_answers_is_usual() {
     let mut lateness = Lateness::default();
-    assert_eq!(lateness.usual_ms(), 0.0);
+    assert_eq!(lateness.median_ms(), 0.0);
     (0..15).for_each(|_| lateness.add(200.0));
     (0..6).for_each(|_| lateness.add(2_000.0));
-    assert_eq!(lateness.usual_ms(), 200.0, "a slow link's are not most");
+    assert_eq!(lateness.median_ms(), 200.0, "a slow link's are not most");
     (0..21).for_each(|_| lateness.add(-30.0));
-    assert_eq!(lateness.usual_ms(), 0.0);
+    assert_eq!(lateness.median_ms(), 0.0);
 }
 
 /// Two engines that are equally busy: the one in the store's failure domain gets the prompt, since its
