--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -141,7 +141,7 @@
 
     /// Asks engines whose weights are not known for them.
     pub(super) fn ask_doubted(self: &Rc<Scheduling>) {
-        let doubted = self.with(|scheduler| scheduler.doubted()).unwrap_or_default();
+        let doubted = self.with(|scheduler| scheduler.unverified_engines()).unwrap_or_default();
         for (engine, address) in doubted {
             if !self.asked.borrow_mut().insert(engine.clone()) {
                 continue;
@@ -158,7 +158,7 @@
                 let version = weights.and_then(|weights| weights.values().next().copied());
                 scheduling.asked.borrow_mut().remove(&engine);
                 // Without a scheduler there is nothing to tell.
-                let _ = scheduling.with(|scheduler| scheduler.resolve(&engine, version));
+                let _ = scheduling.with(|scheduler| scheduler.resolve_weights(&engine, version));
             });
         }
     }
@@ -245,7 +245,7 @@
 
     /// A store has started anew or can't be reached.
     pub fn lost_store(&self, store: SocketAddr) {
-        let _ = self.with(|scheduler| scheduler.lost_store(store));
+        let _ = self.with(|scheduler| scheduler.reset_store(store));
     }
 }
 
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -7,7 +7,7 @@
 use super::engine_cache::PartKey;
 use super::messages::{DecisionTrace, PlacementRequest, RecomputeReason, RecomputedTokens};
 use super::prefill::PrefillEstimator;
-use super::source::{Source, Transfer, sources};
+use super::source::{Source, TransferEstimate, sources};
 use super::store::{Store, part_key};
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
@@ -25,11 +25,11 @@
 const LINK_TIME_WEIGHT: f64 = 0.5;
 /// Running prompts take at most this part of an engine's memory: beyond it they push each other
 /// out, and what was read must be read recomputed_parts.
-const MEMORY_PART: f64 = 0.9;
+const MAX_IN_USE_FRACTION: f64 = 0.9;
 /// A fetch that would take longer is not worth waiting for: it would not be started.
-const LONGEST_FETCH: Duration = Duration::from_millis(1_000);
+const MAX_FETCH_TIME: Duration = Duration::from_millis(1_000);
 /// Nor is one that would take more than this part of the prompt's objective.
-const FETCH_PART: f64 = 0.6;
+const FETCH_OBJECTIVE_FRACTION: f64 = 0.6;
 
 /// A prompt as all engines with the same weights see it: worked out once, looked at for each.
 pub struct RequiredPrefix<'a> {
@@ -55,11 +55,11 @@
     /// How long the fetch takes.
     pub fetch_ms: f64,
     /// What follows the fetch until the first part of the answer.
-    pub rest_ms: f64,
+    pub after_fetch_ms: f64,
     /// How long the engine is busy with others.
     pub ahead_ms: f64,
-    /// How many parts, from the first on, are probably resident.
-    pub resident: usize,
+    /// How many parts, from the first on, are probably resident_parts.
+    pub resident_parts: usize,
     /// Where parts are fetched from.
     pub fetch: Vec<Option<SocketAddr>>,
     /// What the decision rests on.
@@ -118,8 +118,10 @@
         now: BootTime,
     ) -> Option<Candidate> {
         let request = self.request;
-        let resident = self.keys.iter().take_while(|key| engine.cache.contains(**key)).count();
-        let resident_tokens = request.parts[..resident].iter().map(|part| part.tokens).sum::<u64>();
+        let resident_parts =
+            self.keys.iter().take_while(|key| engine.cache.contains(**key)).count();
+        let resident_tokens =
+            request.parts[..resident_parts].iter().map(|part| part.tokens).sum::<u64>();
         if !has_room(
             engine,
             request.prompt_tokens - resident_tokens.min(request.prompt_tokens),
@@ -131,22 +133,22 @@
         let mut fetched_tokens = 0;
         let (mut fetch_ms, mut link_ms): (f64, f64) = (0.0, 0.0);
         for (at, fetched) in fetch.iter_mut().enumerate().take(self.shared) {
-            let found = self.nearest(at, engine, traits, now);
-            // What is resident is named too: it may have been pushed out without our knowing, and
+            let found = self.fastest_source(at, engine, traits, now);
+            // What is resident_parts is named too: it may have been pushed out without our knowing, and
             // an engine fetches only what it lacks.
             *fetched = found.map(|(store, _)| store);
             match found {
-                _ if at < resident => {}
+                _ if at < resident_parts => {}
                 Some((_, found)) => {
                     fetched_tokens += request.parts[at].tokens;
-                    fetch_ms = fetch_ms.max(millis(found.queue + found.transfer));
-                    link_ms += millis(found.transfer);
+                    fetch_ms = fetch_ms.max(millis(found.queue_delay + found.duration));
+                    link_ms += millis(found.duration);
                 }
                 // A part is of use only after all before it.
                 None => break,
             }
         }
-        let recomputed_parts: Vec<usize> = (resident.min(self.shared)..self.shared)
+        let recomputed_parts: Vec<usize> = (resident_parts.min(self.shared)..self.shared)
             .filter(|at| fetch[*at].is_none() && self.was_computed[*at])
             .collect();
         let (mut recomputed, mut recomputed_tokens) = (RecomputedTokens::default(), 0);
@@ -159,9 +161,9 @@
         let ahead_ms = millis(engine.prefill_backlog(now))
             + f64::from(engine.active_placements()) * DELAY_PER_RUNNING_MS
             + engine.other_requests(now) * DELAY_PER_OTHER_MS;
-        let rest_ms =
+        let after_fetch_ms =
             millis(estimator.prefill_time(prefill_tokens)) + millis(estimator.base_latency());
-        let expected_ms = ahead_ms.max(fetch_ms) + rest_ms;
+        let expected_ms = ahead_ms.max(fetch_ms) + after_fetch_ms;
         let cost_ms = expected_ms
             + recomputed_tokens as f64 * RECOMPUTE_MS_PER_TOKEN
             + link_ms * LINK_TIME_WEIGHT;
@@ -174,33 +176,44 @@
             expected_ms: expected_ms as u32,
             waited_ms: 0,
         };
-        Some(Candidate { cost_ms, fetch_ms, rest_ms, ahead_ms, resident, fetch, trace })
+        Some(Candidate {
+            cost_ms,
+            fetch_ms,
+            after_fetch_ms,
+            ahead_ms,
+            resident_parts,
+            fetch,
+            trace,
+        })
     }
 
     /// From where a part comes soonest, and how long that takes.
-    fn nearest(
+    fn fastest_source(
         &self,
         at: usize,
         engine: &Engine,
         traits: &EngineTraits,
         now: BootTime,
-    ) -> Option<(SocketAddr, Transfer)> {
+    ) -> Option<(SocketAddr, TransferEstimate)> {
         let size_bytes = (self.request.parts[at].tokens * traits.token_bytes) as f64;
-        let ways = self
+        let estimates = self
             .sources_for(at, engine)
-            .map(|source| (source.address, source.transfer(size_bytes, engine, now)));
-        let longest = self.longest_fetch();
-        let takes = |transfer: &Transfer| transfer.queue + transfer.transfer;
-        ways.filter(|(_, way)| takes(way) <= longest).min_by_key(|(_, way)| takes(way))
+            .map(|source| (source.address, source.estimate(size_bytes, engine, now)));
+        let longest = self.max_fetch_time();
+        let takes = |transfer: &TransferEstimate| transfer.queue_delay + transfer.duration;
+        estimates
+            .filter(|(_, estimate)| takes(estimate) <= longest)
+            .min_by_key(|(_, estimate)| takes(estimate))
     }
 
     /// Why a part is read recomputed_parts that could be fetched from nowhere in time.
     fn recompute_reason(&self, at: usize, engine: &Engine, now: BootTime) -> RecomputeReason {
-        let queues =
-            self.sources_for(at, engine).map(|source| source.transfer(0.0, engine, now).queue);
+        let queues = self
+            .sources_for(at, engine)
+            .map(|source| source.estimate(0.0, engine, now).queue_delay);
         match queues.min() {
             None => RecomputeReason::NowhereWhole,
-            Some(queue) if queue > self.longest_fetch() / 2 => RecomputeReason::LinkFull,
+            Some(queue) if queue > self.max_fetch_time() / 2 => RecomputeReason::LinkFull,
             Some(_) => RecomputeReason::LinkSlow,
         }
     }
@@ -214,19 +227,19 @@
         self.sources[at].iter().filter(|source| source.address != engine.listed.address)
     }
 
-    fn longest_fetch(&self) -> Duration {
-        let most = self.request.objective.mul_f64(FETCH_PART);
+    fn max_fetch_time(&self) -> Duration {
+        let most = self.request.objective.mul_f64(FETCH_OBJECTIVE_FRACTION);
         match self.request.elapsed < most {
-            true => most.min(LONGEST_FETCH),
+            true => most.min(MAX_FETCH_TIME),
             // It can't be on time, or need not be: better late than read recomputed_parts while engines have most
             // to do for others.
-            false => LONGEST_FETCH,
+            false => MAX_FETCH_TIME,
         }
     }
 }
 
 fn has_room(engine: &Engine, new_tokens: u64, request: &PlacementRequest) -> bool {
-    let room = (engine.capacity_tokens as f64 * MEMORY_PART) as u64;
+    let room = (engine.capacity_tokens as f64 * MAX_IN_USE_FRACTION) as u64;
     let has_slot = engine.listed.slots == 0 || engine.active_placements() < engine.listed.slots;
     let fits = engine.committed_tokens() + new_tokens + request.output_tokens <= room;
     // What is too large for any engine's rest gets an engine of its own.
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -1,6 +1,6 @@
 //! The scheduler: where each prompt runs, what it fetches, what is saved.
 
-mod intake;
+mod updates;
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
     DecisionTrace, EndReason, Placement, PlacementEvent, PlacementRequest, TicketId,
 };
 use super::prefill::PrefillEstimator;
-use super::queue::{Queue, WaiterId, Waiting};
-use super::source::distance;
+use super::queue::{Queue, QueuedPrompt, WaiterId};
+use super::source::domain_factor;
 use super::store::{FETCH_LASTS, FREE_LASTS, Store};
 use super::weights::Weights;
 use crate::clock::BootTime;
@@ -27,23 +27,23 @@
 use crate::ids::{ServiceId, TargetStart};
 
 /// An engine takes another prompt once it has less than this left to read: enough to keep it busy
-/// until the next placement, and so little that an urgent prompt is not kept waiting behind others.
-const READS_AHEAD: Duration = Duration::from_millis(60);
+/// until the next placement, and so little that an urgent prompt is not kept queued behind others.
+const MAX_PREFILL_BACKLOG: Duration = Duration::from_millis(60);
 /// A refused caller comes back after this at the least, and at the most this much later.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(700));
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(700));
 /// Contexts up to this length go to the stores that answer soonest, where that matters most.
 const SHORT_CONTEXT_TOKENS: u64 = 3_000;
 /// A dispatch looks at this many prompts that find no room. Engines differ little in what fits, so
 /// more would find none either.
-const STUCK_AT_MOST: usize = 8;
+const MAX_UNPLACED_PER_DISPATCH: usize = 8;
 /// Prompts that come to a new scheduler wait for this long at the most for engines' memories and stores'
 /// inventories: 18 engines and six stores take 50 ms, 140 engines some 150 ms.
 const WARM_UP_TIMEOUT: Duration = Duration::from_millis(150);
 /// Kept between the last free that an earlier scheduler decided and the first fetch, for clocks that are
 /// read a little apart.
-const FREE_VOID_MARGIN: Duration = Duration::from_millis(20);
+const FIRST_FETCH_MARGIN: Duration = Duration::from_millis(20);
 /// A new scheduler frees nothing before fetches that an earlier one granted have ended.
-const FIRST_FREES_AFTER: Duration = Duration::from_millis(2_500);
+const FIRST_FREE_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Why a prompt was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -61,7 +61,7 @@
 
 /// The engines' clock, as it was read.
 #[derive(Clone, Copy, Debug)]
-struct EnginesClock {
+struct EngineClock {
     at_ms: u64,
     read_at: BootTime,
 }
@@ -79,10 +79,10 @@
     queue: Queue,
     tickets: FxHashMap<TicketId, Ticket>,
     next_ticket: TicketId,
-    clock: Option<EnginesClock>,
-    frees_from: BootTime,
+    clock: Option<EngineClock>,
+    frees_allowed_from: BootTime,
     /// Before this time frees of an earlier scheduler may be under candidate.
-    fetches_from: BootTime,
+    fetches_allowed_from: BootTime,
     /// Until this time prompts wait for what engines and stores hold to be read, unless it has been.
     warm_until: BootTime,
     /// Whether engines' memories have been read.
@@ -98,7 +98,7 @@
     weight_version: Option<u64>,
     since: BootTime,
     /// Where most comes from, if the fetch takes longest of all.
-    slowest: Option<SocketAddr>,
+    slowest_source: Option<SocketAddr>,
     /// How long the fetch was expected to take.
     fetch_ms: f64,
     /// When the first part of the answer was expected, after the placement.
@@ -127,8 +127,8 @@
             tickets: FxHashMap::default(),
             next_ticket: first_ticket,
             clock: None,
-            frees_from: now + FIRST_FREES_AFTER,
-            fetches_from: now,
+            frees_allowed_from: now + FIRST_FREE_DELAY,
+            fetches_allowed_from: now,
             warm_until: now,
             engine_caches_known: true,
             weights: Weights::new(now),
@@ -139,7 +139,7 @@
     /// those of an outage come at once, and would be read again where they don't lie.
     pub fn await_cache_state(&mut self, now: BootTime) {
         self.warm_until = now + WARM_UP_TIMEOUT;
-        self.fetches_from = now + FREE_LASTS + FREE_VOID_MARGIN;
+        self.fetches_allowed_from = now + FREE_LASTS + FIRST_FETCH_MARGIN;
         self.engine_caches_known = false;
     }
 
@@ -151,7 +151,7 @@
     /// Whether prompts need not wait for what engines and stores hold.
     fn has_cache_state(&self, now: BootTime) -> bool {
         let stores_known = self.clock.is_some() && self.stores.values().all(Store::is_known);
-        (self.engine_caches_known && stores_known && now >= self.fetches_from)
+        (self.engine_caches_known && stores_known && now >= self.fetches_allowed_from)
             || now >= self.warm_until
     }
 
@@ -163,11 +163,11 @@
         now: BootTime,
     ) -> Option<PlacementResult> {
         let must_wait = !self.queue.is_empty() || !self.has_cache_state(now);
-        let waiting = Waiting { waiter, request, since: now };
-        if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&waiting, now) {
+        let queued = QueuedPrompt { waiter, request, since: now };
+        if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&queued, now) {
             return Some(outcome);
         }
-        self.queue.add(waiting);
+        self.queue.add(queued);
         None
     }
 
@@ -178,27 +178,27 @@
 
     /// Places those that wait as far as engines have room, and refuses those that have no hope.
     pub fn dispatch(&mut self, now: BootTime) -> Vec<(WaiterId, PlacementResult)> {
-        let hopeless = self.queue.drain_hopeless(now).into_iter();
-        let mut outcomes: Vec<(WaiterId, PlacementResult)> = hopeless
-            .map(|waiting| (waiting.waiter, Err(PlacementError::Busy(come_back(waiting.waiter)))))
+        let expired = self.queue.drain_expired(now).into_iter();
+        let mut outcomes: Vec<(WaiterId, PlacementResult)> = expired
+            .map(|queued| (queued.waiter, Err(PlacementError::Busy(retry_after(queued.waiter)))))
             .collect();
         if !self.has_cache_state(now) {
             return outcomes;
         }
-        let mut stuck = Vec::new();
-        while stuck.len() < STUCK_AT_MOST
-            && let Some(waiting) = self.queue.pick()
+        let mut unplaced = Vec::new();
+        while unplaced.len() < MAX_UNPLACED_PER_DISPATCH
+            && let Some(queued) = self.queue.pop_next()
         {
-            match self.try_place(&waiting, now) {
-                PlacementAttempt::Done(outcome) => outcomes.push((waiting.waiter, outcome)),
-                PlacementAttempt::NoRoom => stuck.push(waiting),
+            match self.try_place(&queued, now) {
+                PlacementAttempt::Done(outcome) => outcomes.push((queued.waiter, outcome)),
+                PlacementAttempt::NoRoom => unplaced.push(queued),
                 PlacementAttempt::AllBusy => {
-                    stuck.push(waiting);
+                    unplaced.push(queued);
                     break;
                 }
             }
         }
-        stuck.into_iter().for_each(|waiting| self.queue.put_back(waiting));
+        unplaced.into_iter().for_each(|queued| self.queue.requeue(queued));
         outcomes
     }
 
@@ -208,8 +208,8 @@
     }
 
     /// Places a prompt on the engine where it costs least.
-    fn try_place(&mut self, waiting: &Waiting, now: BootTime) -> PlacementAttempt {
-        let request = &waiting.request;
+    fn try_place(&mut self, queued: &QueuedPrompt, now: BootTime) -> PlacementAttempt {
+        let request = &queued.request;
         let Some(traits) = self.traits.get(&request.service) else {
             return PlacementAttempt::Done(Err(PlacementError::NoTargetListed));
         };
@@ -228,7 +228,7 @@
                 continue;
             }
             is_healthy = true;
-            if engine.prefill_backlog(now) >= READS_AHEAD || self.weights.keep_from(id) {
+            if engine.prefill_backlog(now) >= MAX_PREFILL_BACKLOG || self.weights.excludes(id) {
                 continue;
             }
             let Some(weights_cost_ms) =
@@ -241,7 +241,7 @@
             let known = required.iter().position(|(known, _)| *known == version);
             let known = known.unwrap_or_else(|| {
                 let (stores, engines) = (self.stores.values(), self.engines.values());
-                let may_fetch = self.clock.is_some() && now >= self.fetches_from;
+                let may_fetch = self.clock.is_some() && now >= self.fetches_allowed_from;
                 required.push((
                     version,
                     RequiredPrefix::new(request, version, stores, engines, may_fetch, now),
@@ -270,7 +270,7 @@
         let chosen = required.into_iter().find(|(known, _)| *known == version);
         let (salt, keys) =
             chosen.map(|(_, required)| (required.salt, required.keys)).unwrap_or_default();
-        PlacementAttempt::Done(Ok(self.grant(target, candidate, salt, keys, waiting, now)))
+        PlacementAttempt::Done(Ok(self.grant(target, candidate, salt, keys, queued, now)))
     }
 
     fn grant(
@@ -279,10 +279,10 @@
         candidate: Candidate,
         salt: String,
         keys: Vec<PartKey>,
-        waiting: &Waiting,
+        queued: &QueuedPrompt,
         now: BootTime,
     ) -> Placement {
-        let request = &waiting.request;
+        let request = &queued.request;
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         let shared = shared_count(request);
@@ -290,7 +290,7 @@
         for (at, saved) in save.iter_mut().enumerate().take(shared) {
             let key = keys[at];
             if let Some(address) = candidate.fetch[at] {
-                let is_resident = at < candidate.resident;
+                let is_resident = at < candidate.resident_parts;
                 self.grant_fetch(address, key, &request.parts[at], &target, is_resident, now);
             }
             if self.stores.values().any(|store| store.knows(key)) {
@@ -317,9 +317,9 @@
             let estimator = self.estimators.entry(request.service.clone()).or_default();
             engine.begin(ticket, load, estimator, now);
         }
-        let parts = candidate.fetch.iter().zip(&request.parts).skip(candidate.resident);
+        let parts = candidate.fetch.iter().zip(&request.parts).skip(candidate.resident_parts);
         let largest = parts.filter(|(store, _)| store.is_some()).max_by_key(|(_, p)| p.tokens);
-        let slowest = largest
+        let slowest_source = largest
             .and_then(|(store, _)| *store)
             .filter(|_| candidate.fetch_ms > candidate.ahead_ms);
         self.tickets.insert(
@@ -328,9 +328,9 @@
                 target: target.clone(),
                 weight_version,
                 since: now,
-                slowest,
+                slowest_source,
                 fetch_ms: candidate.fetch_ms,
-                expected_ms: candidate.ahead_ms.max(candidate.fetch_ms) + candidate.rest_ms,
+                expected_ms: candidate.ahead_ms.max(candidate.fetch_ms) + candidate.after_fetch_ms,
             },
         );
         Placement {
@@ -342,7 +342,7 @@
             save,
             fetch_until_ms: clock_ms + FETCH_LASTS.as_millis() as u64,
             trace: DecisionTrace {
-                waited_ms: now.saturating_sub(waiting.since).as_millis() as u32,
+                waited_ms: now.saturating_sub(queued.since).as_millis() as u32,
                 ..candidate.trace
             },
         }
@@ -372,10 +372,10 @@
         if is_resident {
             return;
         }
-        let distance = distance(from_domain, &to.failure_domain);
-        link.grant(size_bytes, distance, now);
+        let domain_factor = domain_factor(from_domain, &to.failure_domain);
+        link.reserve(size_bytes, domain_factor, now);
         if let Some(engine) = self.engines.get_mut(target) {
-            engine.link.grant(size_bytes, distance, now);
+            engine.link.reserve(size_bytes, domain_factor, now);
         }
     }
 
@@ -406,7 +406,7 @@
         match event {
             PlacementEvent::FirstToken { ticket, weight_version, load } => {
                 let Some(known) = self.tickets.get_mut(ticket) else { return };
-                let fetched_from = known.slowest.take();
+                let fetched_from = known.slowest_source.take();
                 let (fetch_ms, expected_ms) = (known.fetch_ms, known.expected_ms);
                 let late_ms = millis(now.saturating_sub(known.since)) - expected_ms;
                 let target = known.target.clone();
@@ -415,7 +415,13 @@
                 let own_late_ms = late_ms - lateness.median_ms();
                 lateness.add(late_ms);
                 if let Some(address) = fetched_from {
-                    self.measured(address, &target, fetch_ms, fetch_ms + own_late_ms, now);
+                    self.observe_fetch_time(
+                        address,
+                        &target,
+                        fetch_ms,
+                        fetch_ms + own_late_ms,
+                        now,
+                    );
                 }
                 let Some(engine) = self.engines.get_mut(&target) else { return };
                 let estimator = self.estimators.entry(engine.listed.service.clone()).or_default();
@@ -442,14 +448,14 @@
                 };
                 observe_end(engine, *end, now);
                 if is_doubted {
-                    self.weights.doubted.insert(known.target);
+                    self.weights.unverified.insert(known.target);
                 }
             }
         }
     }
 
     /// Takes how long a fetch took: either end may be the slow one.
-    fn measured(
+    fn observe_fetch_time(
         &mut self,
         from: SocketAddr,
         to: &TargetStart,
@@ -458,12 +464,12 @@
         now: BootTime,
     ) {
         if let Some(store) = self.stores.get_mut(&from) {
-            store.link.measured(expected_ms, took_ms, now);
+            store.link.observe_transfer(expected_ms, took_ms, now);
         }
         let is_end =
             |(id, engine): &(&TargetStart, &mut Engine)| *id == to || engine.listed.address == from;
         for (_, engine) in self.engines.iter_mut().filter(is_end) {
-            engine.link.measured(expected_ms, took_ms, now);
+            engine.link.observe_transfer(expected_ms, took_ms, now);
         }
     }
 
@@ -485,8 +491,8 @@
 }
 
 /// When a refused caller comes back: spread by its name, so that many don't come as a wave.
-fn come_back(waiter: WaiterId) -> Duration {
-    let (least, most) = COME_BACK;
+fn retry_after(waiter: WaiterId) -> Duration {
+    let (least, most) = RETRY_AFTER;
     let spread = (waiter.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 54) as f64 / 1_024.0;
     least + (most - least).mul_f64(spread)
 }
--- a/src/scheduler/plan/intake.rs
+++ b/src/scheduler/plan/updates.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::{EnginesClock, Scheduler};
+use super::{EngineClock, Scheduler};
 use crate::clock::BootTime;
 use crate::deployment::{Deployment, ServiceRole};
 use crate::fleet::{Presence, Roster};
@@ -34,15 +34,15 @@
     }
 
     /// Engines whose weights are not known, with their addresses.
-    pub fn doubted(&self) -> Vec<(TargetStart, SocketAddr)> {
+    pub fn unverified_engines(&self) -> Vec<(TargetStart, SocketAddr)> {
         let listed = |id: &TargetStart| Some((id.clone(), self.engines.get(id)?.listed.address));
-        self.weights.doubted.iter().filter_map(listed).collect()
+        self.weights.unverified.iter().filter_map(listed).collect()
     }
 
     /// An engine whose weights were not known was asked. Without an answer it is trusted again: it
     /// refuses what it must not run.
-    pub fn resolve(&mut self, engine: &TargetStart, weight_version: Option<u64>) {
-        self.weights.doubted.remove(engine);
+    pub fn resolve_weights(&mut self, engine: &TargetStart, weight_version: Option<u64>) {
+        self.weights.unverified.remove(engine);
         if let Some(engine) = self.engines.get_mut(engine) {
             engine.set_weights(weight_version);
         }
@@ -82,7 +82,7 @@
         for engine in self.engines.values_mut().filter(|e| roster.get(&e.listed.start).is_none()) {
             engine.listed.presence = Presence::Leaving;
         }
-        self.weights.doubted.retain(|id| roster.get(id).is_some());
+        self.weights.unverified.retain(|id| roster.get(id).is_some());
         for listed in roster.iter() {
             let Some(traits) = self.traits.get(&listed.service) else { continue };
             let version = listed.weights.values().next().copied();
@@ -146,7 +146,7 @@
     }
 
     /// A store has started anew or can't be reached.
-    pub fn lost_store(&mut self, store: SocketAddr) {
+    pub fn reset_store(&mut self, store: SocketAddr) {
         if let Some(store) = self.stores.get_mut(&store) {
             store.forget();
         }
@@ -155,7 +155,7 @@
     /// Reads the engines' clock. The answer was on its way for a while, so the clock is at least
     /// there.
     pub fn read_clock(&mut self, at_ms: u64, read_at: BootTime) {
-        self.clock = Some(EnginesClock { at_ms, read_at });
+        self.clock = Some(EngineClock { at_ms, read_at });
     }
 
     /// The engines' clock at `now`, or a little earlier.
@@ -166,7 +166,7 @@
 
     /// Parts to be freed now.
     pub fn plan_frees(&mut self, now: BootTime) -> Vec<FreePlan> {
-        if now < self.frees_from {
+        if now < self.frees_allowed_from {
             return Vec::new();
         }
         self.stores.values_mut().filter_map(|store| store.plan_frees(now)).collect()
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -11,10 +11,10 @@
 use crate::fleet::Presence;
 
 /// A transfer takes this many times as long between failure domains.
-const OTHER_DOMAIN: f64 = 2.0;
+const CROSS_DOMAIN_FACTOR: f64 = 2.0;
 /// Of the engines that hold a part, this many are looked at, those whose links are free soonest: more
 /// would rarely be sooner, and each is looked at for each engine that may take the prompt.
-const ENGINES_AT_MOST: usize = 4;
+const MAX_ENGINE_SOURCES: usize = 4;
 
 /// A place from which a part can be fetched.
 #[derive(Clone, Copy, Debug)]
@@ -28,11 +28,11 @@
 
 /// How long a transfer takes.
 #[derive(Clone, Copy, Debug)]
-pub struct Transfer {
+pub struct TransferEstimate {
     /// How long it waits for others.
-    pub queue: Duration,
+    pub queue_delay: Duration,
     /// How long it takes then.
-    pub transfer: Duration,
+    pub duration: Duration,
 }
 
 impl<'a> Source<'a> {
@@ -55,12 +55,12 @@
     }
 
     /// How long a transfer to an engine takes.
-    pub fn transfer(&self, size_bytes: f64, to: &Engine, now: BootTime) -> Transfer {
-        let distance = distance(self.failure_domain, &to.listed.failure_domain);
-        let queue = self.link.queue(now).max(to.link.queue(now));
-        let at_source = self.link.transfer(size_bytes, distance, now);
-        let transfer = at_source.max(to.link.transfer(size_bytes, distance, now));
-        Transfer { queue, transfer: self.first_byte + transfer }
+    pub fn estimate(&self, size_bytes: f64, to: &Engine, now: BootTime) -> TransferEstimate {
+        let domain_factor = domain_factor(self.failure_domain, &to.listed.failure_domain);
+        let queue_delay = self.link.queue_delay(now).max(to.link.queue_delay(now));
+        let at_source = self.link.transfer_time(size_bytes, domain_factor, now);
+        let transfer = at_source.max(to.link.transfer_time(size_bytes, domain_factor, now));
+        TransferEstimate { queue_delay, duration: self.first_byte + transfer }
     }
 }
 
@@ -74,16 +74,16 @@
     engines: impl Iterator<Item = &'a Engine>,
     now: BootTime,
 ) -> Vec<Source<'a>> {
-    let mut having: Vec<&Engine> =
+    let mut holders: Vec<&Engine> =
         engines.filter(|engine| engine.cache.is_computed(key) && is_fetchable(engine)).collect();
-    having.sort_by_key(|engine| engine.link.queue(now));
-    let engines = having.into_iter().take(ENGINES_AT_MOST).map(Source::engine);
+    holders.sort_by_key(|engine| engine.link.queue_delay(now));
+    let engines = holders.into_iter().take(MAX_ENGINE_SOURCES).map(Source::engine);
     stores.filter(|store| store.is_whole(key)).map(Source::store).chain(engines).collect()
 }
 
 /// How many times as long a transfer takes as within a failure domain.
-pub fn distance(from_domain: &str, to_domain: &str) -> f64 {
-    if from_domain == to_domain { 1.0 } else { OTHER_DOMAIN }
+pub fn domain_factor(from_domain: &str, to_domain: &str) -> f64 {
+    if from_domain == to_domain { 1.0 } else { CROSS_DOMAIN_FACTOR }
 }
 
 /// Whether other engines may fetch from an engine: one that can't be reached costs them some hundred
--- a/src/scheduler/weights.rs
+++ b/src/scheduler/weights.rs
@@ -183,7 +183,7 @@
     pub changing: BTreeSet<TargetStart>,
     /// Engines that run other weights than was believed, and did not say which. They get no prompts
     /// until they were asked.
-    pub doubted: BTreeSet<TargetStart>,
+    pub unverified: BTreeSet<TargetStart>,
     /// When weights were named.
     pub named: RolloutHistories,
     /// How long older ones may be used.
@@ -197,7 +197,7 @@
     pub fn new(now: BootTime) -> Weights {
         Weights {
             changing: BTreeSet::new(),
-            doubted: BTreeSet::new(),
+            unverified: BTreeSet::new(),
             named: RolloutHistories::new(),
             old_weights: OldWeights::default(),
             began: now,
@@ -205,8 +205,8 @@
     }
 
     /// Whether an engine gets no prompts whatever their model.
-    pub fn keep_from(&self, engine: &TargetStart) -> bool {
-        self.changing.contains(engine) || self.doubted.contains(engine)
+    pub fn excludes(&self, engine: &TargetStart) -> bool {
+        self.changing.contains(engine) || self.unverified.contains(engine)
     }
 
     /// What speaks against an engine with these weights for a prompt of the model, in milliseconds;
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -84,11 +84,11 @@
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(11)));
     end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
     assert!(scheduler.submit(3, ask_of(1, 1, 3), ms(21)).is_none(), "it waits");
-    assert_eq!(scheduler.doubted(), [(start("i-00"), address(0))]);
-    scheduler.resolve(&one.target, Some(2));
+    assert_eq!(scheduler.unverified_engines(), [(start("i-00"), address(0))]);
+    scheduler.resolve_weights(&one.target, Some(2));
     // What was sent before, under the same belief, tells nothing new.
     end(&mut scheduler, two.ticket, EndReason::WeightMismatch(None), ms(30));
-    assert_eq!(scheduler.doubted(), []);
+    assert_eq!(scheduler.unverified_engines(), []);
     let (_, outcome) = scheduler.dispatch(ms(31)).remove(0);
     assert_eq!(outcome.expect("placed").weight_version, Some(2));
     // The list lags: it must not turn that back.
@@ -279,7 +279,7 @@
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(80)));
     assert_eq!(one.weight_version, Some(2));
     end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(3)), ms(90));
-    assert_eq!(scheduler.doubted(), [], "newer ones come to the list by themselves");
+    assert_eq!(scheduler.unverified_engines(), [], "newer ones come to the list by themselves");
     end(&mut scheduler, two.ticket, EndReason::WeightMismatch(Some(1)), ms(91));
-    assert_eq!(scheduler.doubted().len(), 1);
+    assert_eq!(scheduler.unverified_engines().len(), 1);
 }
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -15,7 +15,7 @@
 /// Two engines and a store that is lost, after one engine was given a context.
 fn after_one() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
-    scheduler.lost_store(address(9_000));
+    scheduler.reset_store(address(9_000));
     let ask = ask_of(0, 1, 1);
     let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
     (scheduler, ask, one)
@@ -73,7 +73,7 @@
 fn a_lost_store_does_not_make_engines_read_again_what_others_hold() {
     let mut world = World::new(12);
     world.run(10, 1.0);
-    world.scheduler.lost_store(address(9_000));
+    world.scheduler.reset_store(address(9_000));
     let without = world.run(5, 1.0);
     assert!(without.part_in_aim() > 0.97, "{without:?}");
     assert!(without.again_tokens * 20 < without.read_tokens, "{without:?}");
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -94,7 +94,7 @@
     for (placed, how) in early.iter().zip(ends) {
         end(&mut scheduler, placed.ticket, how, ms(3_001));
     }
-    assert_eq!(scheduler.doubted(), [], "the later start runs what it is listed with");
+    assert_eq!(scheduler.unverified_engines(), [], "the later start runs what it is listed with");
     let next = submit(&mut scheduler, 20, 3_002);
     assert_eq!((&next.target, next.weight_version), (&second, Some(1)));
     assert_eq!(next.trace.running, 0);
@@ -107,10 +107,10 @@
     let mut scheduler = in_first_start();
     let one = submit(&mut scheduler, 1, 10);
     end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
-    assert_eq!(scheduler.doubted(), [(first.clone(), address(1))]);
+    assert_eq!(scheduler.unverified_engines(), [(first.clone(), address(1))]);
     list(&mut scheduler, &second);
-    assert_eq!(scheduler.doubted(), [], "the later start gave no reason for it");
-    scheduler.resolve(&first, Some(7));
+    assert_eq!(scheduler.unverified_engines(), [], "the later start gave no reason for it");
+    scheduler.resolve_weights(&first, Some(7));
     assert_eq!(submit(&mut scheduler, 2, 30).weight_version, Some(1));
 }
 
