--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -19,7 +19,7 @@
 use crate::log::Term;
 use crate::net::http::{Exchange, fetch};
 use crate::platform::stores;
-use crate::scheduler::store::{FREE_LASTS, FreePlan};
+use crate::scheduler::store::{FREE_TTL, FreePlan};
 use crate::scheduler::weights::OldWeights;
 use crate::scheduler::{
     EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
@@ -167,7 +167,7 @@
         let now = boot_now();
         let planned = self.with(|scheduler| {
             let clock_ms = scheduler.engines_clock_ms(now)?;
-            Some((scheduler.plan_frees(now), clock_ms + FREE_LASTS.as_millis() as u64))
+            Some((scheduler.plan_frees(now), clock_ms + FREE_TTL.as_millis() as u64))
         });
         let Some(Some((plans, until_ms))) = planned else { return };
         for plan in plans {
@@ -189,7 +189,7 @@
         // Without a clear answer they may be gone or not: they stay unfit for fetches, and are freed
         // again.
         if matches!(status, Ok(StatusCode::OK)) {
-            let _ = self.with(|scheduler| scheduler.freed(&plan));
+            let _ = self.with(|scheduler| scheduler.confirm_freed(&plan));
         }
     }
 
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -63,10 +63,10 @@
     let text = answer_of(&mut session, list).await?;
     let (inventory, clock_ms) =
         stores::decode_list(&text).map_err(|source| Lost::Unreadable { source })?;
-    let (start, mut next) = (inventory.start, inventory.next);
+    let (start, mut next) = (inventory.start, inventory.next_event);
     log::info!(
         "event=store_inventory_read store={store} start={start:?} whole={}",
-        inventory.whole.len()
+        inventory.complete.len()
     );
     scheduling.until_sure(term).await;
     let now = boot_now();
@@ -80,7 +80,7 @@
             .with_header(stores::WAIT_HEADER, &WAIT.as_millis().to_string());
         let text = answer_of(&mut session, call).await?;
         let page = stores::decode_events(&text).map_err(|source| Lost::Unreadable { source })?;
-        if page.has_gap || !page.start.may_be(&start) {
+        if page.has_gap || !page.start.may_equal(&start) {
             return Err(Lost::Gap);
         }
         next = page.next;
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -99,7 +99,7 @@
             false => Vec::new(),
         };
         let was_computed = |key: &PartKey| {
-            stores.clone().any(|store| store.knows(*key))
+            stores.clone().any(|store| store.contains(*key))
                 || engines.clone().any(|engine| engine.cache.contains(*key))
         };
         let (sources, was_computed) = (
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -18,7 +18,7 @@
 use super::prefill::PrefillEstimator;
 use super::queue::{Queue, QueuedPrompt, WaiterId};
 use super::source::domain_factor;
-use super::store::{FETCH_LASTS, FREE_LASTS, Store};
+use super::store::{FETCH_GRANT_TTL, FREE_TTL, Store};
 use super::weights::Weights;
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
@@ -139,7 +139,7 @@
     /// those of an outage come at once, and would be read again where they don't lie.
     pub fn await_cache_state(&mut self, now: BootTime) {
         self.warm_until = now + WARM_UP_TIMEOUT;
-        self.fetches_allowed_from = now + FREE_LASTS + FIRST_FETCH_MARGIN;
+        self.fetches_allowed_from = now + FREE_TTL + FIRST_FETCH_MARGIN;
         self.engine_caches_known = false;
     }
 
@@ -150,7 +150,7 @@
 
     /// Whether prompts need not wait for what engines and stores hold.
     fn has_cache_state(&self, now: BootTime) -> bool {
-        let stores_known = self.clock.is_some() && self.stores.values().all(Store::is_known);
+        let stores_known = self.clock.is_some() && self.stores.values().all(Store::has_inventory);
         (self.engine_caches_known && stores_known && now >= self.fetches_allowed_from)
             || now >= self.warm_until
     }
@@ -293,7 +293,7 @@
                 let is_resident = at < candidate.resident_parts;
                 self.grant_fetch(address, key, &request.parts[at], &target, is_resident, now);
             }
-            if self.stores.values().any(|store| store.knows(key)) {
+            if self.stores.values().any(|store| store.contains(key)) {
                 self.stores.values_mut().for_each(|store| store.touch(key, now));
             } else {
                 *saved = self.grant_save(key, &salt, &request.parts[at], &target, now);
@@ -340,7 +340,7 @@
             weight_version,
             fetch: candidate.fetch,
             save,
-            fetch_until_ms: clock_ms + FETCH_LASTS.as_millis() as u64,
+            fetch_until_ms: clock_ms + FETCH_GRANT_TTL.as_millis() as u64,
             trace: DecisionTrace {
                 waited_ms: now.saturating_sub(queued.since).as_millis() as u32,
                 ..candidate.trace
@@ -390,7 +390,7 @@
         now: BootTime,
     ) -> Option<SocketAddr> {
         self.engines.get(target)?.weight_version?;
-        let fits = |store: &&mut Store| store.takes(key, part.tokens, now);
+        let fits = |store: &&mut Store| store.can_save(key, part.tokens, now);
         let is_short = part.tokens <= SHORT_CONTEXT_TOKENS;
         let store = self.stores.values_mut().filter(fits).min_by_key(|store| {
             let by_time = if is_short { store.traits.first_byte } else { Duration::ZERO };
--- a/src/scheduler/plan/updates.rs
+++ b/src/scheduler/plan/updates.rs
@@ -113,7 +113,7 @@
                 StoreEvent::Stored(part) => {
                     held.insert((part.salt, part.id), (order, part.tokens));
                 }
-                StoreEvent::Gone(part) => drop(held.remove(&(part.salt, part.id))),
+                StoreEvent::Removed(part) => drop(held.remove(&(part.salt, part.id))),
             }
         }
         held.retain(|(salt, _), _| salt.ends_with(&weights));
@@ -148,7 +148,7 @@
     /// A store has started anew or can't be reached.
     pub fn reset_store(&mut self, store: SocketAddr) {
         if let Some(store) = self.stores.get_mut(&store) {
-            store.forget();
+            store.reset();
         }
     }
 
@@ -173,9 +173,9 @@
     }
 
     /// Records that parts were freed.
-    pub fn freed(&mut self, plan: &FreePlan) {
+    pub fn confirm_freed(&mut self, plan: &FreePlan) {
         if let Some(store) = self.stores.get_mut(&plan.store) {
-            store.freed(plan);
+            store.confirm_freed(plan);
         }
     }
 }
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -78,7 +78,7 @@
         engines.filter(|engine| engine.cache.is_computed(key) && is_fetchable(engine)).collect();
     holders.sort_by_key(|engine| engine.link.queue_delay(now));
     let engines = holders.into_iter().take(MAX_ENGINE_SOURCES).map(Source::engine);
-    stores.filter(|store| store.is_whole(key)).map(Source::store).chain(engines).collect()
+    stores.filter(|store| store.is_complete(key)).map(Source::store).chain(engines).collect()
 }
 
 /// How many times as long a transfer takes as within a failure domain.
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -43,7 +43,7 @@
     let ask = ask_of(0, 1, 1);
     let whole =
         vec![StoredPart { salt: "all/m/1".into(), id: ask.parts[0].id.clone(), tokens: 9_100 }];
-    let inventory = Inventory { start: store_start(1), whole, ..Inventory::default() };
+    let inventory = Inventory { start: store_start(1), complete: whole, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     assert_eq!(placed(scheduler.submit(1, ask.clone(), ms(10))).fetch[0], None);
     scheduler.read_clock(77, ms(20));
@@ -108,7 +108,7 @@
     scheduler.observe_deployment(&site);
     let whole = (0..10).map(|n| StoredPart { salt: "s".into(), id: n.to_string(), tokens: 992 });
     let inventory =
-        Inventory { start: store_start(1), whole: whole.collect(), ..Inventory::default() };
+        Inventory { start: store_start(1), complete: whole.collect(), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(10_000));
     assert!(scheduler.plan_frees(ms(12_400)).is_empty());
     assert_eq!(scheduler.plan_frees(ms(12_600)).len(), 1);
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -154,7 +154,8 @@
     let context = &ask.parts[0];
     let salt = "all/m/1".to_string();
     let part = StoredPart { salt, id: context.id.clone(), tokens: context.tokens };
-    let inventory = Inventory { start: store_start(1), whole: vec![part], ..Inventory::default() };
+    let inventory =
+        Inventory { start: store_start(1), complete: vec![part], ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // Each has 2,400 tokens of another prompt to read, for longer than the fetch takes.
     for (waiter, other) in [(1, "i-01"), (2, "i-00")] {
@@ -176,7 +177,7 @@
         StoredPart { salt: salt.clone(), id: context.id.clone(), tokens: 9_100 }
     };
     let whole = (0..60).map(part).collect();
-    let inventory = Inventory { start: store_start(1), whole, ..Inventory::default() };
+    let inventory = Inventory { start: store_start(1), complete: whole, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
     for n in 0..50 {
--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -7,7 +7,7 @@
 use kumquatpost::gateway::call::Part;
 use kumquatpost::platform::stores;
 use kumquatpost::scheduler::store::{
-    FETCH_LASTS, FreePlan, Inventory, Store, StoreEvent, StoreStart, StoredPart, part_key,
+    FETCH_GRANT_TTL, FreePlan, Inventory, Store, StoreEvent, StoreStart, StoredPart, part_key,
 };
 use serde_json::{Value, json};
 
@@ -46,7 +46,7 @@
 }
 
 fn is_whole(store: &Store, id: &str) -> bool {
-    store.is_whole(part_key(SALT, id))
+    store.is_complete(part_key(SALT, id))
 }
 
 fn freed(plan: &Option<FreePlan>) -> Vec<&str> {
@@ -62,7 +62,7 @@
     assert!(!is_whole(&store, "a"), "half of it is there");
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(20));
     assert!(is_whole(&store, "a"));
-    store.observe_event(StoreEvent::Gone(stored("a", 1_000)), ms(30));
+    store.observe_event(StoreEvent::Removed(stored("a", 1_000)), ms(30));
     assert!(!is_whole(&store, "a"));
     assert_eq!(store.free_tokens(), 10_000);
 }
@@ -72,7 +72,7 @@
     let mut store = store(10_000);
     whole(&mut store, "a", 1_000, ms(0));
     for salt in ["only:beta/m/1", "all/m/2", "all/other/1", "all/m/1a", "all/m"] {
-        assert!(!store.is_whole(part_key(salt, "a")), "{salt}");
+        assert!(!store.is_complete(part_key(salt, "a")), "{salt}");
     }
     // Text and id can't be shifted against each other.
     assert_ne!(part_key("all/m/1", "2a"), part_key("all/m/12", "a"));
@@ -89,10 +89,10 @@
 fn a_store_that_started_anew_has_nothing() {
     let mut store = store(10_000);
     whole(&mut store, "a", 1_000, ms(0));
-    store.forget();
-    assert!(!is_whole(&store, "a") && !store.is_known());
+    store.reset();
+    assert!(!is_whole(&store, "a") && !store.has_inventory());
     store.observe_inventory(Inventory { start: store_start(2), ..Inventory::default() }, ms(100));
-    assert!(store.is_known() && !is_whole(&store, "a"));
+    assert!(store.has_inventory() && !is_whole(&store, "a"));
 }
 
 #[test]
@@ -102,10 +102,10 @@
         whole(&mut store, id, 1_600, ms(0));
     }
     let keys: Vec<_> = ["a", "b", "c", "d", "e", "f"].map(|id| part_key(SALT, id)).to_vec();
-    let later = FETCH_LASTS * 2;
+    let later = FETCH_GRANT_TTL * 2;
     keys.iter().for_each(|key| store.grant_fetch(*key, later));
-    assert_eq!(store.plan_frees(later + FETCH_LASTS), None, "the grants have only just ended");
-    let plan = store.plan_frees(later + FETCH_LASTS + ms(400));
+    assert_eq!(store.plan_frees(later + FETCH_GRANT_TTL), None, "the grants have only just ended");
+    let plan = store.plan_frees(later + FETCH_GRANT_TTL + ms(400));
     assert_eq!(freed(&plan).len(), 1);
     let gone = freed(&plan)[0].to_string();
     assert!(!is_whole(&store, &gone), "it may be gone at any moment");
@@ -122,7 +122,7 @@
     assert_eq!(freed(&plan), ["b"]);
     let plan = plan.expect("a plan");
     assert_eq!(plan.start.epoch, 1);
-    store.freed(&plan);
+    store.confirm_freed(&plan);
     assert_eq!(store.free_tokens(), 2_000);
     assert_eq!(store.plan_frees(ms(60_001)), None);
 }
@@ -145,7 +145,7 @@
     assert_eq!(store.free_tokens(), 10_000 - 1_008, "by blocks of 16 tokens");
     assert_eq!(store.plan_frees(ms(4_000)), None, "it may still go on");
     let plan = store.plan_frees(ms(6_000)).expect("a plan");
-    store.freed(&plan);
+    store.confirm_freed(&plan);
     assert_eq!(store.free_tokens(), 10_000);
 }
 
@@ -166,10 +166,10 @@
     let key = part_key(SALT, "a");
     save(&mut store, "a", 1_000, ms(0));
     let plan = store.plan_frees(ms(6_000)).expect("a plan");
-    store.freed(&plan);
-    assert!(!store.takes(key, 1_000, ms(7_000)));
-    assert!(store.takes(part_key(SALT, "b"), 1_000, ms(7_000)));
-    assert!(store.takes(key, 1_000, ms(22_000)));
+    store.confirm_freed(&plan);
+    assert!(!store.can_save(key, 1_000, ms(7_000)));
+    assert!(store.can_save(part_key(SALT, "b"), 1_000, ms(7_000)));
+    assert!(store.can_save(key, 1_000, ms(22_000)));
 }
 
 #[test]
@@ -181,12 +181,12 @@
     save(&mut store, "not begun", 1_000, ms(990));
     let inventory = Inventory {
         start: store_start(1),
-        next: 9,
-        whole: vec![stored("lost event", 1_000), stored("of an earlier scheduler", 1_000)],
+        next_event: 9,
+        complete: vec![stored("lost event", 1_000), stored("of an earlier scheduler", 1_000)],
         partial: vec![stored("broken off", 1_000)],
     };
     store.observe_inventory(inventory, ms(1_000));
-    let found = |id: &str| (store.knows(part_key(SALT, id)), is_whole(&store, id));
+    let found = |id: &str| (store.contains(part_key(SALT, id)), is_whole(&store, id));
     assert_eq!(found("lost event"), (true, true));
     assert_eq!(found("of an earlier scheduler"), (true, true));
     assert_eq!(found("broken off"), (true, false));
@@ -200,15 +200,15 @@
     let list = r#"{"BootEpoch":77,"NextToken":120,"clock_ms":5000.5,
         "Held":[["s1","5c1e",800,"m"]],"Partial":[["s1","91bd",128,512]]}"#;
     let (inventory, clock_ms) = stores::decode_list(list.as_bytes()).expect("a list");
-    assert_eq!((inventory.start.epoch, inventory.next, clock_ms), (77, 120, Some(5_000)));
-    assert_eq!(inventory.whole[0].id, "5c1e");
+    assert_eq!((inventory.start.epoch, inventory.next_event, clock_ms), (77, 120, Some(5_000)));
+    assert_eq!(inventory.complete[0].id, "5c1e");
     assert_eq!(inventory.partial[0].tokens, 512, "what it takes up");
     let page = r#"{"BootEpoch":77,"NextToken":121,"Lost":true,
         "Events":[[119,"+","s1","5c1e",800,"m"],[120,"-","s1","91bd",128,"m"]]}"#;
     let events = stores::decode_events(page.as_bytes()).expect("a page");
     assert!(events.has_gap);
     assert!(matches!(&events.events[0], StoreEvent::Stored(part) if part.tokens == 800));
-    assert!(matches!(&events.events[1], StoreEvent::Gone(part) if part.id == "91bd"));
+    assert!(matches!(&events.events[1], StoreEvent::Removed(part) if part.id == "91bd"));
     let plan = FreePlan { store: address(1), start: store_start(77), parts: vec![stored("a", 1)] };
     let sent: Value = serde_json::from_slice(&stores::encode_free(&plan, 9)).expect("JSON");
     assert_eq!(sent, json!({"parts": [[SALT, "a"]], "BootEpoch": 77, "until_ms": 9}));
@@ -219,7 +219,7 @@
 #[test]
 fn a_store_that_starts_again_under_its_epoch_holds_nothing_of_before() {
     let born = |born_ms| StoreStart { epoch: 1, born_ms: Some(born_ms) };
-    let inventory = |start, whole| Inventory { start, whole, ..Inventory::default() };
+    let inventory = |start, whole| Inventory { start, complete: whole, ..Inventory::default() };
     let mut store = store(1_000);
     store.observe_inventory(inventory(born(9), vec![stored("a", 990)]), ms(0));
     save(&mut store, "b", 10, ms(10));
@@ -228,12 +228,12 @@
     assert!(!is_whole(&store, "a"), "it is being freed");
     store.observe_inventory(inventory(born(3), vec![stored("a", 990)]), ms(6_020));
     assert!(is_whole(&store, "a"), "the later start frees nothing");
-    assert!(!store.knows(part_key(SALT, "b")), "and saves nothing");
+    assert!(!store.contains(part_key(SALT, "b")), "and saves nothing");
     // Word that the earlier start has freed it comes late.
-    store.freed(&plan);
+    store.confirm_freed(&plan);
     assert!(is_whole(&store, "a"));
     // Answers that tell no birth are of the same start.
-    assert!(born(3).may_be(&store_start(1)) && !born(3).may_be(&born(9)));
+    assert!(born(3).may_equal(&store_start(1)) && !born(3).may_equal(&born(9)));
 }
 
 #[test]
@@ -246,7 +246,7 @@
     let ids = |parts: &[StoredPart]| -> Vec<String> {
         parts.iter().map(|part| part.id.clone()).collect()
     };
-    assert_eq!(ids(&inventory.whole), ["a", "c"]);
+    assert_eq!(ids(&inventory.complete), ["a", "c"]);
     assert_eq!(ids(&inventory.partial), ["d"]);
     assert_eq!(inventory.start, StoreStart { epoch: 7, born_ms: Some(1_700_000_000_001) });
     assert_eq!(clock_ms, None, "no clock tells that");
@@ -257,7 +257,7 @@
         events.events,
         [
             StoreEvent::Stored(StoredPart { salt: "s".into(), id: "a".into(), tokens: 1 }),
-            StoreEvent::Gone(StoredPart { salt: "s".into(), id: "c".into(), tokens: 1 }),
+            StoreEvent::Removed(StoredPart { salt: "s".into(), id: "c".into(), tokens: 1 }),
         ]
     );
     assert_eq!(events.start, inventory.start);
