--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -9,7 +9,7 @@
 use super::shared::Shared;
 use super::weight_ages::due;
 use crate::clock::boot_now;
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::weights::OldWeightsPolicy;
 
 /// How often it is looked whether one has.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
@@ -18,9 +18,9 @@
 pub async fn keep_recording(
     shared: Rc<Shared>,
     inputs: mpsc::Sender<Input>,
-    old_weights: OldWeights,
+    old_weights: OldWeightsPolicy,
 ) {
-    let Some(bound) = old_weights.last() else {
+    let Some(bound) = old_weights.longest() else {
         return std::future::pending().await;
     };
     loop {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -115,7 +115,7 @@
     deployment: DeploymentVersion,
 ) -> std::io::Result<()> {
     let shared = &scheduling.shared;
-    let repeated_for = scheduling.old_weights.last().unwrap_or_default().max(AGES_REPEATED_FOR);
+    let repeated_for = scheduling.old_weights.longest().unwrap_or_default().max(AGES_REPEATED_FOR);
     let mut belief = shared.belief.subscribe();
     let mut roster = shared.roster.subscribe();
     let mut domains = shared.domains.subscribe();
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -20,7 +20,7 @@
 use crate::net::http::{Exchange, fetch};
 use crate::platform::stores;
 use crate::scheduler::store::{FREE_TTL, FreePlan};
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::weights::OldWeightsPolicy;
 use crate::scheduler::{
     EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
 };
@@ -42,7 +42,7 @@
     /// The replica's state.
     pub shared: Rc<Shared>,
     /// How long prompts may begin on older weights once newer ones are named.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
     /// The scheduler with its term; `None` while another replica leads.
     pub(super) active: RefCell<Option<(Term, Scheduler)>>,
     /// Prompts that wait.
@@ -83,7 +83,7 @@
 
 impl Scheduling {
     /// A replica that does not schedule yet.
-    pub fn new(shared: Rc<Shared>, old_weights: OldWeights) -> Scheduling {
+    pub fn new(shared: Rc<Shared>, old_weights: OldWeightsPolicy) -> Scheduling {
         Scheduling {
             shared,
             old_weights,
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -7,11 +7,11 @@
 use super::state::{Command, ControlState, WeightAges};
 use crate::clock::BootTime;
 use crate::ids::ModelId;
-use crate::scheduler::weights::{NamedWeights, RolloutHistories, UNRECORDED};
+use crate::scheduler::weights::{MAX_UNRECORDED_AGE, NamedWeights, RolloutHistories};
 
 /// An age is recorded each time that it has grown by this: the ages of one naming are some nine
 /// entries of the log until its bound is over.
-const RECORD_EVERY: Duration = UNRECORDED;
+const RECORD_EVERY: Duration = MAX_UNRECORDED_AGE;
 /// A replica that had all that was committed within this time hears of a naming as it is decided.
 const HEARD_AT_ONCE_WITHIN: Duration = Duration::from_millis(500);
 
@@ -23,8 +23,9 @@
     bound: Duration,
     now: BootTime,
 ) -> Vec<Command> {
-    let all =
-        named.iter().flat_map(|(model, namings)| namings.certain(now).map(move |one| (model, one)));
+    let all = named
+        .iter()
+        .flat_map(|(model, namings)| namings.min_ages(now).map(move |one| (model, one)));
     let due = all.filter_map(|(model, (version, age))| {
         let known = recorded.get(model).and_then(|ages| ages.get(&version));
         let known = known.copied().unwrap_or_default();
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -10,7 +10,7 @@
 use crate::gateway::call::Prompt;
 use crate::ids::TargetStart;
 use crate::scheduler::weights::{
-    BEGINS_WITHIN, OLD_WEIGHTS_MS, OldWeights, RolloutHistories, RolloutHistory,
+    MAX_START_DELAY, OLD_WEIGHTS_COST_MS, OldWeightsPolicy, RolloutHistories, RolloutHistory,
 };
 
 /// What a request that an engine already holds delays the next one: the sites' mean prompt of
@@ -43,7 +43,7 @@
     /// When weights were named.
     pub named: &'a RolloutHistories,
     /// How long prompts may begin on older ones.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
 }
 
 /// Why no target was chosen.
@@ -169,9 +169,9 @@
     match (has, named.and_then(RolloutHistory::newest)) {
         // The newest are expected of it: it refuses if it runs others, and says which. So it may be
         // tried at any time, and costs at most a try.
-        (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_MS)),
+        (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_COST_MS)),
         _ => {
-            let begins_by = read_by + BEGINS_WITHIN;
+            let begins_by = read_by + MAX_START_DELAY;
             let cost_ms = criteria.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;
             Some((has, cost_ms))
         }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -9,7 +9,7 @@
 use crate::control::frames::SchedulerError;
 use crate::fleet::placement;
 use crate::ids::TargetStart;
-use crate::scheduler::weights::{BEGINS_WITHIN, OldWeights, RolloutHistory};
+use crate::scheduler::weights::{MAX_START_DELAY, OldWeightsPolicy, RolloutHistory};
 use crate::scheduler::{Placement, PlacementError, PlacementRequest};
 
 /// An entry that has a part of the list of targets waits so long for one that a prompt was placed at: the
@@ -118,12 +118,12 @@
     let old_weights = gateway.host.periods.old_weights;
     let old_weights = match chosen.placed {
         // Only the scheduler knows from when its own bound counts.
-        Some(_) => OldWeights { within: None, ..old_weights },
+        Some(_) => OldWeightsPolicy { within: None, ..old_weights },
         None => old_weights,
     };
     let named_since = gateway.named_since.borrow();
     let (named, has) = (named_since.get(&prompt.model), chosen.weight_version);
-    old_weights.cost_ms(named, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
+    old_weights.cost_ms(named, has, BootTime::ZERO, boot_now() + MAX_START_DELAY).is_some()
 }
 
 /// Which weights the engine must run, the newest named ones, and how long ago the first were named
--- a/src/host.rs
+++ b/src/host.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::ids::DomainId;
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::weights::OldWeightsPolicy;
 
 /// Settings of one process, whatever wrote them.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
     /// Orders of two hosts to one engine must be at least this far apart.
     pub order_lease: Duration,
     /// How long prompts may begin on older weights.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
     /// The window in which retries are counted.
     pub retry_window: Duration,
     /// How long after its acknowledgement a deployment may take to be in force; `None` if nothing is promised.
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -19,7 +19,7 @@
 use super::queue::{Queue, QueuedPrompt, WaiterId};
 use super::source::domain_factor;
 use super::store::{FETCH_GRANT_TTL, FREE_TTL, Store};
-use super::weights::Weights;
+use super::weights::WeightState;
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
 use crate::fleet::{Fault, Presence};
@@ -87,7 +87,7 @@
     warm_until: BootTime,
     /// Whether engines' memories have been read.
     engine_caches_known: bool,
-    weights: Weights,
+    weights: WeightState,
 }
 
 /// A placement that has not ended.
@@ -131,7 +131,7 @@
             fetches_allowed_from: now,
             warm_until: now,
             engine_caches_known: true,
-            weights: Weights::new(now),
+            weights: WeightState::new(now),
         }
     }
 
--- a/src/scheduler/plan/updates.rs
+++ b/src/scheduler/plan/updates.rs
@@ -11,11 +11,11 @@
 use crate::scheduler::engine::Engine;
 use crate::scheduler::engine_cache::PartKey;
 use crate::scheduler::store::{FreePlan, Inventory, Store, StoreEvent, part_key};
-use crate::scheduler::weights::{OldWeights, RolloutHistories};
+use crate::scheduler::weights::{OldWeightsPolicy, RolloutHistories};
 
 impl Scheduler {
     /// Sets how long prompts may begin on older weights once newer ones are named.
-    pub fn set_old_weights(&mut self, old_weights: OldWeights) {
+    pub fn set_old_weights(&mut self, old_weights: OldWeightsPolicy) {
         self.weights.old_weights = old_weights;
     }
 
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -17,7 +17,7 @@
 use kumquatpost::gateway::call::Part;
 use kumquatpost::gateway::scheduler_connection;
 use kumquatpost::log::Term;
-use kumquatpost::scheduler::weights::OldWeights;
+use kumquatpost::scheduler::weights::OldWeightsPolicy;
 use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -32,7 +32,7 @@
 fn leading() -> Rc<Scheduling> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
     let shared = shared(1, NumberedRoster::new(1, roster));
-    Rc::new(Scheduling::new(Rc::new(shared), OldWeights::default()))
+    Rc::new(Scheduling::new(Rc::new(shared), OldWeightsPolicy::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
@@ -311,7 +311,7 @@
         listed.weights.insert("m".to_string(), 2);
         let known = NumberedRoster::new(1, Arc::new(roster([listed])));
         let shared = Rc::new(shared(1, known));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeightsPolicy::default()));
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
         let mut asker = Asker::connect(&scheduling).await;
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -15,7 +15,7 @@
 use kumquatpost::deployment::document::RunPolicy;
 use kumquatpost::essential::{Essentials, essentials};
 use kumquatpost::gateway::subscription;
-use kumquatpost::scheduler::weights::OldWeights;
+use kumquatpost::scheduler::weights::OldWeightsPolicy;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
@@ -52,7 +52,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let shared = Rc::new(shared(1, NumberedRoster::default()));
-            let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+            let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeightsPolicy::default()));
             let listener = TcpListener::bind(at).await.expect("a port");
             let (inputs, _kept) = mpsc::channel(1);
             tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -13,7 +13,7 @@
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::Reply;
 use kumquatpost::fleet::Listed;
-use kumquatpost::scheduler::weights::OldWeights;
+use kumquatpost::scheduler::weights::OldWeightsPolicy;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -52,7 +52,7 @@
     });
     let ordering = Ordering {
         shared: shared.clone(),
-        scheduling: Rc::new(Scheduling::new(shared.clone(), OldWeights::default())),
+        scheduling: Rc::new(Scheduling::new(shared.clone(), OldWeightsPolicy::default())),
         inputs,
         apart: Duration::ZERO,
         loading: Cell::new(0),
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -5,7 +5,7 @@
 use kumquatpost::fleet::placement::{Criteria, SelectionError, choose};
 use kumquatpost::fleet::{Fault, FleetView};
 use kumquatpost::gateway::call::{Part, Prompt};
-use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
+use kumquatpost::scheduler::weights::{OldWeightsPolicy, RolloutHistories, observe_named};
 
 use crate::fixtures::{address, ms, roster, start, target};
 
@@ -27,7 +27,7 @@
 
 fn ask<'a>(prompt: &'a Prompt, wall: &'a str, drawn: u64) -> Criteria<'a> {
     let named = const { &RolloutHistories::new() };
-    let old_weights = OldWeights::default();
+    let old_weights = OldWeightsPolicy::default();
     let prompt = Some(prompt);
     Criteria {
         service: "llm",
@@ -138,7 +138,7 @@
     let mut view = FleetView::default();
     view.take(&roster(listed));
     let named = named_at(ms(1_000));
-    let old_weights = OldWeights { within: Some(ms(6_000)), at_last_within: Some(ms(8_400)) };
+    let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     // A returning context would go home to either engine, and reading it again takes 76 ms.
     for context in 0..20 {
         let prompt = prompt(context, 7_000);
@@ -160,7 +160,7 @@
 fn an_engine_whose_weights_are_unknown_must_run_the_newest_named_ones() {
     let mut view = view(1);
     let named = named_at(ms(1_000));
-    let old_weights = OldWeights { within: Some(ms(6_000)), at_last_within: Some(ms(8_400)) };
+    let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     let prompt = prompt(1, 2_000);
     let ask = Criteria { named: &named, old_weights, ..ask(&prompt, "all", 0) };
     assert_eq!(choose(&view, &ask, ms(60_000)), Err(SelectionError::OldWeights));
--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kumquatpost::ids::TargetStart;
-use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
+use kumquatpost::scheduler::weights::{OldWeightsPolicy, RolloutHistories, observe_named};
 use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
 use crate::fixtures::{ms, roster, start};
@@ -23,7 +23,7 @@
 /// Names weights 2 at a time, while all engines run weights 1.
 fn name_weights(scheduler: &mut Scheduler, at: Duration) {
     let within = Some(IN_FORCE);
-    scheduler.set_old_weights(OldWeights { within, at_last_within: Some(IN_FORCE_AT_LAST) });
+    scheduler.set_old_weights(OldWeightsPolicy { within, hard_within: Some(IN_FORCE_AT_LAST) });
     scheduler.observe_named(&named(2, at));
 }
 
@@ -115,7 +115,8 @@
 fn weights_that_are_named_later_do_not_prolong_the_bound_of_those_named_before() {
     let ask = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
     let mut scheduler = scheduler(2);
-    let old_weights = OldWeights { within: Some(IN_FORCE), at_last_within: Some(IN_FORCE_AT_LAST) };
+    let old_weights =
+        OldWeightsPolicy { within: Some(IN_FORCE), hard_within: Some(IN_FORCE_AT_LAST) };
     scheduler.set_old_weights(old_weights);
     let mut named = RolloutHistories::new();
     for (version, at) in [(2, ms(1_000)), (3, ms(5_000))] {
--- a/tests/deployment/state.rs
+++ b/tests/deployment/state.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use kumquatpost::control::state::{Command, ControlState, Published, Reply};
-use kumquatpost::scheduler::weights::{NAMINGS_KEPT, NamedWeights};
+use kumquatpost::scheduler::weights::{MAX_VERSIONS, NamedWeights};
 
 use crate::fixtures::{deployment, ms};
 
@@ -62,7 +62,7 @@
     for version in 4..100 {
         state.apply(record(version, 0));
     }
-    assert_eq!(state.weight_ages["m"].len(), NAMINGS_KEPT);
+    assert_eq!(state.weight_ages["m"].len(), MAX_VERSIONS);
 }
 
 #[test]
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -22,7 +22,9 @@
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
 use kumquatpost::scheduler::Placement;
-use kumquatpost::scheduler::weights::{NamedWeights, OldWeights, RolloutHistories, observe_named};
+use kumquatpost::scheduler::weights::{
+    NamedWeights, OldWeightsPolicy, RolloutHistories, observe_named,
+};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -39,7 +41,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let shared = Rc::new(shared(1, NumberedRoster::default()));
-        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeights::default()));
+        let scheduling = Rc::new(Scheduling::new(shared.clone(), OldWeightsPolicy::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
