--- a/examples/list_cost.rs
+++ b/examples/list_cost.rs
@@ -62,7 +62,7 @@
         let listing = read(pages);
         decoding.push(begun.elapsed());
         let begun = Instant::now();
-        roster.take(listing.into_targets());
+        roster.update(listing.into_targets());
         taking.push(begun.elapsed());
     }
     let bytes: usize = pages.iter().map(Vec::len).sum();
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -13,7 +13,7 @@
 use super::pieces::Piece;
 use crate::deployment::Deployment;
 use crate::deployment::document::DeploymentVersion;
-use crate::fleet::Remembered;
+use crate::fleet::RosterHistory;
 use crate::fleet::compact::CompactTargets;
 use crate::ids::{DomainId, ModelId, NodeId, TargetStart};
 use crate::log::{Message, Term};
@@ -159,7 +159,7 @@
         /// Starts of targets that are listed no more.
         gone: Vec<TargetStart>,
         /// What the list remembers, and the earlier one does not.
-        remembered: Remembered,
+        remembered: RosterHistory,
     },
     /// The sender has read the list.
     RosterRead {
--- a/src/control/numbered_roster.rs
+++ b/src/control/numbered_roster.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Remembered, Roster, RosterChange};
+use crate::fleet::{Roster, RosterChange, RosterHistory};
 
 /// Names a list of targets. Two replicas may give the same number to lists that differ: these differ
 /// in the digest, too. The later of two lists has the greater name.
@@ -45,7 +45,7 @@
         before: RosterName,
         name: RosterName,
         change: RosterChange,
-        remembered: Remembered,
+        remembered: RosterHistory,
     ) -> Option<NumberedRoster> {
         if self.name() != before {
             return None;
@@ -65,8 +65,8 @@
         };
         let mut roster = later.roster.clone();
         let joined = Arc::make_mut(&mut roster);
-        let lacked_leaving = joined.learn_leaving(&earlier.roster);
-        let lacked_weights = joined.learn_weights(&earlier.roster);
+        let lacked_leaving = joined.merge_retired(&earlier.roster);
+        let lacked_weights = joined.merge_weights(&earlier.roster);
         let number = match lacked_leaving || lacked_weights {
             true => later.number + 1,
             false => later.number,
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -57,7 +57,7 @@
     let piece = |index: u32| {
         let from = index as usize * PIECE_LEN;
         let to = targets.len().min(from + PIECE_LEN);
-        let targets = CompactTargets::of(targets[from..to].iter().copied());
+        let targets = CompactTargets::from_targets(targets[from..to].iter().copied());
         Piece { of: list.name(), index, count, targets }
     };
     (0..count).map(piece).collect()
@@ -69,7 +69,7 @@
     /// # Errors
     /// If a name is missing.
     pub fn listed(&self) -> Result<Vec<Listed>, PieceError> {
-        self.targets.listed().map_err(|_| PieceError::Damaged)
+        self.targets.to_listed().map_err(|_| PieceError::Damaged)
     }
 }
 
@@ -116,7 +116,7 @@
         if self.next < piece.count {
             return Ok(None);
         }
-        let roster = Roster::of_targets(std::mem::take(&mut self.targets));
+        let roster = Roster::from_targets(std::mem::take(&mut self.targets));
         let list = NumberedRoster::new(self.of.number, Arc::new(roster));
         match list.name() == self.of {
             true => Ok(Some(list)),
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -177,7 +177,7 @@
             ToReplica::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
             ToReplica::Roster(roster) => self.observe_roster(roster, ip),
             ToReplica::RosterChanged { before, name, changed, gone, remembered } => {
-                let change = changed.listed().map(|changed| RosterChange { changed, gone });
+                let change = changed.to_listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
                 let heard =
                     change.ok().and_then(|change| known.advanced(before, name, change, remembered));
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -126,8 +126,9 @@
             published.as_ref().is_some_and(|known| known.deployment.services.contains_key(service))
         };
         let before = self.shared.roster.borrow().clone();
-        let changed =
-            self.shared.change_roster(|known| known.take(known.without_unnamed(targets, is_named)));
+        let changed = self
+            .shared
+            .change_roster(|known| known.update(known.without_unnamed(targets, is_named)));
         let roster = self.shared.roster.borrow().clone();
         let name = roster.name();
         let state = &self.shared.belief.borrow().state;
@@ -190,9 +191,9 @@
     ToReplica::RosterChanged {
         before: before.name(),
         name: now.name(),
-        changed: CompactTargets::of(changed.iter()),
+        changed: CompactTargets::from_targets(changed.iter()),
         gone,
-        remembered: before.roster.remembered_by(&now.roster),
+        remembered: before.roster.history_change_to(&now.roster),
     }
 }
 
--- a/src/control/shared.rs
+++ b/src/control/shared.rs
@@ -218,7 +218,7 @@
         let (before, name) = (sent.name(), now.name());
         if (update.0, update.1) != (before, name) {
             let RosterChange { changed, gone } = sent.roster.change_to(&now.roster);
-            let changed = CompactTargets::of(changed.iter());
+            let changed = CompactTargets::from_targets(changed.iter());
             *update =
                 (before, name, encode(&Update::RosterChanged { before, name, changed, gone }));
         }
--- a/src/fleet/budget.rs
+++ b/src/fleet/budget.rs
@@ -8,11 +8,11 @@
 
 /// The part of an entry's share that it uses. The rest covers entries that this one has not heard
 /// of yet, and requests that are counted in another window than their retries.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 /// What all entries together may retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryRule {
+pub struct RetryLimit {
     /// Retries for each request.
     pub ratio: f64,
     /// Retries beyond that in each window.
@@ -23,8 +23,8 @@
 
 /// Counts requests and retries of each service in a sliding window.
 #[derive(Clone, Debug)]
-pub struct RetryShare {
-    rule: RetryRule,
+pub struct RetryBudget {
+    limit: RetryLimit,
     /// Entries that share the slack, this one among them.
     entries: u32,
     services: HashMap<ServiceId, Counts>,
@@ -36,10 +36,10 @@
     retries: VecDeque<BootTime>,
 }
 
-impl RetryShare {
+impl RetryBudget {
     /// A share of one among `entries`.
-    pub fn new(rule: RetryRule, entries: u32) -> RetryShare {
-        RetryShare { rule, entries: entries.max(1), services: HashMap::new() }
+    pub fn new(limit: RetryLimit, entries: u32) -> RetryBudget {
+        RetryBudget { limit, entries: entries.max(1), services: HashMap::new() }
     }
 
     /// Sets how many entries share.
@@ -48,15 +48,15 @@
     }
 
     /// Records a request that is sent for the first time.
-    pub fn sent(&mut self, service: &ServiceId, now: BootTime) {
+    pub fn record_request(&mut self, service: &ServiceId, now: BootTime) {
         self.counts(service, now).requests.push_back(now);
     }
 
     /// Takes one retry; false if this entry's share of the window is used up.
-    pub fn spend(&mut self, service: &ServiceId, now: BootTime) -> bool {
-        let (ratio, slack) = (self.rule.ratio, self.rule.slack / f64::from(self.entries));
+    pub fn try_retry(&mut self, service: &ServiceId, now: BootTime) -> bool {
+        let (ratio, slack) = (self.limit.ratio, self.limit.slack / f64::from(self.entries));
         let counts = self.counts(service, now);
-        let allowed = (ratio * counts.requests.len() as f64 + slack) * USED_PART;
+        let allowed = (ratio * counts.requests.len() as f64 + slack) * USED_FRACTION;
         if counts.retries.len() as f64 + 1.0 > allowed.max(1.0) {
             return false;
         }
@@ -68,15 +68,15 @@
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), Counts::default());
         }
-        let since = now.saturating_sub(self.rule.window);
+        let since = now.saturating_sub(self.limit.window);
         let counts = self.services.get_mut(service).expect("inserted above");
-        forget(&mut counts.requests, since);
-        forget(&mut counts.retries, since);
+        drop_before(&mut counts.requests, since);
+        drop_before(&mut counts.retries, since);
         counts
     }
 }
 
-fn forget(times: &mut VecDeque<BootTime>, since: BootTime) {
+fn drop_before(times: &mut VecDeque<BootTime>, since: BootTime) {
     while times.front().is_some_and(|time| *time < since) {
         times.pop_front();
     }
--- a/src/fleet/compact.rs
+++ b/src/fleet/compact.rs
@@ -1,5 +1,5 @@
 //! Targets as they are sent: each name of a service, failure domain or model once. Some 30 bytes a target in
-//! place of 73.
+//! index of 73.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// Targets as they are sent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompactTargets {
-    /// Names of services, failure domains and models.
+    /// NameTable of services, failure domains and models.
     names: Vec<String>,
     rows: Vec<Row>,
 }
@@ -21,9 +21,9 @@
 /// A target has a name that was not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("a target has a name that was not sent"))]
-pub struct NameMissing;
+pub struct UnknownName;
 
-/// A target. Names are told by their place among all names.
+/// A target. NameTable are told by their index among all names.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Row {
     id: TargetId,
@@ -38,8 +38,8 @@
 
 impl CompactTargets {
     /// These targets.
-    pub fn of<'a>(targets: impl Iterator<Item = &'a Listed>) -> CompactTargets {
-        let mut names = Names::default();
+    pub fn from_targets<'a>(targets: impl Iterator<Item = &'a Listed>) -> CompactTargets {
+        let mut names = NameTable::default();
         let rows = targets.map(|listed| Row::new(listed, &mut names)).collect();
         CompactTargets { names: names.in_order, rows }
     }
@@ -48,27 +48,31 @@
     ///
     /// # Errors
     /// If a name is missing.
-    pub fn listed(&self) -> Result<Vec<Listed>, NameMissing> {
-        self.rows.iter().map(|row| row.listed(&self.names)).collect()
+    pub fn to_listed(&self) -> Result<Vec<Listed>, UnknownName> {
+        self.rows.iter().map(|row| row.to_listed(&self.names)).collect()
     }
 }
 
 impl Row {
-    fn new(listed: &Listed, names: &mut Names) -> Row {
+    fn new(listed: &Listed, names: &mut NameTable) -> Row {
         Row {
             id: listed.start.id.clone(),
             born_ms: listed.start.born_ms,
-            service: names.place(&listed.service),
+            service: names.intern(&listed.service),
             address: listed.address,
-            failure_domain: names.place(&listed.failure_domain),
+            failure_domain: names.intern(&listed.failure_domain),
             slots: listed.slots,
             presence: listed.presence,
-            weights: listed.weights.iter().map(|(m, version)| (names.place(m), *version)).collect(),
+            weights: listed
+                .weights
+                .iter()
+                .map(|(m, version)| (names.intern(m), *version))
+                .collect(),
         }
     }
 
-    fn listed(&self, names: &[String]) -> Result<Listed, NameMissing> {
-        let name = |at: u32| names.get(at as usize).cloned().ok_or(NameMissing);
+    fn to_listed(&self, names: &[String]) -> Result<Listed, UnknownName> {
+        let name = |index: u32| names.get(index as usize).cloned().ok_or(UnknownName);
         let weights = self.weights.iter().map(|(model, version)| Ok((name(*model)?, *version)));
         Ok(Listed {
             start: TargetStart { id: self.id.clone(), born_ms: self.born_ms },
@@ -77,26 +81,26 @@
             failure_domain: name(self.failure_domain)?,
             slots: self.slots,
             presence: self.presence,
-            weights: weights.collect::<Result<_, NameMissing>>()?,
+            weights: weights.collect::<Result<_, UnknownName>>()?,
         })
     }
 }
 
-/// Names in the order in which they were met.
+/// NameTable in the order in which they were met.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     in_order: Vec<String>,
-    places: BTreeMap<String, u32>,
+    indices: BTreeMap<String, u32>,
 }
 
-impl Names {
-    fn place(&mut self, name: &str) -> u32 {
-        if let Some(place) = self.places.get(name) {
-            return *place;
+impl NameTable {
+    fn intern(&mut self, name: &str) -> u32 {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let place = self.in_order.len() as u32;
+        let index = self.in_order.len() as u32;
         self.in_order.push(name.to_string());
-        self.places.insert(name.to_string(), place);
-        place
+        self.indices.insert(name.to_string(), index);
+        index
     }
 }
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -6,7 +6,7 @@
 use crate::ids::TargetId;
 
 /// Entries that can't be read and are kept to be told of.
-const TOLD_AT_MOST: usize = 64;
+const MAX_REPORTED: usize = 64;
 
 /// An entry of the list that names no target to use.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,7 +43,7 @@
 /// A list that has entries, none of which can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
 #[snafu(display("none of the {entries} entries can be read"))]
-pub struct NothingReadable {
+pub struct NoReadableEntry {
     /// How many there are.
     pub entries: usize,
 }
@@ -61,17 +61,18 @@
     ///
     /// # Errors
     /// If there are entries but none that can be read: the writer changed, not the fleet.
-    pub fn finish(mut self) -> Result<Listing, NothingReadable> {
+    pub fn finish(mut self) -> Result<Listing, NoReadableEntry> {
         if self.targets.iter().any(|target| target.start.born_ms.is_some()) {
-            let unborn = self.targets.extract_if(.., |target| target.start.born_ms.is_none());
-            let unborn: Vec<Listed> = unborn.collect();
-            for target in unborn {
+            let without_birth =
+                self.targets.extract_if(.., |target| target.start.born_ms.is_none());
+            let without_birth: Vec<Listed> = without_birth.collect();
+            for target in without_birth {
                 let id = Some(target.start.id);
                 self.add_unreadable(UnreadableEntry { id, flaw: EntryError::NoBirth });
             }
         }
         if self.targets.is_empty() && self.unreadable_count > 0 {
-            return Err(NothingReadable { entries: self.unreadable_count });
+            return Err(NoReadableEntry { entries: self.unreadable_count });
         }
         Ok(self)
     }
@@ -93,7 +94,7 @@
 
     fn add_unreadable(&mut self, entry: UnreadableEntry) {
         self.unreadable_count += 1;
-        if self.unreadable.len() < TOLD_AT_MOST {
+        if self.unreadable.len() < MAX_REPORTED {
             self.unreadable.insert(entry);
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -8,5 +8,5 @@
 pub mod view;
 
 pub use listing::{Listing, UnreadableEntry};
-pub use roster::{Listed, Presence, Remembered, Roster, RosterChange};
+pub use roster::{Listed, Presence, Roster, RosterChange, RosterHistory};
 pub use view::{Dispatch, Fault, FleetView, TargetState};
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -18,14 +18,14 @@
 const DELAY_PER_REQUEST: Duration = Duration::from_millis(25);
 /// Tokens that an engine reads in a millisecond, where it isn't measured: the slower of the
 /// deployed engines (92.1).
-const READ_TOKENS_PER_MS: f64 = 92.0;
+const PREFILL_TOKENS_PER_MS: f64 = 92.0;
 /// What a place in a plain service's queue costs there.
 const DELAY_PER_PLAIN_REQUEST: Duration = Duration::from_millis(15);
-/// Engines on which a context is expected to be kept: its home, and the one that takes over from
+/// Engines on which a context is expected to be kept: its affinity_rank, and the one that takes over from
 /// it.
-const HOMES: usize = 2;
-/// What the second home costs more than the first, as a part of reading the context again.
-const SECOND_HOME_PART: f64 = 0.5;
+const AFFINITY_ENGINES: usize = 2;
+/// What the second affinity_rank costs more than the first, as a part of reading the context recomputed_tokens.
+const SECOND_CHOICE_FRACTION: f64 = 0.5;
 
 /// What is asked of the placement.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
     /// Requests that it probably holds.
     pub load: f64,
     /// Its place among the homes of the request's context, 0 first.
-    pub home: usize,
+    pub affinity_rank: usize,
     /// How long the first part of the answer is expected to take.
     pub expected: Duration,
     /// The weights that the engine must run: it refuses if it runs others.
@@ -101,10 +101,10 @@
         Some(prompt) => engine_choices(&healthy, prompt, criteria, now),
         None => plain_choices(&healthy, now),
     };
-    let best = choices.into_iter().min_by(|(a, tie_a), (b, tie_b)| {
+    let best = choices.into_iter().min_by(|(a, hash_a), (b, hash_b)| {
         a.expected
             .cmp(&b.expected)
-            .then(mixed(tie_a, criteria.tie_breaker).cmp(&mixed(tie_b, criteria.tie_breaker)))
+            .then(mix(hash_a, criteria.tie_breaker).cmp(&mix(hash_b, criteria.tie_breaker)))
     });
     best.map(|(choice, _)| choice).ok_or(SelectionError::OldWeights)
 }
@@ -114,8 +114,8 @@
         let load = state.load(now);
         let expected = DELAY_PER_PLAIN_REQUEST.mul_f64(load);
         let target = state.listed.start.clone();
-        let choice = Choice { target, load, home: 0, expected, weight_version: None };
-        (choice, tie(state))
+        let choice = Choice { target, load, affinity_rank: 0, expected, weight_version: None };
+        (choice, target_hash(state))
     };
     healthy.iter().map(choice).collect()
 }
@@ -129,26 +129,31 @@
     let context = prompt.shared_parts().last().map_or("", |part| part.id.as_str());
     let key = FxBuildHasher.hash_one((criteria.cache_namespace, context));
     let mut ranked: Vec<(u64, &TargetState)> =
-        healthy.iter().map(|state| (mixed(&tie(state), key), *state)).collect();
+        healthy.iter().map(|state| (mix(&target_hash(state), key), *state)).collect();
     ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-    let own = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
+    let own_tokens = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
     ranked
         .iter()
         .enumerate()
-        .filter_map(|(home, (_, state))| {
+        .filter_map(|(affinity_rank, (_, state))| {
             let load = state.load(now);
-            let again = prompt.shared_tokens() as f64
-                * match home {
+            let recomputed_tokens = prompt.shared_tokens() as f64
+                * match affinity_rank {
                     0 => 0.0,
-                    home if home < HOMES => SECOND_HOME_PART,
+                    affinity_rank if affinity_rank < AFFINITY_ENGINES => SECOND_CHOICE_FRACTION,
                     _ => 1.0,
                 };
-            let read_ms = (own as f64 + again) / READ_TOKENS_PER_MS;
-            let expected = DELAY_PER_REQUEST.mul_f64(load) + Duration::from_secs_f64(read_ms / 1e3);
-            let (weight_version, cost_ms) = weights_of(state, prompt, criteria, now + expected)?;
+            let prefill_ms = (own_tokens as f64 + recomputed_tokens) / PREFILL_TOKENS_PER_MS;
+            let expected =
+                DELAY_PER_REQUEST.mul_f64(load) + Duration::from_secs_f64(prefill_ms / 1e3);
+            let (weight_version, cost_ms) =
+                required_weights(state, prompt, criteria, now + expected)?;
             let expected = expected + Duration::from_secs_f64(cost_ms / 1e3);
             let target = state.listed.start.clone();
-            Some((Choice { target, load, home, expected, weight_version }, tie(state)))
+            Some((
+                Choice { target, load, affinity_rank, expected, weight_version },
+                target_hash(state),
+            ))
         })
         .collect()
 }
@@ -158,11 +163,11 @@
 ///
 /// The bound counts from the naming, whoever led since: entries lose the scheduler more often than the
 /// replicas are disturbed, which alone makes the bound begin anew.
-fn weights_of(
+fn required_weights(
     state: &TargetState,
     prompt: &Prompt,
     criteria: &Criteria<'_>,
-    read_by: BootTime,
+    prefill_by: BootTime,
 ) -> Option<(Option<u64>, f64)> {
     let named = criteria.named.get(&prompt.model);
     let has = state.weights.get(&prompt.model).copied().filter(|version| *version > 0);
@@ -171,19 +176,19 @@
         // tried at any time, and costs at most a try.
         (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_COST_MS)),
         _ => {
-            let begins_by = read_by + MAX_START_DELAY;
+            let begins_by = prefill_by + MAX_START_DELAY;
             let cost_ms = criteria.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;
             Some((has, cost_ms))
         }
     }
 }
 
-fn tie(state: &TargetState) -> u64 {
+fn target_hash(state: &TargetState) -> u64 {
     FxBuildHasher.hash_one(&state.listed.start.id)
 }
 
 /// Mixes two hashes evenly (the finisher of MurmurHash3).
-fn mixed(a: &u64, b: u64) -> u64 {
+fn mix(a: &u64, b: u64) -> u64 {
     let mut hash = a ^ b.rotate_left(32);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/src/fleet/roster.rs
+++ b/src/fleet/roster.rs
@@ -39,10 +39,10 @@
 
 /// A target that was not shown for so many lists is forgotten, with what is known of its starts. Far
 /// beyond the platform's lag: 20 s and more.
-pub const FORGOTTEN_AFTER_LISTS: u32 = 40;
+pub const ABSENT_TTL_LISTS: u32 = 40;
 /// An earlier start of a target that is still listed is forgotten after so many lists: half an hour
 /// and more.
-pub const REPLACED_FORGOTTEN_AFTER_LISTS: u32 = 4_000;
+pub const RETIRED_TTL_LISTS: u32 = 4_000;
 
 /// All listed targets. The platform's list lags, and its readers may see older answers later. Two
 /// rosters are equal if they list the same.
@@ -54,16 +54,16 @@
     absent: BTreeMap<TargetId, Absent>,
     /// Starts that get no new work any more, since they were seen leaving or another start has taken
     /// their place, and for how many lists they have not been shown.
-    over: BTreeMap<TargetStart, u32>,
+    retired: BTreeMap<TargetStart, u32>,
     /// How often a listed start was found with older weights than were believed of it.
-    lowered: BTreeMap<TargetStart, u32>,
+    downgrades: BTreeMap<TargetStart, u32>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct Absent {
     /// As it was last listed.
     listed: Listed,
-    lists: u32,
+    missed_lists: u32,
 }
 
 impl PartialEq for Roster {
@@ -83,40 +83,41 @@
 
 /// What a later list remembers beside the listed targets, and an earlier one does not.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct RosterHistory {
     /// Starts that get no new work any more.
-    over: Vec<TargetStart>,
+    retired: Vec<TargetStart>,
     /// How often a listed start was found with older weights than were believed of it.
-    lowered: BTreeMap<TargetStart, u32>,
+    downgrades: BTreeMap<TargetStart, u32>,
 }
 
 impl Roster {
     /// What a later list remembers, and this one does not.
-    pub fn remembered_by(&self, later: &Roster) -> Remembered {
-        let over = later.over.keys().filter(|start| !self.over.contains_key(start));
-        let lowered = later.lowered.iter().filter(|(start, n)| self.lowered.get(start) != Some(n));
-        Remembered {
-            over: over.cloned().collect(),
-            lowered: lowered.map(|(start, n)| (start.clone(), *n)).collect(),
+    pub fn history_change_to(&self, later: &Roster) -> RosterHistory {
+        let retired = later.retired.keys().filter(|start| !self.retired.contains_key(start));
+        let downgrades =
+            later.downgrades.iter().filter(|(start, n)| self.downgrades.get(start) != Some(n));
+        RosterHistory {
+            retired: retired.cloned().collect(),
+            downgrades: downgrades.map(|(start, n)| (start.clone(), *n)).collect(),
         }
     }
 
     /// Applies how a later list differs from this one, with what that one remembers.
-    pub fn advance(&mut self, change: RosterChange, remembered: Remembered) {
+    pub fn advance(&mut self, change: RosterChange, history: RosterHistory) {
         for start in &change.gone {
             if let Some(listed) = self.get(start).cloned() {
-                self.absent.insert(start.id.clone(), Absent { listed, lists: 0 });
+                self.absent.insert(start.id.clone(), Absent { listed, missed_lists: 0 });
             }
         }
         self.apply(change);
         let targets = &self.targets;
         self.absent.retain(|id, _| !targets.contains_key(id));
-        self.over.extend(remembered.over.into_iter().map(|start| (start, 0)));
-        self.lowered.extend(remembered.lowered);
+        self.retired.extend(history.retired.into_iter().map(|start| (start, 0)));
+        self.downgrades.extend(history.downgrades);
     }
 
     /// A list of these targets, none of which has been seen before.
-    pub fn of_targets(targets: Vec<Listed>) -> Roster {
+    pub fn from_targets(targets: Vec<Listed>) -> Roster {
         let targets = targets.into_iter().map(|listed| (listed.start.id.clone(), listed)).collect();
         Roster { targets, ..Roster::default() }
     }
@@ -176,8 +177,8 @@
     }
 
     /// Takes a whole list, which may show a target more than once. Returns whether anything changed.
-    pub fn take(&mut self, list: Vec<Listed>) -> bool {
-        self.count_list();
+    pub fn update(&mut self, list: Vec<Listed>) -> bool {
+        self.age_missing();
         let mut shown = BTreeMap::new();
         let mut repeated: BTreeMap<TargetId, Vec<Listed>> = BTreeMap::new();
         for entry in list {
@@ -190,16 +191,16 @@
         }
         for (id, others) in repeated {
             let first = shown.remove(&id);
-            let settled = first.and_then(|first| self.settle(first, others));
-            shown.extend(settled.map(|entry| (id, entry)));
+            let resolved = first.and_then(|first| self.resolve_duplicates(first, others));
+            shown.extend(resolved.map(|entry| (id, entry)));
         }
-        shown.values_mut().for_each(|entry| self.add_known(entry));
+        shown.values_mut().for_each(|entry| self.merge_known(entry));
         let changed = shown != self.targets;
         if changed {
             self.absent.retain(|id, _| !shown.contains_key(id));
             let gone = std::mem::take(&mut self.targets).into_iter();
             let gone = gone.filter(|(id, _)| !shown.contains_key(id));
-            self.absent.extend(gone.map(|(id, listed)| (id, Absent { listed, lists: 0 })));
+            self.absent.extend(gone.map(|(id, listed)| (id, Absent { listed, missed_lists: 0 })));
             self.targets = shown;
         }
         changed
@@ -207,15 +208,15 @@
 
     /// Learns from another list which starts get no new work any more. Returns whether a listed target
     /// was not known to be one of them.
-    pub fn learn_leaving(&mut self, other: &Roster) -> bool {
-        for (start, lists) in &other.over {
-            self.over.entry(start.clone()).or_insert(*lists);
+    pub fn merge_retired(&mut self, other: &Roster) -> bool {
+        for (start, lists) in &other.retired {
+            self.retired.entry(start.clone()).or_insert(*lists);
         }
         let mut changed = false;
         for target in self.targets.values_mut() {
-            let is_news =
-                target.presence == Presence::Live && self.over.contains_key(&target.start);
-            if is_news {
+            let is_new_information =
+                target.presence == Presence::Live && self.retired.contains_key(&target.start);
+            if is_new_information {
                 target.presence = Presence::Leaving;
                 changed = true;
             }
@@ -225,21 +226,21 @@
 
     /// Learns from another list which weights starts were found with. Returns whether a listed target
     /// was not known to run them.
-    pub fn learn_weights(&mut self, other: &Roster) -> bool {
+    pub fn merge_weights(&mut self, other: &Roster) -> bool {
         let mut changed = false;
         for target in self.targets.values_mut() {
             let theirs = other.known(&target.start.id).filter(|known| known.start == target.start);
             let Some(theirs) = theirs else { continue };
             let before = target.weights.clone();
-            let lowered = |roster: &Roster| roster.lowered.get(&target.start).copied();
-            match lowered(other).cmp(&self.lowered.get(&target.start).copied()) {
+            let downgrades = |roster: &Roster| roster.downgrades.get(&target.start).copied();
+            match downgrades(other).cmp(&self.downgrades.get(&target.start).copied()) {
                 // A belief that was found to be too high must not come back with an older list.
                 Ordering::Less => {}
                 Ordering::Equal => raise_weights(&mut target.weights, &theirs.weights),
                 Ordering::Greater => {
                     target.weights.clone_from(&theirs.weights);
-                    let times = lowered(other).unwrap_or_default();
-                    self.lowered.insert(target.start.clone(), times);
+                    let times = downgrades(other).unwrap_or_default();
+                    self.downgrades.insert(target.start.clone(), times);
                 }
             }
             changed |= target.weights != before;
@@ -247,18 +248,17 @@
         changed
     }
 
-    fn count_list(&mut self) {
-        self.absent.values_mut().for_each(|absent| absent.lists += 1);
-        self.absent.retain(|_, absent| absent.lists < FORGOTTEN_AFTER_LISTS);
+    fn age_missing(&mut self) {
+        self.absent.values_mut().for_each(|absent| absent.missed_lists += 1);
+        self.absent.retain(|_, absent| absent.missed_lists < ABSENT_TTL_LISTS);
         let (targets, absent) = (&self.targets, &self.absent);
-        self.over.retain(|start, lists| {
+        self.retired.retain(|start, lists| {
             *lists += 1;
             let is_known = targets.contains_key(&start.id) || absent.contains_key(&start.id);
-            let most =
-                if is_known { REPLACED_FORGOTTEN_AFTER_LISTS } else { FORGOTTEN_AFTER_LISTS };
+            let most = if is_known { RETIRED_TTL_LISTS } else { ABSENT_TTL_LISTS };
             *lists < most
         });
-        self.lowered
+        self.downgrades
             .retain(|start, _| targets.contains_key(&start.id) || absent.contains_key(&start.id));
     }
 
@@ -268,10 +268,11 @@
     }
 
     /// Of several entries for one id the one that holds; `None` if they contradict each other.
-    fn settle(&self, first: Listed, others: Vec<Listed>) -> Option<Listed> {
+    fn resolve_duplicates(&self, first: Listed, others: Vec<Listed>) -> Option<Listed> {
         let known = self.known(&first.start.id).map(|known| known.start.clone());
-        let is_new =
-            |start: &TargetStart| known.as_ref() != Some(start) && !self.over.contains_key(start);
+        let is_new = |start: &TargetStart| {
+            known.as_ref() != Some(start) && !self.retired.contains_key(start)
+        };
         let mut entries = others;
         entries.insert(0, first);
         let mut new = entries.iter().map(|entry| &entry.start).filter(|start| is_new(start));
@@ -282,11 +283,11 @@
             None => known.unwrap_or_else(|| entries[0].start.clone()),
         };
         let mut of_start = entries.into_iter().filter(|entry| entry.start == start);
-        of_start.next().and_then(|first| of_start.try_fold(first, merged))
+        of_start.next().and_then(|first| of_start.try_fold(first, merge_entries))
     }
 
     /// Adds to an entry what is known beside it.
-    fn add_known(&mut self, entry: &mut Listed) {
+    fn merge_known(&mut self, entry: &mut Listed) {
         let known = self.targets.get(&entry.start.id);
         let known = known.or_else(|| self.absent.get(&entry.start.id).map(|absent| &absent.listed));
         if let Some(known) = known {
@@ -296,21 +297,21 @@
             if entry.start == known.start {
                 // The list lags behind what was found out: one start never gets older weights.
                 raise_weights(&mut entry.weights, &known.weights);
-            } else if let Some(lists) = self.over.get_mut(&entry.start) {
+            } else if let Some(lists) = self.retired.get_mut(&entry.start) {
                 // Late news of an earlier start says nothing about the later one.
                 *lists = 0;
                 entry.clone_from(known);
             } else {
-                self.over.insert(known.start.clone(), 0);
+                self.retired.insert(known.start.clone(), 0);
             }
         }
-        match self.over.get_mut(&entry.start) {
+        match self.retired.get_mut(&entry.start) {
             Some(lists) => {
                 *lists = 0;
                 entry.presence = Presence::Leaving;
             }
             None if entry.presence == Presence::Leaving => {
-                self.over.insert(entry.start.clone(), 0);
+                self.retired.insert(entry.start.clone(), 0);
             }
             None => {}
         }
@@ -323,7 +324,7 @@
         let changed = target.weights != *weights;
         let is_older = |(model, version)| weights.get(model).is_none_or(|found| found < version);
         if target.weights.iter().any(is_older) {
-            *self.lowered.entry(start.clone()).or_default() += 1;
+            *self.downgrades.entry(start.clone()).or_default() += 1;
         }
         target.weights.clone_from(weights);
         changed
@@ -360,7 +361,7 @@
 
 /// Two entries for one start as one: what says that it leaves holds, whichever was written later.
 /// `None` if they are of different targets.
-fn merged(mut first: Listed, other: Listed) -> Option<Listed> {
+fn merge_entries(mut first: Listed, other: Listed) -> Option<Listed> {
     let is_same = first.service == other.service
         && first.address == other.address
         && first.failure_domain == other.failure_domain;
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -3,18 +3,16 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use super::roster::{
-    FORGOTTEN_AFTER_LISTS, Listed, Presence, REPLACED_FORGOTTEN_AFTER_LISTS, Roster,
-};
+use super::roster::{ABSENT_TTL_LISTS, Listed, Presence, RETIRED_TTL_LISTS, Roster};
 use crate::clock::BootTime;
 use crate::gateway::call::TargetLoad;
 use crate::ids::{ModelId, ServiceId, TargetId, TargetStart};
 pub use crate::route::health::Fault;
 use crate::route::health::Health;
 
-/// A reported load counts for less and less, and for nothing after this time: about how long a
+/// A reported_load load counts for less and less, and for nothing after this time: about how long a
 /// request of the sites' mix runs on an engine.
-const LOAD_LASTS: Duration = Duration::from_millis(600);
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(600);
 
 /// All targets of this entry.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +22,7 @@
     by_service: HashMap<ServiceId, Vec<TargetStart>>,
     /// Starts that were told to leave, and for how many lists they have been neither told nor shown
     /// since. Lists that show them may be yet to come, or come once more.
-    told_to_leave: HashMap<TargetStart, u32>,
+    announced_leaving: HashMap<TargetStart, u32>,
 }
 
 /// One target.
@@ -38,16 +36,16 @@
     /// Requests of this entry that it runs or holds.
     pub running: u32,
     /// Prompt tokens of those that have had no event yet.
-    pub reading_tokens: u64,
+    pub prefill_tokens: u64,
     /// Its soundness.
     pub health: Health,
     /// Whether it was listed as leaving or found to have ended. Never taken back: lists lag.
-    has_left: bool,
-    reported: Option<Reported>,
+    is_leaving: bool,
+    reported_load: Option<ReportedLoad>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Reported {
+struct ReportedLoad {
     /// Requests of other entries at that time.
     others: u32,
     at: BootTime,
@@ -60,13 +58,13 @@
     /// The target.
     pub target: TargetStart,
     /// Tokens of its prompt, until it has been read.
-    reading_tokens: Option<u64>,
+    prefill_tokens: Option<u64>,
 }
 
 impl FleetView {
     /// Takes a newer roster.
-    pub fn take(&mut self, roster: &Roster) {
-        self.count_list(roster);
+    pub fn update(&mut self, roster: &Roster) {
+        self.age_leaving(roster);
         self.targets.retain(|start, state| roster.get(start).is_some() || state.running > 0);
         for state in self.targets.values_mut() {
             if roster.get(&state.listed.start).is_none() {
@@ -75,25 +73,25 @@
         }
         for listed in roster.iter() {
             match self.targets.get_mut(&listed.start) {
-                Some(state) => state.list(listed),
+                Some(state) => state.update(listed),
                 None => {
                     let mut state = TargetState::new(listed);
-                    if self.told_to_leave.contains_key(&listed.start) {
-                        state.leave();
+                    if self.announced_leaving.contains_key(&listed.start) {
+                        state.mark_leaving();
                     }
                     self.targets.insert(listed.start.clone(), state);
                 }
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
     /// Takes some targets of a list of which others are yet to come.
-    pub fn add(&mut self, some: &[Listed]) {
+    pub fn add_partial(&mut self, some: &[Listed]) {
         for listed in some {
             self.targets.entry(listed.start.clone()).or_insert_with(|| TargetState::new(listed));
         }
-        self.index();
+        self.rebuild_index();
     }
 
     /// Targets of a service that take work.
@@ -108,36 +106,36 @@
     }
 
     /// Records that a request is sent to a target.
-    pub fn begin(&mut self, target: &TargetStart, reading_tokens: u64) -> Dispatch {
+    pub fn begin(&mut self, target: &TargetStart, prefill_tokens: u64) -> Dispatch {
         if let Some(state) = self.targets.get_mut(target) {
             state.running += 1;
-            state.reading_tokens += reading_tokens;
+            state.prefill_tokens += prefill_tokens;
         }
-        Dispatch { target: target.clone(), reading_tokens: Some(reading_tokens) }
+        Dispatch { target: target.clone(), prefill_tokens: Some(prefill_tokens) }
     }
 
     /// Records that a request's prompt has been read. Returns false if that was known.
-    pub fn has_read(&mut self, dispatch: &mut Dispatch) -> bool {
-        let Some(tokens) = dispatch.reading_tokens.take() else { return false };
+    pub fn end_prefill(&mut self, dispatch: &mut Dispatch) -> bool {
+        let Some(tokens) = dispatch.prefill_tokens.take() else { return false };
         if let Some(state) = self.targets.get_mut(&dispatch.target) {
-            state.reading_tokens = state.reading_tokens.saturating_sub(tokens);
+            state.prefill_tokens = state.prefill_tokens.saturating_sub(tokens);
         }
         true
     }
 
     /// Records that a request has left a target.
     pub fn end(&mut self, mut dispatch: Dispatch) {
-        self.has_read(&mut dispatch);
+        self.end_prefill(&mut dispatch);
         if let Some(state) = self.targets.get_mut(&dispatch.target) {
             state.running = state.running.saturating_sub(1);
         }
     }
 
     /// Takes the load that a target's answer tells.
-    pub fn reported(&mut self, target: &TargetStart, load: TargetLoad, now: BootTime) {
+    pub fn observe_load(&mut self, target: &TargetStart, load: TargetLoad, now: BootTime) {
         if let Some(state) = self.targets.get_mut(target) {
             let others = (load.running + load.waiting).saturating_sub(state.running);
-            state.reported = Some(Reported { others, at: now });
+            state.reported_load = Some(ReportedLoad { others, at: now });
         }
     }
 
@@ -164,36 +162,35 @@
 
     /// Records that another target answers at a target's address: this start of it has ended.
     pub fn replaced(&mut self, target: &TargetStart) {
-        if self.targets.get_mut(target).is_some_and(TargetState::leave) {
-            self.index();
+        if self.targets.get_mut(target).is_some_and(TargetState::mark_leaving) {
+            self.rebuild_index();
         }
     }
 
     /// Hears that targets leave, whether they are listed here or not.
-    pub fn leave<'a>(&mut self, targets: impl Iterator<Item = &'a TargetStart>) {
-        let mut is_news = false;
+    pub fn mark_leaving<'a>(&mut self, targets: impl Iterator<Item = &'a TargetStart>) {
+        let mut changed = false;
         for target in targets {
-            self.told_to_leave.insert(target.clone(), 0);
-            is_news |= self.targets.get_mut(target).is_some_and(TargetState::leave);
+            self.announced_leaving.insert(target.clone(), 0);
+            changed |= self.targets.get_mut(target).is_some_and(TargetState::mark_leaving);
         }
-        if is_news {
-            self.index();
+        if changed {
+            self.rebuild_index();
         }
     }
 
     /// Whether a target was told to leave, or said so: its end is planned.
-    pub fn was_told_to_leave(&self, target: &TargetStart) -> bool {
-        self.told_to_leave.contains_key(target)
+    pub fn is_known_to_leave(&self, target: &TargetStart) -> bool {
+        self.announced_leaving.contains_key(target)
     }
 
     /// Forgets who left as lists of targets themselves do.
-    fn count_list(&mut self, roster: &Roster) {
+    fn age_leaving(&mut self, roster: &Roster) {
         let ids: HashSet<&TargetId> = roster.iter().map(|listed| &listed.start.id).collect();
-        self.told_to_leave.retain(|start, lists| {
+        self.announced_leaving.retain(|start, lists| {
             *lists = if roster.get(start).is_some() { 0 } else { *lists + 1 };
             let is_listed = ids.contains(&start.id);
-            let most =
-                if is_listed { REPLACED_FORGOTTEN_AFTER_LISTS } else { FORGOTTEN_AFTER_LISTS };
+            let most = if is_listed { RETIRED_TTL_LISTS } else { ABSENT_TTL_LISTS };
             *lists < most
         });
     }
@@ -204,7 +201,7 @@
     }
 
     /// Records the weights that a target's answer names.
-    pub fn answered_on(&mut self, target: &TargetStart, model: &ModelId, version: u64) {
+    pub fn observe_weights(&mut self, target: &TargetStart, model: &ModelId, version: u64) {
         if let Some(state) = self.targets.get_mut(target) {
             // Answers overtake each other, and the weights of one start only rise.
             let known = state.weights.entry(model.clone()).or_default();
@@ -222,7 +219,7 @@
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.by_service.clear();
         for state in self.targets.values().filter(|s| s.listed.presence == Presence::Live) {
             let starts = self.by_service.entry(state.listed.service.clone()).or_default();
@@ -238,38 +235,38 @@
             listed: listed.clone(),
             weights: listed.weights.clone(),
             running: 0,
-            reading_tokens: 0,
+            prefill_tokens: 0,
             health: Health::default(),
-            has_left: listed.presence == Presence::Leaving,
-            reported: None,
+            is_leaving: listed.presence == Presence::Leaving,
+            reported_load: None,
         }
     }
 
-    fn list(&mut self, listed: &Listed) {
+    fn update(&mut self, listed: &Listed) {
         if self.listed.weights != listed.weights {
             self.weights.clone_from(&listed.weights);
         }
         // What answered for it at its former address says nothing of this one.
-        self.has_left &= listed.address == self.listed.address;
+        self.is_leaving &= listed.address == self.listed.address;
         self.listed.clone_from(listed);
-        self.has_left |= listed.presence == Presence::Leaving;
-        if self.has_left {
+        self.is_leaving |= listed.presence == Presence::Leaving;
+        if self.is_leaving {
             self.listed.presence = Presence::Leaving;
         }
     }
 
     /// Returns whether that is news.
-    fn leave(&mut self) -> bool {
-        self.has_left = true;
+    fn mark_leaving(&mut self) -> bool {
+        self.is_leaving = true;
         std::mem::replace(&mut self.listed.presence, Presence::Leaving) == Presence::Live
     }
 
     /// Requests that it probably runs or holds, of all entries.
     pub fn load(&self, now: BootTime) -> f64 {
-        let others = self.reported.map_or(0.0, |reported| {
-            let age = now.saturating_sub(reported.at).as_secs_f64();
-            let left = (1.0 - age / LOAD_LASTS.as_secs_f64()).max(0.0);
-            f64::from(reported.others) * left
+        let others = self.reported_load.map_or(0.0, |reported_load| {
+            let age = now.saturating_sub(reported_load.at).as_secs_f64();
+            let left = (1.0 - age / REPORTED_LOAD_TTL.as_secs_f64()).max(0.0);
+            f64::from(reported_load.others) * left
         });
         f64::from(self.running) + others
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -220,7 +220,7 @@
     let Answered { target, answer, outcome, at_target, .. } = &mut answered;
     record.answered(outcome);
     if let Some(load) = outcome.load {
-        gateway.fleet.borrow_mut().reported(target, load, now);
+        gateway.fleet.borrow_mut().observe_load(target, load, now);
     }
     let is_other = outcome.request_id.as_ref().is_some_and(|id| *id != job.call.id);
     if is_other {
@@ -246,7 +246,7 @@
         return Err(Missed::NotRun(answered.target));
     }
     if let (Some(prompt), Some(version)) = (&job.call.prompt, outcome.weight_version) {
-        gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
+        gateway.fleet.borrow_mut().observe_weights(target, &prompt.model, version);
     }
     if outcome.did_not_run {
         record.failed(target, &format!("not run, status {}", answer.status().as_u16()));
--- a/src/gateway/examine.rs
+++ b/src/gateway/examine.rs
@@ -35,7 +35,7 @@
     let run = BrokenRun { fingerprint: job.fingerprint(), sent_at, broke_at: boot_now() };
     record.asks(run.fingerprint);
     // Who leaves ends as planned.
-    if gateway.fleet.borrow().was_told_to_leave(target) {
+    if gateway.fleet.borrow().is_known_to_leave(target) {
         return;
     }
     let finding = gateway.broken_runs.borrow_mut().broke_off(target, run);
@@ -95,7 +95,7 @@
 /// more. Call it after each change of the list.
 pub fn compare_with_list(gateway: &Gateway) {
     let gone = |target: &&TargetStart| {
-        !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
+        !gateway.is_listed(target) && !gateway.fleet.borrow().is_known_to_leave(target)
     };
     let ended: Vec<TargetStart> =
         gateway.broken_runs.borrow().doubted().filter(gone).cloned().collect();
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -104,7 +104,7 @@
     let trace = format!(
         "by=entry load={:.1} home={} expected_ms={}{}",
         choice.load,
-        choice.home,
+        choice.affinity_rank,
         choice.expected.as_millis(),
         weights_trace(gateway, job, choice.weight_version),
     );
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -191,7 +191,8 @@
             examine::broke_off(&self.gateway, &self.job, &target, sent_at, &mut self.record).await;
         }
         self.record.end(Ended::BrokenOff);
-        let has_retry = || self.gateway.retries.borrow_mut().spend(&self.job.service, boot_now());
+        let has_retry =
+            || self.gateway.retries.borrow_mut().try_retry(&self.job.service, boot_now());
         if !may_resume || !has_retry() {
             return Err(reason.into());
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -175,7 +175,7 @@
 }
 
 async fn serve(gateway: &Rc<Gateway>, job: Job, mut record: Record) -> Answer {
-    gateway.retries.borrow_mut().sent(&job.service, boot_now());
+    gateway.retries.borrow_mut().record_request(&job.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
     let resume_after = job.call.resume_after.clone();
@@ -240,7 +240,7 @@
 fn may_try_again(gateway: &Gateway, job: &Job, tried: &[TargetStart]) -> bool {
     (tried.len() as u32) < job.route.attempts.max(2)
         && Instant::now() < job.ends_at
-        && gateway.retries.borrow_mut().spend(&job.service, boot_now())
+        && gateway.retries.borrow_mut().try_retry(&job.service, boot_now())
 }
 
 async fn relay_answer(
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -21,8 +21,8 @@
 use crate::control::pieces::{Assembly, Piece, PieceError};
 use crate::deployment::document::DeploymentVersion;
 use crate::deployment::{Deployment, Table};
-use crate::fleet::budget::{RetryRule, RetryShare};
-use crate::fleet::compact::NameMissing;
+use crate::fleet::budget::{RetryBudget, RetryLimit};
+use crate::fleet::compact::UnknownName;
 use crate::fleet::{Dispatch, FleetView, Listed, Presence, RosterChange};
 use crate::host::HostSettings;
 use crate::ids::TargetStart;
@@ -48,8 +48,8 @@
 #[snafu(display("a change of another list of targets than the known one"))]
 pub struct OtherRoster;
 
-impl From<NameMissing> for OtherRoster {
-    fn from(error: NameMissing) -> OtherRoster {
+impl From<UnknownName> for OtherRoster {
+    fn from(error: UnknownName) -> OtherRoster {
         log::warn!("event=targets_damaged reason={:?}", error.to_string());
         OtherRoster
     }
@@ -82,7 +82,7 @@
     /// The targets.
     pub fleet: RefCell<FleetView>,
     /// What this entry may retry.
-    pub retries: RefCell<RetryShare>,
+    pub retries: RefCell<RetryBudget>,
     /// Requests under which targets have ended.
     pub quarantine: watch::Sender<Quarantine>,
     /// Runs that broke off at targets that may have ended.
@@ -131,7 +131,7 @@
 impl Gateway {
     /// An entry that knows nothing yet.
     pub fn new(host: HostSettings, metrics: EntryMetrics) -> Gateway {
-        let rule = RetryRule {
+        let rule = RetryLimit {
             ratio: host.retry_ratio,
             slack: host.retry_slack,
             window: host.periods.retry_window,
@@ -143,7 +143,7 @@
             host,
             table: RefCell::default(),
             fleet: RefCell::default(),
-            retries: RefCell::new(RetryShare::new(rule, ENTRIES_AT_FIRST)),
+            retries: RefCell::new(RetryBudget::new(rule, ENTRIES_AT_FIRST)),
             quarantine: watch::Sender::default(),
             broken_runs: RefCell::default(),
             examined: Notify::new(),
@@ -310,9 +310,11 @@
             }
             Update::Domains(domains) => self.subscriptions.borrow_mut().observe_domains(domains),
             Update::RosterPiece(piece) => self.observe_piece(&piece)?,
-            Update::RosterNamed { leaving, .. } => self.fleet.borrow_mut().leave(leaving.iter()),
+            Update::RosterNamed { leaving, .. } => {
+                self.fleet.borrow_mut().mark_leaving(leaving.iter())
+            }
             Update::RosterChanged { before, name, changed, gone } => {
-                let change = RosterChange { changed: changed.listed()?, gone };
+                let change = RosterChange { changed: changed.to_listed()?, gone };
                 self.observe_leaving(change.changed.iter());
                 let known = self.roster.borrow().clone();
                 if known.name() >= name {
@@ -367,7 +369,7 @@
     /// any list gets no more work.
     fn observe_leaving<'a>(&self, listed: impl Iterator<Item = &'a Listed>) {
         let leaving = listed.filter(|listed| listed.presence == Presence::Leaving);
-        self.fleet.borrow_mut().leave(leaving.map(|listed| &listed.start));
+        self.fleet.borrow_mut().mark_leaving(leaving.map(|listed| &listed.start));
     }
 
     /// What this entry holds of the list of targets.
@@ -382,7 +384,7 @@
         }
         let listed = piece.listed()?;
         if !self.has_list() {
-            self.fleet.borrow_mut().add(&listed);
+            self.fleet.borrow_mut().add_partial(&listed);
             self.known.notify_waiters();
         }
         self.observe_leaving(listed.iter());
@@ -401,7 +403,7 @@
         if roster.name() <= self.roster.borrow().name() {
             return;
         }
-        self.fleet.borrow_mut().take(&roster.roster);
+        self.fleet.borrow_mut().update(&roster.roster);
         *self.roster.borrow_mut() = roster;
         *self.assembly.borrow_mut() = Assembly::default();
         self.subscriptions.borrow_mut().has_list();
@@ -460,7 +462,7 @@
     /// Its prompt has been read: the first part of the answer is here.
     pub fn has_read(&mut self, outcome: &ResponseMetadata) {
         let Some(dispatch) = &mut self.dispatch else { return };
-        if !self.gateway.fleet.borrow_mut().has_read(dispatch) {
+        if !self.gateway.fleet.borrow_mut().end_prefill(dispatch) {
             return;
         }
         if let Some(ticket) = self.ticket {
--- a/tests/deployment/budget.rs
+++ b/tests/deployment/budget.rs
@@ -1,24 +1,24 @@
 //! Retries that one entry may make.
 
-use kumquatpost::fleet::budget::{RetryRule, RetryShare};
+use kumquatpost::fleet::budget::{RetryBudget, RetryLimit};
 
 use crate::fixtures::ms;
 
-const RULE: RetryRule =
-    RetryRule { ratio: 0.2, slack: 56.0, window: std::time::Duration::from_secs(10) };
+const RULE: RetryLimit =
+    RetryLimit { ratio: 0.2, slack: 56.0, window: std::time::Duration::from_secs(10) };
 
-fn spent(share: &mut RetryShare, at: u64) -> usize {
-    (0..1_000).filter(|_| share.spend(&"app".to_string(), ms(at))).count()
+fn spent(share: &mut RetryBudget, at: u64) -> usize {
+    (0..1_000).filter(|_| share.try_retry(&"app".to_string(), ms(at))).count()
 }
 
 #[test]
 fn all_entries_together_stay_within_the_rule() {
     for entries in [1, 7, 67] {
-        let mut shares: Vec<RetryShare> =
-            (0..entries).map(|_| RetryShare::new(RULE, entries)).collect();
+        let mut shares: Vec<RetryBudget> =
+            (0..entries).map(|_| RetryBudget::new(RULE, entries)).collect();
         let mut all = 0;
         for share in &mut shares {
-            (0..50).for_each(|_| share.sent(&"app".to_string(), ms(0)));
+            (0..50).for_each(|_| share.record_request(&"app".to_string(), ms(0)));
             all += spent(share, 1);
         }
         let allowed = RULE.ratio * 50.0 * f64::from(entries) + RULE.slack;
@@ -29,8 +29,8 @@
 
 #[test]
 fn the_window_slides() {
-    let mut share = RetryShare::new(RULE, 8);
-    (0..100).for_each(|_| share.sent(&"app".to_string(), ms(0)));
+    let mut share = RetryBudget::new(RULE, 8);
+    (0..100).for_each(|_| share.record_request(&"app".to_string(), ms(0)));
     assert!(spent(&mut share, 1) > 10);
     assert_eq!(spent(&mut share, 5_000), 0, "used up");
     assert!(spent(&mut share, 10_500) > 0, "earlier retries have left the window");
@@ -38,8 +38,8 @@
 
 #[test]
 fn services_have_budgets_of_their_own_and_there_is_always_one_retry() {
-    let mut share = RetryShare::new(RULE, 10_000);
-    assert!(share.spend(&"a".to_string(), ms(0)));
-    assert!(!share.spend(&"a".to_string(), ms(1)));
-    assert!(share.spend(&"b".to_string(), ms(2)));
+    let mut share = RetryBudget::new(RULE, 10_000);
+    assert!(share.try_retry(&"a".to_string(), ms(0)));
+    assert!(!share.try_retry(&"a".to_string(), ms(1)));
+    assert!(share.try_retry(&"b".to_string(), ms(2)));
 }
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -129,6 +129,6 @@
 
 pub fn roster(targets: impl IntoIterator<Item = Listed>) -> Roster {
     let mut roster = Roster::default();
-    roster.take(targets.into_iter().collect());
+    roster.update(targets.into_iter().collect());
     roster
 }
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -36,7 +36,7 @@
     let _ = instances::decode(bytes).map(|page| {
         let mut listing = Listing::default();
         page.entries.into_iter().for_each(|entry| listing.add(entry));
-        let _ = listing.finish().map(|listing| Roster::default().take(listing.into_targets()));
+        let _ = listing.finish().map(|listing| Roster::default().update(listing.into_targets()));
     });
     let _ = settings::decode(bytes).map(|host| {
         let list = ListAddress {
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -170,7 +170,7 @@
     let busy = kumquatpost::gateway::call::TargetLoad { running: 40, waiting: 0, slots: 48 };
     // A report counts in full until then.
     let now = kumquatpost::clock::boot_now() + LONG;
-    entry.gateway.fleet.borrow_mut().reported(&start("i-2"), busy, now);
+    entry.gateway.fleet.borrow_mut().observe_load(&start("i-2"), busy, now);
     (entry, one, two)
 }
 
--- a/tests/deployment/late_news.rs
+++ b/tests/deployment/late_news.rs
@@ -36,7 +36,7 @@
         let change = |before, name| Update::RosterChanged {
             before,
             name,
-            changed: CompactTargets::of([other.clone()].iter()),
+            changed: CompactTargets::from_targets([other.clone()].iter()),
             gone: vec![start("i-1")],
         };
         let known = entry.gateway.roster_name();
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -49,7 +49,7 @@
 }
 
 fn read_list(shared: &Shared, presence: Presence) {
-    shared.change_roster(|known| known.take(listed(presence)));
+    shared.change_roster(|known| known.update(listed(presence)));
 }
 
 /// Finds an engine with newer weights than the list shows.
@@ -138,17 +138,17 @@
     // Nor at an entry, which may have found out by itself that a target has ended.
     let live = |view: &FleetView| view.live("app").any(|state| state.listed.start.id == LEAVES);
     let mut view = FleetView::default();
-    view.take(&roster(listed(Presence::Leaving)));
-    view.take(&roster(listed(Presence::Live)));
+    view.update(&roster(listed(Presence::Leaving)));
+    view.update(&roster(listed(Presence::Live)));
     assert!(!live(&view), "a later list brought a leaving target back to an entry");
     let mut view = FleetView::default();
-    view.take(&roster(listed(Presence::Live)));
+    view.update(&roster(listed(Presence::Live)));
     view.replaced(&start(LEAVES));
-    view.take(&roster(listed(Presence::Live)));
+    view.update(&roster(listed(Presence::Live)));
     assert!(!live(&view), "a list that lags brought an ended target back to an entry");
     let mut elsewhere = listed(Presence::Live);
     elsewhere[0].address = address(9);
-    view.take(&roster(elsewhere));
+    view.update(&roster(elsewhere));
     assert!(live(&view), "at another address it is there");
     run(an_entry_hears_who_leaves_from_a_list_that_it_does_not_take());
 }
@@ -161,7 +161,7 @@
     let mut by_reader = Heard::new(&entry.gateway, &reader);
     // The leader's list has changed more often: it has the higher number.
     find_weights(&leader);
-    leader.change_roster(|known| known.take(Vec::new()));
+    leader.change_roster(|known| known.update(Vec::new()));
     read_list(&leader, Presence::Live);
     Heard::new(&entry.gateway, &leader);
     read_list(&reader, Presence::Leaving);
@@ -249,7 +249,7 @@
         let replica = shared(4, NumberedRoster::default());
         let [mut first, second] = listed;
         first.presence = Presence::Leaving;
-        replica.change_roster(|known| known.take(vec![first, second]));
+        replica.change_roster(|known| known.update(vec![first, second]));
         Heard::new(&entry.gateway, &replica);
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
         assert_eq!((leaves.seen(), stays.seen()), (0, 1), "{}", got.text);
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -237,7 +237,7 @@
     let later = Listed { presence: Presence::Leaving, ..leaves };
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
     targets[0] = later;
-    assert!(replica.change_roster(|known| known.take(targets)));
+    assert!(replica.change_roster(|known| known.update(targets)));
     let mut publisher = ListPublisher::default();
     publisher
         .subscribe(FollowTargets { whole: earlier.name(), ..FollowTargets::default() }, &replica);
@@ -312,13 +312,13 @@
     let leaves = before.roster.iter().next().expect("a target").start.clone();
     // The reader saw it leave, and lists it no more.
     let mut read = Roster::clone(&before.roster);
-    assert!(read.take(after.roster.iter().cloned().collect()));
+    assert!(read.update(after.roster.iter().cloned().collect()));
     let left = NumberedRoster::new(8, Arc::new(read.clone()));
     let rest = after.roster.iter().filter(|listed| listed.start != leaves).cloned();
-    assert!(read.take(rest.collect()));
+    assert!(read.update(rest.collect()));
     let gone = NumberedRoster::new(9, Arc::new(read));
     let change = |from: &NumberedRoster, to: &NumberedRoster| {
-        (from.roster.change_to(&to.roster), from.roster.remembered_by(&to.roster))
+        (from.roster.change_to(&to.roster), from.roster.history_change_to(&to.roster))
     };
     let (first, first_remembered) = change(&before, &left);
     let (second, second_remembered) = change(&left, &gone);
@@ -329,7 +329,7 @@
     assert_eq!(told.name(), gone.name());
     // A lagging list shows it once more, as live.
     let mut roster = Roster::clone(&told.roster);
-    roster.take(before.roster.iter().cloned().collect());
+    roster.update(before.roster.iter().cloned().collect());
     assert_eq!(roster.get(&leaves).map(|listed| listed.presence), Some(Presence::Leaving));
     let other = NumberedRoster::new(6, before.roster.clone());
     assert_eq!(other.advanced(before.name(), left.name(), first, first_remembered), None);
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -112,7 +112,7 @@
         // The report is on its way when the list shows the next start.
         let mut second = Listed { start: born("i-1", 2), ..engine };
         second.weights.insert("m".to_string(), 2);
-        shared.change_roster(|known| known.take(vec![second]));
+        shared.change_roster(|known| known.update(vec![second]));
         stream.write_all(report(1).0.as_bytes()).await.expect("it waits");
         let next = tokio::time::timeout(ms(1_500), listener.accept()).await;
         assert!(next.is_err(), "it is neither asked nor told again");
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -11,7 +11,7 @@
 
 fn view(engines: u16) -> FleetView {
     let mut view = FleetView::default();
-    view.take(&roster((0..engines).map(|n| target(&format!("i-{n}"), "llm", address(n)))));
+    view.update(&roster((0..engines).map(|n| target(&format!("i-{n}"), "llm", address(n)))));
     view
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn plain_calls_go_where_least_runs() {
     let mut view = FleetView::default();
-    view.take(&roster((0..3).map(|n| target(&format!("i-{n}"), "app", address(n)))));
+    view.update(&roster((0..3).map(|n| target(&format!("i-{n}"), "app", address(n)))));
     let mut dispatches = Vec::new();
     for drawn in 0..30 {
         let unused = prompt(0, 0);
@@ -136,7 +136,7 @@
     let mut listed = [0, 1].map(|n| target(&format!("i-{n}"), "llm", address(n)));
     listed[1].weights.insert("m".to_string(), 2);
     let mut view = FleetView::default();
-    view.take(&roster(listed));
+    view.update(&roster(listed));
     let named = named_at(ms(1_000));
     let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     // A returning context would go home to either engine, and reading it again takes 76 ms.
@@ -181,14 +181,14 @@
     let has = |view: &FleetView| {
         view.get(&start("i-0")).and_then(|state| state.weights.get("m").copied())
     };
-    view.take(&listed(1));
-    view.answered_on(&id, &model, 2);
-    view.take(&listed(1));
+    view.update(&listed(1));
+    view.observe_weights(&id, &model, 2);
+    view.update(&listed(1));
     assert_eq!(has(&view), Some(2), "the list lags");
-    view.answered_on(&id, &model, 1);
+    view.observe_weights(&id, &model, 1);
     assert_eq!(has(&view), Some(2), "an answer that was overtaken");
     view.refused_weights(&id, &model, Some(1));
     assert_eq!(has(&view), Some(1), "it refuses, and says why");
-    view.take(&listed(2));
+    view.update(&listed(2));
     assert_eq!(has(&view), Some(2));
 }
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -17,11 +17,11 @@
     let mut leaving = listed.clone();
     leaving.presence = Presence::Leaving;
     let mut roster = roster([listed.clone()]);
-    assert!(roster.take(vec![leaving]));
-    assert!(!roster.take(vec![listed.clone()]), "an older answer that comes late");
+    assert!(roster.update(vec![leaving]));
+    assert!(!roster.update(vec![listed.clone()]), "an older answer that comes late");
     assert_eq!(roster.get(&start("i-1")).expect("listed").presence, Presence::Leaving);
     // Another start at the same address is another target.
-    assert!(roster.take(vec![listed, target("i-2", "llm", address(1))]));
+    assert!(roster.update(vec![listed, target("i-2", "llm", address(1))]));
     assert_eq!(roster.get(&start("i-2")).expect("listed").presence, Presence::Live);
 }
 
@@ -29,10 +29,10 @@
 fn one_start_of_a_target_never_gets_older_weights() {
     let mut known = roster([target("i-1", "llm", address(1))]);
     assert!(known.set_weights(&start("i-1"), &[("m".to_string(), 2)].into()));
-    assert!(!known.take(vec![target("i-1", "llm", address(1))]), "the list lags");
+    assert!(!known.update(vec![target("i-1", "llm", address(1))]), "the list lags");
     assert_eq!(known.get(&start("i-1")).expect("listed").weights["m"], 2);
     // Another start at the same address has what it has.
-    known.take(vec![target("i-2", "llm", address(1))]);
+    known.update(vec![target("i-2", "llm", address(1))]);
     assert_eq!(known.get(&start("i-2")).expect("listed").weights["m"], 1);
 }
 
@@ -42,18 +42,19 @@
 fn a_list_that_a_later_leader_reads_goes_before_all_earlier_ones() {
     let before = shared(4, NumberedRoster::default());
     for n in 0..300 {
-        before
-            .change_roster(|known| known.take(vec![target(&format!("i-{n}"), "app", address(1))]));
+        before.change_roster(|known| {
+            known.update(vec![target(&format!("i-{n}"), "app", address(1))])
+        });
     }
     let listed = vec![target("i-299", "app", address(1))];
     let after = shared(5, NumberedRoster::default());
-    assert!(after.change_roster(|known| known.take(listed.clone())));
+    assert!(after.change_roster(|known| known.update(listed.clone())));
     assert!(after.roster.borrow().number > before.roster.borrow().number);
     // A replica that led before and leads again tells its list anew, changed or not.
     let again = shared(6, after.roster.borrow().clone());
-    assert!(again.change_roster(|known| known.take(listed.clone())));
+    assert!(again.change_roster(|known| known.update(listed.clone())));
     assert!(again.roster.borrow().number > after.roster.borrow().number);
-    assert!(!again.change_roster(|known| known.take(listed)), "once");
+    assert!(!again.change_roster(|known| known.update(listed)), "once");
 }
 
 #[test]
@@ -74,20 +75,20 @@
 #[test]
 fn a_target_that_is_gone_takes_no_work_but_its_requests_are_counted_to_the_end() {
     let mut view = FleetView::default();
-    view.take(&roster([target("i-1", "app", address(1))]));
+    view.update(&roster([target("i-1", "app", address(1))]));
     let dispatch = view.begin(&start("i-1"), 0);
-    view.take(&roster([]));
+    view.update(&roster([]));
     assert_eq!(view.live("app").count(), 0);
     assert_eq!(view.get(&start("i-1")).expect("still counted").running, 1);
     view.end(dispatch);
-    view.take(&roster([]));
+    view.update(&roster([]));
     assert!(view.get(&start("i-1")).is_none());
 }
 
 #[test]
 fn another_target_at_the_address_ends_the_one_that_was_meant() {
     let mut view = FleetView::default();
-    view.take(&roster([target("i-1", "app", address(1)), target("i-2", "app", address(2))]));
+    view.update(&roster([target("i-1", "app", address(1)), target("i-2", "app", address(2))]));
     view.replaced(&start("i-1"));
     let live: Vec<&str> = view.live("app").map(|state| state.listed.start.id.as_str()).collect();
     assert_eq!(live, ["i-2"]);
@@ -96,10 +97,10 @@
 #[test]
 fn a_reported_load_fades_and_does_not_count_our_own_requests_twice() {
     let mut view = FleetView::default();
-    view.take(&roster([target("i-1", "app", address(1))]));
+    view.update(&roster([target("i-1", "app", address(1))]));
     let id = start("i-1");
     let dispatch = view.begin(&id, 0);
-    view.reported(&id, TargetLoad { running: 3, waiting: 2, slots: 6 }, ms(1_000));
+    view.observe_load(&id, TargetLoad { running: 3, waiting: 2, slots: 6 }, ms(1_000));
     let load = |view: &FleetView, at| view.get(&start("i-1")).expect("listed").load(ms(at));
     assert_eq!(load(&view, 1_000), 5.0);
     assert!(load(&view, 1_300) < 4.0);
@@ -122,7 +123,7 @@
     let mut known = roster([leaving(reborn("i-1", 5))]);
     // Its clock may have gone back.
     for born_ms in [9, 2] {
-        assert!(known.take(vec![reborn("i-1", born_ms)]));
+        assert!(known.update(vec![reborn("i-1", born_ms)]));
         let listed = known.get(&born("i-1", born_ms)).expect("listed");
         assert_eq!(listed.presence, Presence::Live);
         assert_eq!(known.len(), 1);
@@ -133,17 +134,17 @@
 #[test]
 fn a_start_that_was_replaced_never_comes_back() {
     let mut known = roster([reborn("i-1", 1)]);
-    known.take(vec![reborn("i-1", 2)]);
+    known.update(vec![reborn("i-1", 2)]);
     // An older list that comes late, also long afterwards.
     for _ in 0..300 {
-        assert!(!known.take(vec![reborn("i-1", 1)]), "it changes nothing");
+        assert!(!known.update(vec![reborn("i-1", 1)]), "it changes nothing");
         assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
-        known.take(vec![reborn("i-1", 2)]);
+        known.update(vec![reborn("i-1", 2)]);
     }
     // Also where a list that lacked it came between.
-    known.take(vec![]);
-    known.take(vec![reborn("i-1", 3)]);
-    assert!(!known.take(vec![reborn("i-1", 2)]));
+    known.update(vec![]);
+    known.update(vec![reborn("i-1", 3)]);
+    assert!(!known.update(vec![reborn("i-1", 2)]));
     assert!(known.get(&born("i-1", 3)).is_some());
 }
 
@@ -151,9 +152,9 @@
 fn a_later_start_runs_the_weights_that_it_is_listed_with() {
     let mut known = roster([reborn("i-1", 1)]);
     assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
-    known.take(vec![reborn("i-1", 1)]);
+    known.update(vec![reborn("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags");
-    known.take(vec![reborn("i-1", 2)]);
+    known.update(vec![reborn("i-1", 2)]);
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
     // A report on the earlier start that comes late.
     assert!(!known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
@@ -175,16 +176,16 @@
     let mut known = roster([reborn("i-1", 1), reborn("i-2", 1)]);
     known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
-        known.take(vec![reborn("i-2", 1)]);
+        known.update(vec![reborn("i-2", 1)]);
         assert!(known.get(&born("i-1", 1)).is_none(), "no new work meanwhile");
     }
-    known.take(vec![reborn("i-1", 1), reborn("i-2", 1)]);
+    known.update(vec![reborn("i-1", 1), reborn("i-2", 1)]);
     let again = known.get(&born("i-1", 1)).expect("listed");
     assert_eq!((again.presence, again.weights["m"]), (Presence::Live, 4));
     // One that said that it leaves is not.
-    known.take(vec![leaving(reborn("i-1", 1))]);
-    known.take(vec![]);
-    known.take(vec![reborn("i-1", 1)]);
+    known.update(vec![leaving(reborn("i-1", 1))]);
+    known.update(vec![]);
+    known.update(vec![reborn("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
@@ -193,9 +194,9 @@
 fn a_start_that_left_is_forgotten_once_no_late_list_can_show_it() {
     let mut known = roster([leaving(reborn("i-1", 1))]);
     for _ in 0..50 {
-        known.take(vec![reborn("i-2", 1)]);
+        known.update(vec![reborn("i-2", 1)]);
     }
-    known.take(vec![reborn("i-1", 1)]);
+    known.update(vec![reborn("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
@@ -207,7 +208,7 @@
     for n in 0..9_000 {
         let born_ms = 1_700_000_000_000 + n;
         let other = format!("j-{n:04}");
-        known.take(vec![reborn("i-1", born_ms), leaving(reborn(&other, born_ms))]);
+        known.update(vec![reborn("i-1", born_ms), leaving(reborn(&other, born_ms))]);
         if n == 4_500 {
             half_way = size(&known);
         }
@@ -219,14 +220,14 @@
 fn births_that_are_told_no_more_leave_what_is_known() {
     let unborn = || target("i-1", "llm", address(1));
     let mut known = roster([leaving(reborn("i-1", 1))]);
-    assert!(!known.take(vec![unborn()]), "it is the start that is known");
-    assert!(known.take(vec![reborn("i-1", 2)]));
-    assert!(!known.take(vec![unborn()]));
+    assert!(!known.update(vec![unborn()]), "it is the start that is known");
+    assert!(known.update(vec![reborn("i-1", 2)]));
+    assert!(!known.update(vec![unborn()]));
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
     // Births that are told for the first time.
     let mut known = roster([unborn()]);
-    known.take(vec![reborn("i-1", 1)]);
-    known.take(vec![unborn()]);
+    known.update(vec![reborn("i-1", 1)]);
+    known.update(vec![unborn()]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
@@ -235,13 +236,13 @@
     let at = |n, listed: Listed| Listed { address: address(n), ..listed };
     let mut known = Roster::default();
     // The page shifted between two reads, and the target began to leave.
-    known.take(vec![reborn("i-1", 1), leaving(reborn("i-1", 1)), reborn("i-2", 1)]);
+    known.update(vec![reborn("i-1", 1), leaving(reborn("i-1", 1)), reborn("i-2", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
     assert_eq!(known.len(), 2);
     // It started again between two reads: the start that was not known is the later one.
     for list in [vec![reborn("i-2", 1), reborn("i-2", 2)], vec![reborn("i-2", 2), reborn("i-2", 1)]]
     {
-        known.take(list);
+        known.update(list);
         assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
     }
     // Nothing tells which of two is the later one, or where it is: the others hold.
@@ -252,7 +253,7 @@
     ] {
         let [one, other] = pair;
         let id = one.start.id.clone();
-        known.take(vec![reborn("i-1", 1), one, other]);
+        known.update(vec![reborn("i-1", 1), one, other]);
         assert!(known.iter().all(|listed| listed.start.id != id));
         assert_eq!(known.len(), 1);
     }
@@ -274,30 +275,30 @@
 fn what_an_entry_believes_of_an_earlier_start_is_not_believed_of_the_later_one() {
     let mut view = FleetView::default();
     let (first, second) = (born("i-1", 1), born("i-1", 2));
-    view.take(&roster([reborn("i-1", 1)]));
+    view.update(&roster([reborn("i-1", 1)]));
     let dispatch = view.begin(&first, 500);
     let load = TargetLoad { running: 30, waiting: 9, slots: 48 };
-    view.reported(&first, load, ms(0));
+    view.observe_load(&first, load, ms(0));
     (0..3).for_each(|_| view.failed(&first, Fault::Target, ms(0)));
     view.replaced(&first);
-    view.take(&roster([reborn("i-1", 2)]));
+    view.update(&roster([reborn("i-1", 2)]));
     let is_new = |view: &FleetView| {
         let live: Vec<&TargetStart> = view.live("llm").map(|state| &state.listed.start).collect();
         assert_eq!(live, [&second]);
         let state = view.get(&second).expect("listed");
-        assert_eq!((state.running, state.reading_tokens, state.load(ms(1))), (0, 0, 0.0));
+        assert_eq!((state.running, state.prefill_tokens, state.load(ms(1))), (0, 0, 0.0));
         assert!(state.health.admits(0, ms(1)));
     };
     is_new(&view);
     // What is heard of the earlier one from here on.
-    view.reported(&first, load, ms(1));
+    view.observe_load(&first, load, ms(1));
     (0..3).for_each(|_| view.failed(&first, Fault::Target, ms(1)));
     view.unreachable(&first, ms(1));
     view.replaced(&first);
     is_new(&view);
     view.end(dispatch);
     is_new(&view);
-    view.take(&roster([reborn("i-1", 2)]));
+    view.update(&roster([reborn("i-1", 2)]));
     assert!(view.get(&first).is_none(), "its last request has ended");
 }
 
@@ -305,9 +306,9 @@
 fn which_starts_are_over_is_learned_from_other_lists() {
     let mut known = roster([reborn("i-1", 1), reborn("i-2", 1), reborn("i-3", 2)]);
     let mut other = roster([leaving(reborn("i-1", 1)), reborn("i-2", 1), reborn("i-3", 1)]);
-    other.take(vec![reborn("i-2", 2)]);
-    assert!(known.learn_leaving(&other));
-    assert!(!known.learn_leaving(&other), "it is known");
+    other.update(vec![reborn("i-2", 2)]);
+    assert!(known.merge_retired(&other));
+    assert!(!known.merge_retired(&other), "it is known");
     let leaves = |start| known.get(&start).expect("listed").presence == Presence::Leaving;
     assert!(leaves(born("i-1", 1)) && leaves(born("i-2", 1)) && !leaves(born("i-3", 2)));
 }
@@ -331,7 +332,7 @@
         vec![own.clone(), foreign, new.clone()],
     ] {
         let list = known.without_unnamed(list, is_named);
-        known.take(list);
+        known.update(list);
     }
     let listed = known.get(&own.start).expect("it is listed");
     assert_eq!((listed.presence, listed.address), (Presence::Live, address(1)));
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -146,15 +146,15 @@
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
     let leader = shared(4, NumberedRoster::default());
-    leader.change_roster(|known| known.take(listed(1)));
+    leader.change_roster(|known| known.update(listed(1)));
     let reader = shared(4, leader.roster.borrow().clone());
     reader.belief.send_modify(|belief| belief.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
     // Meanwhile another replica has read two changes.
-    reader.change_roster(|known| known.take(listed(1)[1..].to_vec()));
-    reader.change_roster(|known| known.take(listed(1)));
+    reader.change_roster(|known| known.update(listed(1)[1..].to_vec()));
+    reader.change_roster(|known| known.update(listed(1)));
     let read = reader.roster.borrow().clone();
     leader.observe_roster(read);
     assert_eq!(weights_known(&leader), 2, "a later list brought older weights back");
@@ -164,7 +164,7 @@
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
     let leader = shared(4, NumberedRoster::default());
-    leader.change_roster(|known| known.take(listed(2)));
+    leader.change_roster(|known| known.update(listed(2)));
     let other = shared(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &found));
@@ -270,18 +270,18 @@
 #[test]
 fn an_entry_forgets_who_has_left_once_many_lists_have_not_shown_it() {
     let mut fleet = FleetView::default();
-    fleet.leave([start("i-1")].iter());
+    fleet.mark_leaving([start("i-1")].iter());
     let without = roster([target("i-2", "app", address(2))]);
     let with = roster([target("i-1", "app", address(1)), target("i-2", "app", address(2))]);
     for _ in 0..30 {
-        fleet.take(&without);
+        fleet.update(&without);
     }
-    fleet.take(&with);
+    fleet.update(&with);
     assert!(!fleet.takes_work(&start("i-1")), "it is kept in mind");
     for _ in 0..50 {
-        fleet.take(&without);
+        fleet.update(&without);
     }
-    fleet.take(&with);
+    fleet.update(&with);
     assert!(fleet.takes_work(&start("i-1")), "what is kept in mind is bounded");
 }
 
