--- a/src/load/bound.rs
+++ b/src/load/bound.rs
@@ -26,7 +26,7 @@
             let Call::Prompt { model, text, .. } = &arrival.call else { continue };
             let text = Call::prompt_text(model, text);
             let chain = Chain::new(&owner(&arrival.account, model), &text);
-            let reused = chain.longest(|key| known.contains(key)) * BLOCK_TOKENS;
+            let reused = chain.longest_prefix(|key| known.contains(key)) * BLOCK_TOKENS;
             known.extend(&chain.keys);
             prompt_tokens += chain.tokens;
             computed.push(chain.tokens - reused.min(chain.tokens));
--- a/src/node/ordering.rs
+++ b/src/node/ordering.rs
@@ -8,7 +8,7 @@
 use crate::edge::api::EngineOrder;
 use crate::log::Term;
 use crate::log::state::{Command, Reply};
-use crate::orders::{EngineState, Planned, Planner};
+use crate::orders::{EngineState, LoadOrder, Planner};
 use crate::replica::Leads;
 
 /// How often orders are planned.
@@ -37,13 +37,13 @@
     async fn order(self: &Arc<Node>, planner: &mut Planner, term: Term) {
         let Some(config) = self.in_force() else { return };
         let planned = planner.plan(&config.config.models, &self.engine_states(), boot_now());
-        for Planned { engine, version } in planned {
+        for LoadOrder { engine, version } in planned {
             let order = self.fenced(version.clone()).await;
             // Asked again: time has passed since the plan was made.
             let still_leads = self.leading_term().await == Some(term);
             let url = self.engine_url(&engine);
             let (Some(order), true, Some(url)) = (order, still_leads, url) else {
-                planner.refused(&engine);
+                planner.order_refused(&engine);
                 continue;
             };
             let sent = self.client.order(&url, &order).await;
@@ -53,7 +53,7 @@
                 sent.is_ok(),
             );
             if sent.is_err() {
-                planner.refused(&engine);
+                planner.order_refused(&engine);
             }
         }
     }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -16,7 +16,7 @@
 /// A load that has not ended after this time is ordered again.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
 /// Loads at a time over all models: they share the weight store's link.
-const LOADS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_LOADS: usize = 4;
 
 /// An engine as the planner sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 
 /// An order to be sent now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct LoadOrder {
     /// The engine.
     pub engine: TargetId,
     /// What it shall load.
@@ -48,12 +48,12 @@
 #[derive(Clone, Debug)]
 pub struct Planner {
     /// Before this time, an earlier leader's order may reach an engine that ignores fencing.
-    unfenced_from: BootTime,
-    sent: BTreeMap<TargetId, Sent>,
+    unfenced_allowed_from: BootTime,
+    pending: BTreeMap<TargetId, PendingLoad>,
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct PendingLoad {
     version: WeightVersion,
     at: BootTime,
 }
@@ -62,7 +62,7 @@
     /// The planner of a leader that was elected at `now`. `lease` is how long an earlier one may
     /// have been sure to lead.
     pub fn new(lease: Duration, now: BootTime) -> Planner {
-        Planner { unfenced_from: now + lease + ORDER_TIMEOUT, sent: BTreeMap::new() }
+        Planner { unfenced_allowed_from: now + lease + ORDER_TIMEOUT, pending: BTreeMap::new() }
     }
 
     /// What to order now. Each order counts as sent from then on.
@@ -71,86 +71,95 @@
         models: &BTreeMap<ModelId, Model>,
         engines: &[EngineState],
         now: BootTime,
-    ) -> Vec<Planned> {
-        self.forget_done(engines, now);
-        let mut tally = self.tally(models, engines);
-        let mut planned = Vec::new();
+    ) -> Vec<LoadOrder> {
+        self.remove_finished(engines, now);
+        let mut counts = self.count_loads(models, engines);
+        let mut orders = Vec::new();
         for engine in engines {
             let Some(model) = models.get(&engine.model) else { continue };
             let wanted = model.next_version.as_ref().unwrap_or(&model.weight_version);
             let may_load = engine.version.as_ref().is_some_and(|version| version != wanted)
-                && !self.sent.contains_key(&engine.id)
-                && (engine.checks_fencing || now >= self.unfenced_from)
-                && tally.allows(engine, model);
+                && !self.pending.contains_key(&engine.id)
+                && (engine.checks_fencing || now >= self.unfenced_allowed_from)
+                && counts.allows(engine, model);
             if may_load {
-                tally.start(engine, model);
-                self.sent.insert(engine.id.clone(), Sent { version: wanted.clone(), at: now });
-                planned.push(Planned { engine: engine.id.clone(), version: wanted.clone() });
+                counts.add_loading(engine, model);
+                self.pending
+                    .insert(engine.id.clone(), PendingLoad { version: wanted.clone(), at: now });
+                orders.push(LoadOrder { engine: engine.id.clone(), version: wanted.clone() });
             }
         }
-        planned
+        orders
     }
 
     /// Records that an engine did not take its order.
-    pub fn refused(&mut self, engine: &TargetId) {
-        self.sent.remove(engine);
+    pub fn order_refused(&mut self, engine: &TargetId) {
+        self.pending.remove(engine);
     }
 
-    fn forget_done(&mut self, engines: &[EngineState], now: BootTime) {
+    fn remove_finished(&mut self, engines: &[EngineState], now: BootTime) {
         // There are few orders under way, so looking through all engines for each is cheap.
-        self.sent.retain(|id, sent| {
+        self.pending.retain(|id, pending| {
             let state = engines.iter().find(|engine| engine.id == *id);
-            let is_done = state.is_none_or(|state| state.version.as_ref() == Some(&sent.version));
-            !is_done && now < sent.at + LOAD_TIMEOUT
+            let is_done =
+                state.is_none_or(|state| state.version.as_ref() == Some(&pending.version));
+            !is_done && now < pending.at + LOAD_TIMEOUT
         });
     }
 
-    fn tally<'e>(
+    fn count_loads<'e>(
         &self,
         models: &BTreeMap<ModelId, Model>,
         engines: &'e [EngineState],
-    ) -> Tally<'e> {
-        let mut tally = Tally::default();
+    ) -> LoadCounts<'e> {
+        let mut counts = LoadCounts::default();
         for engine in engines {
-            if engine.version.is_none() || self.sent.contains_key(&engine.id) {
-                tally.loading += 1;
-                *tally.loading_of.entry(&engine.model).or_default() += 1;
+            if engine.version.is_none() || self.pending.contains_key(&engine.id) {
+                counts.loading += 1;
+                *counts.loading_by_model.entry(&engine.model).or_default() += 1;
             } else if models.get(&engine.model).is_some_and(|model| serves(engine, model)) {
-                *tally.serving.entry((&engine.model, &engine.failure_domain)).or_default() += 1;
+                *counts
+                    .serving_by_domain
+                    .entry((&engine.model, &engine.failure_domain))
+                    .or_default() += 1;
             }
         }
-        tally
+        counts
     }
 }
 
 /// How many engines load and serve.
 #[derive(Default)]
-struct Tally<'e> {
+struct LoadCounts<'e> {
     /// Engines that load or were just told to.
     loading: usize,
     /// Those of each model.
-    loading_of: BTreeMap<&'e ModelId, usize>,
+    loading_by_model: BTreeMap<&'e ModelId, usize>,
     /// Engines that serve, by model and failure domain.
-    serving: BTreeMap<(&'e ModelId, &'e DomainId), usize>,
+    serving_by_domain: BTreeMap<(&'e ModelId, &'e DomainId), usize>,
 }
 
-impl<'e> Tally<'e> {
+impl<'e> LoadCounts<'e> {
     /// Whether an engine may load now: enough others of its failure domain go on serving, and not
     /// too many load.
     fn allows(&self, engine: &'e EngineState, model: &Model) -> bool {
-        let here = (&engine.model, &engine.failure_domain);
-        let serving = self.serving.get(&here).copied().unwrap_or(0);
+        let model_and_domain = (&engine.model, &engine.failure_domain);
+        let serving = self.serving_by_domain.get(&model_and_domain).copied().unwrap_or(0);
         let keeps_floor = !serves(engine, model) || serving > model.floor as usize;
-        let loading = self.loading_of.get(&engine.model).copied().unwrap_or(0);
-        keeps_floor && self.loading < LOADS_AT_ONCE && loading < model.concurrent_loads as usize
+        let loading = self.loading_by_model.get(&engine.model).copied().unwrap_or(0);
+        keeps_floor
+            && self.loading < MAX_CONCURRENT_LOADS
+            && loading < model.concurrent_loads as usize
     }
 
     /// Counts an engine as loading from now on.
-    fn start(&mut self, engine: &'e EngineState, model: &Model) {
+    fn add_loading(&mut self, engine: &'e EngineState, model: &Model) {
         self.loading += 1;
-        *self.loading_of.entry(&engine.model).or_default() += 1;
-        let here = (&engine.model, &engine.failure_domain);
-        if let Some(serving) = self.serving.get_mut(&here).filter(|_| serves(engine, model)) {
+        *self.loading_by_model.entry(&engine.model).or_default() += 1;
+        let model_and_domain = (&engine.model, &engine.failure_domain);
+        if let Some(serving) =
+            self.serving_by_domain.get_mut(&model_and_domain).filter(|_| serves(engine, model))
+        {
             *serving = serving.saturating_sub(1);
         }
     }
--- a/src/prompt.rs
+++ b/src/prompt.rs
@@ -46,7 +46,7 @@
             tokens += 1;
             if tokens % BLOCK_TOKENS == 0 {
                 previous = *hasher.finalize().as_bytes();
-                keys.push(short_key(&previous));
+                keys.push(truncate_hash(&previous));
                 hasher = block_hasher(previous);
             }
         }
@@ -60,7 +60,7 @@
     }
 
     /// The longest prefix, in blocks, whose key satisfies `known`.
-    pub fn longest(&self, known: impl Fn(&BlockKey) -> bool) -> usize {
+    pub fn longest_prefix(&self, known: impl Fn(&BlockKey) -> bool) -> usize {
         self.keys.iter().rposition(known).map_or(0, |position| position + 1)
     }
 }
@@ -79,7 +79,7 @@
     blake3::Hasher::new_keyed(&previous)
 }
 
-fn short_key(hash: &[u8; 32]) -> BlockKey {
+fn truncate_hash(hash: &[u8; 32]) -> BlockKey {
     let mut bytes = [0; 16];
     bytes.copy_from_slice(&hash[..16]);
     BlockKey::from_le_bytes(bytes)
--- a/tests/logic/orders.rs
+++ b/tests/logic/orders.rs
@@ -95,7 +95,7 @@
     let engines = pair(|_| ());
     assert_eq!(ids(&mut planner, &models, &engines), ["a"]);
     assert!(ids(&mut planner, &models, &engines).is_empty(), "ordered already");
-    planner.refused(&"a".to_string());
+    planner.order_refused(&"a".to_string());
     assert_eq!(ids(&mut planner, &models, &engines), ["a"], "it did not take the order");
 }
 
