--- a/src/scheduler/engine.rs
+++ b/src/scheduler/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as the scheduler sees it.
+//! The scheduler's model of one engine: its load, prefill backlog and KV cache.
 
 use std::time::Duration;
 
@@ -13,49 +13,47 @@
 use crate::gateway::call::TargetLoad;
 use crate::route::health::Health;
 
-/// A load that answers tell counts for less and less, and for nothing after this time: about how
-/// long a prompt runs.
+/// The influence of a reported load decays linearly to zero within this time: about how long a
+/// prompt runs.
 const REPORTED_LOAD_TTL: Duration = Duration::from_millis(800);
-/// A placement that nobody has ended after this time was lost with its entry.
+/// A placement that has not ended after this time has lost its entry.
 const TICKET_TTL: Duration = Duration::from_secs(20);
-/// How much of an error in the expected end of prefill corrects what is expected next.
+/// Fraction of a prefill's timing error that is applied to the expected end of the backlog.
 const DRIFT_CORRECTION: f64 = 0.5;
 
 /// An engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// As it was last listed.
+    /// Its latest entry in the roster.
     pub listed: Listed,
-    /// The weights that it runs, as last heard of.
+    /// Latest known version of the weights that it runs.
     pub weight_version: Option<u64>,
-    /// Its memory.
+    /// Expected contents of its KV cache.
     pub cache: EngineCache,
-    /// Its soundness.
     pub health: Health,
-    /// Tokens that it holds at the most.
+    /// Capacity of its KV cache.
     pub capacity_tokens: u64,
-    /// Over which it fetches.
+    /// Link over which it fetches parts and serves other engines.
     pub link: Link,
-    /// When it has read all that was placed here, if it reads one prompt after another.
+    /// Expected end of the prefill backlog, assuming that prompts are prefilled one after another.
     prefill_free_at: BootTime,
-    /// By how much it has fallen behind what was expected, in all.
+    /// Accumulated correction of expected prefill times.
     drift_ms: f64,
     running: FxHashMap<TicketId, RunningPrompt>,
-    /// Tokens that running prompts may still generate.
+    /// Output tokens reserved for running prompts.
     reserved_output_tokens: u64,
     reported_load: Option<(u32, BootTime)>,
 }
 
-/// A prompt for an engine.
+/// What a prompt demands of an engine.
 #[derive(Clone, Debug)]
 pub struct PromptLoad {
-    /// Its parts.
+    /// Cache keys of its parts.
     pub parts: Vec<PartKey>,
-    /// Tokens that the engine must read.
     pub prefill_tokens: u64,
-    /// Tokens that it may generate.
+    /// Most tokens that it may generate.
     pub output_tokens: u64,
-    /// How long fetches of parts of it take before it is read.
+    /// Expected duration of the fetches that precede its prefill.
     pub fetch_time: Duration,
 }
 
@@ -63,7 +61,7 @@
 struct RunningPrompt {
     load: PromptLoad,
     since: BootTime,
-    /// What is expected of its prefill, ends_at it has been read.
+    /// Expected timing of its prefill; `None` once that has ended.
     prefill: Option<PendingPrefill>,
 }
 
@@ -71,13 +69,13 @@
 struct PendingPrefill {
     duration: Duration,
     ends_at: BootTime,
-    /// The engine's add_drift when `ends_at` was worked out.
+    /// The engine's `drift_ms` when `ends_at` was computed.
     drift_ms: f64,
     engine_was_idle: bool,
 }
 
 impl Engine {
-    /// An engine that runs nothing.
+    /// Creates an idle engine with an empty cache.
     pub fn new(
         listed: Listed,
         weight_version: Option<u64>,
@@ -99,7 +97,7 @@
         }
     }
 
-    /// Sets the weights that it runs. Others leave nothing of what was resident.
+    /// Sets the weight version. A new version invalidates the cache.
     pub fn set_weights(&mut self, version: Option<u64>) {
         if version.is_some() && self.weight_version != version {
             self.weight_version = version;
@@ -107,12 +105,12 @@
         }
     }
 
-    /// How long it still reads what was placed here.
+    /// Time until all placed prompts are prefilled.
     pub fn prefill_backlog(&self, now: BootTime) -> Duration {
         self.prefill_free_at.saturating_sub(now)
     }
 
-    /// Takes a prompt.
+    /// Starts a prompt.
     pub fn begin(
         &mut self,
         ticket: TicketId,
@@ -123,7 +121,7 @@
         let duration = estimator.prefill_time(load.prefill_tokens);
         let engine_was_idle =
             self.running.is_empty() && self.other_requests(now) < 0.5 && load.fetch_time.is_zero();
-        // Others are read while it is fetched.
+        // Earlier prompts are prefilled during the fetch.
         let ends_at = self.prefill_free_at.max(now + load.fetch_time) + duration;
         self.prefill_free_at = self.prefill_free_at.max(now) + duration;
         let drift_ms = self.drift_ms;
@@ -132,7 +130,7 @@
         self.running.insert(ticket, RunningPrompt { load, since: now, prefill: Some(prefill) });
     }
 
-    /// The prompt has been read.
+    /// Ends the prefill of a prompt: its parts are resident, and its timing corrects the estimates.
     pub fn end_prefill(
         &mut self,
         ticket: TicketId,
@@ -150,7 +148,7 @@
         self.add_drift((now.as_secs_f64() * 1e3 - expected_ms) * DRIFT_CORRECTION, now);
     }
 
-    /// The prompt has left. What it had not read is not resident.
+    /// Ends a prompt. Parts that were not prefilled are not resident.
     pub fn end(&mut self, ticket: TicketId, now: BootTime) {
         let Some(running) = self.running.remove(&ticket) else { return };
         self.reserved_output_tokens -= running.load.output_tokens;
@@ -161,12 +159,12 @@
             }
         }
         if let Some(prefill) = running.prefill {
-            let unread = prefill.ends_at.saturating_sub(now).min(prefill.duration);
-            self.prefill_free_at = self.prefill_free_at.saturating_sub(unread).max(now);
+            let remaining = prefill.ends_at.saturating_sub(now).min(prefill.duration);
+            self.prefill_free_at = self.prefill_free_at.saturating_sub(remaining).max(now);
         }
     }
 
-    /// Forgets placements that were lost with their entries.
+    /// Ends placements whose entry was lost.
     pub fn expire_tickets(&mut self, now: BootTime) {
         let is_lost = |running: &RunningPrompt| now.saturating_sub(running.since) > TICKET_TTL;
         let lost: Vec<TicketId> =
@@ -174,19 +172,19 @@
         lost.into_iter().for_each(|ticket| self.end(ticket, now));
     }
 
-    /// Takes the load that an answer tells.
+    /// Records the load that an answer reports.
     pub fn observe_load(&mut self, load: TargetLoad, now: BootTime) {
         let other_requests =
             (load.running + load.waiting).saturating_sub(self.running.len() as u32);
         self.reported_load = Some((other_requests, now));
     }
 
-    /// Prompts that were placed here and have not ended.
+    /// Number of prompts placed here that have not ended.
     pub fn active_placements(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Requests that it runs or holds and that were not placed here.
+    /// Estimated number of requests that this scheduler did not place here, running or queued.
     pub fn other_requests(&self, now: BootTime) -> f64 {
         self.reported_load.map_or(0.0, |(other_requests, at)| {
             let age = now.saturating_sub(at).as_secs_f64();
@@ -194,7 +192,7 @@
         })
     }
 
-    /// Tokens that its running prompts use or will use.
+    /// KV cache tokens that running prompts use or may still use.
     pub fn committed_tokens(&self) -> u64 {
         self.cache.in_use_tokens() + self.reserved_output_tokens
     }
--- a/src/scheduler/engine_cache.rs
+++ b/src/scheduler/engine_cache.rs
@@ -1,23 +1,23 @@
-//! What is probably resident in one engine's memory: parts of running prompts, and parts of earlier
-//! ones until the room is needed, the least recently used_tokens first.
+//! Expected contents of an engine's KV cache. Parts of running prompts are pinned; idle parts are
+//! evicted in least recently used order.
 
 use std::collections::BTreeMap;
 
 use rustc_hash::FxHashMap;
 
-/// Names a part within the cache of those who share it.
+/// Cache key of a part: a hash of its salt and id.
 pub type PartKey = u64;
 
-/// EngineCache of one engine, in tokens.
+/// KV cache of one engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineCache {
     capacity_tokens: u64,
     parts: FxHashMap<PartKey, Resident>,
-    /// Parts that nobody uses, by their last use. Invariant: exactly those with no users.
+    /// Unpinned parts by last use. Invariant: exactly the parts with no users.
     idle: BTreeMap<u64, PartKey>,
-    /// Of all parts.
+    /// Tokens of all parts.
     used_tokens: u64,
-    /// Of parts that running prompts use.
+    /// Tokens of parts that running prompts use.
     in_use_tokens: u64,
     use_sequence: u64,
 }
@@ -27,39 +27,39 @@
     tokens: u64,
     users: u32,
     last_use: u64,
-    /// Whether the engine has read or fetched it; it is reserved for a running prompt before that.
+    /// Whether the engine has computed or fetched the part; before that, its space is only
+    /// reserved.
     is_computed: bool,
 }
 
 impl EngineCache {
-    /// Empty memory.
+    /// Creates an empty cache.
     pub fn new(capacity_tokens: u64) -> EngineCache {
         EngineCache { capacity_tokens, ..EngineCache::default() }
     }
 
-    /// Whether a part is resident.
+    /// Whether a part is resident or reserved.
     pub fn contains(&self, key: PartKey) -> bool {
         self.parts.contains_key(&key)
     }
 
-    /// Whether a part is resident as a whole, so that other engines can fetch it.
+    /// Whether a part is completely resident, so that other engines can fetch it.
     pub fn is_computed(&self, key: PartKey) -> bool {
         self.parts.get(&key).is_some_and(|part| part.is_computed)
     }
 
-    /// A part that is here has been read.
+    /// Marks a resident part as computed.
     pub fn mark_computed(&mut self, key: PartKey) {
         if let Some(part) = self.parts.get_mut(&key) {
             part.is_computed = true;
         }
     }
 
-    /// Tokens that running prompts use.
     pub fn in_use_tokens(&self) -> u64 {
         self.in_use_tokens
     }
 
-    /// A running prompt use_sequence a part from now on.
+    /// Pins a part for a running prompt, adding it if needed.
     pub fn acquire(&mut self, key: PartKey, tokens: u64) {
         self.use_sequence += 1;
         let part = self.parts.entry(key).or_insert_with(|| {
@@ -75,7 +75,7 @@
         self.evict();
     }
 
-    /// A running prompt use_sequence a part no more.
+    /// Unpins a part of a running prompt.
     pub fn release(&mut self, key: PartKey) {
         let Some(part) = self.parts.get_mut(&key).filter(|part| part.users > 0) else { return };
         part.users -= 1;
@@ -87,7 +87,7 @@
         }
     }
 
-    /// An idle part is there that was not known of.
+    /// Adds a computed part that no prompt uses, as reported by the engine.
     pub fn insert_idle(&mut self, key: PartKey, tokens: u64) {
         if !self.contains(key) {
             self.acquire(key, tokens);
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Forgets a part, which was not read after all. One that others use stays: they read it if it is
-    /// not there, and their use_sequence must be counted to the end.
+    /// Removes a part that was not computed after all. A part with other users stays: they compute
+    /// it themselves, and their uses must stay balanced.
     pub fn discard(&mut self, key: PartKey) {
         if self.parts.get(&key).is_none_or(|part| part.users > 0) {
             return;
--- a/src/scheduler/prefill.rs
+++ b/src/scheduler/prefill.rs
@@ -1,29 +1,31 @@
-//! How fast the engines of a service read, learned from prompts that found an idle engine.
+//! Estimates the prefill time of a service's engines from prompts that found an idle engine.
 
 use std::time::Duration;
 
-/// What is assumed of an engine before anything was measured: the slower one of the deployed kinds.
+/// Prefill time per token before any measurement: the slower of the deployed engine types.
 const INITIAL_MS_PER_TOKEN: f64 = 1.0 / 92.0;
-/// The same for the time that passes before and after reading.
+/// Time to first token besides prefill, before any measurement.
 const INITIAL_BASE_MS: f64 = 40.0;
-/// What is assumed counts as this many measurements.
+/// Number of measurements that the initial estimate counts for.
 const INITIAL_WEIGHT: f64 = 20.0;
-/// Lengths that the assumption stands for, in tokens.
+/// Prompt lengths, in tokens, at which the initial estimate is entered as measurements.
 const INITIAL_TOKENS: [f64; 2] = [200.0, 6_000.0];
-/// Each measurement lowers the weight of earlier ones by this factor: about 400 count.
+/// Each measurement multiplies the weight of earlier ones by this factor, so about the last 400
+/// count.
 const DECAY: f64 = 0.9975;
-/// A time that is this many times as long as expected is rarely the engine's estimator: the engine was not
-/// idle after all, or did something else.
+/// A measurement this many times longer than expected is an outlier: most likely the engine was not
+/// idle.
 const OUTLIER_RATIO: f64 = 1.6;
-/// What such a measurement counts for, and then only as the longest time that is not outlier_from. An
-/// engine that is slow for good is learned all the same, step by step.
+/// Weight of an outlier, whose time is capped at the outlier threshold. Outliers still count, so
+/// that an engine that is permanently slower is learned step by step.
 const OUTLIER_WEIGHT: f64 = 0.2;
-/// Slowest and fastest reading that is believed.
+/// Accepted range of the prefill time per token.
 const MS_PER_TOKEN_RANGE: std::ops::RangeInclusive<f64> = 1.0 / 400.0..=1.0 / 15.0;
-/// Shortest and longest time beside reading that is believed.
+/// Accepted range of the time to first token besides prefill.
 const BASE_MS_RANGE: std::ops::RangeInclusive<f64> = 0.0..=250.0;
 
-/// A line through measured times, by tokens that were read (least squares with decay).
+/// Linear regression of time to first token on prefilled tokens: least squares with exponential
+/// decay.
 #[derive(Clone, Copy, Debug)]
 pub struct PrefillEstimator {
     weight: f64,
@@ -54,7 +56,7 @@
 }
 
 impl PrefillEstimator {
-    /// Takes the time to the first part of an answer of an engine that was idle.
+    /// Adds the time to first token of a prompt on an idle engine.
     pub fn observe(&mut self, prefill_tokens: u64, took: Duration) {
         let outlier_from =
             (self.prefill_time(prefill_tokens) + self.base_latency()).mul_f64(OUTLIER_RATIO);
@@ -72,12 +74,12 @@
         self.add(prefill_tokens as f64, took.min(outlier_from).as_secs_f64() * 1e3, weight);
     }
 
-    /// How long an engine reads.
+    /// Expected prefill time.
     pub fn prefill_time(&self, tokens: u64) -> Duration {
         Duration::from_secs_f64(tokens as f64 * self.ms_per_token() / 1e3)
     }
 
-    /// Time to the first part of an answer beside reading.
+    /// Expected time to first token besides prefill.
     pub fn base_latency(&self) -> Duration {
         let base_ms = (self.ms - self.tokens * self.ms_per_token()) / self.weight;
         Duration::from_secs_f64(base_ms.clamp(*BASE_MS_RANGE.start(), *BASE_MS_RANGE.end()) / 1e3)
