--- a/src/scheduler/lateness.rs
+++ b/src/scheduler/lateness.rs
@@ -1,19 +1,19 @@
-//! Recent delay of first tokens beyond what was expected, whatever its cause.
+//! Recent delay of first tokens beyond the expected time, whatever its cause.
 
 use std::collections::VecDeque;
 
-/// First parts that are looked at: a fifth of a second's at a small site, so that it follows an outage
-/// within that time, and enough that the few that come over one slow link are not most of them.
+/// Number of recent answers considered. Few enough to follow an outage within a fraction of a
+/// second, enough that answers fetched over one slow link stay a minority.
 const WINDOW: usize = 21;
 
-/// By how much the last answers were later than expected.
+/// Delays of the most recent answers.
 #[derive(Clone, Debug, Default)]
 pub struct Lateness {
     recent_ms: VecDeque<f64>,
 }
 
 impl Lateness {
-    /// Takes by how much an answer was later than expected; below 0 if it was sooner.
+    /// Adds the delay of an answer; negative if it came early.
     pub fn add(&mut self, late_ms: f64) {
         if self.recent_ms.len() == WINDOW {
             self.recent_ms.pop_front();
@@ -21,8 +21,8 @@
         self.recent_ms.push_back(late_ms);
     }
 
-    /// By how much answers are usually late now: the median of the last ones, 0 at the least. What one
-    /// answer is late beyond that has a cause of its own.
+    /// Median of the recent delays, at least 0. Whatever one answer is late beyond it has a cause
+    /// of its own.
     pub fn median_ms(&self) -> f64 {
         let mut sorted: Vec<f64> = self.recent_ms.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
--- a/src/scheduler/queue.rs
+++ b/src/scheduler/queue.rs
@@ -1,5 +1,5 @@
-//! Prompts that wait for an engine: the most urgent first, but now and then the oldest, and none
-//! longer than it can hope to be on time.
+//! Queue of prompts that wait for an engine: most urgent first, periodically the oldest to
+//! prevent starvation, and each with a wait limit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,65 +7,62 @@
 use super::messages::PlacementRequest;
 use crate::clock::BootTime;
 
-/// Names a prompt that waits.
+/// Identifies a queued prompt.
 pub type WaiterId = u64;
 
-/// One pick in this many takes the oldest prompt, so that less urgent ones are not starved. They are
-/// up to ten times as long as urgent ones, so that few pops are a large part of what engines read.
+/// Every n-th pop takes the oldest prompt, so that less urgent ones don't starve. These are up to
+/// ten times as long as urgent ones, so even a few take a large share of prefill time.
 const OLDEST_FIRST_INTERVAL: u64 = 25;
-/// A prompt waits for at most this part of its objective. The rest is for reading it.
+/// Longest wait, as a fraction of the time-to-first-token objective; the rest is needed for
+/// prefill.
 const MAX_WAIT_FRACTION: f64 = 0.5;
-/// The same where the operator names no objective.
+/// Longest wait if the operator sets no objective.
 const DEFAULT_MAX_WAIT: Duration = Duration::from_secs(1);
 
-/// A prompt that waits.
 #[derive(Clone, Debug)]
 pub struct QueuedPrompt {
-    /// Its name.
     pub waiter: WaiterId,
-    /// What it asks.
     pub request: PlacementRequest,
-    /// When it came.
+    /// When it was submitted.
     pub since: BootTime,
 }
 
 impl QueuedPrompt {
     fn expires_at(&self) -> BootTime {
         let objective = self.request.objective;
-        let most = match objective.is_zero() {
+        let max_wait = match objective.is_zero() {
             true => DEFAULT_MAX_WAIT,
             false => objective.mul_f64(MAX_WAIT_FRACTION),
         };
-        self.since + most.min(self.request.time_left)
+        self.since + max_wait.min(self.request.time_left)
     }
 }
 
-/// All that wait.
+/// Prompts that wait for an engine.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    /// In the order of arrival.
+    /// In order of arrival.
     waiting: VecDeque<QueuedPrompt>,
     pops: u64,
 }
 
 impl Queue {
-    /// Adds a prompt.
     pub fn add(&mut self, queued: QueuedPrompt) {
         self.waiting.push_back(queued);
     }
 
-    /// Puts a prompt back that could not be placed.
+    /// Puts back a prompt that could not be placed, at its place by arrival time.
     pub fn requeue(&mut self, queued: QueuedPrompt) {
-        let place = self.waiting.partition_point(|other| other.since <= queued.since);
-        self.waiting.insert(place, queued);
+        let position = self.waiting.partition_point(|other| other.since <= queued.since);
+        self.waiting.insert(position, queued);
     }
 
-    /// Takes a prompt out whose caller has left.
+    /// Removes a prompt whose caller has left.
     pub fn withdraw(&mut self, waiter: WaiterId) {
         self.waiting.retain(|queued| queued.waiter != waiter);
     }
 
-    /// Takes out those that have waited for as long as makes sense.
+    /// Removes and returns prompts that have reached their wait limit.
     pub fn drain_expired(&mut self, now: BootTime) -> Vec<QueuedPrompt> {
         let is_expired = |queued: &QueuedPrompt| queued.expires_at() <= now;
         if !self.waiting.iter().any(is_expired) {
@@ -76,23 +73,21 @@
         expired
     }
 
-    /// Takes out the one that is next.
+    /// Removes and returns the prompt to place next.
     pub fn pop_next(&mut self) -> Option<QueuedPrompt> {
         self.pops += 1;
         if self.pops.is_multiple_of(OLDEST_FIRST_INTERVAL) {
             return self.waiting.pop_front();
         }
         let most_urgent = self.waiting.iter().map(|queued| queued.request.priority).min()?;
-        let place = self.waiting.iter().position(|w| w.request.priority == most_urgent)?;
-        self.waiting.remove(place)
+        let position = self.waiting.iter().position(|w| w.request.priority == most_urgent)?;
+        self.waiting.remove(position)
     }
 
-    /// How many wait.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -1,4 +1,4 @@
-//! Where a kept part can be fetched from: stores that have it whole, and engines that have read it.
+//! Sources of cached parts: stores that hold them completely, and engines that have computed them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,28 +10,27 @@
 use crate::clock::BootTime;
 use crate::fleet::Presence;
 
-/// A transfer takes this many times as long between failure domains.
+/// Transfers between failure domains take this many times as long.
 const CROSS_DOMAIN_FACTOR: f64 = 2.0;
-/// Of the engines that hold a part, this many are looked at, those whose links are free soonest: more
-/// would rarely be sooner, and each is looked at for each engine that may take the prompt.
+/// Number of engines considered as sources of a part, those with the least busy links first. Each
+/// source is evaluated for each candidate engine, and more would rarely be faster.
 const MAX_ENGINE_SOURCES: usize = 4;
 
-/// A place from which a part can be fetched.
+/// A store or engine from which a part can be fetched.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// Its address.
     pub address: SocketAddr,
     failure_domain: &'a str,
     link: &'a Link,
     first_byte: Duration,
 }
 
-/// How long a transfer takes.
+/// Expected timing of a transfer.
 #[derive(Clone, Copy, Debug)]
 pub struct TransferEstimate {
-    /// How long it waits for others.
+    /// Time until earlier transfers on the links have ended.
     pub queue_delay: Duration,
-    /// How long it takes then.
+    /// Duration of the transfer itself.
     pub duration: Duration,
 }
 
@@ -54,7 +53,7 @@
         }
     }
 
-    /// How long a transfer to an engine takes.
+    /// Estimates a transfer to an engine.
     pub fn estimate(&self, size_bytes: f64, to: &Engine, now: BootTime) -> TransferEstimate {
         let domain_factor = domain_factor(self.failure_domain, &to.listed.failure_domain);
         let queue_delay = self.link.queue_delay(now).max(to.link.queue_delay(now));
@@ -64,10 +63,10 @@
     }
 }
 
-/// All places from which a part can be fetched.
+/// All sources of a part.
 ///
-/// Engines are used as well as stores: their links together carry many times what the stores' links do,
-/// and their memories outlive the loss of a store.
+/// Engines serve as sources, too: together their links have many times the bandwidth of the
+/// stores', and their caches outlive the loss of a store.
 pub fn sources<'a>(
     key: PartKey,
     stores: impl Iterator<Item = &'a Store>,
@@ -81,13 +80,13 @@
     stores.filter(|store| store.is_complete(key)).map(Source::store).chain(engines).collect()
 }
 
-/// How many times as long a transfer takes as within a failure domain.
+/// Factor on transfer times between two failure domains; 1 within a domain.
 pub fn domain_factor(from_domain: &str, to_domain: &str) -> f64 {
     if from_domain == to_domain { 1.0 } else { CROSS_DOMAIN_FACTOR }
 }
 
-/// Whether other engines may fetch from an engine: one that can't be reached costs them some hundred
-/// milliseconds.
+/// Whether other engines may fetch from an engine. Trying to reach one that is down costs some
+/// hundred milliseconds.
 fn is_fetchable(engine: &Engine) -> bool {
     engine.listed.presence == Presence::Live && !engine.health.is_suspect()
 }
