--- a/src/scheduler/messages.rs
+++ b/src/scheduler/messages.rs
@@ -1,4 +1,4 @@
-//! What entries ask the scheduler, and what they tell it.
+//! Messages between entries and the scheduler.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,107 +8,102 @@
 use crate::gateway::call::{Part, TargetLoad};
 use crate::ids::{ModelId, ServiceId, TargetStart};
 
-/// Names a placement.
+/// Identifies a placement.
 pub type TicketId = u64;
 
 /// A prompt that needs an engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacementRequest {
-    /// The service.
     pub service: ServiceId,
-    /// The model.
     pub model: ModelId,
-    /// Names those who may share kept cache with it.
+    /// Requests share cached parts only within the same namespace.
     pub cache_namespace: String,
-    /// The parts of the prompt, in order. The last one belongs to the request itself.
+    /// Parts of the prompt, in order. The last one belongs to the request itself.
     pub parts: Vec<Part>,
-    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens that are generated.
+    /// Most tokens that may be generated.
     pub output_tokens: u64,
-    /// How urgent it is, 0 first.
+    /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// The time to the first part of the answer that the operator aims at.
+    /// The operator's objective for the time to first token; zero for none.
     pub objective: Duration,
-    /// How much of the caller's time is left.
+    /// Time left until the caller's deadline.
     pub time_left: Duration,
-    /// How much of it has passed at the entry.
+    /// Time since the request arrived at the entry.
     pub elapsed: Duration,
-    /// Engines that this request was sent to before, or that the entry can't reach.
+    /// Engines that were already tried or that the entry can't reach.
     pub avoid: Vec<TargetStart>,
 }
 
-/// Where a prompt runs.
+/// The engine chosen for a prompt, and its cache transfers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Names the placement.
     pub ticket: TicketId,
-    /// The engine.
     pub target: TargetStart,
-    /// The text under which the engine and the stores keep its parts.
+    /// Cache salt under which the engine and the stores keep its parts.
     pub salt: String,
-    /// The weights that the engine must run; another version must refuse.
+    /// Weight version that the engine must run; it refuses the prompt otherwise.
     pub weight_version: Option<u64>,
-    /// Where each part is fetched from.
+    /// Source of each part.
     pub fetch: Vec<Option<SocketAddr>>,
-    /// Where each part is saved once it is read.
+    /// Store to which each part is saved once it is computed.
     pub save: Vec<Option<SocketAddr>>,
-    /// A fetch that has not ended by then, on the engines' clock, must be thrown away.
+    /// Deadline of the fetches on the engines' clock; the engine discards later ones.
     pub fetch_until_ms: u64,
-    /// What the decision rests on, for the log.
+    /// Inputs of the decision, for the log.
     pub trace: DecisionTrace,
 }
 
-/// What a placement rests on.
+/// Inputs of a placement decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecisionTrace {
-    /// Requests at the engine.
+    /// Prompts running on the engine.
     pub running: u32,
-    /// How long the engine still reads other prompts.
+    /// Expected time until the engine has finished earlier work.
     pub ahead_ms: u32,
-    /// Tokens of the prompt that are resident there.
+    /// Tokens of the prompt that are resident on the engine.
     pub resident_tokens: u64,
-    /// Tokens that are fetched.
+    /// Tokens of the prompt that are fetched.
     pub fetched_tokens: u64,
-    /// Tokens of shared parts that were read before, and are read again.
+    /// Tokens of shared parts that are computed again although they were computed before.
     pub recomputed: RecomputedTokens,
-    /// Expected time to the first part of the answer.
+    /// Expected time to first token.
     pub expected_ms: u32,
-    /// How long the prompt waited for an engine with room.
+    /// Time that the prompt spent in the scheduler's queue.
     pub waited_ms: u32,
 }
 
-/// Tokens of shared parts that are read again, by why they are not fetched.
+/// Tokens of shared parts that are recomputed, by the reason why they are not fetched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RecomputedTokens {
-    /// No store and no engine has them whole: a save or another's reading has not ended.
+    /// No store and no engine holds them completely: a save or another prefill is in progress.
     pub nowhere_whole_tokens: u64,
-    /// The links that they would come over have too much to carry before.
+    /// Earlier transfers keep the links busy for too long.
     pub link_full_tokens: u64,
-    /// The links that they would come over are too slow.
+    /// The transfer itself would take too long.
     pub link_slow_tokens: u64,
 }
 
-/// Why a part is not fetched that was read before.
+/// Why a part that was computed before is not fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecomputeReason {
-    /// No store and no engine has it whole.
+    /// No store and no engine holds it completely.
     NowhereWhole,
-    /// Other transfers go first, for too long.
+    /// Earlier transfers keep the links busy for too long.
     LinkFull,
-    /// Its own transfer would take too long.
+    /// The transfer itself would take too long.
     LinkSlow,
 }
 
 impl RecomputedTokens {
-    /// All of them.
+    /// Tokens recomputed for any reason.
     pub fn total(&self) -> u64 {
         self.nowhere_whole_tokens + self.link_full_tokens + self.link_slow_tokens
     }
 
-    /// The tokens that one reason stands for.
-    pub fn for_reason(&mut self, why: RecomputeReason) -> &mut u64 {
-        match why {
+    /// The counter of one reason.
+    pub fn for_reason(&mut self, reason: RecomputeReason) -> &mut u64 {
+        match reason {
             RecomputeReason::NowhereWhole => &mut self.nowhere_whole_tokens,
             RecomputeReason::LinkFull => &mut self.link_full_tokens,
             RecomputeReason::LinkSlow => &mut self.link_slow_tokens,
@@ -116,41 +111,35 @@
     }
 }
 
-/// What became of a placement.
+/// Progress of a placement, as reported by its entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PlacementEvent {
-    /// The first part of the answer is here.
+    /// The first token of the answer arrived.
     FirstToken {
-        /// The placement.
         ticket: TicketId,
-        /// The weights that the engine runs.
+        /// Weight version that the engine reports.
         weight_version: Option<u64>,
-        /// How busy it says that it is.
+        /// Load that the engine reports.
         load: Option<TargetLoad>,
     },
     /// The request has left the engine.
-    Ended {
-        /// The placement.
-        ticket: TicketId,
-        /// How.
-        end: EndReason,
-    },
+    Ended { ticket: TicketId, end: EndReason },
 }
 
-/// How a request left an engine.
+/// How a request ended on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndReason {
-    /// With a whole answer.
+    /// The answer is complete.
     Completed,
-    /// The caller left, or its time was over.
+    /// The caller left, or its deadline passed.
     Cancelled,
     /// The engine could not be reached.
     Unreachable,
-    /// The engine broke off or answered with a failure of its own.
+    /// The engine aborted the answer or reported an internal error.
     Failed,
-    /// The engine did not run it.
+    /// The engine did not run the request.
     NotRun,
-    /// The engine runs other weights.
+    /// The engine refused the request since it runs other weights; it may report which.
     WeightMismatch(Option<u64>),
     /// Another target answers at the engine's address.
     Replaced,
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -1,7 +1,7 @@
-//! One store of tracked KV cache, whose contents the scheduler owns.
+//! The scheduler's model of one KV cache store, whose contents it owns.
 //!
-//! A part may be fetched only while it is surely whole, and is freed only when no fetch of it can be
-//! under way: each fetch is granted until a time at which engines throw it away by themselves.
+//! A part is fetched only while it is known to be complete, and freed only when no fetch of it can
+//! be in progress: each fetch is granted until a deadline at which engines discard it.
 
 use std::collections::hash_map::Entry;
 use std::net::SocketAddr;
@@ -16,100 +16,97 @@
 use crate::gateway::call::Part;
 use crate::ids::{BirthMs, may_be_same_birth};
 
-/// A fetch is granted for this long. Transfers take tens of milliseconds; one that would wait for
-/// two seconds is not started.
+/// Validity of a fetch grant: longer than the longest fetch that is planned, including its
+/// queueing.
 pub const FETCH_GRANT_TTL: Duration = Duration::from_millis(1_500);
-/// A free is void this long after it was decided: stores answer within a few milliseconds. An earlier
-/// scheduler's may be under way for as long when a new one begins.
+/// A free request expires this long after it was planned. Frees of an earlier scheduler may be in
+/// flight for as long when a new one starts.
 pub const FREE_TTL: Duration = Duration::from_millis(50);
-/// TrackedPart between the end of a grant and a free, for clocks that are read a little apart.
+/// Margin between the end of a grant and a free, for clock reading error.
 const FREE_MARGIN: Duration = Duration::from_millis(300);
-/// A save of which nothing was heard after this time has failed.
+/// A save that is not confirmed within this time has failed.
 const SAVE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A part whose save has failed is not saved again for this long: word that the failed save was whole
-/// may still be on its way, and would be taken for the next one's.
+/// A part whose save failed is not saved again for this long: a late confirmation of the failed
+/// save would be taken for the next one's.
 const FAILED_SAVE_BACKOFF: Duration = Duration::from_secs(15);
-/// Parts are freed above this part of the capacity.
+/// Eviction starts above this fraction of the capacity.
 const EVICT_ABOVE_FRACTION: f64 = 0.93;
-/// Parts are freed down to this part of the capacity.
+/// Eviction ends at this fraction of the capacity.
 const EVICT_TO_FRACTION: f64 = 0.90;
-/// Stores give out memory by blocks of this many tokens.
+/// Allocation unit of the stores.
 const BLOCK_TOKENS: u64 = 16;
-/// Most parts that are freed in one call.
 const MAX_FREES_PER_CALL: usize = 64;
 
-/// A part that a store reports: its cache's name, its id, and its tokens.
+/// A part as stores and engines report it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredPart {
-    /// The text under which it is tracked.
+    /// Cache salt of the part.
     pub salt: String,
-    /// The part.
+    /// Id of the part within its salt.
     pub id: String,
-    /// Tokens that are stored.
+    /// Number of stored tokens.
     pub tokens: u64,
 }
 
-/// One start of a store.
+/// Identifies one start of a store process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreStart {
-    /// Drawn at the start.
+    /// Random number drawn at the start.
     pub epoch: u64,
-    /// When it was; `None` where births aren't told.
+    /// Time of the start; `None` if the platform does not report births.
     pub born_ms: Option<BirthMs>,
 }
 
 impl StoreStart {
-    /// Whether two answers may come from one start.
+    /// Whether two answers may come from the same start.
     pub fn may_equal(&self, other: &StoreStart) -> bool {
         self.epoch == other.epoch && may_be_same_birth(self.born_ms, other.born_ms)
     }
 }
 
-/// All that a store holds.
+/// Contents of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Inventory {
-    /// The start of the store that holds it.
     pub start: StoreStart,
-    /// Where the next events begin.
+    /// Sequence number from which events follow this inventory.
     pub next_event: u64,
-    /// Complete parts.
     pub complete: Vec<StoredPart>,
-    /// Parts whose save broke off or goes on, with the tokens that they take up.
+    /// Parts whose save is in progress or was aborted, with the tokens that they occupy.
     pub partial: Vec<StoredPart>,
 }
 
-/// A change that a store reports.
+/// A change of a store's or an engine's contents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreEvent {
-    /// This much of a part is stored now.
+    /// So many tokens of a part are stored now.
     Stored(StoredPart),
-    /// A part is gone.
+    /// The part is no longer stored.
     Removed(StoredPart),
 }
 
 /// A store.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// As the deployment names it.
+    /// Its properties in the deployment.
     pub traits: StoreTraits,
-    /// This start of it; `None` until its inventory is known.
+    /// The store's current start; `None` until its inventory is known.
     start: Option<StoreStart>,
     parts: FxHashMap<PartKey, TrackedPart>,
     used_tokens: u64,
-    /// Parts whose save has failed, with the time until which they are not saved again.
+    /// Parts whose save failed, with the time until which they are not saved again.
     failed: FxHashMap<PartKey, BootTime>,
-    /// Over which it is read.
+    /// Link over which it serves fetches.
     pub link: Link,
 }
 
 #[derive(Clone, Debug)]
 struct TrackedPart {
     part: StoredPart,
-    /// What it takes up.
+    /// Capacity that it occupies.
     reserved_tokens: u64,
     state: PartState,
     last_use: BootTime,
-    /// No fetch of it can be under way after this time.
+    /// Time at which all granted fetches have ended.
     fetches_end_by: BootTime,
 }
 
@@ -118,22 +115,20 @@
     /// A save was granted at this time.
     Saving(BootTime),
     Complete,
-    /// It may be gone at any moment.
+    /// A free was planned; the part may be removed at any moment.
     Freeing,
 }
 
-/// Parts to be freed now.
+/// Parts that a store is to free.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FreePlan {
-    /// The store.
     pub store: SocketAddr,
-    /// This start of it.
+    /// The store's start that holds the parts.
     pub start: StoreStart,
-    /// The parts.
     pub parts: Vec<StoredPart>,
 }
 
-/// The key of a part.
+/// Cache key of a part.
 pub fn part_key(salt: &str, id: &str) -> PartKey {
     let hash = blake3::Hasher::new()
         .update(salt.as_bytes())
@@ -146,7 +141,7 @@
 }
 
 impl Store {
-    /// A store of which nothing is known yet.
+    /// Creates a store with unknown contents.
     pub fn new(traits: StoreTraits) -> Store {
         let link = Link::new(traits.link_mbps);
         Store {
@@ -159,30 +154,28 @@
         }
     }
 
-    /// Whether its inventory is known.
     pub fn has_inventory(&self) -> bool {
         self.start.is_some()
     }
 
-    /// Tokens that are free.
     pub fn free_tokens(&self) -> u64 {
         self.traits.capacity_tokens.saturating_sub(self.used_tokens)
     }
 
-    /// Whether a part fits without others being freed for it.
+    /// Whether a part fits without eviction.
     pub fn has_room_for(&self, tokens: u64) -> bool {
         let used = self.used_tokens + round_up_to_blocks(tokens);
         used as f64 <= self.traits.capacity_tokens as f64 * EVICT_TO_FRACTION
     }
 
-    /// Forgets what it holds: it has started anew or can't be reached.
+    /// Discards the known contents, since the store restarted or can't be reached.
     pub fn reset(&mut self) {
         self.start = None;
         self.parts.clear();
         self.used_tokens = 0;
     }
 
-    /// Takes its inventory. Fetches that were granted of parts that it still holds stay granted.
+    /// Applies an inventory. Grants for parts that the same start still holds stay valid.
     pub fn observe_inventory(&mut self, inventory: Inventory, now: BootTime) {
         let earlier = if self.start.is_some_and(|start| start.may_equal(&inventory.start)) {
             std::mem::take(&mut self.parts)
@@ -205,16 +198,16 @@
             let reserved_tokens = round_up_to_blocks(part.tokens);
             self.used_tokens += reserved_tokens;
             let last_use = known.map_or(now, |known| known.last_use);
-            // Fetches that an earlier scheduler granted may last that long.
+            // An earlier scheduler may just have granted a fetch.
             let fetches_end_by = known.map_or(now + FETCH_GRANT_TTL, |known| known.fetches_end_by);
             self.parts.insert(
                 key,
                 TrackedPart { part, reserved_tokens, state, last_use, fetches_end_by },
             );
         }
-        // Saves that were granted just now may not have begun.
-        let begun = |tracked: &TrackedPart| matches!(tracked.state, PartState::Saving(at) if now < at + SAVE_TIMEOUT);
-        for (key, tracked) in earlier.into_iter().filter(|(_, tracked)| begun(tracked)) {
+        // Saves granted a moment ago may not have started yet.
+        let may_start = |part: &TrackedPart| matches!(part.state, PartState::Saving(at) if now < at + SAVE_TIMEOUT);
+        for (key, tracked) in earlier.into_iter().filter(|(_, tracked)| may_start(tracked)) {
             if let Entry::Vacant(vacant) = self.parts.entry(key) {
                 self.used_tokens += tracked.reserved_tokens;
                 vacant.insert(tracked);
@@ -222,13 +215,14 @@
         }
     }
 
-    /// Takes a change.
+    /// Applies a reported change.
     pub fn observe_event(&mut self, event: StoreEvent, now: BootTime) {
         match event {
             StoreEvent::Stored(part) => {
                 let key = part_key(&part.salt, &part.id);
                 let Some(tracked) = self.parts.get_mut(&key) else {
-                    // Saved for an earlier scheduler. Whether it is whole, the next inventory tells.
+                    // Saved for an earlier scheduler. The next inventory shows whether it is
+                    // complete.
                     return;
                 };
                 if part.tokens >= tracked.part.tokens
@@ -242,23 +236,23 @@
         }
     }
 
-    /// Whether a part may be fetched.
+    /// Whether a part is completely stored and may be fetched.
     pub fn is_complete(&self, key: PartKey) -> bool {
         self.parts.get(&key).is_some_and(|tracked| tracked.state == PartState::Complete)
     }
 
-    /// Whether a part is here, or on its way.
+    /// Whether a part is stored, being saved or being freed.
     pub fn contains(&self, key: PartKey) -> bool {
         self.parts.contains_key(&key)
     }
 
-    /// Whether a part may be saved.
+    /// Whether a part may be saved here.
     pub fn can_save(&self, key: PartKey, tokens: u64, now: BootTime) -> bool {
         let has_failed = self.failed.get(&key).is_some_and(|until| now < *until);
         self.has_inventory() && self.free_tokens() > tokens && !has_failed
     }
 
-    /// Grants a fetch of a whole part.
+    /// Grants a fetch of a complete part.
     pub fn grant_fetch(&mut self, key: PartKey, now: BootTime) {
         if let Some(tracked) = self.parts.get_mut(&key) {
             tracked.last_use = now;
@@ -266,14 +260,14 @@
         }
     }
 
-    /// Records that a part is in use somewhere, so that it will be asked for again.
+    /// Marks a part as recently used, since a prompt uses it on some engine.
     pub fn touch(&mut self, key: PartKey, now: BootTime) {
         if let Some(tracked) = self.parts.get_mut(&key) {
             tracked.last_use = now;
         }
     }
 
-    /// Grants a save.
+    /// Grants a save and reserves its capacity.
     pub fn grant_save(&mut self, key: PartKey, salt: &str, part: &Part, now: BootTime) {
         let reserved_tokens = round_up_to_blocks(part.tokens);
         let stored =
@@ -291,8 +285,8 @@
         );
     }
 
-    /// Parts to be freed now: those whose save has failed, and the least recently used ones where
-    /// room is short. They are not fetched again.
+    /// Plans which parts to free: failed saves, and the least recently used parts if capacity is
+    /// short. They can't be fetched from then on.
     pub fn plan_frees(&mut self, now: BootTime) -> Option<FreePlan> {
         let start = self.start?;
         let mut free: Vec<PartKey> = Vec::new();
@@ -350,7 +344,7 @@
         }
     }
 
-    /// Records that parts were freed.
+    /// Records that the parts of a plan were freed.
     pub fn confirm_freed(&mut self, plan: &FreePlan) {
         if self.start.is_some_and(|start| start.may_equal(&plan.start)) {
             for part in &plan.parts {
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -41,9 +41,9 @@
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     let ask = ask_of(0, 1, 1);
-    let whole =
+    let complete =
         vec![StoredPart { salt: "all/m/1".into(), id: ask.parts[0].id.clone(), tokens: 9_100 }];
-    let inventory = Inventory { start: store_start(1), complete: whole, ..Inventory::default() };
+    let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     assert_eq!(placed(scheduler.submit(1, ask.clone(), ms(10))).fetch[0], None);
     scheduler.read_clock(77, ms(20));
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -176,8 +176,8 @@
         let context = &ask_of(0, n, n).parts[0];
         StoredPart { salt: salt.clone(), id: context.id.clone(), tokens: 9_100 }
     };
-    let whole = (0..60).map(part).collect();
-    let inventory = Inventory { start: store_start(1), complete: whole, ..Inventory::default() };
+    let complete = (0..60).map(part).collect();
+    let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
     for n in 0..50 {
--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -219,7 +219,7 @@
 #[test]
 fn a_store_that_starts_again_under_its_epoch_holds_nothing_of_before() {
     let born = |born_ms| StoreStart { epoch: 1, born_ms: Some(born_ms) };
-    let inventory = |start, whole| Inventory { start, complete: whole, ..Inventory::default() };
+    let inventory = |start, complete| Inventory { start, complete, ..Inventory::default() };
     let mut store = store(1_000);
     store.observe_inventory(inventory(born(9), vec![stored("a", 990)]), ms(0));
     save(&mut store, "b", 10, ms(10));
