--- a/src/fleet/budget.rs
+++ b/src/fleet/budget.rs
@@ -1,4 +1,4 @@
-//! One entry's share of the retries that all entries together may make at a service.
+//! Retry budget of one entry: its share of the retries that all entries may make at a service.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,18 +6,17 @@
 use crate::clock::BootTime;
 use crate::ids::ServiceId;
 
-/// The part of an entry's share that it uses. The rest covers entries that this one has not heard
-/// of yet, and requests that are counted in another window than their retries.
+/// Fraction of its share that an entry uses. The rest covers entries it has not heard of yet, and
+/// requests whose retries fall into a later window.
 const USED_FRACTION: f64 = 0.7;
 
-/// What all entries together may retry.
+/// Limit on the retries of all entries at one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries beyond that in each window.
+    /// Additional retries per window.
     pub slack: f64,
-    /// The window.
     pub window: Duration,
 }
 
@@ -25,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     limit: RetryLimit,
-    /// Entries that share the slack, this one among them.
+    /// Number of entries that share the slack, including this one.
     entries: u32,
     services: HashMap<ServiceId, Counts>,
 }
@@ -37,22 +36,21 @@
 }
 
 impl RetryBudget {
-    /// A share of one among `entries`.
+    /// Creates the budget of one of `entries` entries.
     pub fn new(limit: RetryLimit, entries: u32) -> RetryBudget {
         RetryBudget { limit, entries: entries.max(1), services: HashMap::new() }
     }
 
-    /// Sets how many entries share.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Records a request that is sent for the first time.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self, service: &ServiceId, now: BootTime) {
         self.counts(service, now).requests.push_back(now);
     }
 
-    /// Takes one retry; false if this entry's share of the window is used up.
+    /// Takes one retry from the budget; false if it is exhausted.
     pub fn try_retry(&mut self, service: &ServiceId, now: BootTime) -> bool {
         let (ratio, slack) = (self.limit.ratio, self.limit.slack / f64::from(self.entries));
         let counts = self.counts(service, now);
--- a/src/fleet/compact.rs
+++ b/src/fleet/compact.rs
@@ -1,5 +1,5 @@
-//! Targets as they are sent: each name of a service, failure domain or model once. Some 30 bytes a target in
-//! index of 73.
+//! Compact encoding of target lists: names of services, failure domains and models are sent once
+//! and referred to by index.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,20 +10,20 @@
 use super::roster::{Listed, Presence};
 use crate::ids::{BirthMs, TargetId, TargetStart};
 
-/// Targets as they are sent.
+/// A list of targets with interned names.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CompactTargets {
-    /// NameTable of services, failure domains and models.
+    /// Names of services, failure domains and models.
     names: Vec<String>,
     rows: Vec<Row>,
 }
 
-/// A target has a name that was not sent.
+/// A target refers to a name that is not in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("a target has a name that was not sent"))]
+#[snafu(display("a target refers to a name that is missing from the table"))]
 pub struct UnknownName;
 
-/// A target. NameTable are told by their index among all names.
+/// A target; names are given by their index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Row {
     id: TargetId,
@@ -37,17 +37,17 @@
 }
 
 impl CompactTargets {
-    /// These targets.
+    /// Encodes targets.
     pub fn from_targets<'a>(targets: impl Iterator<Item = &'a Listed>) -> CompactTargets {
         let mut names = NameTable::default();
         let rows = targets.map(|listed| Row::new(listed, &mut names)).collect();
         CompactTargets { names: names.in_order, rows }
     }
 
-    /// The targets.
+    /// Decodes the targets.
     ///
     /// # Errors
-    /// If a name is missing.
+    /// If a name is missing from the table.
     pub fn to_listed(&self) -> Result<Vec<Listed>, UnknownName> {
         self.rows.iter().map(|row| row.to_listed(&self.names)).collect()
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// NameTable in the order in which they were met.
+/// Interns names in order of first use.
 #[derive(Default)]
 struct NameTable {
     in_order: Vec<String>,
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -1,38 +1,39 @@
-//! One read of the platform's list, put together from its pages.
+//! One complete read of the platform's target list, assembled from its pages.
 
 use std::collections::BTreeSet;
 
 use super::roster::Listed;
 use crate::ids::TargetId;
 
-/// Entries that can't be read and are kept to be told of.
+/// Most unreadable entries that are kept for reports.
 const MAX_REPORTED: usize = 64;
 
-/// An entry of the list that names no target to use.
+/// An entry of the list that describes no usable target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnreadableEntry {
-    /// The id that it gives, as far as it can be read.
+    /// Its id, if that is readable.
     pub id: Option<TargetId>,
-    /// What is wrong with it.
     pub flaw: EntryError,
 }
 
-/// What is wrong with an entry.
+/// Why an entry can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EntryError {
-    /// It holds bytes that are no text.
+    /// It is not valid UTF-8.
     NotText,
-    /// A field is missing, of another type, or names something unknown; or it is no entry at all.
+    /// A field is missing, has the wrong type or an unknown value, or the entry as a whole is
+    /// malformed.
     Field(String),
-    /// Its id can't be sent to the target, so that another one at the address would not refuse.
+    /// Its id can't be sent in a header, so another target at its address could not detect a
+    /// misdirected request.
     Id,
-    /// No connection can be opened to its address.
+    /// Its address is not connectable.
     Address,
-    /// Other entries tell births, this one tells none.
+    /// It has no birth time, although other entries of the list do.
     NoBirth,
 }
 
-/// The entries of one whole list.
+/// The entries of one complete list.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     targets: Vec<Listed>,
@@ -40,11 +41,10 @@
     unreadable_count: usize,
 }
 
-/// A list that has entries, none of which can be read.
+/// The list has entries, but none is readable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("none of the {entries} entries can be read"))]
+#[snafu(display("none of the {entries} entries is readable"))]
 pub struct NoReadableEntry {
-    /// How many there are.
     pub entries: usize,
 }
 
@@ -57,10 +57,11 @@
         }
     }
 
-    /// Ends the read: no page is left.
+    /// Completes the list after its last page.
     ///
     /// # Errors
-    /// If there are entries but none that can be read: the writer changed, not the fleet.
+    /// If there are entries but none is readable: most likely the writer's format changed, not the
+    /// fleet.
     pub fn finish(mut self) -> Result<Listing, NoReadableEntry> {
         if self.targets.iter().any(|target| target.start.born_ms.is_some()) {
             let without_birth =
@@ -77,17 +78,17 @@
         Ok(self)
     }
 
-    /// The targets that are listed, some perhaps more than once.
+    /// The listed targets; one target may occur more than once.
     pub fn into_targets(self) -> Vec<Listed> {
         self.targets
     }
 
-    /// Entries that name no target to use: the first ones.
+    /// The first unreadable entries.
     pub fn unreadable(&self) -> &BTreeSet<UnreadableEntry> {
         &self.unreadable
     }
 
-    /// How many entries name no target to use.
+    /// Number of unreadable entries.
     pub fn unreadable_count(&self) -> usize {
         self.unreadable_count
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The targets in front of which this system runs: who is there, how busy, how sound.
+//! The targets behind this system: their list, load and health.
 
 pub mod budget;
 pub mod compact;
