--- a/src/orders.rs
+++ b/src/orders.rs
@@ -1,8 +1,8 @@
-//! Orders to engines: which engine loads which weight version, and when.
+//! Load orders: which engine loads which weight version, and when.
 //!
-//! Only the log's leader orders. Every order carries a fencing number from the log, so an engine
-//! that checks it refuses a deposed leader's late order. For engines that don't check, a new
-//! leader waits until no order of an earlier one can be under way.
+//! Only the leader of the log issues orders. Each order carries a fencing number from the log, so
+//! engines that check it refuse orders of a deposed leader. For engines that don't, a new leader
+//! waits until no earlier order can be in flight.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,43 +11,39 @@
 use crate::config::Model;
 use crate::ids::{DomainId, ModelId, TargetId, WeightVersion};
 
-/// An order is given up if its engine has not taken it within this time.
+/// An order that its engine has not accepted within this time is abandoned.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// A load that has not ended after this time is ordered again.
+/// A load that has not ended within this time is ordered again.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(600);
-/// Loads at a time over all models: they share the weight store's link.
+/// Limit on concurrent loads of all models, which share the weight store's link.
 const MAX_CONCURRENT_LOADS: usize = 4;
 
 /// An engine as the planner sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineState {
-    /// The engine.
     pub id: TargetId,
-    /// Its model.
     pub model: ModelId,
-    /// Its failure domain.
     pub failure_domain: DomainId,
-    /// The version that it reports; `None` while it loads one.
+    /// The version that it reports; `None` while it is loading.
     pub version: Option<WeightVersion>,
-    /// Whether it takes new work.
     pub takes_work: bool,
     /// Whether it refuses orders with an old fencing number.
     pub checks_fencing: bool,
 }
 
-/// An order to be sent now.
+/// An order to send now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
-    /// The engine.
     pub engine: TargetId,
-    /// What it shall load.
+    /// The version to load.
     pub version: WeightVersion,
 }
 
 /// Plans the orders of one leader.
 #[derive(Clone, Debug)]
 pub struct Planner {
-    /// Before this time, an earlier leader's order may reach an engine that ignores fencing.
+    /// Until this time, orders of an earlier leader may still reach engines that don't check
+    /// fencing.
     unfenced_allowed_from: BootTime,
     pending: BTreeMap<TargetId, PendingLoad>,
 }
@@ -59,13 +55,13 @@
 }
 
 impl Planner {
-    /// The planner of a leader that was elected at `now`. `lease` is how long an earlier one may
-    /// have been sure to lead.
+    /// Creates the planner of a leader elected at `now`. `lease` is the longest time for which an
+    /// earlier leader may still have considered itself the leader.
     pub fn new(lease: Duration, now: BootTime) -> Planner {
         Planner { unfenced_allowed_from: now + lease + ORDER_TIMEOUT, pending: BTreeMap::new() }
     }
 
-    /// What to order now. Each order counts as sent from then on.
+    /// Plans the orders to send now. They count as sent from then on.
     pub fn plan(
         &mut self,
         models: &BTreeMap<ModelId, Model>,
@@ -92,13 +88,13 @@
         orders
     }
 
-    /// Records that an engine did not take its order.
+    /// Records that an engine did not accept its order.
     pub fn order_refused(&mut self, engine: &TargetId) {
         self.pending.remove(engine);
     }
 
     fn remove_finished(&mut self, engines: &[EngineState], now: BootTime) {
-        // There are few orders under way, so looking through all engines for each is cheap.
+        // Few orders are pending, so a linear search for each is cheap.
         self.pending.retain(|id, pending| {
             let state = engines.iter().find(|engine| engine.id == *id);
             let is_done =
@@ -128,20 +124,20 @@
     }
 }
 
-/// How many engines load and serve.
+/// Numbers of loading and serving engines.
 #[derive(Default)]
 struct LoadCounts<'e> {
-    /// Engines that load or were just told to.
+    /// Engines that are loading or have a pending order.
     loading: usize,
-    /// Those of each model.
+    /// The same for each model.
     loading_by_model: BTreeMap<&'e ModelId, usize>,
-    /// Engines that serve, by model and failure domain.
+    /// Serving engines by model and failure domain.
     serving_by_domain: BTreeMap<(&'e ModelId, &'e DomainId), usize>,
 }
 
 impl<'e> LoadCounts<'e> {
-    /// Whether an engine may load now: enough others of its failure domain go on serving, and not
-    /// too many load.
+    /// Whether an engine may load now: its failure domain keeps enough serving engines, and the
+    /// limits on concurrent loads are kept.
     fn allows(&self, engine: &'e EngineState, model: &Model) -> bool {
         let model_and_domain = (&engine.model, &engine.failure_domain);
         let serving = self.serving_by_domain.get(&model_and_domain).copied().unwrap_or(0);
@@ -152,7 +148,7 @@
             && loading < model.concurrent_loads as usize
     }
 
-    /// Counts an engine as loading from now on.
+    /// Counts an engine as loading.
     fn add_loading(&mut self, engine: &'e EngineState, model: &Model) {
         self.loading += 1;
         *self.loading_by_model.entry(&engine.model).or_default() += 1;
--- a/src/prompt.rs
+++ b/src/prompt.rs
@@ -1,40 +1,37 @@
-//! Prompt blocks: how a prompt is cut into blocks and how a prefix is named.
+//! Prompt blocks: splits prompts into blocks and names prefixes by hash chains.
 //!
-//! A block's key hashes the account, model, weight version and adapter and then the chain of all
-//! blocks up to it. A block of another account or version has another key, so it can't be named.
+//! A block's key hashes the account, model, weight version, adapter, and all blocks up to it.
+//! Accounts and versions never share keys, so one can't refer to another's blocks.
 
 use crate::ids::{AccountId, BlockKey, ModelId, WeightVersion};
 
-/// Tokens in one block. Only whole blocks are shared or kept.
+/// Tokens per block. Only complete blocks are shared or stored.
 pub const BLOCK_TOKENS: usize = 128;
 
-/// What a context belongs to. No block is ever shared between two different owners.
+/// Owner of a context. Blocks are never shared between different owners.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Owner {
-    /// The account whose prompt it is.
     pub account: AccountId,
-    /// The model that computes it.
     pub model: ModelId,
-    /// The weight version that computes it.
     pub weight_version: WeightVersion,
-    /// The adapter, empty for none.
+    /// The adapter; empty for none.
     pub adapter: String,
 }
 
-/// A prompt cut into blocks.
+/// A prompt split into blocks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chain {
-    /// Key of the prefix that ends with each whole block, in order.
+    /// Key of the prefix that ends with each complete block, in order.
     pub keys: Vec<BlockKey>,
-    /// Length of the whole prompt in tokens; at least `keys.len() * BLOCK_TOKENS`.
+    /// Length of the whole prompt in tokens, including the incomplete last block.
     pub tokens: usize,
 }
 
 impl Chain {
-    /// Cuts `prompt` into blocks for `owner`.
+    /// Splits `prompt` into blocks for `owner`.
     ///
-    /// Tokens are counted as words here, since a node has no tokenizer of the models'; an engine's
-    /// own count is reported in its usage.
+    /// Words stand in for tokens, since nodes have no tokenizer; engines report their own counts in
+    /// `usage`.
     pub fn new(owner: &Owner, prompt: &str) -> Chain {
         let mut keys = Vec::new();
         let mut previous = owner_hash(owner);
@@ -53,13 +50,13 @@
         Chain { keys, tokens }
     }
 
-    /// The key that decides which nodes own what is known of this context; `None` if the prompt
-    /// is shorter than one block.
+    /// Key that determines which nodes own the records of this context; `None` if the prompt has no
+    /// complete block.
     pub fn root(&self) -> Option<BlockKey> {
         self.keys.first().copied()
     }
 
-    /// The longest prefix, in blocks, whose key satisfies `known`.
+    /// Length, in blocks, of the longest prefix whose key satisfies `known`.
     pub fn longest_prefix(&self, known: impl Fn(&BlockKey) -> bool) -> usize {
         self.keys.iter().rposition(known).map_or(0, |position| position + 1)
     }
@@ -68,7 +65,7 @@
 fn owner_hash(owner: &Owner) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     for part in [&owner.account, &owner.model, &owner.weight_version, &owner.adapter] {
-        // The length keeps ("ab", "c") apart from ("a", "bc").
+        // The length prefix distinguishes ("ab", "c") from ("a", "bc").
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part.as_bytes());
     }
