--- a/src/control/age_recorder.rs
+++ b/src/control/age_recorder.rs
@@ -9,14 +9,14 @@
 use super::shared::Shared;
 use super::weight_ages::due_commands;
 use crate::clock::boot_now;
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::weights::OldWeightsPolicy;
 
 /// How often to check for ages to record.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Records ages for as long as the process lives.
-pub async fn run(shared: Rc<Shared>, inputs: mpsc::Sender<Input>, old_weights: OldWeights) {
-    let Some(bound) = old_weights.last() else {
+pub async fn run(shared: Rc<Shared>, inputs: mpsc::Sender<Input>, old_weights: OldWeightsPolicy) {
+    let Some(bound) = old_weights.longest() else {
         return std::future::pending().await;
     };
     loop {
--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -43,7 +43,7 @@
                 let recalled = scheduling.with_scheduler(|scheduler| {
                     // Later events from stores carry the clock too, but may be a long time off.
                     page.clock_ms.into_iter().for_each(|ms| scheduler.read_clock(ms, now));
-                    scheduler.recall(&engine, page.events)
+                    scheduler.observe_cache_events(&engine, page.events)
                 });
                 recalled.unwrap_or_default()
             }
@@ -59,7 +59,7 @@
         .take_until(tokio::time::sleep(TOTAL_TIMEOUT))
         .fold((0, 0), |(read, sum), parts| async move { (read + 1, sum + parts) })
         .await;
-    let _ = scheduling.with_scheduler(|scheduler| scheduler.memories_read());
+    let _ = scheduling.with_scheduler(|scheduler| scheduler.set_engine_caches_known());
     log::info!("event=engine_caches_read engines={read} of={count} parts={parts}");
 }
 
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -14,13 +14,13 @@
 pub use super::versioned_roster::{RosterVersion, VersionedRoster};
 use crate::deployment::Deployment;
 use crate::deployment::document::DeploymentVersion;
-use crate::fleet::Remembered;
+use crate::fleet::RosterHistory;
 use crate::fleet::compact::CompactTargets;
 use crate::ids::{DomainId, ModelId, NodeId, TargetStart};
 use crate::log::{Message, Term};
 use crate::quarantine::Report;
 use crate::scheduler::weights::NamedWeights;
-use crate::scheduler::{Placed, PlacementError, PlacementEvent, PlacementRequest};
+use crate::scheduler::{Placement, PlacementError, PlacementEvent, PlacementRequest};
 
 /// Longer frames are rejected as corrupt. Must exceed the largest deployment together with its
 /// document.
@@ -115,7 +115,7 @@
     /// The prompt is queued until an engine has capacity; `Placed` follows.
     Queued(u64),
     /// The result of the request with this id.
-    Placed(u64, Result<Placed, SchedulerError>),
+    Placed(u64, Result<Placement, SchedulerError>),
 }
 
 /// Why a prompt was not placed.
@@ -161,7 +161,7 @@
         /// Targets that were removed.
         gone: Vec<TargetStart>,
         /// Bookkeeping of the later roster that the earlier one lacks.
-        remembered: Remembered,
+        remembered: RosterHistory,
     },
     /// The sender has read the target list.
     TargetListRead {
--- a/src/control/pieces.rs
+++ b/src/control/pieces.rs
@@ -58,7 +58,7 @@
     let piece = |index: u32| {
         let from = index as usize * PIECE_LEN;
         let to = targets.len().min(from + PIECE_LEN);
-        let targets = CompactTargets::of(targets[from..to].iter().copied());
+        let targets = CompactTargets::from_targets(targets[from..to].iter().copied());
         Piece { of: versioned.version(), index, count, targets }
     };
     (0..count).map(piece).collect()
@@ -71,7 +71,7 @@
     ///
     /// If the piece cannot be decoded.
     pub fn listed(&self) -> Result<Vec<Listed>, PieceError> {
-        self.targets.listed().map_err(|_| PieceError::Damaged)
+        self.targets.to_listed().map_err(|_| PieceError::Damaged)
     }
 }
 
@@ -119,7 +119,7 @@
         if self.next < piece.count {
             return Ok(None);
         }
-        let roster = Roster::of_targets(std::mem::take(&mut self.targets));
+        let roster = Roster::from_targets(std::mem::take(&mut self.targets));
         let versioned = VersionedRoster::new(self.of.number, Arc::new(roster));
         match versioned.version() == self.of {
             true => Ok(Some(versioned)),
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -117,7 +117,7 @@
 ) -> std::io::Result<()> {
     let shared = &scheduling.shared;
     let repeat_period =
-        scheduling.old_weights.last().unwrap_or_default().max(MIN_AGE_REPEAT_PERIOD);
+        scheduling.old_weights.longest().unwrap_or_default().max(MIN_AGE_REPEAT_PERIOD);
     let mut view = shared.view.subscribe();
     let mut roster = shared.roster.subscribe();
     let mut domains = shared.domains.subscribe();
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -179,7 +179,7 @@
             ReplicaFrame::Hosts(hosts) => self.shared.seeds.borrow_mut().extend(hosts),
             ReplicaFrame::Roster(roster) => self.observe_roster(roster, ip),
             ReplicaFrame::RosterChanged { before, version, changed, gone, remembered } => {
-                let change = changed.listed().map(|changed| RosterChange { changed, gone });
+                let change = changed.to_listed().map(|changed| RosterChange { changed, gone });
                 let known = self.shared.roster.borrow().clone();
                 let updated = change
                     .ok()
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -134,8 +134,9 @@
             published.as_ref().is_some_and(|known| known.deployment.services.contains_key(service))
         };
         let before = self.shared.roster.borrow().clone();
-        let changed =
-            self.shared.change_roster(|known| known.take(known.without_unnamed(targets, is_named)));
+        let changed = self
+            .shared
+            .change_roster(|known| known.update(known.without_unnamed(targets, is_named)));
         let roster = self.shared.roster.borrow().clone();
         let version = roster.version();
         let state = &self.shared.view.borrow().state;
@@ -198,9 +199,9 @@
     ReplicaFrame::RosterChanged {
         before: before.version(),
         version: now.version(),
-        changed: CompactTargets::of(changed.iter()),
+        changed: CompactTargets::from_targets(changed.iter()),
         gone,
-        remembered: before.roster.remembered_by(&now.roster),
+        remembered: before.roster.history_change_to(&now.roster),
     }
 }
 
--- a/src/control/scheduler_service.rs
+++ b/src/control/scheduler_service.rs
@@ -19,10 +19,10 @@
 use crate::log::Term;
 use crate::net::http::{Exchange, fetch};
 use crate::platform::stores;
-use crate::scheduler::store::{FREE_LASTS, FreePlan};
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::store::{FREE_TTL, FreePlan};
+use crate::scheduler::weights::OldWeightsPolicy;
 use crate::scheduler::{
-    End, Placed, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
+    EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler, TicketId, WaiterId,
 };
 
 /// How often queued prompts are dispatched without a triggering event.
@@ -42,7 +42,7 @@
     /// The shared state of the replica.
     pub shared: Rc<Shared>,
     /// How long prompts may still start on old weights after a newer version was named.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
     /// The scheduler and its term; `None` while another replica is the leader.
     pub(super) active: RefCell<Option<(Term, Scheduler)>>,
     /// Queued prompts.
@@ -72,7 +72,7 @@
 impl EntrySession {
     /// Replies to a placement request. A placement is active from here on, even if the reply is
     /// lost.
-    fn answer(&self, request_id: u64, answer: Result<Placed, SchedulerError>) {
+    fn answer(&self, request_id: u64, answer: Result<Placement, SchedulerError>) {
         self.waiting.borrow_mut().remove(&request_id);
         if let Ok(placed) = &answer {
             self.active_tickets.borrow_mut().insert(placed.ticket);
@@ -84,7 +84,7 @@
 
 impl SchedulerService {
     /// Creates a service without a scheduler.
-    pub fn new(shared: Rc<Shared>, old_weights: OldWeights) -> SchedulerService {
+    pub fn new(shared: Rc<Shared>, old_weights: OldWeightsPolicy) -> SchedulerService {
         SchedulerService {
             shared,
             old_weights,
@@ -142,7 +142,8 @@
 
     /// Queries the weights of engines for which the scheduler no longer trusts its record.
     pub(super) fn query_doubted_engines(self: &Rc<SchedulerService>) {
-        let doubted = self.with_scheduler(|scheduler| scheduler.doubted()).unwrap_or_default();
+        let doubted =
+            self.with_scheduler(|scheduler| scheduler.unverified_engines()).unwrap_or_default();
         for (engine, address) in doubted {
             if !self.weight_queries.borrow_mut().insert(engine.clone()) {
                 continue;
@@ -160,7 +161,8 @@
                 let version = weights.and_then(|weights| weights.values().next().copied());
                 scheduling.weight_queries.borrow_mut().remove(&engine);
                 // No scheduler is running if this replica has lost leadership.
-                let _ = scheduling.with_scheduler(|scheduler| scheduler.resolve(&engine, version));
+                let _ = scheduling
+                    .with_scheduler(|scheduler| scheduler.resolve_weights(&engine, version));
             });
         }
     }
@@ -169,7 +171,7 @@
         let now = boot_now();
         let planned = self.with_scheduler(|scheduler| {
             let clock_ms = scheduler.engines_clock_ms(now)?;
-            Some((scheduler.plan_frees(now), clock_ms + FREE_LASTS.as_millis() as u64))
+            Some((scheduler.plan_frees(now), clock_ms + FREE_TTL.as_millis() as u64))
         });
         let Some(Some((plans, until_ms))) = planned else { return };
         for plan in plans {
@@ -191,7 +193,7 @@
         // Without a success status the parts may or may not be gone: they stay excluded from
         // fetches, and the request is repeated.
         if matches!(status, Ok(StatusCode::OK)) {
-            let _ = self.with_scheduler(|scheduler| scheduler.freed(&plan));
+            let _ = self.with_scheduler(|scheduler| scheduler.confirm_freed(&plan));
         }
     }
 
@@ -248,7 +250,7 @@
 
     /// Records that a store was restarted or cannot be reached.
     pub fn lost_store(&self, store: SocketAddr) {
-        let _ = self.with_scheduler(|scheduler| scheduler.lost_store(store));
+        let _ = self.with_scheduler(|scheduler| scheduler.reset_store(store));
     }
 }
 
@@ -326,7 +328,7 @@
         let waiting = self.entry.waiting.take();
         waiting.into_values().for_each(|waiter| self.withdraw(waiter));
         for ticket in self.entry.active_tickets.take() {
-            let event = PlacementEvent::Ended { ticket, end: End::Left };
+            let event = PlacementEvent::Ended { ticket, end: EndReason::Cancelled };
             let _ =
                 self.scheduling.with_scheduler(|scheduler| scheduler.observe(&event, boot_now()));
         }
--- a/src/control/scheduler_sync.rs
+++ b/src/control/scheduler_sync.rs
@@ -52,7 +52,7 @@
     fn new_scheduler(&self, first_ticket: TicketId) -> Scheduler {
         let mut scheduler = Scheduler::new(first_ticket, boot_now());
         scheduler.set_old_weights(self.old_weights);
-        scheduler.await_memories(boot_now());
+        scheduler.await_cache_state(boot_now());
         scheduler
     }
 
@@ -89,7 +89,7 @@
         }
         scheduler.observe_changing(&self.shared.changing.borrow());
         scheduler.observe_named(&self.shared.named_since.borrow());
-        scheduler.forget_lost(boot_now());
+        scheduler.expire_tickets(boot_now());
         for store in new_stores {
             tokio::task::spawn_local(store_reader::run(self.clone(), store, term));
         }
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -68,10 +68,10 @@
     let text = fetch_body(&mut session, list).await?;
     let (inventory, clock_ms) =
         stores::decode_list(&text).map_err(|source| FollowError::Unreadable { source })?;
-    let (start, mut next) = (inventory.start, inventory.next);
+    let (start, mut next) = (inventory.start, inventory.next_event);
     log::info!(
         "event=store_inventory_read store={store} start={start:?} whole={}",
-        inventory.whole.len()
+        inventory.complete.len()
     );
     scheduling.wait_for_leadership(term).await;
     let now = boot_now();
@@ -86,7 +86,7 @@
         let text = fetch_body(&mut session, call).await?;
         let page =
             stores::decode_events(&text).map_err(|source| FollowError::Unreadable { source })?;
-        if page.has_gap || !page.start.may_be(&start) {
+        if page.has_gap || !page.start.may_equal(&start) {
             return Err(FollowError::Gap);
         }
         next = page.next;
--- a/src/control/versioned_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Remembered, Roster, RosterChange};
+use crate::fleet::{Roster, RosterChange, RosterHistory};
 
 /// The version of a roster. Replicas may assign the same number to different rosters, whose digests
 /// then differ. Later rosters compare greater.
@@ -45,7 +45,7 @@
         before: RosterVersion,
         version: RosterVersion,
         change: RosterChange,
-        remembered: Remembered,
+        remembered: RosterHistory,
     ) -> Option<VersionedRoster> {
         if self.version() != before {
             return None;
@@ -65,8 +65,8 @@
         };
         let mut roster = later.roster.clone();
         let merged = Arc::make_mut(&mut roster);
-        let lacked_leaving = merged.learn_leaving(&earlier.roster);
-        let lacked_weights = merged.learn_weights(&earlier.roster);
+        let lacked_leaving = merged.merge_retired(&earlier.roster);
+        let lacked_weights = merged.merge_weights(&earlier.roster);
         let number = match lacked_leaving || lacked_weights {
             true => later.number + 1,
             false => later.number,
--- a/src/control/weight_ages.rs
+++ b/src/control/weight_ages.rs
@@ -8,11 +8,11 @@
 use super::state::{Command, ControlState, WeightAges};
 use crate::clock::BootTime;
 use crate::ids::ModelId;
-use crate::scheduler::weights::{NamedWeights, RolloutHistories, UNRECORDED};
+use crate::scheduler::weights::{MAX_UNRECORDED_AGE, NamedWeights, RolloutHistories};
 
 /// An age is recorded each time it has grown by this much, which makes about nine log entries per
 /// version until the grace period is over.
-const RECORD_INTERVAL: Duration = UNRECORDED;
+const RECORD_INTERVAL: Duration = MAX_UNRECORDED_AGE;
 /// A replica that caught up within this time learns of a new version as soon as it is committed.
 const CAUGHT_UP_MAX_AGE: Duration = Duration::from_millis(500);
 
@@ -27,7 +27,7 @@
 ) -> Vec<Command> {
     let all = named
         .iter()
-        .flat_map(|(model, versions)| versions.certain(now).map(move |one| (model, one)));
+        .flat_map(|(model, versions)| versions.min_ages(now).map(move |one| (model, one)));
     let due = all.filter_map(|(model, (version, age))| {
         let known = recorded.get(model).and_then(|ages| ages.get(&version));
         let known = known.copied().unwrap_or_default();
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The targets in front of which this system runs: who is there, how busy, how sound.
+//! The targets behind this system: their list, load and health.
 
 pub mod budget;
 pub mod compact;
@@ -8,5 +8,5 @@
 pub mod view;
 
 pub use listing::{Listing, UnreadableEntry};
-pub use roster::{Listed, Presence, Remembered, Roster, RosterChange};
+pub use roster::{Listed, Presence, Roster, RosterChange, RosterHistory};
 pub use view::{Dispatch, FailureCause, FleetView, TargetState};
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -1,4 +1,5 @@
-//! Which target a request goes to. Pure: fed the view, the request and the time.
+//! Target selection by an entry without the scheduler. No I/O: depends only on the view, the
+//! request and the time.
 
 use std::hash::BuildHasher;
 use std::time::Duration;
@@ -10,174 +11,181 @@
 use crate::gateway::metadata::Prompt;
 use crate::ids::TargetStart;
 use crate::scheduler::weights::{
-    BEGINS_WITHIN, OLD_WEIGHTS_MS, OldWeights, RolloutHistories, RolloutHistory,
+    MAX_START_DELAY, OLD_WEIGHTS_COST_MS, OldWeightsPolicy, RolloutHistories, RolloutHistory,
 };
 
-/// What a request that an engine already holds delays the next one: the sites' mean prompt of
-/// 3,600 tokens at 140 tokens a millisecond.
+/// Delay added by each request that an engine already holds: the prefill of a mean prompt (3,600
+/// tokens at 140 tokens/ms).
 const DELAY_PER_REQUEST: Duration = Duration::from_millis(25);
-/// Tokens that an engine reads in a millisecond, where it isn't measured: the slower of the
-/// deployed engines (92.1).
-const READ_TOKENS_PER_MS: f64 = 92.0;
-/// What a place in a plain service's queue costs there.
+/// Assumed prefill speed of an engine: the slower of the deployed types.
+const PREFILL_TOKENS_PER_MS: f64 = 92.0;
+/// Delay added by each request in a plain service's queue.
 const DELAY_PER_PLAIN_REQUEST: Duration = Duration::from_millis(15);
-/// Engines on which a context is expected to be kept: its home, and the one that takes over from
-/// it.
-const HOMES: usize = 2;
-/// What the second home costs more than the first, as a part of reading the context again.
-const SECOND_HOME_PART: f64 = 0.5;
+/// Number of engines expected to hold a context, first in affinity order: the preferred one and its
+/// fallback.
+const AFFINITY_ENGINES: usize = 2;
+/// Expected recomputation on the second engine in affinity order, as a fraction of the context.
+const SECOND_CHOICE_FRACTION: f64 = 0.5;
 
-/// What is asked of the placement.
+/// Selection criteria of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// The service.
     pub service: &'a str,
-    /// The prompt, if it is one.
+    /// The prompt; `None` for requests to a plain service.
     pub prompt: Option<&'a Prompt>,
-    /// Those who may share kept cache with the request; empty for everybody.
-    pub cache_wall: &'a str,
-    /// Targets that this request was sent to before.
+    /// Cache namespace of the request; empty if the cache is shared by everybody.
+    pub cache_namespace: &'a str,
+    /// Targets that were already tried.
     pub tried: &'a [TargetStart],
-    /// Breaks ties.
-    pub drawn: u64,
-    /// When weights were named.
+    /// Random number that breaks ties.
+    pub tie_breaker: u64,
     pub named: &'a RolloutHistories,
-    /// How long prompts may begin on older ones.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
 }
 
-/// Why no target was chosen.
+/// Why no target was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionError {
     /// No target of the service is listed.
-    NoneListed,
-    /// All that are listed are out of order, or this request was sent to them before.
-    NoneSound,
-    /// All that are sound run older weights than must be in force by now.
+    NoTargetListed,
+    /// All listed targets are ejected or were already tried.
+    NoHealthyTarget,
+    /// All healthy targets run older weights than may still be used.
     OldWeights,
 }
 
-/// What speaks for a target.
+/// A selected target and the reasons.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The target.
     pub target: TargetStart,
-    /// Requests that it probably holds.
+    /// Estimated number of requests that it holds.
     pub load: f64,
-    /// Its place among the homes of the request's context, 0 first.
-    pub home: usize,
-    /// How long the first part of the answer is expected to take.
+    /// Its position in the affinity order of the request's context; 0 is preferred.
+    pub affinity_rank: usize,
+    /// Expected time to first token.
     pub expected: Duration,
-    /// The weights that the engine must run: it refuses if it runs others.
+    /// Weight version that the engine must run; it refuses the request otherwise.
     pub weight_version: Option<u64>,
 }
 
-/// Chooses the target with the least expected time to the first part of the answer.
+/// Selects the target with the shortest expected time to first token.
 ///
 /// # Errors
-/// If there is none.
+/// If no target is eligible.
 pub fn choose(
     view: &FleetView,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     now: BootTime,
 ) -> Result<Choice, SelectionError> {
     let mut is_listed = false;
-    let mut sound = Vec::new();
-    for state in view.live(ask.service) {
+    let mut healthy = Vec::new();
+    for state in view.live(criteria.service) {
         is_listed = true;
-        let was_tried = ask.tried.contains(&state.listed.start);
+        let was_tried = criteria.tried.contains(&state.listed.start);
         if !was_tried && state.health.admits(state.running, now) {
-            sound.push(state);
+            healthy.push(state);
         }
     }
-    if sound.is_empty() {
-        return Err(if is_listed { SelectionError::NoneSound } else { SelectionError::NoneListed });
+    if healthy.is_empty() {
+        return Err(if is_listed {
+            SelectionError::NoHealthyTarget
+        } else {
+            SelectionError::NoTargetListed
+        });
     }
-    let choices = match ask.prompt {
-        Some(prompt) => engine_choices(&sound, prompt, ask, now),
-        None => plain_choices(&sound, now),
+    let choices = match criteria.prompt {
+        Some(prompt) => engine_choices(&healthy, prompt, criteria, now),
+        None => plain_choices(&healthy, now),
     };
-    let best = choices.into_iter().min_by(|(a, tie_a), (b, tie_b)| {
-        a.expected.cmp(&b.expected).then(mixed(tie_a, ask.drawn).cmp(&mixed(tie_b, ask.drawn)))
+    let best = choices.into_iter().min_by(|(a, hash_a), (b, hash_b)| {
+        a.expected
+            .cmp(&b.expected)
+            .then(mix(hash_a, criteria.tie_breaker).cmp(&mix(hash_b, criteria.tie_breaker)))
     });
     best.map(|(choice, _)| choice).ok_or(SelectionError::OldWeights)
 }
 
-fn plain_choices(sound: &[&TargetState], now: BootTime) -> Vec<(Choice, u64)> {
+fn plain_choices(healthy: &[&TargetState], now: BootTime) -> Vec<(Choice, u64)> {
     let choice = |state: &&TargetState| {
         let load = state.load(now);
         let expected = DELAY_PER_PLAIN_REQUEST.mul_f64(load);
         let target = state.listed.start.clone();
-        let choice = Choice { target, load, home: 0, expected, weight_version: None };
-        (choice, tie(state))
+        let choice = Choice { target, load, affinity_rank: 0, expected, weight_version: None };
+        (choice, target_hash(state))
     };
-    sound.iter().map(choice).collect()
+    healthy.iter().map(choice).collect()
 }
 
 fn engine_choices(
-    sound: &[&TargetState],
+    healthy: &[&TargetState],
     prompt: &Prompt,
-    ask: &Criteria<'_>,
+    criteria: &Criteria<'_>,
     now: BootTime,
 ) -> Vec<(Choice, u64)> {
     let context = prompt.shared_parts().last().map_or("", |part| part.id.as_str());
-    let key = FxBuildHasher.hash_one((ask.cache_wall, context));
+    let key = FxBuildHasher.hash_one((criteria.cache_namespace, context));
     let mut ranked: Vec<(u64, &TargetState)> =
-        sound.iter().map(|state| (mixed(&tie(state), key), *state)).collect();
+        healthy.iter().map(|state| (mix(&target_hash(state), key), *state)).collect();
     ranked.sort_unstable_by_key(|(rank, _)| std::cmp::Reverse(*rank));
-    let own = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
+    let own_tokens = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
     ranked
         .iter()
         .enumerate()
-        .filter_map(|(home, (_, state))| {
+        .filter_map(|(affinity_rank, (_, state))| {
             let load = state.load(now);
-            let again = prompt.shared_tokens() as f64
-                * match home {
+            let recomputed_tokens = prompt.shared_tokens() as f64
+                * match affinity_rank {
                     0 => 0.0,
-                    home if home < HOMES => SECOND_HOME_PART,
+                    affinity_rank if affinity_rank < AFFINITY_ENGINES => SECOND_CHOICE_FRACTION,
                     _ => 1.0,
                 };
-            let read_ms = (own as f64 + again) / READ_TOKENS_PER_MS;
-            let expected = DELAY_PER_REQUEST.mul_f64(load) + Duration::from_secs_f64(read_ms / 1e3);
-            let (weight_version, cost_ms) = weights_of(state, prompt, ask, now + expected)?;
+            let prefill_ms = (own_tokens as f64 + recomputed_tokens) / PREFILL_TOKENS_PER_MS;
+            let expected =
+                DELAY_PER_REQUEST.mul_f64(load) + Duration::from_secs_f64(prefill_ms / 1e3);
+            let (weight_version, cost_ms) =
+                required_weights(state, prompt, criteria, now + expected)?;
             let expected = expected + Duration::from_secs_f64(cost_ms / 1e3);
             let target = state.listed.start.clone();
-            Some((Choice { target, load, home, expected, weight_version }, tie(state)))
+            Some((
+                Choice { target, load, affinity_rank, expected, weight_version },
+                target_hash(state),
+            ))
         })
         .collect()
 }
 
-/// The weights that an engine must run for the prompt, and what speaks against them, in milliseconds;
-/// `None` if the prompt must not begin there.
+/// The weight version that an engine must run for the prompt, and its cost in milliseconds; `None`
+/// if the prompt must not start there.
 ///
-/// The bound counts from the naming, whoever led since: entries lose the scheduler more often than the
-/// replicas are disturbed, which alone makes the bound begin anew.
-fn weights_of(
+/// The limit counts from the naming, whoever has led since: entries lose the scheduler more often
+/// than the replicas change leaders, and only a leader change restarts it.
+fn required_weights(
     state: &TargetState,
     prompt: &Prompt,
-    ask: &Criteria<'_>,
-    read_by: BootTime,
+    criteria: &Criteria<'_>,
+    prefill_by: BootTime,
 ) -> Option<(Option<u64>, f64)> {
-    let named = ask.named.get(&prompt.model);
-    let has = state.weights.get(&prompt.model).copied().filter(|version| *version > 0);
-    match (has, named.and_then(RolloutHistory::newest)) {
-        // The newest are expected of it: it refuses if it runs others, and says which. So it may be
-        // tried at any time, and costs at most a try.
-        (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_MS)),
+    let named = criteria.named.get(&prompt.model);
+    let version = state.weights.get(&prompt.model).copied().filter(|version| *version > 0);
+    match (version, named.and_then(RolloutHistory::newest)) {
+        // The newest version is required of an engine whose version is unknown: it refuses if it
+        // runs another and reports it, so the worst case is one failed attempt.
+        (None, Some(newest)) => Some((Some(newest), OLD_WEIGHTS_COST_MS)),
         _ => {
-            let begins_by = read_by + BEGINS_WITHIN;
-            let cost_ms = ask.old_weights.cost_ms(named, has, BootTime::ZERO, begins_by)?;
-            Some((has, cost_ms))
+            let begins_by = prefill_by + MAX_START_DELAY;
+            let cost_ms =
+                criteria.old_weights.cost_ms(named, version, BootTime::ZERO, begins_by)?;
+            Some((version, cost_ms))
         }
     }
 }
 
-fn tie(state: &TargetState) -> u64 {
+fn target_hash(state: &TargetState) -> u64 {
     FxBuildHasher.hash_one(&state.listed.start.id)
 }
 
-/// Mixes two hashes evenly (the finisher of MurmurHash3).
-fn mixed(a: &u64, b: u64) -> u64 {
+/// Combines two hashes with the MurmurHash3 finalizer.
+fn mix(a: &u64, b: u64) -> u64 {
     let mut hash = a ^ b.rotate_left(32);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash = (hash ^ (hash >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -22,7 +22,7 @@
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
-use crate::scheduler::End;
+use crate::scheduler::EndReason;
 
 /// Connections that one attempt may try. A target that could not be reached has run nothing.
 const MAX_CONNECT_ATTEMPTS: usize = 4;
@@ -89,7 +89,7 @@
         let ticket = selected.placed.as_ref().map(|placed| placed.ticket);
         let mut in_flight = InFlightRequest::new(gateway, &target, ticket, prompt_tokens);
         let Some(mut connection) = connect(gateway, &target, routed.deadline, record).await else {
-            in_flight.set_end(End::Unreachable);
+            in_flight.set_end(EndReason::Unreachable);
             avoid.push(target);
             continue;
         };
@@ -97,21 +97,21 @@
         // connection was opened.
         if !gateway.fleet.borrow().takes_work(&target) {
             record.attempt_failed(&target, "it takes no new work");
-            in_flight.set_end(End::NotRun);
+            in_flight.set_end(EndReason::NotRun);
             avoid.push(target);
             continue;
         }
         // The placement may have become outdated while this task or the connection was delayed.
         if !target_selection::may_start_on_weights(gateway, routed, &selected) {
             record.attempt_failed(&target, "its weights must be replaced by now");
-            in_flight.set_end(End::NotRun);
+            in_flight.set_end(EndReason::NotRun);
             gateway.return_connection(&target, connection);
             avoid.push(target);
             continue;
         }
         // The request may have been quarantined while it waited for its placement.
         if let Some(left) = held_for(gateway, routed, record) {
-            in_flight.set_end(End::NotRun);
+            in_flight.set_end(EndReason::NotRun);
             gateway.return_connection(&target, connection);
             return Err(AttemptError::Held(left));
         }
@@ -130,12 +130,12 @@
             Ok(SendOutcome::Response(response)) => response,
             Ok(SendOutcome::NotSent(reason)) => {
                 record.attempt_failed(&target, &reason);
-                in_flight.set_end(End::NotRun);
+                in_flight.set_end(EndReason::NotRun);
                 continue;
             }
             Ok(SendOutcome::Broken(reason)) => {
                 record.attempt_failed(&target, &reason);
-                in_flight.set_end(End::Failed);
+                in_flight.set_end(EndReason::Failed);
                 drop(in_flight);
                 gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 termination::report_broken_run(gateway, routed, &target, sent_at, record).await;
@@ -143,7 +143,7 @@
             }
             Err(_) => {
                 record.attempt_failed(&target, "no answer in time");
-                in_flight.set_end(End::Failed);
+                in_flight.set_end(EndReason::Failed);
                 gateway.fleet.borrow_mut().failed(&target, FailureCause::Target, now);
                 return Err(AttemptError::TimedOut(target));
             }
@@ -153,7 +153,7 @@
             TargetResponse { target, response, response_metadata, connection, in_flight, sent_at };
         return check_response(gateway, routed, received, record);
     }
-    Err(AttemptError::NoTarget(NoTarget::Selection(SelectionError::NoneSound)))
+    Err(AttemptError::NoTarget(NoTarget::Selection(SelectionError::NoHealthyTarget)))
 }
 
 /// How long the request remains quarantined; `None` if it is not.
@@ -231,14 +231,14 @@
     let TargetResponse { target, response, response_metadata, in_flight, .. } = &mut received;
     record.response_received(response_metadata);
     if let Some(load) = response_metadata.load {
-        gateway.fleet.borrow_mut().reported(target, load, now);
+        gateway.fleet.borrow_mut().observe_load(target, load, now);
     }
     let is_for_other_request =
         response_metadata.request_id.as_ref().is_some_and(|id| *id != routed.metadata.id);
     if is_for_other_request {
         // The connection is out of step with its requests and must not be reused.
         record.attempt_failed(target, "answer to another request");
-        in_flight.set_end(End::Failed);
+        in_flight.set_end(EndReason::Failed);
         return Err(AttemptError::MayHaveRun(received.target));
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
@@ -251,24 +251,24 @@
                 target,
                 "another target answers at its address",
             );
-            in_flight.set_end(End::Replaced);
+            in_flight.set_end(EndReason::Replaced);
         } else {
             if let Some(prompt) = &routed.metadata.prompt {
                 let has = response_metadata.weight_version;
                 gateway.fleet.borrow_mut().refused_weights(target, &prompt.model, has);
             }
-            in_flight.set_end(End::OtherWeights(response_metadata.weight_version));
+            in_flight.set_end(EndReason::WeightMismatch(response_metadata.weight_version));
         }
         return Err(AttemptError::NotRun(received.target));
     }
     if let (Some(prompt), Some(version)) =
         (&routed.metadata.prompt, response_metadata.weight_version)
     {
-        gateway.fleet.borrow_mut().answered_on(target, &prompt.model, version);
+        gateway.fleet.borrow_mut().observe_weights(target, &prompt.model, version);
     }
     if response_metadata.did_not_run {
         record.attempt_failed(target, &format!("not run, status {}", response.status().as_u16()));
-        in_flight.set_end(End::NotRun);
+        in_flight.set_end(EndReason::NotRun);
         let TargetResponse { target, connection, response_metadata, .. } = received;
         if !response_metadata.closes {
             gateway.return_connection(&target, connection);
@@ -276,7 +276,7 @@
         return Err(AttemptError::NotRun(target));
     }
     if response.status().is_server_error() {
-        in_flight.set_end(End::Failed);
+        in_flight.set_end(EndReason::Failed);
         gateway.fleet.borrow_mut().failed(target, FailureCause::Target, now);
     }
     Ok(received)
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -22,7 +22,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::fleet::FailureCause;
 use crate::ids::TargetStart;
-use crate::scheduler::End;
+use crate::scheduler::EndReason;
 
 /// A body of at most this length is buffered before any of it is relayed, so that the request can
 /// be retried if the body is cut short.
@@ -171,7 +171,7 @@
     fn finish(&mut self) {
         self.record.set_outcome(Outcome::Relayed(StatusCode::OK.as_u16()));
         if let Some(mut source) = self.source.take() {
-            source.in_flight.set_end(End::Whole);
+            source.in_flight.set_end(EndReason::Completed);
             self.gateway.fleet.borrow_mut().succeeded(&source.target);
             self.gateway.record_success(&self.routed);
             if !source.response_metadata.closes {
@@ -184,7 +184,7 @@
     async fn resume(&mut self, reason: String) -> Result<(), RelayError> {
         let may_resume = self.may_resume();
         if let Some(mut source) = self.source.take() {
-            source.in_flight.set_end(End::Failed);
+            source.in_flight.set_end(EndReason::Failed);
             self.record.attempt_failed(&source.target, &reason);
             self.gateway.fleet.borrow_mut().failed(
                 &source.target,
@@ -205,7 +205,7 @@
         }
         self.record.set_outcome(Outcome::BrokenOff);
         let has_retry_budget =
-            || self.gateway.retries.borrow_mut().spend(&self.routed.service, boot_now());
+            || self.gateway.retries.borrow_mut().try_retry(&self.routed.service, boot_now());
         if !may_resume || !has_retry_budget() {
             return Err(reason.into());
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -184,7 +184,7 @@
     routed: RoutedRequest,
     mut record: RequestRecord,
 ) -> GatewayResponse {
-    gateway.retries.borrow_mut().sent(&routed.service, boot_now());
+    gateway.retries.borrow_mut().record_request(&routed.service, boot_now());
     let mut tried: Vec<TargetStart> = Vec::new();
     let mut may_have_run = false;
     let resume_after = routed.metadata.resume_after.clone();
@@ -258,7 +258,7 @@
 fn may_retry(gateway: &Gateway, routed: &RoutedRequest, tried: &[TargetStart]) -> bool {
     (tried.len() as u32) < routed.route.attempts.max(2)
         && Instant::now() < routed.deadline
-        && gateway.retries.borrow_mut().spend(&routed.service, boot_now())
+        && gateway.retries.borrow_mut().try_retry(&routed.service, boot_now())
 }
 
 async fn relay_response(
--- a/src/gateway/scheduler_client.rs
+++ b/src/gateway/scheduler_client.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::{BootTime, boot_now};
 use crate::control::frames::{SchedulerError, SchedulerRequest, encode};
-use crate::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
+use crate::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest};
 
 /// How long to wait for the first reply before the entry selects a target itself. Usual replies
 /// take one or two milliseconds.
@@ -30,7 +30,7 @@
 /// How often the request is repeated while it waits for a scheduler.
 const RETRY_INTERVAL: Duration = Duration::from_millis(30);
 
-type PlacementOutcome = Result<Placed, SchedulerError>;
+type PlacementOutcome = Result<Placement, SchedulerError>;
 
 /// A reply to a placement request.
 pub(super) enum Reply {
@@ -147,8 +147,8 @@
     }
 
     /// Returns a placement that will not be used.
-    pub fn return_placement(&self, placed: &Placed) {
-        self.send_event(PlacementEvent::Ended { ticket: placed.ticket, end: End::NotRun });
+    pub fn return_placement(&self, placed: &Placement) {
+        self.send_event(PlacementEvent::Ended { ticket: placed.ticket, end: EndReason::NotRun });
     }
 
     /// Sets the channel of a new connection.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -21,8 +21,8 @@
 use crate::control::pieces::{Assembly, Piece, PieceError};
 use crate::deployment::document::DeploymentVersion;
 use crate::deployment::{Deployment, Table};
-use crate::fleet::budget::{RetryRule, RetryShare};
-use crate::fleet::compact::NameMissing;
+use crate::fleet::budget::{RetryBudget, RetryLimit};
+use crate::fleet::compact::UnknownName;
 use crate::fleet::{Dispatch, FleetView, Listed, Presence, RosterChange};
 use crate::host::HostSettings;
 use crate::ids::TargetStart;
@@ -31,7 +31,7 @@
 use crate::quarantine::broken_runs::BrokenRuns;
 use crate::quarantine::{Quarantine, notify};
 use crate::scheduler::weights::{self, RolloutHistories};
-use crate::scheduler::{End, PlacementEvent, TicketId};
+use crate::scheduler::{EndReason, PlacementEvent, TicketId};
 use crate::telemetry::roles::EntryMetrics;
 
 /// Number of entries that share the retry budget until a replica reports it.
@@ -49,8 +49,8 @@
 #[snafu(display("the change does not apply to the known roster"))]
 pub struct RosterMismatch;
 
-impl From<NameMissing> for RosterMismatch {
-    fn from(error: NameMissing) -> RosterMismatch {
+impl From<UnknownName> for RosterMismatch {
+    fn from(error: UnknownName) -> RosterMismatch {
         log::warn!("event=targets_damaged reason={:?}", error.to_string());
         RosterMismatch
     }
@@ -83,7 +83,7 @@
     /// All known targets.
     pub fleet: RefCell<FleetView>,
     /// This entry's share of the retry budget.
-    pub retries: RefCell<RetryShare>,
+    pub retries: RefCell<RetryBudget>,
     /// Requests that repeatedly terminate targets.
     pub quarantine: watch::Sender<Quarantine>,
     /// Failed runs at targets that may have terminated.
@@ -132,7 +132,7 @@
 impl Gateway {
     /// Creates the state of an entry that has received no updates yet.
     pub fn new(host: HostSettings, metrics: EntryMetrics) -> Gateway {
-        let rule = RetryRule {
+        let rule = RetryLimit {
             ratio: host.retry_ratio,
             slack: host.retry_slack,
             window: host.periods.retry_window,
@@ -144,7 +144,7 @@
             host,
             table: RefCell::default(),
             fleet: RefCell::default(),
-            retries: RefCell::new(RetryShare::new(rule, INITIAL_ENTRY_COUNT)),
+            retries: RefCell::new(RetryBudget::new(rule, INITIAL_ENTRY_COUNT)),
             quarantine: watch::Sender::default(),
             broken_runs: RefCell::default(),
             probe_finished: Notify::new(),
@@ -314,10 +314,10 @@
             Update::Domains(domains) => self.subscriptions.borrow_mut().observe_domains(domains),
             Update::RosterPiece(piece) => self.observe_piece(&piece)?,
             Update::RosterVersionOnly { leaving, .. } => {
-                self.fleet.borrow_mut().leave(leaving.iter())
+                self.fleet.borrow_mut().mark_leaving(leaving.iter())
             }
             Update::RosterChanged { before, version, changed, gone } => {
-                let change = RosterChange { changed: changed.listed()?, gone };
+                let change = RosterChange { changed: changed.to_listed()?, gone };
                 self.observe_leaving(change.changed.iter());
                 let known = self.roster.borrow().clone();
                 if known.version() >= version {
@@ -372,7 +372,7 @@
     /// may disagree for a while about which roster that is.
     fn observe_leaving<'a>(&self, listed: impl Iterator<Item = &'a Listed>) {
         let leaving = listed.filter(|listed| listed.presence == Presence::Leaving);
-        self.fleet.borrow_mut().leave(leaving.map(|listed| &listed.start));
+        self.fleet.borrow_mut().mark_leaving(leaving.map(|listed| &listed.start));
     }
 
     /// The complete and partial rosters held here.
@@ -388,7 +388,7 @@
         }
         let listed = piece.listed()?;
         if !self.has_roster() {
-            self.fleet.borrow_mut().add(&listed);
+            self.fleet.borrow_mut().add_partial(&listed);
             self.state_changed.notify_waiters();
         }
         self.observe_leaving(listed.iter());
@@ -407,7 +407,7 @@
         if roster.version() <= self.roster.borrow().version() {
             return;
         }
-        self.fleet.borrow_mut().take(&roster.roster);
+        self.fleet.borrow_mut().update(&roster.roster);
         *self.roster.borrow_mut() = roster;
         *self.assembly.borrow_mut() = Assembly::default();
         self.subscriptions.borrow_mut().roster_complete();
@@ -444,7 +444,7 @@
     gateway: Rc<Gateway>,
     dispatch: Option<Dispatch>,
     ticket: Option<TicketId>,
-    end: End,
+    end: EndReason,
 }
 
 impl InFlightRequest {
@@ -460,19 +460,19 @@
             gateway: gateway.clone(),
             dispatch: Some(dispatch),
             ticket,
-            end: End::Left,
+            end: EndReason::Cancelled,
         }
     }
 
     /// Records that response data has arrived, so that the target has read the prompt.
     pub fn prompt_read(&mut self, response_metadata: &ResponseMetadata) {
         let Some(dispatch) = &mut self.dispatch else { return };
-        if !self.gateway.fleet.borrow_mut().has_read(dispatch) {
+        if !self.gateway.fleet.borrow_mut().end_prefill(dispatch) {
             return;
         }
         if let Some(ticket) = self.ticket {
             let (weight_version, load) = (response_metadata.weight_version, response_metadata.load);
-            self.gateway.scheduler.send_event(PlacementEvent::FirstPart {
+            self.gateway.scheduler.send_event(PlacementEvent::FirstToken {
                 ticket,
                 weight_version,
                 load,
@@ -481,7 +481,7 @@
     }
 
     /// Sets how the request ended at the target. The default is that the caller left.
-    pub fn set_end(&mut self, end: End) {
+    pub fn set_end(&mut self, end: EndReason) {
         self.end = end;
     }
 }
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -9,8 +9,8 @@
 use crate::control::frames::SchedulerError;
 use crate::fleet::placement;
 use crate::ids::TargetStart;
-use crate::scheduler::weights::{BEGINS_WITHIN, OldWeights, RolloutHistory};
-use crate::scheduler::{Placed, PlacementError, PlacementRequest};
+use crate::scheduler::weights::{MAX_START_DELAY, OldWeightsPolicy, RolloutHistory};
+use crate::scheduler::{Placement, PlacementError, PlacementRequest};
 
 /// How long to wait for a placed prompt's target to appear in a roster that has only been received
 /// in part.
@@ -21,7 +21,7 @@
     /// The target itself.
     pub target: TargetStart,
     /// The placement, if the scheduler selected the target.
-    pub placed: Option<Placed>,
+    pub placed: Option<Placement>,
     /// The weights that the engine must run.
     pub weight_version: Option<u64>,
     /// The reasons for the selection as key=value pairs, for the log.
@@ -65,7 +65,7 @@
     select_locally(gateway, routed, avoid)
 }
 
-fn from_placement(placed: Placed) -> SelectedTarget {
+fn from_placement(placed: Placement) -> SelectedTarget {
     let trace = format!(
         "by=scheduler weights={} running={} ahead_ms={} resident_tokens={} fetched_tokens={} \
          again_nowhere_whole={} again_link_full={} again_link_slow={} expected_ms={} waited_ms={} \
@@ -75,9 +75,9 @@
         placed.trace.ahead_ms,
         placed.trace.resident_tokens,
         placed.trace.fetched_tokens,
-        placed.trace.read_again.nowhere_whole_tokens,
-        placed.trace.read_again.link_full_tokens,
-        placed.trace.read_again.link_slow_tokens,
+        placed.trace.recomputed.nowhere_whole_tokens,
+        placed.trace.recomputed.link_full_tokens,
+        placed.trace.recomputed.link_slow_tokens,
         placed.trace.expected_ms,
         placed.trace.waited_ms,
         placed.save.iter().flatten().count(),
@@ -94,9 +94,9 @@
     let criteria = placement::Criteria {
         service: &routed.service,
         prompt: routed.metadata.prompt.as_ref(),
-        cache_wall: &routed.cache_scope,
+        cache_namespace: &routed.cache_scope,
         tried: avoid,
-        drawn: routed.tie_breaker,
+        tie_breaker: routed.tie_breaker,
         named: &gateway.rollouts.borrow(),
         old_weights: gateway.host.periods.old_weights,
     };
@@ -108,7 +108,7 @@
     let trace = format!(
         "by=entry load={:.1} home={} expected_ms={}{}",
         choice.load,
-        choice.home,
+        choice.affinity_rank,
         choice.expected.as_millis(),
         weights_trace(gateway, routed, choice.weight_version),
     );
@@ -126,12 +126,12 @@
     let old_weights = gateway.host.periods.old_weights;
     let old_weights = match selected.placed {
         // This bound starts when the scheduler does, which the entry does not know.
-        Some(_) => OldWeights { within: None, ..old_weights },
+        Some(_) => OldWeightsPolicy { within: None, ..old_weights },
         None => old_weights,
     };
     let rollouts = gateway.rollouts.borrow();
     let (history, has) = (rollouts.get(&prompt.model), selected.weight_version);
-    old_weights.cost_ms(history, has, BootTime::ZERO, boot_now() + BEGINS_WITHIN).is_some()
+    old_weights.cost_ms(history, has, BootTime::ZERO, boot_now() + MAX_START_DELAY).is_some()
 }
 
 /// Describes the selected and the newest announced weights, and how long ago the first version was
@@ -172,14 +172,14 @@
     Some(PlacementRequest {
         service: routed.service.clone(),
         model: prompt.model.clone(),
-        wall: routed.cache_scope.clone(),
+        cache_namespace: routed.cache_scope.clone(),
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
         priority: routed.priority.scheduler_level(),
         objective: routed.route.objective,
         time_left: routed.deadline.saturating_duration_since(tokio::time::Instant::now()),
-        waited: routed.arrived.elapsed(),
+        elapsed: routed.arrived.elapsed(),
         avoid,
     })
 }
--- a/src/gateway/termination.rs
+++ b/src/gateway/termination.rs
@@ -36,7 +36,7 @@
     let run = BrokenRun { fingerprint: routed.fingerprint(), sent_at, broke_at: boot_now() };
     record.set_fingerprint(run.fingerprint);
     // The termination of a leaving target is planned.
-    if gateway.fleet.borrow().was_told_to_leave(target) {
+    if gateway.fleet.borrow().is_known_to_leave(target) {
         return;
     }
     let check = gateway.broken_runs.borrow_mut().record_broken_run(target, run);
@@ -96,7 +96,7 @@
 /// they were never leaving. To be called after each change of the roster.
 pub fn record_unlisted(gateway: &Gateway) {
     let is_unlisted = |target: &&TargetStart| {
-        !gateway.is_listed(target) && !gateway.fleet.borrow().was_told_to_leave(target)
+        !gateway.is_listed(target) && !gateway.fleet.borrow().is_known_to_leave(target)
     };
     let terminated: Vec<TargetStart> =
         gateway.broken_runs.borrow().unresolved_targets().filter(is_unlisted).cloned().collect();
--- a/src/host.rs
+++ b/src/host.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::ids::DomainId;
-use crate::scheduler::weights::OldWeights;
+use crate::scheduler::weights::OldWeightsPolicy;
 
 /// Settings of one process, independent of the format that they are read from.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
     /// Minimum time between the orders of two different hosts to the same engine.
     pub min_order_interval: Duration,
     /// How long prompts may still start on older weights.
-    pub old_weights: OldWeights,
+    pub old_weights: OldWeightsPolicy,
     /// The window over which retries are counted.
     pub retry_window: Duration,
     /// Maximum time from the acknowledgement of a deployment until it is in force; `None` if there is no limit.
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -1,6 +1,7 @@
-//! The scheduler: where each prompt runs, what it fetches, what is saved.
+//! The scheduler: chooses the engine for each prompt, and which parts are fetched from and saved to
+//! stores.
 
-mod intake;
+mod updates;
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,242 +9,254 @@
 
 use rustc_hash::FxHashMap;
 
-use super::candidate::{Candidate, RequiredPrefix, shared_count};
-use super::engine::{Engine, Load};
+use super::candidate::{Candidate, RequiredPrefix, shared_part_count};
+use super::engine::{Engine, PromptLoad};
 use super::lateness::Lateness;
-use super::memory::PartKey;
-use super::messages::{DecisionTrace, End, Placed, PlacementEvent, PlacementRequest, TicketId};
-use super::pace::Pace;
-use super::queue::{Queue, WaiterId, Waiting};
-use super::source::distance;
-use super::store::{FETCH_LASTS, FREE_LASTS, Store};
-use super::weights::Weights;
+
+use super::messages::{
+    DecisionTrace, EndReason, Placement, PlacementEvent, PlacementRequest, TicketId,
+};
+
+use super::engine_cache::PartKey;
+use super::prefill::PrefillEstimator;
+use super::queue::{Queue, QueuedPrompt, WaiterId};
+use super::source::domain_factor;
+use super::store::{FETCH_GRANT_TTL, FREE_TTL, Store};
+use super::weights::WeightState;
 use crate::clock::BootTime;
 use crate::deployment::EngineTraits;
 use crate::fleet::{FailureCause, Presence};
 use crate::gateway::metadata::Part;
 use crate::ids::{ServiceId, TargetStart};
 
-/// An engine takes another prompt once it has less than this left to read: enough to keep it busy
-/// until the next placement, and so little that an urgent prompt is not kept waiting behind others.
-const READS_AHEAD: Duration = Duration::from_millis(60);
-/// A refused caller comes back after this at the least, and at the most this much later.
-const COME_BACK: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(700));
-/// Contexts up to this length go to the stores that answer soonest, where that matters most.
+/// Engines with a longer prefill backlog get no further prompts. Long enough to keep an engine busy
+/// until the next dispatch, short enough that urgent prompts don't queue up at the engine.
+const MAX_PREFILL_BACKLOG: Duration = Duration::from_millis(60);
+/// Bounds of the retry delay that a refused caller is given.
+const RETRY_AFTER: (Duration, Duration) = (Duration::from_millis(250), Duration::from_millis(700));
+/// Contexts up to this length are saved to the store with the shortest time to first byte: latency
+/// dominates the time of a small fetch.
 const SHORT_CONTEXT_TOKENS: u64 = 3_000;
-/// A dispatch looks at this many prompts that find no room. Engines differ little in what fits, so
-/// more would find none either.
-const STUCK_AT_MOST: usize = 8;
-/// Prompts that come to a new scheduler wait for this long at the most for engines' memories and stores'
-/// inventories: 18 engines and six stores take 50 ms, 140 engines some 150 ms.
-const MEMORIES_READ_WITHIN: Duration = Duration::from_millis(150);
-/// Kept between the last free that an earlier scheduler decided and the first fetch, for clocks that are
-/// read a little apart.
-const FREE_VOID_MARGIN: Duration = Duration::from_millis(20);
-/// A new scheduler frees nothing before fetches that an earlier one granted have ended.
-const FIRST_FREES_AFTER: Duration = Duration::from_millis(2_500);
+/// A dispatch ends after this many prompts that fit on no engine. Engines have similar free
+/// capacity, so the remaining ones would rarely fit either.
+const MAX_UNPLACED_PER_DISPATCH: usize = 8;
+/// Longest time for which a new scheduler holds prompts back until engine caches and store
+/// inventories have been read.
+const WARM_UP_TIMEOUT: Duration = Duration::from_millis(150);
+/// Allowance for clock reading error, added to `FREE_TTL` before a new scheduler's first fetch.
+const FIRST_FETCH_MARGIN: Duration = Duration::from_millis(20);
+/// A new scheduler frees nothing until fetches granted by its predecessor must have ended.
+const FIRST_FREE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// Why a prompt was not placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum PlacementError {
-    /// No engine of the service is known here.
-    NoneListed,
-    /// All that are known are out of order, or must be avoided.
-    NoneSound,
-    /// None will have room in time. Come back after this time.
+    /// No engine of the service is listed.
+    NoTargetListed,
+    /// Every listed engine is ejected or excluded by the request.
+    NoHealthyTarget,
+    /// No engine will have capacity in time; the caller may retry after this delay.
     Busy(Duration),
 }
 
-/// A placement, or why there is none.
-pub type PlacementResult = Result<Placed, PlacementError>;
+pub type PlacementResult = Result<Placement, PlacementError>;
 
-/// The engines' clock, as it was read.
+/// A reading of the clock that engines and stores share.
 #[derive(Clone, Copy, Debug)]
-struct EnginesClock {
+struct EngineClock {
     at_ms: u64,
     read_at: BootTime,
 }
 
-/// The scheduler.
+/// Places prompts on engines; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetStart, Engine>,
     traits: HashMap<ServiceId, EngineTraits>,
     stores: BTreeMap<SocketAddr, Store>,
-    paces: HashMap<ServiceId, Pace>,
-    /// Recent delay of first tokens beyond what was expected: queueing delay at engines, which must not
-    /// lower the bandwidth estimate of a link.
+    estimators: HashMap<ServiceId, PrefillEstimator>,
+    /// Recent delay of first tokens beyond the expected time. It is subtracted from measured fetch
+    /// times, so that queueing at engines doesn't count against the links.
     lateness: HashMap<ServiceId, Lateness>,
     queue: Queue,
     tickets: FxHashMap<TicketId, Ticket>,
     next_ticket: TicketId,
-    clock: Option<EnginesClock>,
-    frees_from: BootTime,
-    /// Before this time frees of an earlier scheduler may be under candidate.
-    fetches_from: BootTime,
-    /// Until this time prompts wait for what engines and stores hold to be read, unless it has been.
+    clock: Option<EngineClock>,
+    frees_allowed_from: BootTime,
+    /// Until this time, frees issued by an earlier scheduler may still take effect, so nothing is
+    /// fetched.
+    fetches_allowed_from: BootTime,
+    /// Prompts wait for cache state until this time at the latest.
     warm_until: BootTime,
-    /// Whether engines' memories have been read.
-    knows_memories: bool,
-    weights: Weights,
+    /// Whether the engines' caches have been read.
+    engine_caches_known: bool,
+    weights: WeightState,
 }
 
 /// A placement that has not ended.
 #[derive(Clone, Debug)]
 struct Ticket {
     target: TargetStart,
-    /// The weights that the engine was believed to run.
+    /// The weights that the engine was expected to run.
     weight_version: Option<u64>,
     since: BootTime,
-    /// Where most comes from, if the fetch takes longest of all.
-    slowest: Option<SocketAddr>,
-    /// How long the fetch was expected to take.
+    /// Source of the largest fetched part, if the fetch was expected to take longer than the
+    /// engine's backlog.
+    slowest_source: Option<SocketAddr>,
+    /// Expected duration of the fetch.
     fetch_ms: f64,
-    /// When the first part of the answer was expected, after the placement.
+    /// Expected time from the placement to the first token.
     expected_ms: f64,
 }
 
-/// What came of trying to place a prompt.
+/// Result of one attempt to place a prompt.
 enum PlacementAttempt {
     Done(PlacementResult),
-    /// All engines have enough to read: no other prompt would be placed either.
+    /// All eligible engines have a full prefill backlog: no other prompt could be placed either.
     AllBusy,
-    /// The engines that could read lack the memory.
+    /// Engines are available, but none has capacity for this prompt.
     NoRoom,
 }
 
 impl Scheduler {
-    /// The scheduler of a leader that was elected at `now`. Tickets of two schedulers differ.
+    /// Creates the scheduler of a leader elected at `now`. Ticket ranges of different schedulers
+    /// must not overlap.
     pub fn new(first_ticket: TicketId, now: BootTime) -> Scheduler {
         Scheduler {
             engines: BTreeMap::new(),
             traits: HashMap::new(),
             stores: BTreeMap::new(),
-            paces: HashMap::new(),
+            estimators: HashMap::new(),
             lateness: HashMap::new(),
             queue: Queue::default(),
             tickets: FxHashMap::default(),
             next_ticket: first_ticket,
             clock: None,
-            frees_from: now + FIRST_FREES_AFTER,
-            fetches_from: now,
+            frees_allowed_from: now + FIRST_FREE_DELAY,
+            fetches_allowed_from: now,
             warm_until: now,
-            knows_memories: true,
-            weights: Weights::new(now),
+            engine_caches_known: true,
+            weights: WeightState::new(now),
         }
     }
 
-    /// Has prompts wait until it is known what engines and stores hold. Called before the first prompt:
-    /// those of an outage come at once, and would be read again where they don't lie.
-    pub fn await_memories(&mut self, now: BootTime) {
-        self.warm_until = now + MEMORIES_READ_WITHIN;
-        self.fetches_from = now + FREE_LASTS + FREE_VOID_MARGIN;
-        self.knows_memories = false;
+    /// Holds prompts back until engine caches and store inventories are known. Must be called
+    /// before the first prompt: after an outage, prompts arrive all at once and would otherwise be
+    /// recomputed on engines that don't hold their context.
+    pub fn await_cache_state(&mut self, now: BootTime) {
+        self.warm_until = now + WARM_UP_TIMEOUT;
+        self.fetches_allowed_from = now + FREE_TTL + FIRST_FETCH_MARGIN;
+        self.engine_caches_known = false;
     }
 
-    /// Engines' memories have been read, as far as they can be.
-    pub fn memories_read(&mut self) {
-        self.knows_memories = true;
+    /// Records that the caches of all reachable engines have been read.
+    pub fn set_engine_caches_known(&mut self) {
+        self.engine_caches_known = true;
     }
 
-    /// Whether prompts need not wait for what engines and stores hold.
-    fn is_informed(&self, now: BootTime) -> bool {
-        let knows_stores = self.clock.is_some() && self.stores.values().all(Store::is_known);
-        (self.knows_memories && knows_stores && now >= self.fetches_from) || now >= self.warm_until
+    /// Whether placements can rely on the known cache state, or have waited for it long enough.
+    fn has_cache_state(&self, now: BootTime) -> bool {
+        let stores_known = self.clock.is_some() && self.stores.values().all(Store::has_inventory);
+        (self.engine_caches_known && stores_known && now >= self.fetches_allowed_from)
+            || now >= self.warm_until
     }
 
-    /// Takes a prompt: it is placed at once or refused, or it waits and comes out of `dispatch`.
+    /// Submits a prompt. Returns its result if it is placed or refused at once; otherwise it is
+    /// queued and `dispatch` returns the result.
     pub fn submit(
         &mut self,
         waiter: WaiterId,
-        ask: PlacementRequest,
+        request: PlacementRequest,
         now: BootTime,
     ) -> Option<PlacementResult> {
-        let must_wait = !self.queue.is_empty() || !self.is_informed(now);
-        let waiting = Waiting { waiter, ask, since: now };
-        if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&waiting, now) {
+        let must_wait = !self.queue.is_empty() || !self.has_cache_state(now);
+        let queued = QueuedPrompt { waiter, request, since: now };
+        if !must_wait && let PlacementAttempt::Done(outcome) = self.try_place(&queued, now) {
             return Some(outcome);
         }
-        self.queue.add(waiting);
+        self.queue.add(queued);
         None
     }
 
-    /// Takes a prompt out whose caller has left.
+    /// Removes a queued prompt whose caller has left.
     pub fn withdraw(&mut self, waiter: WaiterId) {
         self.queue.withdraw(waiter);
     }
 
-    /// Places those that wait as far as engines have room, and refuses those that have no hope.
+    /// Places queued prompts while engines have capacity, and refuses those that have waited too
+    /// long.
     pub fn dispatch(&mut self, now: BootTime) -> Vec<(WaiterId, PlacementResult)> {
-        let hopeless = self.queue.drain_hopeless(now).into_iter();
-        let mut outcomes: Vec<(WaiterId, PlacementResult)> = hopeless
-            .map(|waiting| (waiting.waiter, Err(PlacementError::Busy(come_back(waiting.waiter)))))
+        let expired = self.queue.drain_expired(now).into_iter();
+        let mut outcomes: Vec<(WaiterId, PlacementResult)> = expired
+            .map(|queued| (queued.waiter, Err(PlacementError::Busy(retry_after(queued.waiter)))))
             .collect();
-        if !self.is_informed(now) {
+        if !self.has_cache_state(now) {
             return outcomes;
         }
-        let mut stuck = Vec::new();
-        while stuck.len() < STUCK_AT_MOST
-            && let Some(waiting) = self.queue.pick()
+        let mut unplaced = Vec::new();
+        while unplaced.len() < MAX_UNPLACED_PER_DISPATCH
+            && let Some(queued) = self.queue.pop_next()
         {
-            match self.try_place(&waiting, now) {
-                PlacementAttempt::Done(outcome) => outcomes.push((waiting.waiter, outcome)),
-                PlacementAttempt::NoRoom => stuck.push(waiting),
+            match self.try_place(&queued, now) {
+                PlacementAttempt::Done(outcome) => outcomes.push((queued.waiter, outcome)),
+                PlacementAttempt::NoRoom => unplaced.push(queued),
                 PlacementAttempt::AllBusy => {
-                    stuck.push(waiting);
+                    unplaced.push(queued);
                     break;
                 }
             }
         }
-        stuck.into_iter().for_each(|waiting| self.queue.put_back(waiting));
+        unplaced.into_iter().for_each(|queued| self.queue.requeue(queued));
         outcomes
     }
 
-    /// How many prompts wait.
+    /// Number of queued prompts.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Places a prompt on the engine where it costs least.
-    fn try_place(&mut self, waiting: &Waiting, now: BootTime) -> PlacementAttempt {
-        let ask = &waiting.ask;
-        let Some(traits) = self.traits.get(&ask.service) else {
-            return PlacementAttempt::Done(Err(PlacementError::NoneListed));
+    /// Places a prompt on the engine with the lowest cost.
+    fn try_place(&mut self, queued: &QueuedPrompt, now: BootTime) -> PlacementAttempt {
+        let request = &queued.request;
+        let Some(traits) = self.traits.get(&request.service) else {
+            return PlacementAttempt::Done(Err(PlacementError::NoTargetListed));
         };
-        let pace = self.paces.get(&ask.service).copied().unwrap_or_default();
-        let (mut is_listed, mut is_sound, mut is_free) = (false, false, false);
+        let estimator = self.estimators.get(&request.service).copied().unwrap_or_default();
+        let (mut is_listed, mut is_healthy, mut is_free) = (false, false, false);
         let mut best: Option<(&TargetStart, Candidate)> = None;
         let mut required: Vec<(Option<u64>, RequiredPrefix<'_>)> = Vec::new();
         for (id, engine) in &self.engines {
-            if engine.listed.service != ask.service || engine.listed.presence != Presence::Live {
+            if engine.listed.service != request.service || engine.listed.presence != Presence::Live
+            {
                 continue;
             }
             is_listed = true;
-            if ask.avoid.contains(id) || !engine.health.admits(engine.placed(), now) {
+            if request.avoid.contains(id) || !engine.health.admits(engine.active_placements(), now)
+            {
                 continue;
             }
-            is_sound = true;
-            if engine.reads_for(now) >= READS_AHEAD || self.weights.keep_from(id) {
+            is_healthy = true;
+            if engine.prefill_backlog(now) >= MAX_PREFILL_BACKLOG || self.weights.excludes(id) {
                 continue;
             }
             let Some(weights_cost_ms) =
-                self.weights.cost_ms(&ask.model, engine.weight_version, now)
+                self.weights.cost_ms(&request.model, engine.weight_version, now)
             else {
                 continue;
             };
             is_free = true;
             let version = engine.weight_version;
-            let known = required.iter().position(|(known, _)| *known == version);
-            let known = known.unwrap_or_else(|| {
+            let index =
+                required.iter().position(|(required_version, _)| *required_version == version);
+            let index = index.unwrap_or_else(|| {
                 let (stores, engines) = (self.stores.values(), self.engines.values());
-                let may_fetch = self.clock.is_some() && now >= self.fetches_from;
+                let may_fetch = self.clock.is_some() && now >= self.fetches_allowed_from;
                 required.push((
                     version,
-                    RequiredPrefix::new(ask, version, stores, engines, may_fetch, now),
+                    RequiredPrefix::new(request, version, stores, engines, may_fetch, now),
                 ));
                 required.len() - 1
             });
-            let Some(mut candidate) = required[known].1.candidate(engine, traits, &pace, now)
+            let Some(mut candidate) = required[index].1.candidate(engine, traits, &estimator, now)
             else {
                 continue;
             };
@@ -253,19 +266,20 @@
             }
         }
         let Some((target, candidate)) = best else {
-            return match (is_listed, is_sound, is_free) {
-                (false, ..) => PlacementAttempt::Done(Err(PlacementError::NoneListed)),
-                (_, false, _) => PlacementAttempt::Done(Err(PlacementError::NoneSound)),
+            return match (is_listed, is_healthy, is_free) {
+                (false, ..) => PlacementAttempt::Done(Err(PlacementError::NoTargetListed)),
+                (_, false, _) => PlacementAttempt::Done(Err(PlacementError::NoHealthyTarget)),
                 (.., false) => PlacementAttempt::AllBusy,
                 _ => PlacementAttempt::NoRoom,
             };
         };
         let target = target.clone();
         let version = self.engines.get(&target).and_then(|engine| engine.weight_version);
-        let chosen = required.into_iter().find(|(known, _)| *known == version);
+        let chosen =
+            required.into_iter().find(|(required_version, _)| *required_version == version);
         let (salt, keys) =
             chosen.map(|(_, required)| (required.salt, required.keys)).unwrap_or_default();
-        PlacementAttempt::Done(Ok(self.grant(target, candidate, salt, keys, waiting, now)))
+        PlacementAttempt::Done(Ok(self.grant(target, candidate, salt, keys, queued, now)))
     }
 
     fn grant(
@@ -274,47 +288,47 @@
         candidate: Candidate,
         salt: String,
         keys: Vec<PartKey>,
-        waiting: &Waiting,
+        queued: &QueuedPrompt,
         now: BootTime,
-    ) -> Placed {
-        let ask = &waiting.ask;
+    ) -> Placement {
+        let request = &queued.request;
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let shared = shared_count(ask);
-        let mut save = vec![None; ask.parts.len()];
-        for (at, saved) in save.iter_mut().enumerate().take(shared) {
-            let key = keys[at];
-            if let Some(address) = candidate.fetch[at] {
-                let is_resident = at < candidate.resident;
-                self.grant_fetch(address, key, &ask.parts[at], &target, is_resident, now);
+        let shared_parts = shared_part_count(request);
+        let mut save = vec![None; request.parts.len()];
+        for (index, save_to) in save.iter_mut().enumerate().take(shared_parts) {
+            let key = keys[index];
+            if let Some(address) = candidate.fetch[index] {
+                let is_resident = index < candidate.resident_parts;
+                self.grant_fetch(address, key, &request.parts[index], &target, is_resident, now);
             }
-            if self.stores.values().any(|store| store.knows(key)) {
+            if self.stores.values().any(|store| store.contains(key)) {
                 self.stores.values_mut().for_each(|store| store.touch(key, now));
             } else {
-                *saved = self.grant_save(key, &salt, &ask.parts[at], &target, now);
+                *save_to = self.grant_save(key, &salt, &request.parts[index], &target, now);
             }
         }
         let clock_ms = self.engines_clock_ms(now).unwrap_or_default();
         let mut weight_version = None;
         if let Some(engine) = self.engines.get_mut(&target) {
             weight_version = engine.weight_version;
-            for (key, part) in keys.iter().zip(&ask.parts) {
-                engine.memory.begin_use(*key, part.tokens);
+            for (key, part) in keys.iter().zip(&request.parts) {
+                engine.cache.acquire(*key, part.tokens);
             }
             let resident_or_fetched =
                 candidate.trace.resident_tokens + candidate.trace.fetched_tokens;
-            let load = Load {
+            let load = PromptLoad {
                 parts: keys,
-                read_tokens: ask.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
-                output_tokens: ask.output_tokens,
-                fetch: Duration::from_secs_f64(candidate.fetch_ms / 1e3),
+                prefill_tokens: request.prompt_tokens.saturating_sub(resident_or_fetched).max(1),
+                output_tokens: request.output_tokens,
+                fetch_time: Duration::from_secs_f64(candidate.fetch_ms / 1e3),
             };
-            let pace = self.paces.entry(ask.service.clone()).or_default();
-            engine.begin(ticket, load, pace, now);
+            let estimator = self.estimators.entry(request.service.clone()).or_default();
+            engine.begin(ticket, load, estimator, now);
         }
-        let parts = candidate.fetch.iter().zip(&ask.parts).skip(candidate.resident);
+        let parts = candidate.fetch.iter().zip(&request.parts).skip(candidate.resident_parts);
         let largest = parts.filter(|(store, _)| store.is_some()).max_by_key(|(_, p)| p.tokens);
-        let slowest = largest
+        let slowest_source = largest
             .and_then(|(store, _)| *store)
             .filter(|_| candidate.fetch_ms > candidate.ahead_ms);
         self.tickets.insert(
@@ -323,21 +337,21 @@
                 target: target.clone(),
                 weight_version,
                 since: now,
-                slowest,
+                slowest_source,
                 fetch_ms: candidate.fetch_ms,
-                expected_ms: candidate.ahead_ms.max(candidate.fetch_ms) + candidate.rest_ms,
+                expected_ms: candidate.ahead_ms.max(candidate.fetch_ms) + candidate.after_fetch_ms,
             },
         );
-        Placed {
+        Placement {
             ticket,
             target,
             salt,
             weight_version,
             fetch: candidate.fetch,
             save,
-            fetch_until_ms: clock_ms + FETCH_LASTS.as_millis() as u64,
+            fetch_until_ms: clock_ms + FETCH_GRANT_TTL.as_millis() as u64,
             trace: DecisionTrace {
-                waited_ms: now.saturating_sub(waiting.since).as_millis() as u32,
+                waited_ms: now.saturating_sub(queued.since).as_millis() as u32,
                 ..candidate.trace
             },
         }
@@ -367,15 +381,16 @@
         if is_resident {
             return;
         }
-        let distance = distance(from_domain, &to.failure_domain);
-        link.grant(size_bytes, distance, now);
+        let domain_factor = domain_factor(from_domain, &to.failure_domain);
+        link.reserve(size_bytes, domain_factor, now);
         if let Some(engine) = self.engines.get_mut(target) {
-            engine.link.grant(size_bytes, distance, now);
+            engine.link.reserve(size_bytes, domain_factor, now);
         }
     }
 
-    /// Where a part is saved: where nothing must be freed for it, short contexts in the store that
-    /// answers soonest, others where most room is.
+    /// Chooses a store for a part and grants the save. Stores that need not evict anything come
+    /// first; among them, the one with the shortest time to first byte for a short context,
+    /// otherwise the one with the most free capacity.
     fn grant_save(
         &mut self,
         key: PartKey,
@@ -385,7 +400,7 @@
         now: BootTime,
     ) -> Option<SocketAddr> {
         self.engines.get(target)?.weight_version?;
-        let fits = |store: &&mut Store| store.takes(key, part.tokens, now);
+        let fits = |store: &&mut Store| store.can_save(key, part.tokens, now);
         let is_short = part.tokens <= SHORT_CONTEXT_TOKENS;
         let store = self.stores.values_mut().filter(fits).min_by_key(|store| {
             let by_time = if is_short { store.traits.first_byte } else { Duration::ZERO };
@@ -396,55 +411,62 @@
         Some(store.traits.address)
     }
 
-    /// Takes what became of a placement.
+    /// Applies an event of a placement.
     pub fn observe(&mut self, event: &PlacementEvent, now: BootTime) {
         match event {
-            PlacementEvent::FirstPart { ticket, weight_version, load } => {
-                let Some(known) = self.tickets.get_mut(ticket) else { return };
-                let fetched_from = known.slowest.take();
-                let (fetch_ms, expected_ms) = (known.fetch_ms, known.expected_ms);
-                let late_ms = millis(now.saturating_sub(known.since)) - expected_ms;
-                let target = known.target.clone();
+            PlacementEvent::FirstToken { ticket, weight_version, load } => {
+                let Some(placement) = self.tickets.get_mut(ticket) else { return };
+                let fetched_from = placement.slowest_source.take();
+                let (fetch_ms, expected_ms) = (placement.fetch_ms, placement.expected_ms);
+                let late_ms = millis(now.saturating_sub(placement.since)) - expected_ms;
+                let target = placement.target.clone();
                 let Some(engine) = self.engines.get(&target) else { return };
                 let lateness = self.lateness.entry(engine.listed.service.clone()).or_default();
-                let own_late_ms = late_ms - lateness.usual_ms();
+                let own_late_ms = late_ms - lateness.median_ms();
                 lateness.add(late_ms);
                 if let Some(address) = fetched_from {
-                    self.measured(address, &target, fetch_ms, fetch_ms + own_late_ms, now);
+                    self.observe_fetch_time(
+                        address,
+                        &target,
+                        fetch_ms,
+                        fetch_ms + own_late_ms,
+                        now,
+                    );
                 }
                 let Some(engine) = self.engines.get_mut(&target) else { return };
-                let pace = self.paces.entry(engine.listed.service.clone()).or_default();
-                engine.has_read(*ticket, pace, now);
+                let estimator = self.estimators.entry(engine.listed.service.clone()).or_default();
+                engine.end_prefill(*ticket, estimator, now);
                 if let Some(load) = load {
-                    engine.reported(*load, now);
+                    engine.observe_load(*load, now);
                 }
                 if *weight_version > engine.weight_version {
                     engine.set_weights(*weight_version);
                 }
             }
             PlacementEvent::Ended { ticket, end } => {
-                let Some(known) = self.tickets.remove(ticket) else { return };
-                let Some(engine) = self.engines.get_mut(&known.target) else { return };
+                let Some(placement) = self.tickets.remove(ticket) else { return };
+                let Some(engine) = self.engines.get_mut(&placement.target) else { return };
                 engine.end(*ticket, now);
-                // Of several prompts that were sent under the same belief, one shows that it is wrong.
-                let is_same_belief = engine.weight_version == known.weight_version;
-                let is_doubted = match end {
-                    End::OtherWeights(None) => is_same_belief,
-                    // Older ones than are believed by all: the list must learn of it, too, or the
-                    // engine would never be told to load newer ones.
-                    End::OtherWeights(has) => *has < known.weight_version,
+                // Several prompts may have been sent on the same wrong assumption; only the first
+                // mismatch counts.
+                let is_first_mismatch = engine.weight_version == placement.weight_version;
+                let must_query = match end {
+                    EndReason::WeightMismatch(None) => is_first_mismatch,
+                    // The engine runs older weights than listed. The roster must be corrected, too,
+                    // or the engine is never ordered to load newer ones.
+                    EndReason::WeightMismatch(reported) => *reported < placement.weight_version,
                     _ => false,
                 };
                 observe_end(engine, *end, now);
-                if is_doubted {
-                    self.weights.doubted.insert(known.target);
+                if must_query {
+                    self.weights.unverified.insert(placement.target);
                 }
             }
         }
     }
 
-    /// Takes how long a fetch took: either end may be the slow one.
-    fn measured(
+    /// Applies a measured fetch time to the links at both ends, since either may be the slow one.
+    fn observe_fetch_time(
         &mut self,
         from: SocketAddr,
         to: &TargetStart,
@@ -453,37 +475,37 @@
         now: BootTime,
     ) {
         if let Some(store) = self.stores.get_mut(&from) {
-            store.link.measured(expected_ms, took_ms, now);
+            store.link.observe_transfer(expected_ms, took_ms, now);
         }
         let is_end =
             |(id, engine): &(&TargetStart, &mut Engine)| *id == to || engine.listed.address == from;
         for (_, engine) in self.engines.iter_mut().filter(is_end) {
-            engine.link.measured(expected_ms, took_ms, now);
+            engine.link.observe_transfer(expected_ms, took_ms, now);
         }
     }
 
-    /// Forgets placements that were lost with their entries.
-    pub fn forget_lost(&mut self, now: BootTime) {
-        self.engines.values_mut().for_each(|engine| engine.forget_lost(now));
+    /// Ends placements whose entry was lost.
+    pub fn expire_tickets(&mut self, now: BootTime) {
+        self.engines.values_mut().for_each(|engine| engine.expire_tickets(now));
     }
 }
 
-fn observe_end(engine: &mut Engine, end: End, now: BootTime) {
+fn observe_end(engine: &mut Engine, end: EndReason, now: BootTime) {
     match end {
-        End::Whole => engine.health.record_success(),
-        End::Left | End::NotRun => {}
-        End::Unreachable => engine.health.record_unreachable(now),
-        End::Failed => engine.health.record_failure(FailureCause::Target, now),
-        End::OtherWeights(version) => engine.set_weights(version),
-        End::Replaced => engine.listed.presence = Presence::Leaving,
+        EndReason::Completed => engine.health.record_success(),
+        EndReason::Cancelled | EndReason::NotRun => {}
+        EndReason::Unreachable => engine.health.record_unreachable(now),
+        EndReason::Failed => engine.health.record_failure(FailureCause::Target, now),
+        EndReason::WeightMismatch(version) => engine.set_weights(version),
+        EndReason::Replaced => engine.listed.presence = Presence::Leaving,
     }
 }
 
-/// When a refused caller comes back: spread by its name, so that many don't come as a wave.
-fn come_back(waiter: WaiterId) -> Duration {
-    let (least, most) = COME_BACK;
+/// Retry delay for a refused caller, spread by waiter id to avoid synchronized retries.
+fn retry_after(waiter: WaiterId) -> Duration {
+    let (min, max) = RETRY_AFTER;
     let spread = (waiter.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 54) as f64 / 1_024.0;
-    least + (most - least).mul_f64(spread)
+    min + (max - min).mul_f64(spread)
 }
 
 fn millis(duration: Duration) -> f64 {
--- a/tests/deployment/asking.rs
+++ b/tests/deployment/asking.rs
@@ -18,8 +18,8 @@
 use kumquatpost::gateway::metadata::Part;
 use kumquatpost::gateway::scheduler_connection;
 use kumquatpost::log::Term;
-use kumquatpost::scheduler::weights::OldWeights;
-use kumquatpost::scheduler::{End, Placed, PlacementEvent, PlacementRequest};
+use kumquatpost::scheduler::weights::OldWeightsPolicy;
+use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -33,7 +33,7 @@
 fn leading() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
     let shared = shared(1, VersionedRoster::new(1, roster));
-    Rc::new(SchedulerService::new(Rc::new(shared), OldWeights::default()))
+    Rc::new(SchedulerService::new(Rc::new(shared), OldWeightsPolicy::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
@@ -130,7 +130,7 @@
     }
 
     /// Asks, and waits if it must.
-    async fn placed_in_the_end(&mut self) -> Placed {
+    async fn placed_in_the_end(&mut self) -> Placement {
         self.tell(SchedulerRequest::Place(1, ask())).await;
         loop {
             match self.hear().await {
@@ -142,7 +142,7 @@
     }
 
     /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
-    async fn placed(&mut self) -> Placed {
+    async fn placed(&mut self) -> Placement {
         loop {
             self.tell(SchedulerRequest::Place(1, ask())).await;
             let mut answer = self.hear().await;
@@ -169,7 +169,7 @@
     PlacementRequest {
         service: "llm".to_string(),
         model: "m".to_string(),
-        wall: "all".to_string(),
+        cache_namespace: "all".to_string(),
         parts: vec![part("context", 40_000), part("own", 10_000)],
         prompt_tokens: 50_000,
         output_tokens: 10,
@@ -275,7 +275,7 @@
                 let frame = read(&mut stream).await.expect("it asks again");
                 let SchedulerRequest::Place(number, _) = frame else { panic!("{frame:?}") };
                 let answer = match asked {
-                    4 => Ok(Placed { target: start("i-1"), ..Placed::default() }),
+                    4 => Ok(Placement { target: start("i-1"), ..Placement::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
                 let answer = encode(&SchedulerReply::Placed(number, answer));
@@ -321,13 +321,14 @@
         listed.weights.insert("m".to_string(), 2);
         let known = VersionedRoster::new(1, Arc::new(roster([listed])));
         let shared = Rc::new(shared(1, known));
-        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
+        let scheduling =
+            Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
         let mut asker = Asker::connect(&scheduling).await;
         let placed = asker.placed().await;
         assert_eq!(placed.weight_version, Some(2));
-        let end = End::OtherWeights(Some(1));
+        let end = EndReason::WeightMismatch(Some(1));
         asker
             .tell(SchedulerRequest::Event(PlacementEvent::Ended { ticket: placed.ticket, end }))
             .await;
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -38,7 +38,7 @@
     let _ = instances::decode(bytes).map(|page| {
         let mut listing = Listing::default();
         page.entries.into_iter().for_each(|entry| listing.add(entry));
-        let _ = listing.finish().map(|listing| Roster::default().take(listing.into_targets()));
+        let _ = listing.finish().map(|listing| Roster::default().update(listing.into_targets()));
     });
     let _ = settings::decode(bytes).map(|host| {
         let list = TargetListSource {
@@ -83,7 +83,7 @@
     }
     if let Ok(page) = stores::decode_events(bytes) {
         page.clock_ms.into_iter().for_each(|at_ms| scheduler.read_clock(at_ms, ms(5_000)));
-        scheduler.recall(&crate::fixtures::start("i-00"), page.events.clone());
+        scheduler.observe_cache_events(&crate::fixtures::start("i-00"), page.events.clone());
         scheduler.observe_events(store, page.events, ms(5_000));
     }
     scheduler.submit(1, ask_of(1, 1, 1), ms(5_001));
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -13,7 +13,7 @@
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::Reply;
 use kumquatpost::fleet::Listed;
-use kumquatpost::scheduler::weights::OldWeights;
+use kumquatpost::scheduler::weights::OldWeightsPolicy;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -52,7 +52,7 @@
     });
     let rollout = RolloutController {
         shared: shared.clone(),
-        scheduling: Rc::new(SchedulerService::new(shared.clone(), OldWeights::default())),
+        scheduling: Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default())),
         inputs,
         order_lease: Duration::ZERO,
         loads_in_progress: Cell::new(0),
@@ -112,7 +112,7 @@
         // The report is on its way when the list shows the next start.
         let mut second = Listed { start: born("i-1", 2), ..engine };
         second.weights.insert("m".to_string(), 2);
-        shared.change_roster(|known| known.take(vec![second]));
+        shared.change_roster(|known| known.update(vec![second]));
         stream.write_all(report(1).0.as_bytes()).await.expect("it waits");
         let next = tokio::time::timeout(ms(1_500), listener.accept()).await;
         assert!(next.is_err(), "it is neither asked nor told again");
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -5,13 +5,13 @@
 use kumquatpost::fleet::placement::{Criteria, SelectionError, choose};
 use kumquatpost::fleet::{FailureCause, FleetView};
 use kumquatpost::gateway::metadata::{Part, Prompt};
-use kumquatpost::scheduler::weights::{OldWeights, RolloutHistories, observe_named};
+use kumquatpost::scheduler::weights::{OldWeightsPolicy, RolloutHistories, observe_named};
 
 use crate::fixtures::{address, ms, roster, start, target};
 
 fn view(engines: u16) -> FleetView {
     let mut view = FleetView::default();
-    view.take(&roster((0..engines).map(|n| target(&format!("i-{n}"), "llm", address(n)))));
+    view.update(&roster((0..engines).map(|n| target(&format!("i-{n}"), "llm", address(n)))));
     view
 }
 
@@ -25,11 +25,19 @@
     }
 }
 
-fn ask<'a>(prompt: &'a Prompt, wall: &'a str, drawn: u64) -> Criteria<'a> {
+fn ask<'a>(prompt: &'a Prompt, wall: &'a str, tie_breaker: u64) -> Criteria<'a> {
     let named = const { &RolloutHistories::new() };
-    let old_weights = OldWeights::default();
+    let old_weights = OldWeightsPolicy::default();
     let prompt = Some(prompt);
-    Criteria { service: "llm", prompt, cache_wall: wall, tried: &[], drawn, named, old_weights }
+    Criteria {
+        service: "llm",
+        prompt,
+        cache_namespace: wall,
+        tried: &[],
+        tie_breaker,
+        named,
+        old_weights,
+    }
 }
 
 /// Weights 2 were named then.
@@ -97,20 +105,20 @@
     for _ in 0..3 {
         view.failed(&id(1), FailureCause::Target, ms(1));
     }
-    assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoneSound));
+    assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoHealthyTarget));
     assert!(choose(&view, &ask(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
     let tried = [id(0), id(1)];
     let again = Criteria { tried: &tried, ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &again, ms(600)), Err(SelectionError::NoneSound));
+    assert_eq!(choose(&view, &again, ms(600)), Err(SelectionError::NoHealthyTarget));
     let elsewhere = Criteria { service: "nowhere", ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &elsewhere, ms(0)), Err(SelectionError::NoneListed));
+    assert_eq!(choose(&view, &elsewhere, ms(0)), Err(SelectionError::NoTargetListed));
 }
 
 /// Plain services: calls spread over their targets by what runs there.
 #[test]
 fn plain_calls_go_where_least_runs() {
     let mut view = FleetView::default();
-    view.take(&roster((0..3).map(|n| target(&format!("i-{n}"), "app", address(n)))));
+    view.update(&roster((0..3).map(|n| target(&format!("i-{n}"), "app", address(n)))));
     let mut dispatches = Vec::new();
     for drawn in 0..30 {
         let unused = prompt(0, 0);
@@ -128,9 +136,9 @@
     let mut listed = [0, 1].map(|n| target(&format!("i-{n}"), "llm", address(n)));
     listed[1].weights.insert("m".to_string(), 2);
     let mut view = FleetView::default();
-    view.take(&roster(listed));
+    view.update(&roster(listed));
     let named = named_at(ms(1_000));
-    let old_weights = OldWeights { within: Some(ms(6_000)), at_last_within: Some(ms(8_400)) };
+    let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     // A returning context would go home to either engine, and reading it again takes 76 ms.
     for context in 0..20 {
         let prompt = prompt(context, 7_000);
@@ -152,7 +160,7 @@
 fn an_engine_whose_weights_are_unknown_must_run_the_newest_named_ones() {
     let mut view = view(1);
     let named = named_at(ms(1_000));
-    let old_weights = OldWeights { within: Some(ms(6_000)), at_last_within: Some(ms(8_400)) };
+    let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     let prompt = prompt(1, 2_000);
     let ask = Criteria { named: &named, old_weights, ..ask(&prompt, "all", 0) };
     assert_eq!(choose(&view, &ask, ms(60_000)), Err(SelectionError::OldWeights));
@@ -173,14 +181,14 @@
     let has = |view: &FleetView| {
         view.get(&start("i-0")).and_then(|state| state.weights.get("m").copied())
     };
-    view.take(&listed(1));
-    view.answered_on(&id, &model, 2);
-    view.take(&listed(1));
+    view.update(&listed(1));
+    view.observe_weights(&id, &model, 2);
+    view.update(&listed(1));
     assert_eq!(has(&view), Some(2), "the list lags");
-    view.answered_on(&id, &model, 1);
+    view.observe_weights(&id, &model, 1);
     assert_eq!(has(&view), Some(2), "an answer that was overtaken");
     view.refused_weights(&id, &model, Some(1));
     assert_eq!(has(&view), Some(1), "it refuses, and says why");
-    view.take(&listed(2));
+    view.update(&listed(2));
     assert_eq!(has(&view), Some(2));
 }
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::ServiceRole;
-use kumquatpost::scheduler::pace::Pace;
+use kumquatpost::scheduler::prefill::PrefillEstimator;
 use kumquatpost::scheduler::store::{Inventory, StoredPart};
-use kumquatpost::scheduler::{End, PlacementError, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{
@@ -26,8 +26,8 @@
     ));
     assert_eq!((two.save[0], two.fetch[0]), (None, None), "its save has been granted already");
     finish_saves(&mut scheduler, &one, &ask, ms(200));
-    end(&mut scheduler, one.ticket, End::Whole, ms(300));
-    end(&mut scheduler, two.ticket, End::Left, ms(300));
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(300));
     let avoid = vec![one.target];
     let three = placed(scheduler.submit(3, PlacementRequest { avoid, ..ask }, ms(400)));
     assert_eq!(three.fetch[0], Some(address(9_000)));
@@ -41,9 +41,9 @@
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     let ask = ask_of(0, 1, 1);
-    let whole =
+    let complete =
         vec![StoredPart { salt: "all/m/1".into(), id: ask.parts[0].id.clone(), tokens: 9_100 }];
-    let inventory = Inventory { start: store_start(1), whole, ..Inventory::default() };
+    let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     assert_eq!(placed(scheduler.submit(1, ask.clone(), ms(10))).fetch[0], None);
     scheduler.read_clock(77, ms(20));
@@ -60,15 +60,15 @@
     let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
     finish_saves(&mut scheduler, &one, &ask, ms(200));
     first(&mut scheduler, one.ticket, ms(200));
-    end(&mut scheduler, one.ticket, End::Whole, ms(300));
-    let walled = PlacementRequest { wall: "only:beta".to_string(), ..ask.clone() };
+    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    let walled = PlacementRequest { cache_namespace: "only:beta".to_string(), ..ask.clone() };
     let two = placed(scheduler.submit(2, walled, ms(400)));
     assert_eq!((two.trace.resident_tokens, two.fetch[0]), (0, None));
     assert_ne!(two.salt, one.salt);
-    end(&mut scheduler, two.ticket, End::Left, ms(410));
+    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(410));
     let three = placed(scheduler.submit(3, ask_of(0, 1, 3), ms(420)));
     assert_eq!(three.trace.resident_tokens, 9_100);
-    end(&mut scheduler, three.ticket, End::OtherWeights(Some(2)), ms(430));
+    end(&mut scheduler, three.ticket, EndReason::WeightMismatch(Some(2)), ms(430));
     let four = placed(scheduler.submit(4, ask, ms(440)));
     assert_eq!(
         (four.weight_version, four.trace.resident_tokens, four.fetch[0]),
@@ -82,13 +82,13 @@
     let mut scheduler = scheduler(1);
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(11)));
-    end(&mut scheduler, one.ticket, End::OtherWeights(None), ms(20));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
     assert!(scheduler.submit(3, ask_of(1, 1, 3), ms(21)).is_none(), "it waits");
-    assert_eq!(scheduler.doubted(), [(start("i-00"), address(0))]);
-    scheduler.resolve(&one.target, Some(2));
+    assert_eq!(scheduler.unverified_engines(), [(start("i-00"), address(0))]);
+    scheduler.resolve_weights(&one.target, Some(2));
     // What was sent before, under the same belief, tells nothing new.
-    end(&mut scheduler, two.ticket, End::OtherWeights(None), ms(30));
-    assert_eq!(scheduler.doubted(), []);
+    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(None), ms(30));
+    assert_eq!(scheduler.unverified_engines(), []);
     let (_, outcome) = scheduler.dispatch(ms(31)).remove(0);
     assert_eq!(outcome.expect("placed").weight_version, Some(2));
     // The list lags: it must not turn that back.
@@ -108,7 +108,7 @@
     scheduler.observe_deployment(&site);
     let whole = (0..10).map(|n| StoredPart { salt: "s".into(), id: n.to_string(), tokens: 992 });
     let inventory =
-        Inventory { start: store_start(1), whole: whole.collect(), ..Inventory::default() };
+        Inventory { start: store_start(1), complete: whole.collect(), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(10_000));
     assert!(scheduler.plan_frees(ms(12_400)).is_empty());
     assert_eq!(scheduler.plan_frees(ms(12_600)).len(), 1);
@@ -118,15 +118,18 @@
 fn out_of_order_and_leaving_engines_get_nothing() {
     let mut scheduler = scheduler(2);
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
-    end(&mut scheduler, one.ticket, End::Unreachable, ms(20));
+    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(20));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(30)));
     assert_ne!(two.target, one.target);
-    end(&mut scheduler, two.ticket, End::Replaced, ms(40));
-    assert_eq!(scheduler.submit(3, ask_of(1, 1, 3), ms(50)), Some(Err(PlacementError::NoneSound)));
+    end(&mut scheduler, two.ticket, EndReason::Replaced, ms(40));
+    assert_eq!(
+        scheduler.submit(3, ask_of(1, 1, 3), ms(50)),
+        Some(Err(PlacementError::NoHealthyTarget))
+    );
     let three = placed(scheduler.submit(4, ask_of(1, 1, 4), ms(700)));
     assert_eq!(three.target, one.target, "tried again after a while");
     let elsewhere = PlacementRequest { service: "app".to_string(), ..ask_of(1, 1, 5) };
-    assert_eq!(scheduler.submit(5, elsewhere, ms(710)), Some(Err(PlacementError::NoneListed)));
+    assert_eq!(scheduler.submit(5, elsewhere, ms(710)), Some(Err(PlacementError::NoTargetListed)));
 }
 
 #[test]
@@ -136,7 +139,7 @@
     assert_eq!(scheduler.submit(2, ask_of(0, 2, 2), ms(1)), None, "the engine is busy");
     assert_eq!(scheduler.submit(3, ask_of(0, 3, 3), ms(2)), None);
     scheduler.withdraw(2);
-    end(&mut scheduler, one.ticket, End::Left, ms(3));
+    end(&mut scheduler, one.ticket, EndReason::Cancelled, ms(3));
     let outcomes = scheduler.dispatch(ms(4));
     assert_eq!(outcomes.iter().map(|(waiter, _)| *waiter).collect::<Vec<_>>(), [3]);
 }
@@ -173,7 +176,7 @@
         for (waiter, outcome) in scheduler.dispatch(ms(at)) {
             let Ok(placed) = outcome else { continue };
             order.push(waiter);
-            end(&mut scheduler, placed.ticket, End::Whole, ms(at));
+            end(&mut scheduler, placed.ticket, EndReason::Completed, ms(at));
         }
     }
     let less_urgent = order.iter().take(50).filter(|waiter| **waiter <= 10).count();
@@ -240,13 +243,13 @@
 #[test]
 fn an_engines_pace_is_learned_also_if_it_is_far_from_what_was_assumed() {
     for (tokens_per_ms, base_ms) in [(30.0, 120), (140.0, 53), (300.0, 10)] {
-        let mut pace = Pace::default();
+        let mut pace = PrefillEstimator::default();
         for n in 0..3_000 {
             let tokens = 100 + (n * 37) % 5_000;
             let reads = Duration::from_secs_f64(tokens as f64 / tokens_per_ms / 1e3);
-            pace.measured(tokens, reads + ms(base_ms));
+            pace.observe(tokens, reads + ms(base_ms));
         }
-        let learned = pace.reading(1_000) + pace.base();
+        let learned = pace.prefill_time(1_000) + pace.base_latency();
         let real = Duration::from_secs_f64(1_000.0 / tokens_per_ms / 1e3) + ms(base_ms);
         let ratio = learned.as_secs_f64() / real.as_secs_f64();
         assert!((0.8..1.25).contains(&ratio), "{tokens_per_ms} {base_ms}: {ratio}");
@@ -256,12 +259,12 @@
 /// A scheduler that takes over after entries were left alone finds engines full that it thinks idle.
 #[test]
 fn times_of_engines_that_were_not_idle_hardly_count() {
-    let mut pace = Pace::default();
-    let before = pace.reading(1_000) + pace.base();
+    let mut pace = PrefillEstimator::default();
+    let before = pace.prefill_time(1_000) + pace.base_latency();
     for n in 0..60 {
-        pace.measured(200 + n * 40, ms(1_500));
+        pace.observe(200 + n * 40, ms(1_500));
     }
-    let after = pace.reading(1_000) + pace.base();
+    let after = pace.prefill_time(1_000) + pace.base_latency();
     assert!(after < before * 3, "{before:?} became {after:?}");
 }
 
@@ -275,8 +278,8 @@
     let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
     let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(80)));
     assert_eq!(one.weight_version, Some(2));
-    end(&mut scheduler, one.ticket, End::OtherWeights(Some(3)), ms(90));
-    assert_eq!(scheduler.doubted(), [], "newer ones come to the list by themselves");
-    end(&mut scheduler, two.ticket, End::OtherWeights(Some(1)), ms(91));
-    assert_eq!(scheduler.doubted().len(), 1);
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(3)), ms(90));
+    assert_eq!(scheduler.unverified_engines(), [], "newer ones come to the list by themselves");
+    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(Some(1)), ms(91));
+    assert_eq!(scheduler.unverified_engines().len(), 1);
 }
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -7,21 +7,21 @@
 use kumquatpost::fleet::Presence;
 use kumquatpost::scheduler::lateness::Lateness;
 use kumquatpost::scheduler::store::{Inventory, StoreEvent, StoredPart};
-use kumquatpost::scheduler::{End, Placed, PlacementRequest, Scheduler};
+use kumquatpost::scheduler::{EndReason, Placement, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
 
 /// Two engines and a store that is lost, after one engine was given a context.
-fn after_one() -> (Scheduler, PlacementRequest, Placed) {
+fn after_one() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
-    scheduler.lost_store(address(9_000));
+    scheduler.reset_store(address(9_000));
     let ask = ask_of(0, 1, 1);
     let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
     (scheduler, ask, one)
 }
 
-fn elsewhere(ask: &PlacementRequest, one: &Placed) -> PlacementRequest {
+fn elsewhere(ask: &PlacementRequest, one: &Placement) -> PlacementRequest {
     PlacementRequest { avoid: vec![one.target.clone()], ..ask.clone() }
 }
 
@@ -30,13 +30,13 @@
     let (mut scheduler, ask, one) = after_one();
     let early = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(20)));
     assert_eq!(early.fetch[0], None, "it may not be whole yet");
-    assert_eq!(early.trace.read_again.nowhere_whole_tokens, 9_100);
-    end(&mut scheduler, early.ticket, End::Left, ms(30));
+    assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
+    end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
     first(&mut scheduler, one.ticket, ms(130));
     let later = placed(scheduler.submit(3, elsewhere(&ask, &one), ms(140)));
     let from = if one.target.id == "i-00" { address(0) } else { address(1) };
     assert_eq!((later.fetch[0], later.trace.fetched_tokens), (Some(from), 9_100));
-    assert_eq!(later.trace.read_again.tokens(), 0);
+    assert_eq!(later.trace.recomputed.total(), 0);
 }
 
 #[test]
@@ -53,7 +53,7 @@
 
     let (mut scheduler, ask, one) = after_one();
     first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, End::Unreachable, ms(135));
+    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(135));
     let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!(two.fetch[0], None);
 }
@@ -62,7 +62,7 @@
 fn an_engine_that_changed_its_weights_has_nothing_to_fetch() {
     let (mut scheduler, ask, one) = after_one();
     first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, End::OtherWeights(Some(2)), ms(135));
+    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
     let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!((two.weight_version, two.fetch[0]), (Some(1), None));
 }
@@ -73,7 +73,7 @@
 fn a_lost_store_does_not_make_engines_read_again_what_others_hold() {
     let mut world = World::new(12);
     world.run(10, 1.0);
-    world.scheduler.lost_store(address(9_000));
+    world.scheduler.reset_store(address(9_000));
     let without = world.run(5, 1.0);
     assert!(without.part_in_aim() > 0.97, "{without:?}");
     assert!(without.again_tokens * 20 < without.read_tokens, "{without:?}");
@@ -85,7 +85,7 @@
 #[test]
 fn prompts_wait_until_a_new_scheduler_knows_what_is_kept() {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.await_memories(ms(0));
+    scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     let ask = ask_of(0, 1, 1);
@@ -93,7 +93,7 @@
     let context = &ask.parts[0];
     let part =
         StoredPart { salt: "all/m/1".into(), id: context.id.clone(), tokens: context.tokens };
-    scheduler.recall(&start("i-01"), vec![StoreEvent::Stored(part)]);
+    scheduler.observe_cache_events(&start("i-01"), vec![StoreEvent::Stored(part)]);
     assert_eq!(scheduler.dispatch(ms(20)), [], "the store's contents are not known");
     let empty = Inventory { start: store_start(1), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), empty, ms(25));
@@ -101,7 +101,7 @@
     scheduler.read_clock(5, ms(35));
     assert_eq!(scheduler.dispatch(ms(60)), [], "frees of an earlier scheduler may be under way");
     assert_eq!(scheduler.dispatch(ms(75)), [], "engines' memories are not all read");
-    scheduler.memories_read();
+    scheduler.set_engine_caches_known();
     let (waiter, outcome) = scheduler.dispatch(ms(80)).remove(0);
     let placed = outcome.expect("it is placed");
     assert_eq!((waiter, placed.target, placed.trace.resident_tokens), (1, start("i-01"), 9_100));
@@ -110,7 +110,7 @@
 #[test]
 fn prompts_do_not_wait_for_long_for_a_store_that_does_not_answer() {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.await_memories(ms(0));
+    scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
     assert_eq!(scheduler.submit(1, ask_of(0, 1, 1), ms(10)), None);
@@ -134,12 +134,12 @@
 #[test]
 fn what_delays_most_answers_is_usual() {
     let mut lateness = Lateness::default();
-    assert_eq!(lateness.usual_ms(), 0.0);
+    assert_eq!(lateness.median_ms(), 0.0);
     (0..15).for_each(|_| lateness.add(200.0));
     (0..6).for_each(|_| lateness.add(2_000.0));
-    assert_eq!(lateness.usual_ms(), 200.0, "a slow link's are not most");
+    assert_eq!(lateness.median_ms(), 200.0, "a slow link's are not most");
     (0..21).for_each(|_| lateness.add(-30.0));
-    assert_eq!(lateness.usual_ms(), 0.0);
+    assert_eq!(lateness.median_ms(), 0.0);
 }
 
 /// Two engines that are equally busy: the one in the store's failure domain gets the prompt, since its
@@ -154,7 +154,8 @@
     let context = &ask.parts[0];
     let salt = "all/m/1".to_string();
     let part = StoredPart { salt, id: context.id.clone(), tokens: context.tokens };
-    let inventory = Inventory { start: store_start(1), whole: vec![part], ..Inventory::default() };
+    let inventory =
+        Inventory { start: store_start(1), complete: vec![part], ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // Each has 2,400 tokens of another prompt to read, for longer than the fetch takes.
     for (waiter, other) in [(1, "i-01"), (2, "i-00")] {
@@ -175,17 +176,17 @@
         let context = &ask_of(0, n, n).parts[0];
         StoredPart { salt: salt.clone(), id: context.id.clone(), tokens: 9_100 }
     };
-    let whole = (0..60).map(part).collect();
-    let inventory = Inventory { start: store_start(1), whole, ..Inventory::default() };
+    let complete = (0..60).map(part).collect();
+    let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
     for n in 0..50 {
         let placed = placed(scheduler.submit(n, ask_of(0, n, n), ms(10)));
-        end(&mut scheduler, placed.ticket, End::Left, ms(10));
+        end(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
     }
     let hurried = placed(scheduler.submit(50, ask_of(0, 50, 50), ms(11)));
-    assert_eq!(hurried.trace.read_again.link_full_tokens, 9_100);
-    end(&mut scheduler, hurried.ticket, End::Left, ms(11));
-    let late = PlacementRequest { waited: ms(600), ..ask_of(0, 51, 51) };
+    assert_eq!(hurried.trace.recomputed.link_full_tokens, 9_100);
+    end(&mut scheduler, hurried.ticket, EndReason::Cancelled, ms(11));
+    let late = PlacementRequest { elapsed: ms(600), ..ask_of(0, 51, 51) };
     assert_eq!(placed(scheduler.submit(51, late, ms(12))).trace.fetched_tokens, 9_100);
 }
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -21,8 +21,10 @@
 use kumquatpost::essential::essentials;
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
-use kumquatpost::scheduler::Placed;
-use kumquatpost::scheduler::weights::{NamedWeights, OldWeights, RolloutHistories, observe_named};
+use kumquatpost::scheduler::Placement;
+use kumquatpost::scheduler::weights::{
+    NamedWeights, OldWeightsPolicy, RolloutHistories, observe_named,
+};
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
@@ -39,7 +41,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let shared = Rc::new(shared(1, VersionedRoster::default()));
-        let scheduling = Rc::new(SchedulerService::new(shared.clone(), OldWeights::default()));
+        let scheduling =
+            Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
@@ -99,7 +102,7 @@
     while let Ok(frame) = read(&mut from_entry).await {
         if let SchedulerRequest::Place(number, _) = frame {
             let placed =
-                Placed { target: start("i-1"), weight_version: Some(1), ..Placed::default() };
+                Placement { target: start("i-1"), weight_version: Some(1), ..Placement::default() };
             let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
             write.write_all(&answer).await.expect("the entry reads");
         }
@@ -144,15 +147,15 @@
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
     let leader = shared(4, VersionedRoster::default());
-    leader.change_roster(|known| known.take(listed(1)));
+    leader.change_roster(|known| known.update(listed(1)));
     let reader = shared(4, leader.roster.borrow().clone());
     reader.view.send_modify(|view| view.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
     // Meanwhile another replica has read two changes.
-    reader.change_roster(|known| known.take(listed(1)[1..].to_vec()));
-    reader.change_roster(|known| known.take(listed(1)));
+    reader.change_roster(|known| known.update(listed(1)[1..].to_vec()));
+    reader.change_roster(|known| known.update(listed(1)));
     let read = reader.roster.borrow().clone();
     leader.observe_roster(read);
     assert_eq!(weights_known(&leader), 2, "a later list brought older weights back");
@@ -162,7 +165,7 @@
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
     let leader = shared(4, VersionedRoster::default());
-    leader.change_roster(|known| known.take(listed(2)));
+    leader.change_roster(|known| known.update(listed(2)));
     let other = shared(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &found));
@@ -268,18 +271,18 @@
 #[test]
 fn an_entry_forgets_who_has_left_once_many_lists_have_not_shown_it() {
     let mut fleet = FleetView::default();
-    fleet.leave([start("i-1")].iter());
+    fleet.mark_leaving([start("i-1")].iter());
     let without = roster([target("i-2", "app", address(2))]);
     let with = roster([target("i-1", "app", address(1)), target("i-2", "app", address(2))]);
     for _ in 0..30 {
-        fleet.take(&without);
+        fleet.update(&without);
     }
-    fleet.take(&with);
+    fleet.update(&with);
     assert!(!fleet.takes_work(&start("i-1")), "it is kept in mind");
     for _ in 0..50 {
-        fleet.take(&without);
+        fleet.update(&without);
     }
-    fleet.take(&with);
+    fleet.update(&with);
     assert!(fleet.takes_work(&start("i-1")), "what is kept in mind is bounded");
 }
 
