--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -13,9 +13,9 @@
 
 use super::answer::Answer;
 use super::cache::PrefixCache;
-use super::gate::{Gate, Pass};
 use super::knobs::Faults;
 use super::ledger::Ledger;
+use super::priority_semaphore::{Permit, PrioritySemaphore};
 use super::settings::EngineSettings;
 use super::store;
 use super::stream::{Generation, Parts, Progress, Step, StreamId};
@@ -55,8 +55,8 @@
     ledger: Arc<Ledger>,
     weights: Arc<WeightStore>,
     weight_load: Duration,
-    batch: Gate,
-    prefill: Gate,
+    batch_slots: PrioritySemaphore,
+    prefill_slot: PrioritySemaphore,
     client: reqwest::Client,
     state: Mutex<State>,
 }
@@ -107,8 +107,8 @@
             answer_order: VecDeque::new(),
         };
         let engine = Arc::new(Engine {
-            batch: Gate::new(settings.max_batch as usize),
-            prefill: Gate::new(1),
+            batch_slots: PrioritySemaphore::new(settings.max_batch as usize),
+            prefill_slot: PrioritySemaphore::new(1),
             settings,
             incarnation,
             faults,
@@ -190,7 +190,7 @@
     /// Generates one answer to its end, whether or not somebody listens, unless it is cancelled.
     async fn run(self: Arc<Engine>, work: Work) {
         let Work { generation, chain, queued, priority, import } = work;
-        let place: Pass = self.batch.enter(priority).await;
+        let batch_permit: Permit = self.batch_slots.acquire(priority).await;
         {
             let mut state = self.state.lock();
             state.running += 1;
@@ -198,7 +198,7 @@
         }
         tokio::time::sleep(Duration::from_millis(self.faults.get().delay_ms)).await;
         let imported = self.import(&chain, import).await;
-        let lane = self.prefill.enter(priority).await;
+        let prefill_permit = self.prefill_slot.acquire(priority).await;
         let cancelled = generation.progress.borrow().cancelled;
         let resident = self.state.lock().cache.resident(&chain.keys);
         let reused = (resident * BLOCK_TOKENS).min(chain.tokens);
@@ -208,7 +208,7 @@
             tokio::time::sleep(Duration::from_secs_f64(rest / rate)).await;
         }
         self.prefilled(&chain, queued);
-        drop(lane);
+        drop(prefill_permit);
         let imported_tokens = imported.min(reused);
         self.ledger.record(|counts| {
             counts.prompt_tokens += chain.tokens as u64;
@@ -231,7 +231,7 @@
             let changes = state.cache.release(&chain.keys);
             self.publish(&mut state, changes);
         }
-        drop(place);
+        drop(batch_permit);
     }
 
     async fn decode(&self, generation: &Generation, usage: Usage) {
@@ -444,7 +444,7 @@
             incarnation: self.incarnation,
             age_ms: 0,
             running: state.running,
-            waiting: self.batch.waiting() as u32,
+            waiting: self.batch_slots.waiting() as u32,
             queued_prefill_tokens: state.queued_tokens,
             max_batch: self.settings.max_batch as u32,
             prefill_tokens_per_s: self.settings.prefill_tokens_per_s as f64,
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -6,11 +6,11 @@
 pub mod answer;
 pub mod cache;
 pub mod engine;
-pub mod gate;
 pub mod host;
 pub mod knobs;
 pub mod ledger;
 pub mod platform;
+pub mod priority_semaphore;
 pub mod service;
 pub mod settings;
 pub mod store;
