--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -13,7 +13,7 @@
 
 use super::answer::Answer;
 use super::cache::PrefixCache;
-use super::knobs::Faults;
+use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::priority_semaphore::{Permit, PrioritySemaphore};
 use super::settings::EngineSettings;
@@ -37,7 +37,7 @@
 /// Finished or broken answers that can still be resumed.
 const ANSWERS_KEPT: usize = 4_096;
 /// From the begin of a prompt on which it dies until it does.
-const DIES_AFTER: Duration = Duration::from_millis(20);
+const CRASH_DELAY: Duration = Duration::from_millis(20);
 /// Weight loading progresses in steps of this length.
 const LOAD_STEP: Duration = Duration::from_millis(10);
 
@@ -51,7 +51,7 @@
 pub struct Engine {
     settings: EngineSettings,
     incarnation: Incarnation,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
     weights: Arc<WeightStore>,
     weight_load: Duration,
@@ -89,7 +89,7 @@
     pub fn start(
         settings: EngineSettings,
         incarnation: Incarnation,
-        faults: Arc<Faults>,
+        faults: Arc<TargetFaults>,
         ledger: Arc<Ledger>,
         weights: Arc<WeightStore>,
         weight_load: Duration,
@@ -146,7 +146,7 @@
         if self.state.lock().weight_version.as_deref() != Some(version) {
             return refusal(StatusCode::CONFLICT, "another weight version is loaded");
         }
-        if self.faults.get().refuse {
+        if self.faults.settings().refuse {
             return refusal(StatusCode::SERVICE_UNAVAILABLE, "refused on demand");
         }
         let owner = Owner {
@@ -172,11 +172,11 @@
         });
         self.ledger.started(&self.settings.id, &request_id);
         self.keep(&id, &generation);
-        if self.faults.get().dies_on.is_some_and(|fatal| text.contains(&fatal)) {
+        if self.faults.settings().dies_on.is_some_and(|pattern| text.contains(&pattern)) {
             let faults = self.faults.clone();
             tokio::spawn(async move {
-                tokio::time::sleep(DIES_AFTER).await;
-                faults.die();
+                tokio::time::sleep(CRASH_DELAY).await;
+                faults.crash();
             });
             // It never gets to its first token.
             return self.stream(id, generation, 0);
@@ -196,7 +196,7 @@
             state.running += 1;
             state.cache.hold(&chain.keys);
         }
-        tokio::time::sleep(Duration::from_millis(self.faults.get().delay_ms)).await;
+        tokio::time::sleep(Duration::from_millis(self.faults.settings().delay_ms)).await;
         let imported = self.import(&chain, import).await;
         let prefill_permit = self.prefill_slot.acquire(priority).await;
         let cancelled = generation.progress.borrow().cancelled;
@@ -355,8 +355,8 @@
     fn stream(&self, id: StreamId, generation: Arc<Generation>, from: u32) -> Response {
         let parts = Parts {
             // A resumed stream breaks only if the fault is still set.
-            break_at: self.faults.take_break().map(|after| from + after),
-            id: if self.faults.get().crossed { format!("other-{id}") } else { id },
+            break_at: self.faults.take_break_after_tokens().map(|after| from + after),
+            id: if self.faults.settings().crossed { format!("other-{id}") } else { id },
             model: self.settings.model.clone(),
             next: from,
             receiver: generation.progress.subscribe(),
--- a/src/emulator/knobs.rs
+++ b/src/emulator/faults.rs
@@ -11,17 +11,17 @@
 /// Sets a fault on a target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct SetFault {
+pub struct FaultRequest {
     /// The target.
     pub target: TargetId,
     /// The fault.
-    pub fault: Fault,
+    pub fault: FaultAction,
 }
 
 /// What goes wrong.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fault {
+pub enum FaultAction {
     /// The process dies with all its connections.
     Die,
     /// It starts again, with empty memory.
@@ -29,13 +29,13 @@
     /// The platform lists it as leaving.
     Leave,
     /// Faults while it runs, replacing the ones set before.
-    Set(Knobs),
+    Set(FaultSettings),
 }
 
 /// Faults while a target runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Knobs {
+pub struct FaultSettings {
     /// Each answer breaks off after this many tokens (engines) or before its first byte (services).
     pub break_after_tokens: Option<u32>,
     /// How many answers break off before the fault ends; `None` for all.
@@ -58,52 +58,52 @@
 
 /// The faults set on one target.
 #[derive(Default)]
-pub struct Faults {
-    knobs: Mutex<Knobs>,
-    died_at: Mutex<Option<Instant>>,
-    died: Notify,
+pub struct TargetFaults {
+    settings: Mutex<FaultSettings>,
+    crashed_at: Mutex<Option<Instant>>,
+    crashed: Notify,
 }
 
-impl Faults {
+impl TargetFaults {
     /// The faults in force.
-    pub fn get(&self) -> Knobs {
-        self.knobs.lock().clone()
+    pub fn settings(&self) -> FaultSettings {
+        self.settings.lock().clone()
     }
 
     /// Replaces them.
-    pub fn set(&self, knobs: Knobs) {
-        *self.knobs.lock() = knobs;
+    pub fn set(&self, settings: FaultSettings) {
+        *self.settings.lock() = settings;
     }
 
     /// The target's process ends by itself.
-    pub fn die(&self) {
-        *self.died_at.lock() = Some(Instant::now());
-        self.died.notify_one();
+    pub fn crash(&self) {
+        *self.crashed_at.lock() = Some(Instant::now());
+        self.crashed.notify_one();
     }
 
     /// Waits for that.
-    pub async fn until_died(&self) {
-        self.died.notified().await;
+    pub async fn wait_for_crash(&self) {
+        self.crashed.notified().await;
     }
 
     /// Whether it ended that long ago. Says so once.
-    pub fn take_death(&self, before: Duration) -> bool {
-        let mut died_at = self.died_at.lock();
-        let is_due = died_at.is_some_and(|at| at.elapsed() >= before);
+    pub fn take_crash(&self, min_age: Duration) -> bool {
+        let mut crashed_at = self.crashed_at.lock();
+        let is_due = crashed_at.is_some_and(|at| at.elapsed() >= min_age);
         if is_due {
-            *died_at = None;
+            *crashed_at = None;
         }
         is_due
     }
 
     /// After how many tokens the answer that starts now breaks off, if it does.
-    pub fn take_break(&self) -> Option<u32> {
-        let mut knobs = self.knobs.lock();
-        let after = knobs.break_after_tokens?;
-        match knobs.break_count {
+    pub fn take_break_after_tokens(&self) -> Option<u32> {
+        let mut settings = self.settings.lock();
+        let after = settings.break_after_tokens?;
+        match settings.break_count {
             Some(0) => None,
             Some(count) => {
-                knobs.break_count = Some(count - 1);
+                settings.break_count = Some(count - 1);
                 Some(after)
             }
             None => Some(after),
--- a/src/emulator/host.rs
+++ b/src/emulator/host.rs
@@ -12,7 +12,7 @@
 use warp::http::{Method, StatusCode};
 
 use super::engine::{Engine, WeightStore};
-use super::knobs::{Fault, Faults, Knobs, SetFault};
+use super::faults::{FaultAction, FaultRequest, FaultSettings, TargetFaults};
 use super::ledger::{Counts, Ledger};
 use super::platform::Platform;
 use super::service::Service;
@@ -27,9 +27,9 @@
 const BODY_LIMIT_BYTES: usize = 64 << 20;
 
 /// A target that has died by itself starts again after this time.
-const DOWN_FOR: Duration = Duration::from_millis(500);
+const CRASH_RESTART_DELAY: Duration = Duration::from_millis(500);
 /// How often it is looked whether one has.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// All stand-ins of one process.
 pub struct Emulator {
@@ -51,7 +51,7 @@
 struct Running {
     kind: Kind,
     target: Target,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     /// Dropping it ends the target with all its connections; `None` while it is dead.
     life: Option<oneshot::Sender<()>>,
 }
@@ -73,7 +73,7 @@
         let weight_load = Duration::from_millis(settings.weight_load_ms);
         let mut running = BTreeMap::new();
         for kind in kinds {
-            let faults = Arc::new(Faults::default());
+            let faults = Arc::new(TargetFaults::default());
             let start = Start {
                 kind: kind.clone(),
                 incarnation: 1,
@@ -97,7 +97,7 @@
             targets: Mutex::new(running),
         });
         let address = emulator.clone().serve(settings.platform_port).await?;
-        tokio::spawn(emulator.clone().keep_alive());
+        tokio::spawn(emulator.clone().restart_crashed_targets());
         Ok((emulator, address))
     }
 
@@ -124,18 +124,18 @@
     }
 
     /// Starts targets again that have died by themselves, for as long as the process lives.
-    async fn keep_alive(self: Arc<Emulator>) {
+    async fn restart_crashed_targets(self: Arc<Emulator>) {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(CRASH_CHECK_PERIOD).await;
             for running in self.targets.lock().values_mut() {
-                if !running.faults.take_death(DOWN_FOR) {
+                if !running.faults.take_crash(CRASH_RESTART_DELAY) {
                     continue;
                 }
-                let knobs = running.faults.get();
+                let fault_settings = running.faults.settings();
                 if let Err(error) = self.restart(running) {
                     log::warn!("event=stand_in_not_restarted reason={:?}", error.to_string());
                 }
-                running.faults.set(knobs);
+                running.faults.set(fault_settings);
             }
         }
     }
@@ -144,8 +144,8 @@
         match (&request.method, request.segments().as_slice()) {
             (&Method::GET, ["targets"]) => self.show_targets(request),
             (&Method::GET, ["ledger"]) => http::json(StatusCode::OK, &self.ledger.counts()),
-            (&Method::POST, ["faults"]) => match request.json::<SetFault>() {
-                Ok(order) => self.set_fault(order),
+            (&Method::POST, ["faults"]) => match request.json::<FaultRequest>() {
+                Ok(fault_request) => self.set_fault(fault_request),
                 Err(reason) => http::text(StatusCode::BAD_REQUEST, reason),
             },
             _ => http::text(StatusCode::NOT_FOUND, "try targets, ledger or faults".into()),
@@ -165,30 +165,33 @@
         response
     }
 
-    fn set_fault(&self, order: SetFault) -> Response {
+    fn set_fault(&self, fault_request: FaultRequest) -> Response {
         let mut targets = self.targets.lock();
-        let Some(running) = targets.get_mut(&order.target) else {
-            return http::text(StatusCode::NOT_FOUND, format!("no target {:?}", order.target));
+        let Some(running) = targets.get_mut(&fault_request.target) else {
+            return http::text(
+                StatusCode::NOT_FOUND,
+                format!("no target {:?}", fault_request.target),
+            );
         };
-        match order.fault {
-            Fault::Die => {
+        match fault_request.fault {
+            FaultAction::Die => {
                 running.life = None;
-                self.platform.remove(&order.target);
+                self.platform.remove(&fault_request.target);
             }
-            Fault::Leave => self.platform.leave(&order.target),
-            Fault::Set(knobs) => running.faults.set(knobs),
-            Fault::Restart => {
+            FaultAction::Leave => self.platform.leave(&fault_request.target),
+            FaultAction::Set(fault_settings) => running.faults.set(fault_settings),
+            FaultAction::Restart => {
                 if let Err(error) = self.restart(running) {
                     return http::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
                 }
             }
         }
-        http::json(StatusCode::OK, &json!({"target": order.target}))
+        http::json(StatusCode::OK, &json!({"target": fault_request.target}))
     }
 
     fn restart(&self, running: &mut Running) -> Result<()> {
         running.life = None;
-        running.faults.set(Knobs::default());
+        running.faults.set(FaultSettings::default());
         let incarnation = running.target.incarnation + 1;
         let start = Start {
             kind: running.kind.clone(),
@@ -233,7 +236,7 @@
 struct Start {
     kind: Kind,
     incarnation: Incarnation,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
     weights: Arc<WeightStore>,
     weight_load: Duration,
@@ -254,7 +257,7 @@
             runtime.block_on(async {
                 tokio::select! {
                     () = self.serve(listener) => {}
-                    () = faults.until_died() => {}
+                    () = faults.wait_for_crash() => {}
                     _ = ended => {}
                 }
             });
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -6,8 +6,8 @@
 pub mod answer;
 pub mod cache;
 pub mod engine;
+pub mod faults;
 pub mod host;
-pub mod knobs;
 pub mod ledger;
 pub mod platform;
 pub mod priority_semaphore;
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use warp::http::StatusCode;
 
-use super::knobs::Faults;
+use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::settings::ServiceSettings;
 use crate::edge::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
@@ -16,7 +16,7 @@
 /// A stand-in instance of a plain service.
 pub struct Service {
     settings: ServiceSettings,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
 }
 
@@ -24,7 +24,7 @@
     /// Starts an instance.
     pub fn start(
         settings: ServiceSettings,
-        faults: Arc<Faults>,
+        faults: Arc<TargetFaults>,
         ledger: Arc<Ledger>,
     ) -> Arc<Service> {
         Arc::new(Service { settings, faults, ledger })
@@ -32,17 +32,17 @@
 
     /// Answers one HTTP request.
     pub async fn handle(self: Arc<Service>, request: Request) -> Response {
-        let knobs = self.faults.get();
-        if knobs.refuse {
+        let fault_settings = self.faults.settings();
+        if fault_settings.refuse {
             let mut response = http::text(StatusCode::SERVICE_UNAVAILABLE, "refused".into());
             http::set_header(&mut response, NOT_RUN_HEADER, "true");
             return response;
         }
         let request_id = request.header(REQUEST_HEADER).unwrap_or("none").to_string();
         self.ledger.started(&self.settings.id, &request_id);
-        let call = Duration::from_millis(self.settings.call_ms + knobs.delay_ms);
+        let call = Duration::from_millis(self.settings.call_ms + fault_settings.delay_ms);
         tokio::time::sleep(call).await;
-        if self.faults.take_break().is_some() {
+        if self.faults.take_break_after_tokens().is_some() {
             let broken = futures::stream::once(async {
                 Err::<Bytes, _>(std::io::Error::other("broken on demand"))
             });
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use warp::http::{Method, StatusCode};
 
-use super::knobs::Faults;
+use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::settings::StoreSettings;
 use crate::edge::api::{BeginWrite, CommitWrite, Inventory, KeptObject, StoreReport};
@@ -22,7 +22,7 @@
 pub struct Store {
     settings: StoreSettings,
     incarnation: Incarnation,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
     state: Mutex<State>,
 }
@@ -61,7 +61,7 @@
     pub fn start(
         settings: StoreSettings,
         incarnation: Incarnation,
-        faults: Arc<Faults>,
+        faults: Arc<TargetFaults>,
         ledger: Arc<Ledger>,
     ) -> Arc<Store> {
         let state = State {
@@ -115,7 +115,7 @@
             return http::text(StatusCode::PRECONDITION_FAILED, "an old owner epoch".into());
         }
         let full = state.used_bytes + object.size_bytes > self.settings.capacity_bytes;
-        if full || self.faults.get().full {
+        if full || self.faults.settings().full {
             return http::text(StatusCode::INSUFFICIENT_STORAGE, "the store is full".into());
         }
         // A generation is written once: a second writer of it would mix two contents.
@@ -185,7 +185,7 @@
             Some(object) => {
                 self.ledger.record(|counts| counts.import_bytes += size);
                 let mut content = object.content.clone();
-                if self.faults.get().damage {
+                if self.faults.settings().damage {
                     content.truncate(content.len() / 2);
                 }
                 http::body(StatusCode::OK, "application/octet-stream", content)
@@ -238,7 +238,7 @@
     async fn transfer(&self, size: u64, disk: Duration) {
         let done = {
             let mut state = self.state.lock();
-            let slower = self.faults.get().link_slower.max(1.0);
+            let slower = self.faults.settings().link_slower.max(1.0);
             let took = size as f64 * slower / self.settings.link_bytes_per_s as f64;
             let start = state.link_free.max(Instant::now());
             state.link_free = start + Duration::from_secs_f64(took);
@@ -256,7 +256,7 @@
     fn report(&self) -> StoreReport {
         let state = self.state.lock();
         let backlog = state.link_free.saturating_duration_since(Instant::now());
-        let slower = self.faults.get().link_slower.max(1.0);
+        let slower = self.faults.settings().link_slower.max(1.0);
         StoreReport {
             incarnation: self.incarnation,
             used_bytes: state.used_bytes,
