--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -39,12 +39,12 @@
 /// From the begin of a prompt on which it dies until it does.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 /// Weight loading progresses in steps of this length.
-const LOAD_STEP: Duration = Duration::from_millis(10);
+const WEIGHT_LOAD_STEP: Duration = Duration::from_millis(10);
 
 /// Engines of one process that load weights at the moment: they share one rate.
 #[derive(Default)]
-pub struct WeightStore {
-    loading: AtomicU32,
+pub struct ActiveWeightLoads {
+    count: AtomicU32,
 }
 
 /// A stand-in engine.
@@ -53,8 +53,8 @@
     incarnation: Incarnation,
     faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
-    weights: Arc<WeightStore>,
-    weight_load: Duration,
+    weight_loads: Arc<ActiveWeightLoads>,
+    weight_load_duration: Duration,
     batch_slots: PrioritySemaphore,
     prefill_slot: PrioritySemaphore,
     client: reqwest::Client,
@@ -91,8 +91,8 @@
         incarnation: Incarnation,
         faults: Arc<TargetFaults>,
         ledger: Arc<Ledger>,
-        weights: Arc<WeightStore>,
-        weight_load: Duration,
+        weight_loads: Arc<ActiveWeightLoads>,
+        weight_load_duration: Duration,
     ) -> Arc<Engine> {
         let state = State {
             cache: PrefixCache::new(settings.cache_tokens as usize / BLOCK_TOKENS),
@@ -113,8 +113,8 @@
             incarnation,
             faults,
             ledger,
-            weights,
-            weight_load,
+            weight_loads,
+            weight_load_duration,
             client: reqwest::Client::new(),
             state: Mutex::new(state),
         });
@@ -402,13 +402,13 @@
     }
 
     async fn load_weights(self: Arc<Engine>, version: String) {
-        self.weights.loading.fetch_add(1, Ordering::SeqCst);
-        let mut done = Duration::ZERO;
-        while done < self.weight_load {
-            tokio::time::sleep(LOAD_STEP).await;
-            done += LOAD_STEP / self.weights.loading.load(Ordering::SeqCst).max(1);
+        self.weight_loads.count.fetch_add(1, Ordering::SeqCst);
+        let mut progress = Duration::ZERO;
+        while progress < self.weight_load_duration {
+            tokio::time::sleep(WEIGHT_LOAD_STEP).await;
+            progress += WEIGHT_LOAD_STEP / self.weight_loads.count.load(Ordering::SeqCst).max(1);
         }
-        self.weights.loading.fetch_sub(1, Ordering::SeqCst);
+        self.weight_loads.count.fetch_sub(1, Ordering::SeqCst);
         self.state.lock().weight_version = Some(version);
     }
 
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -7,15 +7,15 @@
 pub mod cache;
 pub mod engine;
 pub mod faults;
-pub mod host;
 pub mod ledger;
-pub mod platform;
 pub mod priority_semaphore;
 pub mod service;
 pub mod settings;
 pub mod store;
 mod stream;
+pub mod supervisor;
+pub mod target_list;
 mod transfer;
 
-pub use host::Emulator;
 pub use settings::EmulatorSettings;
+pub use supervisor::Emulator;
--- a/src/emulator/host.rs
+++ b/src/emulator/supervisor.rs
@@ -11,13 +11,13 @@
 use tokio::sync::oneshot;
 use warp::http::{Method, StatusCode};
 
-use super::engine::{Engine, WeightStore};
+use super::engine::{ActiveWeightLoads, Engine};
 use super::faults::{FaultAction, FaultRequest, FaultSettings, TargetFaults};
 use super::ledger::{Counts, Ledger};
-use super::platform::Platform;
 use super::service::Service;
 use super::settings::{EmulatorSettings, EngineSettings, ServiceSettings, StoreSettings};
 use super::store::Store;
+use super::target_list::DelayedTargetList;
 use crate::edge::api::{Presence, Role, Target};
 use crate::error::{Error, Result};
 use crate::http::{self, Request, Response};
@@ -34,26 +34,26 @@
 /// All stand-ins of one process.
 pub struct Emulator {
     ip: IpAddr,
-    weight_load: Duration,
-    weights: Arc<WeightStore>,
+    weight_load_duration: Duration,
+    weight_loads: Arc<ActiveWeightLoads>,
     ledger: Arc<Ledger>,
-    platform: Platform,
-    targets: Mutex<BTreeMap<TargetId, Running>>,
+    target_list: DelayedTargetList,
+    targets: Mutex<BTreeMap<TargetId, EmulatedTarget>>,
 }
 
 #[derive(Clone)]
-enum Kind {
+enum TargetSettings {
     Engine(EngineSettings),
     Store(StoreSettings),
     Service(ServiceSettings),
 }
 
-struct Running {
-    kind: Kind,
-    target: Target,
+struct EmulatedTarget {
+    settings: TargetSettings,
+    list_entry: Target,
     faults: Arc<TargetFaults>,
     /// Dropping it ends the target with all its connections; `None` while it is dead.
-    life: Option<oneshot::Sender<()>>,
+    shutdown: Option<oneshot::Sender<()>>,
 }
 
 impl Emulator {
@@ -62,39 +62,50 @@
     /// # Errors
     /// `Error::Start` if a port can't be had.
     pub async fn start(settings: EmulatorSettings) -> Result<(Arc<Emulator>, SocketAddr)> {
-        let kinds = settings
+        let all_settings = settings
             .engines
             .into_iter()
-            .map(Kind::Engine)
-            .chain(settings.stores.into_iter().map(Kind::Store))
-            .chain(settings.services.into_iter().map(Kind::Service));
-        let weights = Arc::new(WeightStore::default());
+            .map(TargetSettings::Engine)
+            .chain(settings.stores.into_iter().map(TargetSettings::Store))
+            .chain(settings.services.into_iter().map(TargetSettings::Service));
+        let weight_loads = Arc::new(ActiveWeightLoads::default());
         let ledger = Arc::new(Ledger::default());
-        let weight_load = Duration::from_millis(settings.weight_load_ms);
-        let mut running = BTreeMap::new();
-        for kind in kinds {
+        let weight_load_duration = Duration::from_millis(settings.weight_load_ms);
+        let mut targets = BTreeMap::new();
+        for target_settings in all_settings {
             let faults = Arc::new(TargetFaults::default());
-            let start = Start {
-                kind: kind.clone(),
+            let launcher = TargetLauncher {
+                settings: target_settings.clone(),
                 incarnation: 1,
                 faults: faults.clone(),
                 ledger: ledger.clone(),
-                weights: weights.clone(),
-                weight_load,
+                weight_loads: weight_loads.clone(),
+                weight_load_duration,
             };
-            let (address, life) = start.on_thread(SocketAddr::new(settings.ip, 0))?;
-            let target = target(&kind, address, 1);
-            let id = target.id.clone();
-            running.insert(id, Running { kind, target, faults, life: Some(life) });
+            let (address, shutdown) = launcher.launch_on_thread(SocketAddr::new(settings.ip, 0))?;
+            let list_entry = list_entry(&target_settings, address, 1);
+            let id = list_entry.id.clone();
+            targets.insert(
+                id,
+                EmulatedTarget {
+                    settings: target_settings,
+                    list_entry,
+                    faults,
+                    shutdown: Some(shutdown),
+                },
+            );
         }
-        let targets = running.values().map(|running| running.target.clone()).collect();
+        let list_entries = targets.values().map(|target| target.list_entry.clone()).collect();
         let emulator = Arc::new(Emulator {
             ip: settings.ip,
-            weight_load,
-            weights,
+            weight_load_duration,
+            weight_loads,
             ledger,
-            platform: Platform::new(targets, Duration::from_millis(settings.platform_lag_ms)),
-            targets: Mutex::new(running),
+            target_list: DelayedTargetList::new(
+                list_entries,
+                Duration::from_millis(settings.platform_lag_ms),
+            ),
+            targets: Mutex::new(targets),
         });
         let address = emulator.clone().serve(settings.platform_port).await?;
         tokio::spawn(emulator.clone().restart_crashed_targets());
@@ -127,22 +138,22 @@
     async fn restart_crashed_targets(self: Arc<Emulator>) {
         loop {
             tokio::time::sleep(CRASH_CHECK_PERIOD).await;
-            for running in self.targets.lock().values_mut() {
-                if !running.faults.take_crash(CRASH_RESTART_DELAY) {
+            for target in self.targets.lock().values_mut() {
+                if !target.faults.take_crash(CRASH_RESTART_DELAY) {
                     continue;
                 }
-                let fault_settings = running.faults.settings();
-                if let Err(error) = self.restart(running) {
+                let fault_settings = target.faults.settings();
+                if let Err(error) = self.restart(target) {
                     log::warn!("event=stand_in_not_restarted reason={:?}", error.to_string());
                 }
-                running.faults.set(fault_settings);
+                target.faults.set(fault_settings);
             }
         }
     }
 
     fn handle(&self, request: &Request) -> Response {
         match (&request.method, request.segments().as_slice()) {
-            (&Method::GET, ["targets"]) => self.show_targets(request),
+            (&Method::GET, ["targets"]) => self.list_targets(request),
             (&Method::GET, ["ledger"]) => http::json(StatusCode::OK, &self.ledger.counts()),
             (&Method::POST, ["faults"]) => match request.json::<FaultRequest>() {
                 Ok(fault_request) => self.set_fault(fault_request),
@@ -152,8 +163,8 @@
         }
     }
 
-    fn show_targets(&self, request: &Request) -> Response {
-        let list = self.platform.shown();
+    fn list_targets(&self, request: &Request) -> Response {
+        let list = self.target_list.visible();
         let text = serde_json::to_string(&list).unwrap_or_default();
         let etag = format!("\"{:08x}\"", crc32fast::hash(text.as_bytes()));
         let mut response = if request.header("if-none-match") == Some(etag.as_str()) {
@@ -167,7 +178,7 @@
 
     fn set_fault(&self, fault_request: FaultRequest) -> Response {
         let mut targets = self.targets.lock();
-        let Some(running) = targets.get_mut(&fault_request.target) else {
+        let Some(target) = targets.get_mut(&fault_request.target) else {
             return http::text(
                 StatusCode::NOT_FOUND,
                 format!("no target {:?}", fault_request.target),
@@ -175,13 +186,13 @@
         };
         match fault_request.fault {
             FaultAction::Die => {
-                running.life = None;
-                self.platform.remove(&fault_request.target);
+                target.shutdown = None;
+                self.target_list.remove(&fault_request.target);
             }
-            FaultAction::Leave => self.platform.leave(&fault_request.target),
-            FaultAction::Set(fault_settings) => running.faults.set(fault_settings),
+            FaultAction::Leave => self.target_list.mark_leaving(&fault_request.target),
+            FaultAction::Set(fault_settings) => target.faults.set(fault_settings),
             FaultAction::Restart => {
-                if let Err(error) = self.restart(running) {
+                if let Err(error) = self.restart(target) {
                     return http::text(StatusCode::INTERNAL_SERVER_ERROR, error.to_string());
                 }
             }
@@ -189,34 +200,34 @@
         http::json(StatusCode::OK, &json!({"target": fault_request.target}))
     }
 
-    fn restart(&self, running: &mut Running) -> Result<()> {
-        running.life = None;
-        running.faults.set(FaultSettings::default());
-        let incarnation = running.target.incarnation + 1;
-        let start = Start {
-            kind: running.kind.clone(),
+    fn restart(&self, target: &mut EmulatedTarget) -> Result<()> {
+        target.shutdown = None;
+        target.faults.set(FaultSettings::default());
+        let incarnation = target.list_entry.incarnation + 1;
+        let launcher = TargetLauncher {
+            settings: target.settings.clone(),
             incarnation,
-            faults: running.faults.clone(),
+            faults: target.faults.clone(),
             ledger: self.ledger.clone(),
-            weights: self.weights.clone(),
-            weight_load: self.weight_load,
+            weight_loads: self.weight_loads.clone(),
+            weight_load_duration: self.weight_load_duration,
         };
-        let (address, life) = start.on_thread(SocketAddr::new(self.ip, 0))?;
-        running.target = target(&running.kind, address, incarnation);
-        running.life = Some(life);
-        self.platform.restarted(running.target.clone());
+        let (address, shutdown) = launcher.launch_on_thread(SocketAddr::new(self.ip, 0))?;
+        target.list_entry = list_entry(&target.settings, address, incarnation);
+        target.shutdown = Some(shutdown);
+        self.target_list.replace(target.list_entry.clone());
         Ok(())
     }
 }
 
-fn target(kind: &Kind, address: SocketAddr, incarnation: Incarnation) -> Target {
-    let (id, role, failure_domain, checks_fencing) = match kind {
-        Kind::Engine(engine) => {
+fn list_entry(settings: &TargetSettings, address: SocketAddr, incarnation: Incarnation) -> Target {
+    let (id, role, failure_domain, checks_fencing) = match settings {
+        TargetSettings::Engine(engine) => {
             let role = Role::Engine { model: engine.model.clone() };
             (&engine.id, role, &engine.failure_domain, engine.checks_fencing)
         }
-        Kind::Store(store) => (&store.id, Role::Store, &store.failure_domain, true),
-        Kind::Service(service) => {
+        TargetSettings::Store(store) => (&store.id, Role::Store, &store.failure_domain, true),
+        TargetSettings::Service(service) => {
             let role = Role::Service { service: service.service.clone() };
             (&service.id, role, &service.failure_domain, false)
         }
@@ -233,59 +244,59 @@
 }
 
 /// All that one target needs to start.
-struct Start {
-    kind: Kind,
+struct TargetLauncher {
+    settings: TargetSettings,
     incarnation: Incarnation,
     faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
-    weights: Arc<WeightStore>,
-    weight_load: Duration,
+    weight_loads: Arc<ActiveWeightLoads>,
+    weight_load_duration: Duration,
 }
 
-impl Start {
+impl TargetLauncher {
     /// Runs the target on a thread of its own until the returned sender is dropped.
-    fn on_thread(self, address: SocketAddr) -> Result<(SocketAddr, oneshot::Sender<()>)> {
+    fn launch_on_thread(self, address: SocketAddr) -> Result<(SocketAddr, oneshot::Sender<()>)> {
         let failed = |source| Error::start("stand-in", source, "free a port or raise the limits");
         let listener = std::net::TcpListener::bind(address).map_err(failed)?;
         listener.set_nonblocking(true).map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let runtime =
             tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(failed)?;
-        let (life, ended) = oneshot::channel();
+        let (shutdown, shutdown_requested) = oneshot::channel();
         let faults = self.faults.clone();
         std::thread::spawn(move || {
             runtime.block_on(async {
                 tokio::select! {
                     () = self.serve(listener) => {}
                     () = faults.wait_for_crash() => {}
-                    _ = ended => {}
+                    _ = shutdown_requested => {}
                 }
             });
             // Drops every task and socket of the target at once, as a kill would.
             runtime.shutdown_background();
         });
-        Ok((address, life))
+        Ok((address, shutdown))
     }
 
     async fn serve(self, listener: std::net::TcpListener) {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-        match self.kind {
-            Kind::Engine(settings) => {
+        match self.settings {
+            TargetSettings::Engine(settings) => {
                 let engine = Engine::start(
                     settings,
                     self.incarnation,
                     self.faults,
                     self.ledger,
-                    self.weights,
-                    self.weight_load,
+                    self.weight_loads,
+                    self.weight_load_duration,
                 );
                 serve_target(listener, move |request| engine.clone().handle(request)).await;
             }
-            Kind::Store(settings) => {
+            TargetSettings::Store(settings) => {
                 let store = Store::start(settings, self.incarnation, self.faults, self.ledger);
                 serve_target(listener, move |request| store.clone().handle(request)).await;
             }
-            Kind::Service(settings) => {
+            TargetSettings::Service(settings) => {
                 let service = Service::start(settings, self.faults, self.ledger);
                 serve_target(listener, move |request| service.clone().handle(request)).await;
             }
--- /dev/null
+++ b/src/emulator/target_list.rs
@@ -0,0 +1,72 @@
+//! The stand-in platform: a lagging list of targets, the ledger, and the fault knobs.
+
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+use parking_lot::Mutex;
+
+use crate::edge::api::{Presence, Target, TargetList};
+use crate::ids::TargetId;
+
+/// The list as it is and as it is shown.
+pub struct DelayedTargetList {
+    lag: Duration,
+    versions: Mutex<ListVersions>,
+}
+
+struct ListVersions {
+    current: Vec<Target>,
+    /// Versions of the list with the time from which each is shown; never empty.
+    published: VecDeque<(Instant, TargetList)>,
+}
+
+impl DelayedTargetList {
+    /// A platform that lists `targets` at once and later changes after `lag`.
+    pub fn new(targets: Vec<Target>, lag: Duration) -> DelayedTargetList {
+        let list = TargetList { targets: targets.clone() };
+        let published = VecDeque::from([(Instant::now(), list)]);
+        DelayedTargetList {
+            lag,
+            versions: Mutex::new(ListVersions { current: targets, published }),
+        }
+    }
+
+    /// The list as it is shown now.
+    pub fn visible(&self) -> TargetList {
+        let now = Instant::now();
+        let mut versions = self.versions.lock();
+        while versions.published.get(1).is_some_and(|(visible_from, _)| *visible_from <= now) {
+            versions.published.pop_front();
+        }
+        versions.published.front().map(|(_, list)| list.clone()).unwrap_or_default()
+    }
+
+    /// Marks a target as leaving.
+    pub fn mark_leaving(&self, id: &str) {
+        self.update(|current| {
+            for target in current.iter_mut().filter(|target| target.id == id) {
+                target.presence = Presence::Leaving;
+            }
+        });
+    }
+
+    /// Takes a target off the list.
+    pub fn remove(&self, id: &TargetId) {
+        self.update(|current| current.retain(|target| target.id != *id));
+    }
+
+    /// Lists a target that started again.
+    pub fn replace(&self, target: Target) {
+        self.update(|current| {
+            current.retain(|other| other.id != target.id);
+            current.push(target);
+        });
+    }
+
+    fn update(&self, change: impl FnOnce(&mut Vec<Target>)) {
+        let mut versions = self.versions.lock();
+        change(&mut versions.current);
+        let list = TargetList { targets: versions.current.clone() };
+        versions.published.push_back((Instant::now() + self.lag, list));
+    }
+}
