--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -18,7 +18,7 @@
 use super::priority_semaphore::{Permit, PrioritySemaphore};
 use super::settings::EngineSettings;
 use super::store;
-use super::stream::{Generation, Parts, Progress, Step, StreamId};
+use super::stream::{Completion, CompletionStream, Progress, StreamId, StreamState};
 use super::transfer;
 use crate::edge::api::{
     ATTEMPT_HEADER, CacheChange, CacheEvent, CacheEvents, CancelOrder, EngineOrder, ExportOrder,
@@ -31,11 +31,11 @@
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 
 /// How often a load sample is taken for the lagging report.
-const SAMPLE_PERIOD: Duration = Duration::from_millis(20);
+const LOAD_SAMPLE_PERIOD: Duration = Duration::from_millis(20);
 /// Events that are kept for readers.
-const EVENTS_KEPT: usize = 65_536;
+const MAX_RETAINED_EVENTS: usize = 65_536;
 /// Finished or broken answers that can still be resumed.
-const ANSWERS_KEPT: usize = 4_096;
+const MAX_RETAINED_COMPLETIONS: usize = 4_096;
 /// From the begin of a prompt on which it dies until it does.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
 /// Weight loading progresses in steps of this length.
@@ -64,22 +64,22 @@
 struct State {
     cache: PrefixCache,
     events: VecDeque<(Instant, CacheEvent)>,
-    next_event: u64,
-    samples: VecDeque<(Instant, LoadReport)>,
-    queued_tokens: u64,
+    next_event_seq: u64,
+    load_samples: VecDeque<(Instant, LoadReport)>,
+    queued_prefill_tokens: u64,
     running: u32,
     weight_version: Option<String>,
-    highest_fencing: u64,
-    answers: HashMap<StreamId, Arc<Generation>>,
-    answer_order: VecDeque<StreamId>,
+    highest_fencing_number: u64,
+    completions: HashMap<StreamId, Arc<Completion>>,
+    completion_order: VecDeque<StreamId>,
 }
 
 /// A request on its way through the engine.
-struct Work {
-    generation: Arc<Generation>,
+struct PromptJob {
+    completion: Arc<Completion>,
     chain: Chain,
     /// Tokens that it counts in the queue.
-    queued: u64,
+    queued_tokens: u64,
     priority: u8,
     import: Option<ImportOrder>,
 }
@@ -97,14 +97,14 @@
         let state = State {
             cache: PrefixCache::new(settings.cache_tokens as usize / BLOCK_TOKENS),
             events: VecDeque::new(),
-            next_event: 1,
-            samples: VecDeque::new(),
-            queued_tokens: 0,
+            next_event_seq: 1,
+            load_samples: VecDeque::new(),
+            queued_prefill_tokens: 0,
             running: 0,
             weight_version: Some(settings.weight_version.clone()),
-            highest_fencing: 0,
-            answers: HashMap::new(),
-            answer_order: VecDeque::new(),
+            highest_fencing_number: 0,
+            completions: HashMap::new(),
+            completion_order: VecDeque::new(),
         };
         let engine = Arc::new(Engine {
             batch_slots: PrioritySemaphore::new(settings.max_batch as usize),
@@ -118,7 +118,7 @@
             client: reqwest::Client::new(),
             state: Mutex::new(state),
         });
-        tokio::spawn(engine.clone().sample());
+        tokio::spawn(engine.clone().sample_load());
         engine
     }
 
@@ -126,28 +126,28 @@
     pub async fn handle(self: Arc<Engine>, request: Request) -> Response {
         let segments = request.segments();
         match segments.as_slice() {
-            ["v1", "chat", "completions"] => self.generate(&request, Shape::Chat),
-            ["v1", "completions"] => self.generate(&request, Shape::Text),
+            ["v1", "chat", "completions"] => self.start_completion(&request, Shape::Chat),
+            ["v1", "completions"] => self.start_completion(&request, Shape::Text),
             ["streams", id] => self.resume(&request, id),
-            ["load"] => http::json(StatusCode::OK, &self.load()),
+            ["load"] => http::json(StatusCode::OK, &self.load_report()),
             ["kv", "events"] => http::json(StatusCode::OK, &self.events_after(&request)),
             ["kv", "export"] => self.export(&request).await,
             ["cancel"] => self.cancel(&request),
-            ["orders"] => self.order(&request),
+            ["orders"] => self.handle_order(&request),
             _ => http::text(StatusCode::NOT_FOUND, "no such interface".into()),
         }
     }
 
-    fn generate(self: &Arc<Engine>, request: &Request, shape: Shape) -> Response {
+    fn start_completion(self: &Arc<Engine>, request: &Request, shape: Shape) -> Response {
         let Ok(prompt) = request.json::<PromptRequest>() else {
-            return refusal(StatusCode::BAD_REQUEST, "the body is not a prompt request");
+            return refuse_not_run(StatusCode::BAD_REQUEST, "the body is not a prompt request");
         };
         let version = request.header(VERSION_HEADER).unwrap_or_default();
         if self.state.lock().weight_version.as_deref() != Some(version) {
-            return refusal(StatusCode::CONFLICT, "another weight version is loaded");
+            return refuse_not_run(StatusCode::CONFLICT, "another weight version is loaded");
         }
         if self.faults.settings().refuse {
-            return refusal(StatusCode::SERVICE_UNAVAILABLE, "refused on demand");
+            return refuse_not_run(StatusCode::SERVICE_UNAVAILABLE, "refused on demand");
         }
         let owner = Owner {
             account: request.header(OWNER_HEADER).unwrap_or_default().to_string(),
@@ -165,13 +165,13 @@
             .json::<serde_json::Value>()
             .ok()
             .and_then(|body| serde_json::from_value(body.get("kv_import")?.clone()).ok());
-        let generation = Arc::new(Generation {
+        let completion = Arc::new(Completion {
             answer: Answer::new(&owner, &text, prompt.token_limit().max(1)),
             shape,
             progress: watch::Sender::new(Progress::default()),
         });
         self.ledger.started(&self.settings.id, &request_id);
-        self.keep(&id, &generation);
+        self.retain(&id, &completion);
         if self.faults.settings().dies_on.is_some_and(|pattern| text.contains(&pattern)) {
             let faults = self.faults.clone();
             tokio::spawn(async move {
@@ -179,17 +179,18 @@
                 faults.crash();
             });
             // It never gets to its first token.
-            return self.stream(id, generation, 0);
+            return self.stream(id, completion, 0);
         }
-        let queued = self.queue(&chain);
-        let work = Work { generation: generation.clone(), chain, queued, priority, import };
-        tokio::spawn(self.clone().run(work));
-        self.stream(id, generation, 0)
+        let queued_tokens = self.add_to_queue(&chain);
+        let job =
+            PromptJob { completion: completion.clone(), chain, queued_tokens, priority, import };
+        tokio::spawn(self.clone().run_prompt(job));
+        self.stream(id, completion, 0)
     }
 
     /// Generates one answer to its end, whether or not somebody listens, unless it is cancelled.
-    async fn run(self: Arc<Engine>, work: Work) {
-        let Work { generation, chain, queued, priority, import } = work;
+    async fn run_prompt(self: Arc<Engine>, job: PromptJob) {
+        let PromptJob { completion, chain, queued_tokens, priority, import } = job;
         let batch_permit: Permit = self.batch_slots.acquire(priority).await;
         {
             let mut state = self.state.lock();
@@ -197,53 +198,53 @@
             state.cache.hold(&chain.keys);
         }
         tokio::time::sleep(Duration::from_millis(self.faults.settings().delay_ms)).await;
-        let imported = self.import(&chain, import).await;
+        let import_len_tokens = self.import(&chain, import).await;
         let prefill_permit = self.prefill_slot.acquire(priority).await;
-        let cancelled = generation.progress.borrow().cancelled;
-        let resident = self.state.lock().cache.resident(&chain.keys);
-        let reused = (resident * BLOCK_TOKENS).min(chain.tokens);
+        let cancelled = completion.progress.borrow().cancelled;
+        let resident_blocks = self.state.lock().cache.resident(&chain.keys);
+        let reused_tokens = (resident_blocks * BLOCK_TOKENS).min(chain.tokens);
         if !cancelled {
             let rate = self.settings.prefill_tokens_per_s as f64;
-            let rest = (chain.tokens - reused) as f64;
-            tokio::time::sleep(Duration::from_secs_f64(rest / rate)).await;
+            let uncached_tokens = (chain.tokens - reused_tokens) as f64;
+            tokio::time::sleep(Duration::from_secs_f64(uncached_tokens / rate)).await;
         }
-        self.prefilled(&chain, queued);
+        self.finish_prefill(&chain, queued_tokens);
         drop(prefill_permit);
-        let imported_tokens = imported.min(reused);
+        let imported_tokens = import_len_tokens.min(reused_tokens);
         self.ledger.record(|counts| {
             counts.prompt_tokens += chain.tokens as u64;
             counts.imported_tokens += imported_tokens as u64;
-            counts.resident_tokens += (reused - imported_tokens) as u64;
+            counts.resident_tokens += (reused_tokens - imported_tokens) as u64;
         });
         let usage = Usage {
             prompt_tokens: chain.tokens as u64,
-            completion_tokens: generation.answer.tokens().into(),
-            total_tokens: chain.tokens as u64 + u64::from(generation.answer.tokens()),
+            completion_tokens: completion.answer.tokens().into(),
+            total_tokens: chain.tokens as u64 + u64::from(completion.answer.tokens()),
             prompt_tokens_details: PromptDetails {
-                cached_tokens: reused as u64,
+                cached_tokens: reused_tokens as u64,
                 imported_tokens: imported_tokens as u64,
             },
         };
-        self.decode(&generation, usage).await;
+        self.decode(&completion, usage).await;
         {
             let mut state = self.state.lock();
             state.running -= 1;
             let changes = state.cache.release(&chain.keys);
-            self.publish(&mut state, changes);
+            self.publish_cache_events(&mut state, changes);
         }
         drop(batch_permit);
     }
 
-    async fn decode(&self, generation: &Generation, usage: Usage) {
-        for produced in 1..=generation.answer.tokens() {
-            if produced > 1 {
+    async fn decode(&self, completion: &Completion, usage: Usage) {
+        for produced_tokens in 1..=completion.answer.tokens() {
+            if produced_tokens > 1 {
                 tokio::time::sleep(Duration::from_micros(self.settings.token_us)).await;
             }
-            if generation.progress.borrow().cancelled {
+            if completion.progress.borrow().cancelled {
                 return;
             }
-            generation.progress.send_modify(|progress| {
-                progress.produced = produced;
+            completion.progress.send_modify(|progress| {
+                progress.produced_tokens = produced_tokens;
                 progress.usage = usage;
             });
             self.ledger.record(|counts| counts.generated_tokens += 1);
@@ -251,33 +252,33 @@
     }
 
     /// Counts the tokens that must be prefilled as far as is known on arrival.
-    fn queue(&self, chain: &Chain) -> u64 {
+    fn add_to_queue(&self, chain: &Chain) -> u64 {
         let mut state = self.state.lock();
-        let resident = state.cache.resident(&chain.keys) * BLOCK_TOKENS;
-        let queued = chain.tokens.saturating_sub(resident) as u64;
-        state.queued_tokens += queued;
-        queued
+        let resident_tokens = state.cache.resident(&chain.keys) * BLOCK_TOKENS;
+        let queued_tokens = chain.tokens.saturating_sub(resident_tokens) as u64;
+        state.queued_prefill_tokens += queued_tokens;
+        queued_tokens
     }
 
-    fn prefilled(&self, chain: &Chain, queued: u64) {
+    fn finish_prefill(&self, chain: &Chain, queued_tokens: u64) {
         let mut state = self.state.lock();
-        state.queued_tokens -= queued;
+        state.queued_prefill_tokens -= queued_tokens;
         let changes = state.cache.store(&chain.keys);
-        self.publish(&mut state, changes);
+        self.publish_cache_events(&mut state, changes);
     }
 
-    fn publish(&self, state: &mut State, changes: Vec<(CacheChange, BlockKey)>) {
-        let due = Instant::now() + Duration::from_millis(self.settings.event_lag_ms);
+    fn publish_cache_events(&self, state: &mut State, changes: Vec<(CacheChange, BlockKey)>) {
+        let visible_at = Instant::now() + Duration::from_millis(self.settings.event_lag_ms);
         for (change, key) in changes {
-            let seq = state.next_event;
-            state.next_event += 1;
-            let loss = self.settings.event_loss_one_in;
-            if loss > 0 && seq.is_multiple_of(loss) {
+            let seq = state.next_event_seq;
+            state.next_event_seq += 1;
+            let loss_one_in = self.settings.event_loss_one_in;
+            if loss_one_in > 0 && seq.is_multiple_of(loss_one_in) {
                 continue;
             }
-            state.events.push_back((due, CacheEvent { seq, change, key }));
+            state.events.push_back((visible_at, CacheEvent { seq, change, key }));
         }
-        while state.events.len() > EVENTS_KEPT {
+        while state.events.len() > MAX_RETAINED_EVENTS {
             state.events.pop_front();
         }
     }
@@ -298,7 +299,7 @@
             Some(()) => {
                 let mut state = self.state.lock();
                 let changes = state.cache.store(&chain.keys[..blocks]);
-                self.publish(&mut state, changes);
+                self.publish_cache_events(&mut state, changes);
                 blocks * BLOCK_TOKENS
             }
             None => {
@@ -332,38 +333,38 @@
         }
     }
 
-    fn keep(&self, id: &str, generation: &Arc<Generation>) {
+    fn retain(&self, id: &str, completion: &Arc<Completion>) {
         let mut state = self.state.lock();
-        state.answers.insert(id.to_string(), generation.clone());
-        state.answer_order.push_back(id.to_string());
-        while state.answer_order.len() > ANSWERS_KEPT {
-            if let Some(oldest) = state.answer_order.pop_front() {
-                state.answers.remove(&oldest);
+        state.completions.insert(id.to_string(), completion.clone());
+        state.completion_order.push_back(id.to_string());
+        while state.completion_order.len() > MAX_RETAINED_COMPLETIONS {
+            if let Some(oldest) = state.completion_order.pop_front() {
+                state.completions.remove(&oldest);
             }
         }
     }
 
     fn resume(&self, request: &Request, id: &str) -> Response {
-        let from = request.parameter("from").and_then(|text| text.parse().ok()).unwrap_or(0);
-        let generation = self.state.lock().answers.get(id).cloned();
-        match generation {
-            Some(generation) => self.stream(id.to_string(), generation, from),
-            None => refusal(StatusCode::NOT_FOUND, "no such stream"),
+        let from_token = request.parameter("from").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let completion = self.state.lock().completions.get(id).cloned();
+        match completion {
+            Some(completion) => self.stream(id.to_string(), completion, from_token),
+            None => refuse_not_run(StatusCode::NOT_FOUND, "no such stream"),
         }
     }
 
-    fn stream(&self, id: StreamId, generation: Arc<Generation>, from: u32) -> Response {
-        let parts = Parts {
+    fn stream(&self, id: StreamId, completion: Arc<Completion>, from_token: u32) -> Response {
+        let events = CompletionStream {
             // A resumed stream breaks only if the fault is still set.
-            break_at: self.faults.take_break_after_tokens().map(|after| from + after),
+            break_at_token: self.faults.take_break_after_tokens().map(|after| from_token + after),
             id: if self.faults.settings().crossed { format!("other-{id}") } else { id },
             model: self.settings.model.clone(),
-            next: from,
-            receiver: generation.progress.subscribe(),
-            generation,
-            step: Step::Tokens,
+            next_token: from_token,
+            progress: completion.progress.subscribe(),
+            completion,
+            state: StreamState::Tokens,
         };
-        http::stream("text/event-stream", stream::unfold(parts, Parts::next))
+        http::stream("text/event-stream", stream::unfold(events, CompletionStream::next_event))
     }
 
     fn cancel(&self, request: &Request) -> Response {
@@ -371,23 +372,23 @@
             return http::text(StatusCode::BAD_REQUEST, "the body is not a cancel order".into());
         };
         let id = format!("{}.{}", order.request_id, order.attempt);
-        if let Some(generation) = self.state.lock().answers.get(&id) {
-            generation.progress.send_modify(|progress| progress.cancelled = true);
+        if let Some(completion) = self.state.lock().completions.get(&id) {
+            completion.progress.send_modify(|progress| progress.cancelled = true);
         }
         http::json(StatusCode::OK, &json!({"cancelled": id}))
     }
 
-    fn order(self: &Arc<Engine>, request: &Request) -> Response {
+    fn handle_order(self: &Arc<Engine>, request: &Request) -> Response {
         let Ok(order) = request.json::<EngineOrder>() else {
             return http::text(StatusCode::BAD_REQUEST, "the body is not an order".into());
         };
         {
             let mut state = self.state.lock();
-            if self.settings.checks_fencing && order.fencing < state.highest_fencing {
-                let highest = state.highest_fencing;
+            if self.settings.checks_fencing && order.fencing < state.highest_fencing_number {
+                let highest = state.highest_fencing_number;
                 return http::json(StatusCode::PRECONDITION_FAILED, &json!({"highest": highest}));
             }
-            state.highest_fencing = state.highest_fencing.max(order.fencing);
+            state.highest_fencing_number = state.highest_fencing_number.max(order.fencing);
             if state.weight_version.as_deref() == Some(&order.load_version) {
                 return http::json(StatusCode::OK, &json!({"loaded": true}));
             }
@@ -419,33 +420,34 @@
         let events = state
             .events
             .iter()
-            .filter(|(due, event)| *due <= now && event.seq > after)
+            .filter(|(visible_at, event)| *visible_at <= now && event.seq > after)
             .map(|(_, event)| event.clone())
             .collect();
         CacheEvents { incarnation: self.incarnation, events }
     }
 
-    fn load(&self) -> LoadReport {
+    fn load_report(&self) -> LoadReport {
         let now = Instant::now();
-        let lag = Duration::from_millis(self.settings.load_lag_ms);
+        let min_age = Duration::from_millis(self.settings.load_lag_ms);
         let state = self.state.lock();
-        let sample = state.samples.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
-        match sample.or(state.samples.front()) {
+        let sample =
+            state.load_samples.iter().rev().find(|(at, _)| now.duration_since(*at) >= min_age);
+        match sample.or(state.load_samples.front()) {
             Some((at, report)) => {
                 let age_ms = now.duration_since(*at).as_millis() as u64;
                 LoadReport { age_ms, ..report.clone() }
             }
-            None => self.report(&state),
+            None => self.current_load(&state),
         }
     }
 
-    fn report(&self, state: &State) -> LoadReport {
+    fn current_load(&self, state: &State) -> LoadReport {
         LoadReport {
             incarnation: self.incarnation,
             age_ms: 0,
             running: state.running,
             waiting: self.batch_slots.waiting() as u32,
-            queued_prefill_tokens: state.queued_tokens,
+            queued_prefill_tokens: state.queued_prefill_tokens,
             max_batch: self.settings.max_batch as u32,
             prefill_tokens_per_s: self.settings.prefill_tokens_per_s as f64,
             kv_bytes_per_token: self.settings.kv_bytes_per_token,
@@ -454,26 +456,30 @@
         }
     }
 
-    async fn sample(self: Arc<Engine>) {
-        let lag = Duration::from_millis(self.settings.load_lag_ms);
+    async fn sample_load(self: Arc<Engine>) {
+        let min_age = Duration::from_millis(self.settings.load_lag_ms);
         loop {
             {
                 let now = Instant::now();
                 let mut state = self.state.lock();
-                let report = self.report(&state);
-                state.samples.push_back((now, report));
+                let report = self.current_load(&state);
+                state.load_samples.push_back((now, report));
                 // One sample older than the lag stays, as the one that is shown.
-                while state.samples.get(1).is_some_and(|(at, _)| now.duration_since(*at) > lag) {
-                    state.samples.pop_front();
+                while state
+                    .load_samples
+                    .get(1)
+                    .is_some_and(|(at, _)| now.duration_since(*at) > min_age)
+                {
+                    state.load_samples.pop_front();
                 }
             }
-            tokio::time::sleep(SAMPLE_PERIOD).await;
+            tokio::time::sleep(LOAD_SAMPLE_PERIOD).await;
         }
     }
 }
 
 /// A refusal that proves that nothing was run.
-fn refusal(status: StatusCode, message: &str) -> Response {
+fn refuse_not_run(status: StatusCode, message: &str) -> Response {
     let mut response = http::json(status, &json!({"error": {"message": message}}));
     http::set_header(&mut response, NOT_RUN_HEADER, "true");
     response
--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -13,7 +13,7 @@
 pub(super) type StreamId = String;
 
 /// One answer while and after it is generated.
-pub(super) struct Generation {
+pub(super) struct Completion {
     pub(super) answer: Answer,
     pub(super) shape: Shape,
     pub(super) progress: watch::Sender<Progress>,
@@ -22,13 +22,13 @@
 /// How far an answer has been generated.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Progress {
-    pub(super) produced: u32,
+    pub(super) produced_tokens: u32,
     pub(super) cancelled: bool,
     pub(super) usage: Usage,
 }
 
 /// What is sent next.
-pub(super) enum Step {
+pub(super) enum StreamState {
     Tokens,
     Usage,
     Done,
@@ -36,66 +36,68 @@
 }
 
 /// The parts of one streamed answer that are still to be sent.
-pub(super) struct Parts {
+pub(super) struct CompletionStream {
     pub(super) id: StreamId,
     pub(super) model: String,
-    pub(super) generation: Arc<Generation>,
-    pub(super) receiver: watch::Receiver<Progress>,
+    pub(super) completion: Arc<Completion>,
+    pub(super) progress: watch::Receiver<Progress>,
     /// The token that comes next.
-    pub(super) next: u32,
+    pub(super) next_token: u32,
     /// The token before which a fault breaks the stream off.
-    pub(super) break_at: Option<u32>,
-    pub(super) step: Step,
+    pub(super) break_at_token: Option<u32>,
+    pub(super) state: StreamState,
 }
 
-impl Parts {
+impl CompletionStream {
     /// The next part and the rest.
-    pub(super) async fn next(mut self) -> Option<(Result<Bytes, std::io::Error>, Parts)> {
-        let data = match self.step {
-            Step::Tokens => self.token().await?,
-            Step::Usage => {
-                self.step = Step::Done;
-                let usage = Some(self.receiver.borrow().usage);
-                self.write(Chunk { id: self.id.clone(), usage, ..Chunk::default() })
+    pub(super) async fn next_event(
+        mut self,
+    ) -> Option<(Result<Bytes, std::io::Error>, CompletionStream)> {
+        let data = match self.state {
+            StreamState::Tokens => self.next_token_event().await?,
+            StreamState::Usage => {
+                self.state = StreamState::Done;
+                let usage = Some(self.progress.borrow().usage);
+                self.encode(Chunk { id: self.id.clone(), usage, ..Chunk::default() })
             }
-            Step::Done => {
-                self.step = Step::End;
+            StreamState::Done => {
+                self.state = StreamState::End;
                 Ok(sse::DONE.to_string())
             }
-            Step::End => return None,
+            StreamState::End => return None,
         };
         if data.is_err() {
-            self.step = Step::End;
+            self.state = StreamState::End;
         }
         Some((data.map(|data| Bytes::from(sse::event(&data))), self))
     }
 
-    async fn token(&mut self) -> Option<Result<String, std::io::Error>> {
-        if self.break_at.is_some_and(|at| self.next >= at) {
+    async fn next_token_event(&mut self) -> Option<Result<String, std::io::Error>> {
+        if self.break_at_token.is_some_and(|at| self.next_token >= at) {
             return Some(Err(std::io::Error::other("broken on demand")));
         }
-        let next = self.next;
-        let tokens = self.generation.answer.tokens();
+        let index = self.next_token;
+        let tokens = self.completion.answer.tokens();
         let progress = self
-            .receiver
-            .wait_for(|progress| progress.produced > next || progress.cancelled)
+            .progress
+            .wait_for(|progress| progress.produced_tokens > index || progress.cancelled)
             .await
             .map(|progress| *progress);
-        let cancelled = progress.is_ok_and(|progress| progress.produced <= next);
-        if cancelled || next >= tokens {
+        let cancelled = progress.is_ok_and(|progress| progress.produced_tokens <= index);
+        if cancelled || index >= tokens {
             return Some(Err(std::io::Error::other("cancelled")));
         }
-        self.next += 1;
-        let last = self.next == tokens;
-        if last {
-            self.step = Step::Usage;
+        self.next_token += 1;
+        let is_last = self.next_token == tokens;
+        if is_last {
+            self.state = StreamState::Usage;
         }
-        let finish = last.then(|| "stop".to_string());
-        let text = self.generation.answer.token(next);
-        Some(self.write(Chunk { id: self.id.clone(), text, finish, usage: None }))
+        let finish = is_last.then(|| "stop".to_string());
+        let text = self.completion.answer.token(index);
+        Some(self.encode(Chunk { id: self.id.clone(), text, finish, usage: None }))
     }
 
-    fn write(&self, chunk: Chunk) -> Result<String, std::io::Error> {
-        Ok(chunk.write(self.generation.shape, &self.model, 0))
+    fn encode(&self, chunk: Chunk) -> Result<String, std::io::Error> {
+        Ok(chunk.write(self.completion.shape, &self.model, 0))
     }
 }
