--- a/src/emulator/cache.rs
+++ b/src/emulator/cache.rs
@@ -13,7 +13,7 @@
     /// Invariant: the inverse of `by_key`; each tick is used once.
     by_tick: BTreeMap<u64, BlockKey>,
     /// Requests in the batch that hold each block; they do not count against the capacity.
-    held: HashMap<BlockKey, u32>,
+    pin_counts: HashMap<BlockKey, u32>,
     next_tick: u64,
 }
 
@@ -24,18 +24,18 @@
             capacity_blocks,
             by_key: HashMap::new(),
             by_tick: BTreeMap::new(),
-            held: HashMap::new(),
+            pin_counts: HashMap::new(),
             next_tick: 0,
         }
     }
 
     /// Blocks of the prefix that are resident from its start.
-    pub fn resident(&self, keys: &[BlockKey]) -> usize {
+    pub fn resident_blocks(&self, keys: &[BlockKey]) -> usize {
         keys.iter().take_while(|key| self.by_key.contains_key(key)).count()
     }
 
     /// Makes a prefix resident and marks it as used. Returns what came and what went.
-    pub fn store(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
+    pub fn insert(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         let mut changes = Vec::new();
         // From the end, so that the start of a prefix outlives what builds on it.
         for key in keys.iter().rev() {
@@ -53,19 +53,19 @@
     }
 
     /// Keeps a prefix from being evicted, whether it is resident yet or not.
-    pub fn hold(&mut self, keys: &[BlockKey]) {
+    pub fn pin(&mut self, keys: &[BlockKey]) {
         for key in keys {
-            *self.held.entry(*key).or_default() += 1;
+            *self.pin_counts.entry(*key).or_default() += 1;
         }
     }
 
     /// Ends a hold. Returns what went.
-    pub fn release(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
+    pub fn unpin(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         for key in keys {
-            if let Some(count) = self.held.get_mut(key) {
+            if let Some(count) = self.pin_counts.get_mut(key) {
                 *count -= 1;
                 if *count == 0 {
-                    self.held.remove(key);
+                    self.pin_counts.remove(key);
                 }
             }
         }
@@ -73,12 +73,13 @@
     }
 
     fn evict(&mut self) -> Vec<(CacheChange, BlockKey)> {
-        let held = self.held.keys().filter(|key| self.by_key.contains_key(key)).count();
-        let excess = (self.by_key.len() - held).saturating_sub(self.capacity_blocks);
+        let pinned_blocks =
+            self.pin_counts.keys().filter(|key| self.by_key.contains_key(key)).count();
+        let excess = (self.by_key.len() - pinned_blocks).saturating_sub(self.capacity_blocks);
         let oldest: Vec<(u64, BlockKey)> = self
             .by_tick
             .iter()
-            .filter(|(_, key)| !self.held.contains_key(key))
+            .filter(|(_, key)| !self.pin_counts.contains_key(key))
             .take(excess)
             .map(|(tick, key)| (*tick, *key))
             .collect();
--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -170,7 +170,7 @@
             shape,
             progress: watch::Sender::new(Progress::default()),
         });
-        self.ledger.started(&self.settings.id, &request_id);
+        self.ledger.record_start(&self.settings.id, &request_id);
         self.retain(&id, &completion);
         if self.faults.settings().dies_on.is_some_and(|pattern| text.contains(&pattern)) {
             let faults = self.faults.clone();
@@ -195,13 +195,13 @@
         {
             let mut state = self.state.lock();
             state.running += 1;
-            state.cache.hold(&chain.keys);
+            state.cache.pin(&chain.keys);
         }
         tokio::time::sleep(Duration::from_millis(self.faults.settings().delay_ms)).await;
         let import_len_tokens = self.import(&chain, import).await;
         let prefill_permit = self.prefill_slot.acquire(priority).await;
         let cancelled = completion.progress.borrow().cancelled;
-        let resident_blocks = self.state.lock().cache.resident(&chain.keys);
+        let resident_blocks = self.state.lock().cache.resident_blocks(&chain.keys);
         let reused_tokens = (resident_blocks * BLOCK_TOKENS).min(chain.tokens);
         if !cancelled {
             let rate = self.settings.prefill_tokens_per_s as f64;
@@ -211,7 +211,7 @@
         self.finish_prefill(&chain, queued_tokens);
         drop(prefill_permit);
         let imported_tokens = import_len_tokens.min(reused_tokens);
-        self.ledger.record(|counts| {
+        self.ledger.update(|counts| {
             counts.prompt_tokens += chain.tokens as u64;
             counts.imported_tokens += imported_tokens as u64;
             counts.resident_tokens += (reused_tokens - imported_tokens) as u64;
@@ -229,7 +229,7 @@
         {
             let mut state = self.state.lock();
             state.running -= 1;
-            let changes = state.cache.release(&chain.keys);
+            let changes = state.cache.unpin(&chain.keys);
             self.publish_cache_events(&mut state, changes);
         }
         drop(batch_permit);
@@ -247,14 +247,14 @@
                 progress.produced_tokens = produced_tokens;
                 progress.usage = usage;
             });
-            self.ledger.record(|counts| counts.generated_tokens += 1);
+            self.ledger.update(|counts| counts.generated_tokens += 1);
         }
     }
 
     /// Counts the tokens that must be prefilled as far as is known on arrival.
     fn add_to_queue(&self, chain: &Chain) -> u64 {
         let mut state = self.state.lock();
-        let resident_tokens = state.cache.resident(&chain.keys) * BLOCK_TOKENS;
+        let resident_tokens = state.cache.resident_blocks(&chain.keys) * BLOCK_TOKENS;
         let queued_tokens = chain.tokens.saturating_sub(resident_tokens) as u64;
         state.queued_prefill_tokens += queued_tokens;
         queued_tokens
@@ -263,7 +263,7 @@
     fn finish_prefill(&self, chain: &Chain, queued_tokens: u64) {
         let mut state = self.state.lock();
         state.queued_prefill_tokens -= queued_tokens;
-        let changes = state.cache.store(&chain.keys);
+        let changes = state.cache.insert(&chain.keys);
         self.publish_cache_events(&mut state, changes);
     }
 
@@ -289,21 +289,21 @@
         let blocks = object.blocks as usize;
         // The key proves owner and content: a foreign or shorter chain can't have it.
         if blocks == 0 || chain.keys.get(blocks - 1) != Some(&object.key) {
-            self.ledger.record(|counts| counts.failed_imports += 1);
+            self.ledger.update(|counts| counts.failed_imports += 1);
             return 0;
         }
-        if self.state.lock().cache.resident(&chain.keys) >= blocks {
+        if self.state.lock().cache.resident_blocks(&chain.keys) >= blocks {
             return 0;
         }
-        match transfer::fetch(&self.client, &store_url, &object).await {
+        match transfer::import_object(&self.client, &store_url, &object).await {
             Some(()) => {
                 let mut state = self.state.lock();
-                let changes = state.cache.store(&chain.keys[..blocks]);
+                let changes = state.cache.insert(&chain.keys[..blocks]);
                 self.publish_cache_events(&mut state, changes);
                 blocks * BLOCK_TOKENS
             }
             None => {
-                self.ledger.record(|counts| counts.failed_imports += 1);
+                self.ledger.update(|counts| counts.failed_imports += 1);
                 0
             }
         }
@@ -313,10 +313,10 @@
         let Ok(order) = request.json::<ExportOrder>() else {
             return http::text(StatusCode::BAD_REQUEST, "the body is not an export order".into());
         };
-        if self.state.lock().cache.resident(&[order.key]) == 0 {
+        if self.state.lock().cache.resident_blocks(&[order.key]) == 0 {
             return http::text(StatusCode::NOT_FOUND, "the prefix is not resident".into());
         }
-        let content = store::content(order.key, order.blocks);
+        let content = store::synthetic_content(order.key, order.blocks);
         let object = KeptObject {
             root: order.root,
             key: order.key,
@@ -327,7 +327,7 @@
                 * self.settings.kv_bytes_per_token,
             checksum: crc32fast::hash(&content),
         };
-        match transfer::send(&self.client, &order, &object, content).await {
+        match transfer::export_object(&self.client, &order, &object, content).await {
             Ok(()) => http::json(StatusCode::OK, &object),
             Err(status) => http::text(status, "the store did not take it".into()),
         }
@@ -395,7 +395,7 @@
             state.weight_version = None;
             state.cache.clear();
         }
-        self.ledger.record(|counts| {
+        self.ledger.update(|counts| {
             counts.orders.entry(self.settings.id.clone()).or_default().push(order.fencing);
         });
         tokio::spawn(self.clone().load_weights(order.load_version));
--- a/src/emulator/ledger.rs
+++ b/src/emulator/ledger.rs
@@ -51,13 +51,13 @@
 
 impl Ledger {
     /// Changes the counts.
-    pub fn record(&self, change: impl FnOnce(&mut Counts)) {
+    pub fn update(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut self.counts.lock());
     }
 
     /// Records that a request started to run on a target.
-    pub fn started(&self, target: &str, request_id: &str) {
-        self.record(|counts| {
+    pub fn record_start(&self, target: &str, request_id: &str) {
+        self.update(|counts| {
             *counts.runs.entry(request_id.to_string()).or_default() += 1;
             *counts.by_target.entry(target.to_string()).or_default() += 1;
         });
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -39,7 +39,7 @@
             return response;
         }
         let request_id = request.header(REQUEST_HEADER).unwrap_or("none").to_string();
-        self.ledger.started(&self.settings.id, &request_id);
+        self.ledger.record_start(&self.settings.id, &request_id);
         let call = Duration::from_millis(self.settings.call_ms + fault_settings.delay_ms);
         tokio::time::sleep(call).await;
         if self.faults.take_break_after_tokens().is_some() {
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -122,9 +122,9 @@
         let settings = EmulatorSettings {
             ip,
             platform_port: fields.number("platform_port", 0, 0, u16::MAX.into()) as u16,
-            engines: fields.list("engines", engine),
-            stores: fields.list("stores", store),
-            services: fields.list("services", service),
+            engines: fields.list("engines", engine_settings),
+            stores: fields.list("stores", store_settings),
+            services: fields.list("services", service_settings),
             platform_lag_ms: fields.number("platform_lag_ms", 100, 0, 600_000),
             weight_load_ms: fields.number("weight_load_ms", 300, 0, 600_000),
             log: fields.object("log", log_settings),
@@ -137,22 +137,22 @@
     }
 }
 
-const RATE_MAX: u64 = 1 << 50;
+const MAX_QUANTITY: u64 = 1 << 50;
 
-fn engine(mut fields: Fields<'_>) -> EngineSettings {
+fn engine_settings(mut fields: Fields<'_>) -> EngineSettings {
     let settings = EngineSettings {
         id: fields.text("id", "name the engine"),
         model: fields.text("model", "name its model"),
         weight_version: fields.optional_text("weight_version").unwrap_or_else(|| "v1".into()),
         failure_domain: fields.text("failure_domain", "name its failure domain"),
-        prefill_tokens_per_s: fields.number("prefill_tokens_per_s", 20_000, 1, RATE_MAX),
+        prefill_tokens_per_s: fields.number("prefill_tokens_per_s", 20_000, 1, MAX_QUANTITY),
         token_us: fields.number("token_us", 2_000, 0, 60_000_000),
         max_batch: fields.number("max_batch", 16, 1, 100_000),
-        cache_tokens: fields.number("cache_tokens", 32_768, 0, RATE_MAX),
-        kv_bytes_per_token: fields.number("kv_bytes_per_token", 65_536, 1, RATE_MAX),
+        cache_tokens: fields.number("cache_tokens", 32_768, 0, MAX_QUANTITY),
+        kv_bytes_per_token: fields.number("kv_bytes_per_token", 65_536, 1, MAX_QUANTITY),
         load_lag_ms: fields.number("load_lag_ms", 100, 0, 600_000),
         event_lag_ms: fields.number("event_lag_ms", 100, 0, 600_000),
-        event_loss_one_in: fields.number("event_loss_one_in", 50, 0, RATE_MAX),
+        event_loss_one_in: fields.number("event_loss_one_in", 50, 0, MAX_QUANTITY),
         checks_fencing: fields.flag("checks_fencing", true),
         reproducible: fields.flag("reproducible", true),
     };
@@ -160,20 +160,20 @@
     settings
 }
 
-fn store(mut fields: Fields<'_>) -> StoreSettings {
+fn store_settings(mut fields: Fields<'_>) -> StoreSettings {
     let settings = StoreSettings {
         id: fields.text("id", "name the store"),
         failure_domain: fields.text("failure_domain", "name its failure domain"),
-        memory_bytes: fields.number("memory_bytes", 4 << 30, 0, RATE_MAX),
-        capacity_bytes: fields.number("capacity_bytes", 64 << 30, 0, RATE_MAX),
-        link_bytes_per_s: fields.number("link_bytes_per_s", 4 << 30, 1, RATE_MAX),
-        disk_bytes_per_s: fields.number("disk_bytes_per_s", 2 << 30, 1, RATE_MAX),
+        memory_bytes: fields.number("memory_bytes", 4 << 30, 0, MAX_QUANTITY),
+        capacity_bytes: fields.number("capacity_bytes", 64 << 30, 0, MAX_QUANTITY),
+        link_bytes_per_s: fields.number("link_bytes_per_s", 4 << 30, 1, MAX_QUANTITY),
+        disk_bytes_per_s: fields.number("disk_bytes_per_s", 2 << 30, 1, MAX_QUANTITY),
     };
     fields.finish();
     settings
 }
 
-fn service(mut fields: Fields<'_>) -> ServiceSettings {
+fn service_settings(mut fields: Fields<'_>) -> ServiceSettings {
     let settings = ServiceSettings {
         id: fields.text("id", "name the instance"),
         service: fields.text("service", "name its service"),
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -16,7 +16,7 @@
 use crate::ids::{BlockKey, Incarnation};
 
 /// Bytes of stand-in content for each block; the link is charged for the real size.
-const CONTENT_BYTES_PER_BLOCK: usize = 16;
+const SYNTHETIC_BYTES_PER_BLOCK: usize = 16;
 
 /// A stand-in store.
 pub struct Store {
@@ -28,20 +28,20 @@
 }
 
 struct State {
-    objects: BTreeMap<BlockKey, Object>,
+    objects: BTreeMap<BlockKey, StoredObject>,
     used_bytes: u64,
     /// When the link is free again.
-    link_free: Instant,
-    next_use: u64,
+    link_free_at: Instant,
+    next_use_tick: u64,
     /// Highest epoch of an owner seen for each key; lower ones may not free it.
-    epochs: BTreeMap<BlockKey, u64>,
+    owner_epochs: BTreeMap<BlockKey, u64>,
 }
 
-struct Object {
-    kept: KeptObject,
+struct StoredObject {
+    metadata: KeptObject,
     content: Vec<u8>,
     committed: bool,
-    last_use: u64,
+    last_use_tick: u64,
 }
 
 /// The URL of one writing of an object.
@@ -50,8 +50,8 @@
 }
 
 /// The stand-in content of a prefix.
-pub fn content(key: BlockKey, blocks: u32) -> Vec<u8> {
-    let mut bytes = vec![0; blocks as usize * CONTENT_BYTES_PER_BLOCK];
+pub fn synthetic_content(key: BlockKey, blocks: u32) -> Vec<u8> {
+    let mut bytes = vec![0; blocks as usize * SYNTHETIC_BYTES_PER_BLOCK];
     blake3::Hasher::new().update(&key.to_le_bytes()).finalize_xof().fill(&mut bytes);
     bytes
 }
@@ -67,9 +67,9 @@
         let state = State {
             objects: BTreeMap::new(),
             used_bytes: 0,
-            link_free: Instant::now(),
-            next_use: 0,
-            epochs: BTreeMap::new(),
+            link_free_at: Instant::now(),
+            next_use_tick: 0,
+            owner_epochs: BTreeMap::new(),
         };
         Arc::new(Store { settings, incarnation, faults, ledger, state: Mutex::new(state) })
     }
@@ -78,7 +78,7 @@
     pub async fn handle(self: Arc<Store>, request: Request) -> Response {
         let segments = request.segments();
         match (request.method.clone(), segments.as_slice()) {
-            (Method::POST, ["objects"]) => self.begin(&request),
+            (Method::POST, ["objects"]) => self.begin_write(&request),
             (method, ["objects", key, generation]) => {
                 let (Ok(key), Ok(generation)) =
                     (BlockKey::from_str_radix(key, 16), generation.parse())
@@ -101,51 +101,56 @@
                 self.commit(&request, key, generation)
             }
             (Method::GET, ["inventory"]) => http::json(StatusCode::OK, &self.inventory()),
-            (Method::GET, ["load"]) => http::json(StatusCode::OK, &self.report()),
+            (Method::GET, ["load"]) => http::json(StatusCode::OK, &self.load_report()),
             _ => http::text(StatusCode::NOT_FOUND, "no such interface".into()),
         }
     }
 
-    fn begin(&self, request: &Request) -> Response {
+    fn begin_write(&self, request: &Request) -> Response {
         let Ok(BeginWrite { object, owner_epoch }) = request.json::<BeginWrite>() else {
             return http::text(StatusCode::BAD_REQUEST, "the body is not a begin order".into());
         };
         let mut state = self.state.lock();
-        if state.epochs.get(&object.key).is_some_and(|epoch| *epoch > owner_epoch) {
+        if state.owner_epochs.get(&object.key).is_some_and(|epoch| *epoch > owner_epoch) {
             return http::text(StatusCode::PRECONDITION_FAILED, "an old owner epoch".into());
         }
-        let full = state.used_bytes + object.size_bytes > self.settings.capacity_bytes;
-        if full || self.faults.settings().full {
+        let is_full = state.used_bytes + object.size_bytes > self.settings.capacity_bytes;
+        if is_full || self.faults.settings().full {
             return http::text(StatusCode::INSUFFICIENT_STORAGE, "the store is full".into());
         }
         // A generation is written once: a second writer of it would mix two contents.
-        let taken = state.objects.get(&object.key).is_some_and(|present| {
-            present.kept.generation >= object.generation || present.committed
+        let already_written = state.objects.get(&object.key).is_some_and(|present| {
+            present.metadata.generation >= object.generation || present.committed
         });
-        if taken {
+        if already_written {
             return http::text(StatusCode::CONFLICT, "the key is there already".into());
         }
-        let size = object.size_bytes;
-        state.epochs.insert(object.key, owner_epoch);
-        let new =
-            Object { kept: object.clone(), content: Vec::new(), committed: false, last_use: 0 };
-        if let Some(replaced) = state.objects.insert(object.key, new) {
-            state.used_bytes -= replaced.kept.size_bytes;
+        let size_bytes = object.size_bytes;
+        state.owner_epochs.insert(object.key, owner_epoch);
+        let new_object = StoredObject {
+            metadata: object.clone(),
+            content: Vec::new(),
+            committed: false,
+            last_use_tick: 0,
+        };
+        if let Some(replaced) = state.objects.insert(object.key, new_object) {
+            state.used_bytes -= replaced.metadata.size_bytes;
         }
-        state.used_bytes += size;
+        state.used_bytes += size_bytes;
         http::json(StatusCode::CREATED, &json!({"writing": true}))
     }
 
     async fn put(&self, request: &Request, key: BlockKey, generation: u64) -> Response {
-        let Some(size) = self.size_of(key, generation, false) else {
+        let Some(size_bytes) = self.touch_object(key, generation, false) else {
             return http::text(StatusCode::CONFLICT, "this generation is not being written".into());
         };
-        self.transfer(size, Duration::ZERO).await;
+        self.reserve_link_and_wait(size_bytes, Duration::ZERO).await;
         let mut state = self.state.lock();
-        match state.objects.get_mut(&key).filter(|object| object.kept.generation == generation) {
+        match state.objects.get_mut(&key).filter(|object| object.metadata.generation == generation)
+        {
             Some(object) if !object.committed => {
                 object.content = request.bytes().to_vec();
-                self.ledger.record(|counts| counts.export_bytes += size);
+                self.ledger.update(|counts| counts.export_bytes += size_bytes);
                 http::json(StatusCode::OK, &json!({"written": true}))
             }
             _ => http::text(StatusCode::CONFLICT, "this generation is not being written".into()),
@@ -157,33 +162,35 @@
             return http::text(StatusCode::BAD_REQUEST, "the body is not a commit".into());
         };
         let mut state = self.state.lock();
-        let tick = state.next_use;
-        state.next_use += 1;
-        match state.objects.get_mut(&key).filter(|object| object.kept.generation == generation) {
+        let tick = state.next_use_tick;
+        state.next_use_tick += 1;
+        match state.objects.get_mut(&key).filter(|object| object.metadata.generation == generation)
+        {
             Some(object) if crc32fast::hash(&object.content) == checksum => {
                 object.committed = true;
-                object.kept.checksum = checksum;
-                object.last_use = tick;
-                http::json(StatusCode::OK, &object.kept)
+                object.metadata.checksum = checksum;
+                object.last_use_tick = tick;
+                http::json(StatusCode::OK, &object.metadata)
             }
             _ => http::text(StatusCode::CONFLICT, "the content is not whole".into()),
         }
     }
 
     async fn get(&self, key: BlockKey, generation: u64) -> Response {
-        let Some(size) = self.size_of(key, generation, true) else {
+        let Some(size_bytes) = self.touch_object(key, generation, true) else {
             return http::text(StatusCode::NOT_FOUND, "not committed in this generation".into());
         };
-        let from_disk = self.is_on_disk(key);
-        let disk_s = size as f64 / self.settings.disk_bytes_per_s as f64;
-        let disk = if from_disk { Duration::from_secs_f64(disk_s) } else { Duration::ZERO };
-        self.transfer(size, disk).await;
+        let is_on_disk = self.is_on_disk(key);
+        let disk_time_s = size_bytes as f64 / self.settings.disk_bytes_per_s as f64;
+        let disk_delay =
+            if is_on_disk { Duration::from_secs_f64(disk_time_s) } else { Duration::ZERO };
+        self.reserve_link_and_wait(size_bytes, disk_delay).await;
         let state = self.state.lock();
         let object = state.objects.get(&key);
         // Checked again after the transfer: it may have been freed meanwhile.
-        match object.filter(|object| object.kept.generation == generation && object.committed) {
+        match object.filter(|object| object.metadata.generation == generation && object.committed) {
             Some(object) => {
-                self.ledger.record(|counts| counts.import_bytes += size);
+                self.ledger.update(|counts| counts.import_bytes += size_bytes);
                 let mut content = object.content.clone();
                 if self.faults.settings().damage {
                     content.truncate(content.len() / 2);
@@ -197,71 +204,71 @@
     fn delete(&self, request: &Request, key: BlockKey, generation: u64) -> Response {
         let epoch = request.parameter("epoch").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut state = self.state.lock();
-        if state.epochs.get(&key).is_some_and(|highest| *highest > epoch) {
+        if state.owner_epochs.get(&key).is_some_and(|highest| *highest > epoch) {
             return http::text(StatusCode::PRECONDITION_FAILED, "an old owner epoch".into());
         }
-        state.epochs.insert(key, epoch);
-        if state.objects.get(&key).is_some_and(|object| object.kept.generation == generation)
+        state.owner_epochs.insert(key, epoch);
+        if state.objects.get(&key).is_some_and(|object| object.metadata.generation == generation)
             && let Some(object) = state.objects.remove(&key)
         {
-            state.used_bytes -= object.kept.size_bytes;
+            state.used_bytes -= object.metadata.size_bytes;
         }
         http::json(StatusCode::OK, &json!({"freed": true}))
     }
 
-    fn size_of(&self, key: BlockKey, generation: u64, committed: bool) -> Option<u64> {
+    fn touch_object(&self, key: BlockKey, generation: u64, expect_committed: bool) -> Option<u64> {
         let mut state = self.state.lock();
-        let tick = state.next_use;
-        state.next_use += 1;
+        let tick = state.next_use_tick;
+        state.next_use_tick += 1;
         let object = state.objects.get_mut(&key)?;
-        if object.kept.generation != generation || object.committed != committed {
+        if object.metadata.generation != generation || object.committed != expect_committed {
             return None;
         }
-        object.last_use = tick;
-        Some(object.kept.size_bytes)
+        object.last_use_tick = tick;
+        Some(object.metadata.size_bytes)
     }
 
     /// Whether newer objects fill the memory tier, so that this one lies on disk.
     fn is_on_disk(&self, key: BlockKey) -> bool {
         let state = self.state.lock();
         let Some(object) = state.objects.get(&key) else { return false };
-        let newer: u64 = state
+        let newer_bytes: u64 = state
             .objects
             .values()
-            .filter(|other| other.last_use > object.last_use)
-            .map(|other| other.kept.size_bytes)
+            .filter(|other| other.last_use_tick > object.last_use_tick)
+            .map(|other| other.metadata.size_bytes)
             .sum();
-        newer + object.kept.size_bytes > self.settings.memory_bytes
+        newer_bytes + object.metadata.size_bytes > self.settings.memory_bytes
     }
 
-    /// Waits for the link and uses it for `size` bytes.
-    async fn transfer(&self, size: u64, disk: Duration) {
-        let done = {
+    /// Waits for the link and uses it for `size_bytes` bytes.
+    async fn reserve_link_and_wait(&self, size_bytes: u64, disk_delay: Duration) {
+        let completed_at = {
             let mut state = self.state.lock();
-            let slower = self.faults.settings().link_slower.max(1.0);
-            let took = size as f64 * slower / self.settings.link_bytes_per_s as f64;
-            let start = state.link_free.max(Instant::now());
-            state.link_free = start + Duration::from_secs_f64(took);
-            state.link_free + disk
+            let slowdown = self.faults.settings().link_slower.max(1.0);
+            let link_time_s = size_bytes as f64 * slowdown / self.settings.link_bytes_per_s as f64;
+            let start = state.link_free_at.max(Instant::now());
+            state.link_free_at = start + Duration::from_secs_f64(link_time_s);
+            state.link_free_at + disk_delay
         };
-        tokio::time::sleep_until(done.into()).await;
+        tokio::time::sleep_until(completed_at.into()).await;
     }
 
     fn inventory(&self) -> Inventory {
         let state = self.state.lock();
         let committed = state.objects.values().filter(|object| object.committed);
-        Inventory { objects: committed.map(|object| object.kept.clone()).collect() }
+        Inventory { objects: committed.map(|object| object.metadata.clone()).collect() }
     }
 
-    fn report(&self) -> StoreReport {
+    fn load_report(&self) -> StoreReport {
         let state = self.state.lock();
-        let backlog = state.link_free.saturating_duration_since(Instant::now());
-        let slower = self.faults.settings().link_slower.max(1.0);
+        let backlog = state.link_free_at.saturating_duration_since(Instant::now());
+        let slowdown = self.faults.settings().link_slower.max(1.0);
         StoreReport {
             incarnation: self.incarnation,
             used_bytes: state.used_bytes,
             capacity_bytes: self.settings.capacity_bytes,
-            link_bytes_per_s: self.settings.link_bytes_per_s as f64 / slower,
+            link_bytes_per_s: self.settings.link_bytes_per_s as f64 / slowdown,
             backlog_ms: backlog.as_millis() as u64,
         }
     }
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -7,7 +7,11 @@
 use crate::edge::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
 
 /// Reads an object. `None` if it could not be had whole, in this very generation.
-pub(super) async fn fetch(client: &Client, store_url: &str, object: &KeptObject) -> Option<()> {
+pub(super) async fn import_object(
+    client: &Client,
+    store_url: &str,
+    object: &KeptObject,
+) -> Option<()> {
     let url = store::object_url(store_url, object.key, object.generation);
     let response = client.get(url).send().await.ok()?;
     if response.status() != reqwest::StatusCode::OK {
@@ -21,7 +25,7 @@
 ///
 /// # Errors
 /// The store's status, or 502 if it could not be reached.
-pub(super) async fn send(
+pub(super) async fn export_object(
     client: &Client,
     order: &ExportOrder,
     object: &KeptObject,
