--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -10,8 +10,8 @@
 
 use crate::emulator::{Emulator, EmulatorSettings};
 use crate::error::{Error, Result};
-use crate::load::bound::Bound;
-use crate::load::{Deployment, Figures, Plan, Shape, Target, Workload, send_all};
+use crate::load::lower_bound::LowerBound;
+use crate::load::{EmulatedDeployment, Figures, Plan, Shape, Target, Workload, send_all};
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::telemetry::logs::{self, LogSettings};
@@ -56,7 +56,7 @@
 
 async fn show(options: &Options) -> Result<()> {
     let folder = Folder::new()?;
-    let deployment = Deployment::new(options.shape, "cost");
+    let deployment = EmulatedDeployment::new(options.shape, "cost");
     let settings = EmulatorSettings::from_value(&deployment.emulator, "demo")?;
     let (emulator, platform) = Emulator::start(settings).await?;
     let settings = node_settings(&folder, platform, &deployment)?;
@@ -66,7 +66,7 @@
 
     let Options { seconds, seed, shape } = *options;
     let workload = Workload::generate(&Plan { shape, rate: RATE, seconds, gap: GAP, seed });
-    let bound = Bound::of(&workload);
+    let bound = LowerBound::of(&workload);
     println!("{} requests over {} s", workload.arrivals.len(), options.seconds);
     let before = emulator.counts();
     let progress = tokio::spawn(show_progress(emulator.clone()));
@@ -122,7 +122,7 @@
 fn node_settings(
     folder: &Folder,
     platform: SocketAddr,
-    deployment: &Deployment,
+    deployment: &EmulatedDeployment,
 ) -> Result<Settings> {
     let key_file = folder.path.join("key");
     super::key_new::run(&key_file)?;
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -6,8 +6,8 @@
 
 use crate::emulator::ledger::Counts;
 use crate::error::{Error, Result};
-use crate::load::bound::Bound;
-use crate::load::{Deployment, Figures, Plan, Target, Workload, send_all};
+use crate::load::lower_bound::LowerBound;
+use crate::load::{EmulatedDeployment, Figures, Plan, Target, Workload, send_all};
 use crate::queries::node;
 
 /// What to send.
@@ -34,7 +34,7 @@
 /// # Errors
 /// If it can't be sent, or if an answer was wrong, lost or doubled.
 pub fn run(options: &Options) -> Result<()> {
-    let deployment = Deployment::new(options.plan.shape, &options.policy);
+    let deployment = EmulatedDeployment::new(options.plan.shape, &options.policy);
     if options.print_emulator || options.print_config {
         let value = if options.print_emulator { &deployment.emulator } else { &deployment.config };
         println!("{value:#}");
@@ -42,7 +42,7 @@
     }
     super::block_on(async {
         let workload = Workload::generate(&options.plan);
-        let bound = Bound::of(&workload);
+        let bound = LowerBound::of(&workload);
         let before = counts(options).await?;
         let target = Target { nodes: options.nodes.clone() };
         let samples = send_all(target, workload.arrivals).await?;
--- a/src/emulator/supervisor.rs
+++ b/src/emulator/supervisor.rs
@@ -49,7 +49,7 @@
 }
 
 struct EmulatedTarget {
-    settings: TargetSettings,
+    target_settings: TargetSettings,
     list_entry: Target,
     faults: Arc<TargetFaults>,
     /// Dropping it ends the target with all its connections; `None` while it is dead.
@@ -87,12 +87,7 @@
             let id = list_entry.id.clone();
             targets.insert(
                 id,
-                EmulatedTarget {
-                    settings: target_settings,
-                    list_entry,
-                    faults,
-                    shutdown: Some(shutdown),
-                },
+                EmulatedTarget { target_settings, list_entry, faults, shutdown: Some(shutdown) },
             );
         }
         let list_entries = targets.values().map(|target| target.list_entry.clone()).collect();
@@ -205,7 +200,7 @@
         target.faults.set(FaultSettings::default());
         let incarnation = target.list_entry.incarnation + 1;
         let launcher = TargetLauncher {
-            settings: target.settings.clone(),
+            settings: target.target_settings.clone(),
             incarnation,
             faults: target.faults.clone(),
             ledger: self.ledger.clone(),
@@ -213,7 +208,7 @@
             weight_load_duration: self.weight_load_duration,
         };
         let (address, shutdown) = launcher.launch_on_thread(SocketAddr::new(self.ip, 0))?;
-        target.list_entry = list_entry(&target.settings, address, incarnation);
+        target.list_entry = list_entry(&target.target_settings, address, incarnation);
         target.shutdown = Some(shutdown);
         self.target_list.replace(target.list_entry.clone());
         Ok(())
--- a/src/load/deployment.rs
+++ b/src/load/emulated_deployment.rs
@@ -11,11 +11,11 @@
 pub const CACHE_TOKENS: u64 = 16_384;
 const KV_BYTES_PER_TOKEN: u64 = 65_536;
 const LINK_BYTES_PER_S: u64 = 8 << 30;
-const STORE_BYTES: u64 = 400 << 30;
+const STORE_CAPACITY_BYTES: u64 = 400 << 30;
 
 /// Emulated targets and a configuration for them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Deployment {
+pub struct EmulatedDeployment {
     /// Settings of the emulator.
     pub emulator: Value,
     /// The configuration.
@@ -27,18 +27,18 @@
     format!("key-of-{account}")
 }
 
-impl Deployment {
+impl EmulatedDeployment {
     /// The deployment of a workload, with this routing policy.
-    pub fn new(shape: Shape, policy: &str) -> Deployment {
-        let parts = Parts::of(shape);
-        let engines: Vec<Value> = parts
+    pub fn new(shape: Shape, policy: &str) -> EmulatedDeployment {
+        let spec = DeploymentSpec::of(shape);
+        let engines: Vec<Value> = spec
             .models
             .iter()
             .flat_map(|(model, count)| (0..*count).map(move |index| (model, index)))
             .map(|(model, index)| {
                 json!({
                     "id": format!("{model}-{index}"), "model": model, "weight_version": "v1",
-                    "failure_domain": parts.domains[index % parts.domains.len()],
+                    "failure_domain": spec.failure_domains[index % spec.failure_domains.len()],
                     "prefill_tokens_per_s": PREFILL_TOKENS_PER_S, "token_us": 4_000,
                     "max_batch": 16, "cache_tokens": CACHE_TOKENS,
                     "kv_bytes_per_token": KV_BYTES_PER_TOKEN,
@@ -49,28 +49,28 @@
         let stores: Vec<Value> = (0..2)
             .map(|index| {
                 json!({
-                    "id": format!("store-{index}"), "failure_domain": parts.domains[index],
-                    "memory_bytes": STORE_BYTES / 4, "capacity_bytes": STORE_BYTES,
+                    "id": format!("store-{index}"), "failure_domain": spec.failure_domains[index],
+                    "memory_bytes": STORE_CAPACITY_BYTES / 4, "capacity_bytes": STORE_CAPACITY_BYTES,
                     "link_bytes_per_s": LINK_BYTES_PER_S, "disk_bytes_per_s": LINK_BYTES_PER_S / 2,
                 })
             })
             .collect();
-        let services: Vec<Value> = parts
+        let services: Vec<Value> = spec
             .services
             .iter()
             .flat_map(|(service, _)| (0..2).map(move |index| (service, index)))
             .map(|(service, index)| {
                 json!({"id": format!("{service}-{index}"), "service": service,
-                       "failure_domain": parts.domains[index]})
+                       "failure_domain": spec.failure_domains[index]})
             })
             .collect();
         let emulator = json!({"engines": engines, "stores": stores, "services": services, "log": {"level": "warn"}});
-        Deployment { emulator, config: parts.config(policy) }
+        EmulatedDeployment { emulator, config: spec.config(policy) }
     }
 }
 
-struct Parts {
-    domains: [&'static str; 3],
+struct DeploymentSpec {
+    failure_domains: [&'static str; 3],
     models: Vec<(&'static str, usize)>,
     /// Services and whether a call may repeat.
     services: Vec<(&'static str, bool)>,
@@ -79,11 +79,11 @@
     prices: Value,
 }
 
-impl Parts {
-    fn of(shape: Shape) -> Parts {
+impl DeploymentSpec {
+    fn of(shape: Shape) -> DeploymentSpec {
         match shape {
-            Shape::Gearworks => Parts {
-                domains: ["patan", "bhaktapur", "kirtipur"],
+            Shape::Gearworks => DeploymentSpec {
+                failure_domains: ["patan", "bhaktapur", "kirtipur"],
                 models: vec![("mechanic", 12), ("counter", 3)],
                 services: vec![("part-order", false)],
                 kinds: vec![
@@ -95,8 +95,8 @@
                 ],
                 prices: json!({"link_s_per_mib": 0.00002, "recompute_s_per_kilotoken": 0.1}),
             },
-            Shape::Portal => Parts {
-                domains: ["east", "north", "south"],
+            Shape::Portal => DeploymentSpec {
+                failure_domains: ["east", "north", "south"],
                 models: vec![("guideline", 20), ("portal", 3)],
                 services: vec![("template", true), ("download", false)],
                 kinds: vec![
--- a/src/load/bound.rs
+++ b/src/load/lower_bound.rs
@@ -2,23 +2,23 @@
 
 use std::collections::HashSet;
 
-use super::deployment::PREFILL_TOKENS_PER_S;
+use super::emulated_deployment::PREFILL_TOKENS_PER_S;
 use super::workload::{Call, Workload, owner};
 use crate::ids::BlockKey;
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
 /// What no policy can beat on a workload.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Bound {
+pub struct LowerBound {
     /// Least share of prompt tokens that must be computed.
     pub recomputed_share: f64,
     /// Least 95th percentile of the time to first token of prompts, in milliseconds.
     pub first_token_p95_ms: f64,
 }
 
-impl Bound {
+impl LowerBound {
     /// The bound of a workload.
-    pub fn of(workload: &Workload) -> Bound {
+    pub fn of(workload: &Workload) -> LowerBound {
         let mut known: HashSet<BlockKey> = HashSet::new();
         let mut prompt_tokens = 0;
         let mut computed = Vec::new();
@@ -32,11 +32,11 @@
             computed.push(chain.tokens - reused.min(chain.tokens));
         }
         if computed.is_empty() {
-            return Bound::default();
+            return LowerBound::default();
         }
         computed.sort_unstable();
         let p95 = computed[(computed.len() - 1) * 95 / 100] as f64;
-        Bound {
+        LowerBound {
             recomputed_share: computed.iter().sum::<usize>() as f64 / prompt_tokens as f64,
             first_token_p95_ms: p95 / PREFILL_TOKENS_PER_S as f64 * 1_000.0,
         }
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,12 +1,12 @@
 //! The load tool: seeded workloads of the two deployments' shape, sent to nodes and checked.
 
-pub mod bound;
-pub mod deployment;
+pub mod emulated_deployment;
+pub mod lower_bound;
 pub mod report;
 pub mod sender;
 pub mod workload;
 
-pub use deployment::Deployment;
+pub use emulated_deployment::EmulatedDeployment;
 pub use report::{Figures, Outcome, Sample};
 pub use sender::{Target, send_all};
 pub use workload::{Arrival, Call, Plan, Shape, Workload};
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -6,7 +6,7 @@
 use futures::StreamExt;
 use reqwest::Client;
 
-use super::deployment::account_key;
+use super::emulated_deployment::account_key;
 use super::report::{Outcome, Sample};
 use super::workload::{Arrival, Call, owner};
 use crate::edge::chat::{Chunk, Usage};
