--- a/src/cli.rs
+++ b/src/cli.rs
@@ -12,8 +12,8 @@
 use crate::config::document::key_hash;
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
-use crate::load::workload::GAP_MEDIAN;
-use crate::load::{Plan, Shape};
+use crate::load::workload::DEFAULT_RETURN_GAP;
+use crate::load::{WorkloadParameters, WorkloadProfile};
 use crate::log::raft::Change;
 use crate::queries::{self, burn, request};
 
@@ -222,7 +222,7 @@
     Ok(demo::Options {
         seconds: optional(args, "--seconds")?.unwrap_or(8.0),
         seed: optional(args, "--seed")?.unwrap_or(1),
-        shape: shape(args)?,
+        profile: profile(args)?,
     })
 }
 
@@ -231,11 +231,12 @@
     Ok(load::Options {
         nodes,
         platform: optional(args, "--platform")?,
-        plan: Plan {
-            shape: shape(args)?,
-            rate: optional(args, "--rate")?.unwrap_or(50.0),
+        plan: WorkloadParameters {
+            profile: profile(args)?,
+            requests_per_s: optional(args, "--rate")?.unwrap_or(50.0),
             seconds: optional(args, "--seconds")?.unwrap_or(20.0),
-            gap: optional(args, "--gap-ms")?.map_or(GAP_MEDIAN, Duration::from_millis),
+            return_gap: optional(args, "--gap-ms")?
+                .map_or(DEFAULT_RETURN_GAP, Duration::from_millis),
             seed: optional(args, "--seed")?.unwrap_or(1),
         },
         json: optional(args, "--json")?,
@@ -307,9 +308,10 @@
     }
 }
 
-fn shape(args: &mut Arguments) -> Result<Shape> {
+fn profile(args: &mut Arguments) -> Result<WorkloadProfile> {
     let name: String = optional(args, "--workload")?.unwrap_or_else(|| "gearworks".to_string());
-    Shape::parse(&name).ok_or_else(|| unknown("workload", &name, &["gearworks", "portal"]))
+    WorkloadProfile::parse(&name)
+        .ok_or_else(|| unknown("workload", &name, &["gearworks", "portal"]))
 }
 
 fn node(args: &mut Arguments) -> Result<String> {
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -11,7 +11,10 @@
 use crate::emulator::{Emulator, EmulatorSettings};
 use crate::error::{Error, Result};
 use crate::load::lower_bound::LowerBound;
-use crate::load::{EmulatedDeployment, Figures, Plan, Shape, Target, Workload, send_all};
+use crate::load::{
+    EmulatedDeployment, Endpoints, RunSummary, Workload, WorkloadParameters, WorkloadProfile,
+    send_all,
+};
 use crate::node::Node;
 use crate::settings::Settings;
 use crate::telemetry::logs::{self, LogSettings};
@@ -33,7 +36,7 @@
     /// Seed of the workload.
     pub seed: u64,
     /// The workload.
-    pub shape: Shape,
+    pub profile: WorkloadProfile,
 }
 
 /// Runs the demonstration. Its last line tells whether all checks held.
@@ -56,7 +59,7 @@
 
 async fn show(options: &Options) -> Result<()> {
     let folder = Folder::new()?;
-    let deployment = EmulatedDeployment::new(options.shape, "cost");
+    let deployment = EmulatedDeployment::new(options.profile, "cost");
     let settings = EmulatorSettings::from_value(&deployment.emulator, "demo")?;
     let (emulator, platform) = Emulator::start(settings).await?;
     let settings = node_settings(&folder, platform, &deployment)?;
@@ -64,28 +67,34 @@
     until_ready(&node).await?;
     println!("a node serves at http://{}, stand-ins at http://{platform}", listening.callers);
 
-    let Options { seconds, seed, shape } = *options;
-    let workload = Workload::generate(&Plan { shape, rate: RATE, seconds, gap: GAP, seed });
+    let Options { seconds, seed, profile } = *options;
+    let workload = Workload::generate(&WorkloadParameters {
+        profile,
+        requests_per_s: RATE,
+        seconds,
+        return_gap: GAP,
+        seed,
+    });
     let bound = LowerBound::of(&workload);
     println!("{} requests over {} s", workload.arrivals.len(), options.seconds);
     let before = emulator.counts();
     let progress = tokio::spawn(show_progress(emulator.clone()));
-    let target = Target { nodes: vec![format!("http://{}", listening.callers)] };
-    let samples = send_all(target, workload.arrivals).await?;
+    let endpoints = Endpoints { node_urls: vec![format!("http://{}", listening.callers)] };
+    let results = send_all(endpoints, workload.arrivals).await?;
     progress.abort();
-    let figures = Figures::of(&samples, &before, &emulator.counts());
-    println!("{}", figures.table());
+    let summary = RunSummary::of(&results, &before, &emulator.counts());
+    println!("{}", summary.table());
     println!("least share that could be recomputed: {:.1} %", bound.recomputed_share * 100.0);
     let cut_off = node.close().await;
-    check(&figures, cut_off)
+    check(&summary, cut_off)
 }
 
-fn check(figures: &Figures, cut_off: usize) -> Result<()> {
+fn check(summary: &RunSummary, cut_off: usize) -> Result<()> {
     let failed = |message: String| Err(Error::Failed { message });
-    if figures.answered != figures.sent {
-        return failed(format!("{} of {} were answered", figures.answered, figures.sent));
+    if summary.answered != summary.sent {
+        return failed(format!("{} of {} were answered", summary.answered, summary.sent));
     }
-    if !figures.is_safe() {
+    if !summary.is_correct() {
         return failed("an answer was wrong, lost or doubled".into());
     }
     if cut_off > 0 {
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -7,7 +7,9 @@
 use crate::emulator::ledger::Counts;
 use crate::error::{Error, Result};
 use crate::load::lower_bound::LowerBound;
-use crate::load::{EmulatedDeployment, Figures, Plan, Target, Workload, send_all};
+use crate::load::{
+    EmulatedDeployment, Endpoints, RunSummary, Workload, WorkloadParameters, send_all,
+};
 use crate::queries::node;
 
 /// What to send.
@@ -18,8 +20,8 @@
     /// The emulator's address.
     pub platform: Option<String>,
     /// The workload.
-    pub plan: Plan,
-    /// Where to write the figures.
+    pub plan: WorkloadParameters,
+    /// Where to write the summary.
     pub json: Option<PathBuf>,
     /// Policy in the printed configuration.
     pub policy: String,
@@ -29,12 +31,12 @@
     pub print_config: bool,
 }
 
-/// Sends a workload and prints its figures.
+/// Sends a workload and prints its summary.
 ///
 /// # Errors
 /// If it can't be sent, or if an answer was wrong, lost or doubled.
 pub fn run(options: &Options) -> Result<()> {
-    let deployment = EmulatedDeployment::new(options.plan.shape, &options.policy);
+    let deployment = EmulatedDeployment::new(options.plan.profile, &options.policy);
     if options.print_emulator || options.print_config {
         let value = if options.print_emulator { &deployment.emulator } else { &deployment.config };
         println!("{value:#}");
@@ -44,11 +46,11 @@
         let workload = Workload::generate(&options.plan);
         let bound = LowerBound::of(&workload);
         let before = counts(options).await?;
-        let target = Target { nodes: options.nodes.clone() };
-        let samples = send_all(target, workload.arrivals).await?;
+        let endpoints = Endpoints { node_urls: options.nodes.clone() };
+        let results = send_all(endpoints, workload.arrivals).await?;
         let after = counts(options).await?;
-        let figures = Figures::of(&samples, &before, &after);
-        println!("{}", figures.table());
+        let summary = RunSummary::of(&results, &before, &after);
+        println!("{}", summary.table());
         println!(
             "bound: share recomputed {:.1} %, time to first token p95 {:.1} ms",
             bound.recomputed_share * 100.0,
@@ -56,15 +58,15 @@
         );
         if let Some(file) = &options.json {
             let value = json!({
-                "workload": options.plan.shape.name(), "rate": options.plan.rate,
-                "seconds": options.plan.seconds, "seed": options.plan.seed, "figures": figures,
+                "workload": options.plan.profile.name(), "rate": options.plan.requests_per_s,
+                "seconds": options.plan.seconds, "seed": options.plan.seed, "figures": summary,
                 "bound_recomputed_share": bound.recomputed_share,
                 "bound_first_token_p95_ms": bound.first_token_p95_ms,
             });
             std::fs::write(file, format!("{value:#}\n"))
                 .map_err(|source| Error::start("--json", source, "name a file to write"))?;
         }
-        if figures.is_safe() {
+        if summary.is_correct() {
             return Ok(());
         }
         Err(Error::Failed { message: "answers were wrong, lost or doubled; see above".into() })
--- a/src/load/emulated_deployment.rs
+++ b/src/load/emulated_deployment.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use super::workload::Shape;
+use super::workload::WorkloadProfile;
 use crate::config::document::key_hash;
 
 /// Tokens that one stand-in engine prefills in a second.
@@ -29,8 +29,8 @@
 
 impl EmulatedDeployment {
     /// The deployment of a workload, with this routing policy.
-    pub fn new(shape: Shape, policy: &str) -> EmulatedDeployment {
-        let spec = DeploymentSpec::of(shape);
+    pub fn new(profile: WorkloadProfile, policy: &str) -> EmulatedDeployment {
+        let spec = DeploymentSpec::of(profile);
         let engines: Vec<Value> = spec
             .models
             .iter()
@@ -80,9 +80,9 @@
 }
 
 impl DeploymentSpec {
-    fn of(shape: Shape) -> DeploymentSpec {
-        match shape {
-            Shape::Gearworks => DeploymentSpec {
+    fn of(profile: WorkloadProfile) -> DeploymentSpec {
+        match profile {
+            WorkloadProfile::Gearworks => DeploymentSpec {
                 failure_domains: ["patan", "bhaktapur", "kirtipur"],
                 models: vec![("mechanic", 12), ("counter", 3)],
                 services: vec![("part-order", false)],
@@ -95,7 +95,7 @@
                 ],
                 prices: json!({"link_s_per_mib": 0.00002, "recompute_s_per_kilotoken": 0.1}),
             },
-            Shape::Portal => DeploymentSpec {
+            WorkloadProfile::Portal => DeploymentSpec {
                 failure_domains: ["east", "north", "south"],
                 models: vec![("guideline", 20), ("portal", 3)],
                 services: vec![("template", true), ("download", false)],
@@ -112,7 +112,7 @@
     }
 
     fn config(&self, policy: &str) -> Value {
-        let accounts: serde_json::Map<String, Value> = super::workload::accounts()
+        let accounts: serde_json::Map<String, Value> = super::workload::account_ids()
             .map(|id| {
                 let key_blake3 = key_hash(&account_key(&id));
                 (id, json!({"key_blake3": key_blake3, "max_running": 4_096}))
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -7,6 +7,6 @@
 pub mod workload;
 
 pub use emulated_deployment::EmulatedDeployment;
-pub use report::{Figures, Outcome, Sample};
-pub use sender::{Target, send_all};
-pub use workload::{Arrival, Call, Plan, Shape, Workload};
+pub use report::{Outcome, RequestResult, RunSummary};
+pub use sender::{Endpoints, send_all};
+pub use workload::{Arrival, Call, Workload, WorkloadParameters, WorkloadProfile};
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -11,15 +11,15 @@
 
 /// One request and how it ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sample {
+pub struct RequestResult {
     /// When it was sent, from the start.
-    pub at: Duration,
+    pub send_offset: Duration,
     /// Its kind.
     pub kind: &'static str,
     /// Its id.
     pub request_id: String,
     /// Whether it must not repeat.
-    pub once: bool,
+    pub non_repeatable: bool,
     /// How it ended.
     pub outcome: Outcome,
 }
@@ -53,7 +53,7 @@
 
 /// Figures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
+pub struct RunSummary {
     /// Requests sent.
     pub sent: u64,
     /// Requests with their own whole answer.
@@ -109,37 +109,37 @@
     }
 }
 
-impl Figures {
-    /// Figures of all samples. `before` and `after` are the emulator's counts around the run.
-    pub fn of(samples: &[Sample], before: &Counts, after: &Counts) -> Figures {
-        let mut figures = Figures { sent: samples.len() as u64, ..Figures::default() };
+impl RunSummary {
+    /// Figures of all results. `before` and `after` are the emulator's counts around the run.
+    pub fn of(results: &[RequestResult], before: &Counts, after: &Counts) -> RunSummary {
+        let mut summary = RunSummary { sent: results.len() as u64, ..RunSummary::default() };
         let mut times: BTreeMap<String, Vec<Duration>> = BTreeMap::new();
-        for sample in samples {
-            match &sample.outcome {
+        for result in results {
+            match &result.outcome {
                 Outcome::Answered { first_token, usage } => {
-                    figures.answered += 1;
-                    times.entry(sample.kind.to_string()).or_default().push(*first_token);
+                    summary.answered += 1;
+                    times.entry(result.kind.to_string()).or_default().push(*first_token);
                     if usage.prompt_tokens > 0 {
                         times.entry("prompts".to_string()).or_default().push(*first_token);
                     }
                 }
                 Outcome::Refused { code, .. } => {
-                    *figures.refused.entry(code.clone()).or_default() += 1;
+                    *summary.refused.entry(code.clone()).or_default() += 1;
                 }
-                Outcome::Wrong(_) => figures.wrong += 1,
-                Outcome::Broken(_) => figures.broken += 1,
-                Outcome::Lost => figures.lost += 1,
+                Outcome::Wrong(_) => summary.wrong += 1,
+                Outcome::Broken(_) => summary.broken += 1,
+                Outcome::Lost => summary.lost += 1,
             }
         }
-        figures.first_token =
+        summary.first_token =
             times.into_iter().map(|(kind, times)| (kind, Percentiles::of(times))).collect();
-        figures.take_counts(before, after);
-        figures.take_runs(samples, before, after);
-        figures
+        summary.add_counter_deltas(before, after);
+        summary.count_violations(results, before, after);
+        summary
     }
 
     /// Whether each request got its own whole answer or a refusal, none twice.
-    pub fn is_safe(&self) -> bool {
+    pub fn is_correct(&self) -> bool {
         self.wrong + self.lost + self.doubled + self.false_not_run == 0
     }
 
@@ -149,10 +149,10 @@
             "{:<12} {:>7} {:>9} {:>9} {:>9}",
             "kind", "count", "p50 ms", "p95 ms", "p99 ms"
         )];
-        for (kind, p) in &self.first_token {
+        for (kind, percentiles) in &self.first_token {
             lines.push(format!(
                 "{kind:<12} {:>7} {:>9.1} {:>9.1} {:>9.1}",
-                p.count, p.p50_ms, p.p95_ms, p.p99_ms
+                percentiles.count, percentiles.p50_ms, percentiles.p95_ms, percentiles.p99_ms
             ));
         }
         lines.push(format!("share of context recomputed: {:.1} %", self.recomputed_share * 100.0));
@@ -176,20 +176,20 @@
         lines.join("\n")
     }
 
-    fn take_counts(&mut self, before: &Counts, after: &Counts) {
-        let prompt = after.prompt_tokens - before.prompt_tokens;
-        let reused = after.resident_tokens + after.imported_tokens
+    fn add_counter_deltas(&mut self, before: &Counts, after: &Counts) {
+        let prompt_tokens = after.prompt_tokens - before.prompt_tokens;
+        let reused_tokens = after.resident_tokens + after.imported_tokens
             - before.resident_tokens
             - before.imported_tokens;
-        if prompt > 0 {
-            self.recomputed_share = 1.0 - reused as f64 / prompt as f64;
+        if prompt_tokens > 0 {
+            self.recomputed_share = 1.0 - reused_tokens as f64 / prompt_tokens as f64;
         }
         self.import_bytes = after.import_bytes - before.import_bytes;
         self.export_bytes = after.export_bytes - before.export_bytes;
         self.failed_imports = after.failed_imports - before.failed_imports;
     }
 
-    fn take_runs(&mut self, samples: &[Sample], before: &Counts, after: &Counts) {
+    fn count_violations(&mut self, results: &[RequestResult], before: &Counts, after: &Counts) {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for (id, count) in &after.runs {
             let earlier = before.runs.get(id).copied().unwrap_or(0);
@@ -197,13 +197,14 @@
             let request_id = id.split('~').next().unwrap_or(id);
             *runs.entry(request_id).or_default() += count - earlier;
         }
-        let runs_of = |sample: &Sample| runs.get(sample.request_id.as_str()).copied().unwrap_or(0);
-        let doubled = samples.iter().filter(|sample| sample.once && runs_of(sample) > 1);
+        let runs_of =
+            |result: &RequestResult| runs.get(result.request_id.as_str()).copied().unwrap_or(0);
+        let doubled = results.iter().filter(|result| result.non_repeatable && runs_of(result) > 1);
         self.doubled = doubled.count() as u64;
         let claims_not_run =
             |outcome: &Outcome| matches!(outcome, Outcome::Refused { not_run: true, .. });
         let false_claims =
-            samples.iter().filter(|sample| claims_not_run(&sample.outcome) && runs_of(sample) > 0);
+            results.iter().filter(|result| claims_not_run(&result.outcome) && runs_of(result) > 0);
         self.false_not_run = false_claims.count() as u64;
     }
 }
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -7,29 +7,29 @@
 use reqwest::Client;
 
 use super::emulated_deployment::account_key;
-use super::report::{Outcome, Sample};
-use super::workload::{Arrival, Call, owner};
+use super::report::{Outcome, RequestResult};
+use super::workload::{Arrival, Call, prompt_owner};
 use crate::edge::chat::{Chunk, Usage};
 use crate::edge::sse::{DONE, Events};
 use crate::emulator::answer::Answer;
 use crate::error::{Error, Result};
 
 /// An answer that takes longer is counted as lost.
-const LOST_AFTER: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Where a workload is sent.
 #[derive(Clone, Debug)]
-pub struct Target {
+pub struct Endpoints {
     /// Base URLs of nodes; requests go to them in turn, as behind a balancer.
-    pub nodes: Vec<String>,
+    pub node_urls: Vec<String>,
 }
 
 /// Sends all arrivals on time and waits for all answers.
 ///
 /// # Errors
 /// `Error::Start` if there is no node or the client can't be built.
-pub async fn send_all(target: Target, arrivals: Vec<Arrival>) -> Result<Vec<Sample>> {
-    if target.nodes.is_empty() {
+pub async fn send_all(endpoints: Endpoints, arrivals: Vec<Arrival>) -> Result<Vec<RequestResult>> {
+    if endpoints.node_urls.is_empty() {
         return Err(Error::start("load", "there is no node", "name one with --node"));
     }
     let client = Client::builder()
@@ -38,37 +38,45 @@
         .build()
         .map_err(|source| Error::start("load", source, "raise the file limit"))?;
     let start = Instant::now();
-    let target = Arc::new(target);
-    let mut running = Vec::with_capacity(arrivals.len());
-    for (number, arrival) in arrivals.into_iter().enumerate() {
-        tokio::time::sleep_until((start + arrival.at).into()).await;
-        let (client, target) = (client.clone(), target.clone());
-        running.push(tokio::spawn(async move {
-            let node = &target.nodes[number % target.nodes.len()];
-            let at = arrival.at;
+    let endpoints = Arc::new(endpoints);
+    let mut tasks = Vec::with_capacity(arrivals.len());
+    for (index, arrival) in arrivals.into_iter().enumerate() {
+        tokio::time::sleep_until((start + arrival.send_offset).into()).await;
+        let (client, endpoints) = (client.clone(), endpoints.clone());
+        tasks.push(tokio::spawn(async move {
+            let node_url = &endpoints.node_urls[index % endpoints.node_urls.len()];
+            let send_offset = arrival.send_offset;
             let kind = arrival.kind;
             let request_id = arrival.request_id.clone();
-            let once = matches!(arrival.call, Call::Service { .. });
-            let outcome = tokio::time::timeout(LOST_AFTER, send(&client, node, arrival)).await;
-            Sample { at, kind, request_id, once, outcome: outcome.unwrap_or(Outcome::Lost) }
+            let non_repeatable = matches!(arrival.call, Call::Service { .. });
+            let outcome =
+                tokio::time::timeout(RESPONSE_TIMEOUT, send_request(&client, node_url, arrival))
+                    .await;
+            RequestResult {
+                send_offset,
+                kind,
+                request_id,
+                non_repeatable,
+                outcome: outcome.unwrap_or(Outcome::Lost),
+            }
         }));
     }
-    let mut samples = Vec::with_capacity(running.len());
-    for sample in running {
-        samples.extend(sample.await.ok());
+    let mut results = Vec::with_capacity(tasks.len());
+    for result in tasks {
+        results.extend(result.await.ok());
     }
-    Ok(samples)
+    Ok(results)
 }
 
 /// Sends one request and checks its answer.
-pub async fn send(client: &Client, node: &str, arrival: Arrival) -> Outcome {
+pub async fn send_request(client: &Client, node_url: &str, arrival: Arrival) -> Outcome {
     let sent_at = Instant::now();
     let request = match &arrival.call {
-        Call::Prompt { model, text, tokens } => client
-            .post(format!("{node}/v1/chat/completions"))
-            .json(&Call::body(model, text, *tokens, true)),
+        Call::Prompt { model, text, answer_tokens } => client
+            .post(format!("{node_url}/v1/chat/completions"))
+            .json(&Call::prompt_body(model, text, *answer_tokens, true)),
         Call::Service { service } => client
-            .post(format!("{node}/v1/services/{service}/orders"))
+            .post(format!("{node_url}/v1/services/{service}/orders"))
             .body(arrival.request_id.clone()),
     };
     let request = request
@@ -77,19 +85,20 @@
         .header("x-kumquatpost-kind", arrival.kind);
     let Ok(response) = request.send().await else { return Outcome::Lost };
     if !response.status().is_success() {
-        return refused(response).await;
+        return read_refusal(response).await;
     }
     match &arrival.call {
-        Call::Prompt { model, text, tokens } => {
-            let owner = owner(&arrival.account, model);
+        Call::Prompt { model, text, answer_tokens } => {
+            let owner = prompt_owner(&arrival.account, model);
             let prompt = Call::prompt_text(model, text);
-            let expected = Answer::new(&owner, &prompt, *tokens).text();
+            let expected = Answer::new(&owner, &prompt, *answer_tokens).text();
             read_stream(response, sent_at, &expected).await
         }
         Call::Service { .. } => {
             let body = response.text().await.unwrap_or_default();
-            let is_ours = body.contains(&arrival.request_id) && body.contains(&arrival.account);
-            if is_ours {
+            let is_own_answer =
+                body.contains(&arrival.request_id) && body.contains(&arrival.account);
+            if is_own_answer {
                 Outcome::Answered { first_token: sent_at.elapsed(), usage: Usage::default() }
             } else {
                 Outcome::Wrong(body)
@@ -109,9 +118,9 @@
         let Ok(received) = events.push(&bytes) else { break };
         for data in received {
             if data == DONE {
-                let whole = text == expected;
+                let is_expected = text == expected;
                 return match first_token {
-                    Some(first_token) if whole => Outcome::Answered { first_token, usage },
+                    Some(first_token) if is_expected => Outcome::Answered { first_token, usage },
                     _ => Outcome::Wrong(text),
                 };
             }
@@ -126,7 +135,7 @@
     Outcome::Broken("the stream ended without its end mark".into())
 }
 
-async fn refused(response: reqwest::Response) -> Outcome {
+async fn read_refusal(response: reqwest::Response) -> Outcome {
     let retry_after = response.headers().contains_key("retry-after");
     let body: serde_json::Value = response.json().await.unwrap_or_default();
     let field = |name| body.pointer(name).and_then(|v| v.as_str()).unwrap_or("none").to_string();
