--- a/src/emulator/answer.rs
+++ b/src/emulator/answer.rs
@@ -1,8 +1,9 @@
-//! Deterministic answers: whose answer it is, its order and its end can be checked by content.
+//! Deterministic answers, so that a client can detect altered, reordered or truncated text and answers
+//! to other requests.
 
 use crate::prompt::Owner;
 
-/// The text that a stand-in engine generates for one prompt.
+/// The text that an emulated engine generates for a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     seed: u64,
@@ -10,7 +11,7 @@
 }
 
 impl Answer {
-    /// The answer of `tokens` tokens that `owner`'s prompt gets.
+    /// Returns the answer to `owner`'s prompt, which is `tokens` tokens long.
     pub fn new(owner: &Owner, prompt: &str, tokens: u32) -> Answer {
         let mut hasher = blake3::Hasher::new();
         for part in [&owner.account, &owner.model, &owner.weight_version, prompt] {
@@ -22,12 +23,11 @@
         Answer { seed: u64::from_le_bytes(seed), tokens }
     }
 
-    /// Number of tokens.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Token `index`, counted from 0. The last one tells that it is the last.
+    /// Returns the text of token `index`, counted from 0. The last token states the number of tokens.
     pub fn token(&self, index: u32) -> String {
         let space = if index == 0 { "" } else { " " };
         if index + 1 == self.tokens {
@@ -38,7 +38,7 @@
         format!("{space}{index}:{:05x}", mixed >> 44)
     }
 
-    /// The whole text.
+    /// Returns the text of all tokens.
     pub fn text(&self) -> String {
         (0..self.tokens).map(|index| self.token(index)).collect()
     }
--- a/src/emulator/cache.rs
+++ b/src/emulator/cache.rs
@@ -1,24 +1,25 @@
-//! A stand-in engine's prefix cache: least recently used blocks go first, but none that a request
-//! in the batch holds.
+//! The prefix cache of an emulated engine. Evicts the least recently used blocks that no request in
+//! the batch has pinned.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::edge::api::CacheChange;
 use crate::ids::BlockKey;
 
-/// A bounded cache of prefix blocks.
+/// An LRU cache of prefix blocks. Pinned blocks do not count against its capacity.
 pub struct PrefixCache {
     capacity_blocks: usize,
+    /// The tick of the last use of each block.
     by_key: HashMap<BlockKey, u64>,
-    /// Invariant: the inverse of `by_key`; each tick is used once.
+    /// Invariant: the inverse of `by_key`. Ticks are unique.
     by_tick: BTreeMap<u64, BlockKey>,
-    /// Requests in the batch that hold each block; they do not count against the capacity.
+    /// Number of requests in the batch that have pinned each block, resident or not.
     pin_counts: HashMap<BlockKey, u32>,
     next_tick: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_blocks: usize) -> PrefixCache {
         PrefixCache {
             capacity_blocks,
@@ -29,15 +30,15 @@
         }
     }
 
-    /// Blocks of the prefix that are resident from its start.
+    /// Returns the number of leading blocks that are resident.
     pub fn resident_blocks(&self, keys: &[BlockKey]) -> usize {
         keys.iter().take_while(|key| self.by_key.contains_key(key)).count()
     }
 
-    /// Makes a prefix resident and marks it as used. Returns what came and what went.
+    /// Inserts the blocks of a prefix or marks them as used. Returns the stored and evicted blocks.
     pub fn insert(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         let mut changes = Vec::new();
-        // From the end, so that the start of a prefix outlives what builds on it.
+        // In reverse, so that a block is evicted before those that it depends on.
         for key in keys.iter().rev() {
             self.next_tick += 1;
             match self.by_key.insert(*key, self.next_tick) {
@@ -52,14 +53,14 @@
         changes
     }
 
-    /// Keeps a prefix from being evicted, whether it is resident yet or not.
+    /// Prevents the eviction of blocks, including those that are inserted later.
     pub fn pin(&mut self, keys: &[BlockKey]) {
         for key in keys {
             *self.pin_counts.entry(*key).or_default() += 1;
         }
     }
 
-    /// Ends a hold. Returns what went.
+    /// Reverts one call of `pin`. Returns the evicted blocks.
     pub fn unpin(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         for key in keys {
             if let Some(count) = self.pin_counts.get_mut(key) {
@@ -90,7 +91,7 @@
         oldest.into_iter().map(|(_, key)| (CacheChange::Evicted, key)).collect()
     }
 
-    /// Forgets everything.
+    /// Removes all blocks. Pins remain.
     pub fn clear(&mut self) {
         self.by_key.clear();
         self.by_tick.clear();
--- a/src/emulator/faults.rs
+++ b/src/emulator/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a test or an operator of the emulator can set on a target.
+//! Faults that can be injected into an emulated target.
 
 use std::time::{Duration, Instant};
 
@@ -8,55 +8,54 @@
 
 use crate::ids::TargetId;
 
-/// Sets a fault on a target.
+/// The body of a request to inject a fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRequest {
-    /// The target.
     pub target: TargetId,
-    /// The fault.
     pub fault: FaultAction,
 }
 
-/// What goes wrong.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultAction {
-    /// The process dies with all its connections.
+    /// Stops the target, resets its connections and removes it from the target list.
     Die,
-    /// It starts again, with empty memory.
+    /// Restarts the target with an empty memory, on a new port and without faults.
     Restart,
-    /// The platform lists it as leaving.
+    /// Lists the target as leaving.
     Leave,
-    /// Faults while it runs, replacing the ones set before.
+    /// Replaces the faults of the running target.
     Set(FaultSettings),
 }
 
-/// Faults while a target runs.
+/// Faults of a running target.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSettings {
-    /// Each answer breaks off after this many tokens (engines) or before its first byte (services).
+    /// Engines abort each answer after this many tokens. Services abort it before the first byte.
     pub break_after_tokens: Option<u32>,
-    /// How many answers break off before the fault ends; `None` for all.
+    /// Number of answers that are aborted; `None` for all.
     pub break_count: Option<u32>,
-    /// Chunks carry the id of another request.
+    /// Engines put the id of another request into their chunks.
     pub crossed: bool,
-    /// Each answer starts this much later.
+    /// Delays the start of each answer.
     pub delay_ms: u64,
-    /// Everything is refused with 503, provably not run.
+    /// Engines and services refuse all requests with status 503 and the header for requests that
+    /// were not run.
     pub refuse: bool,
-    /// Its link is slower by this factor; 0 counts as 1.
+    /// Factor by which a store's link is slower; values below 1 count as 1.
     pub link_slower: f64,
-    /// It has no room for anything new.
+    /// A store accepts no new objects.
     pub full: bool,
-    /// What it stores is damaged on the way out.
+    /// A store truncates the objects that it returns.
     pub damage: bool,
-    /// An engine dies when it begins a prompt with this text in it, and starts again after a while.
+    /// An engine crashes after it accepts a prompt that contains this text, and is restarted later.
     pub dies_on: Option<String>,
 }
 
-/// The faults set on one target.
+/// The faults of one target.
 #[derive(Default)]
 pub struct TargetFaults {
     settings: Mutex<FaultSettings>,
@@ -65,28 +64,28 @@
 }
 
 impl TargetFaults {
-    /// The faults in force.
+    /// Returns a copy of the current faults.
     pub fn settings(&self) -> FaultSettings {
         self.settings.lock().clone()
     }
 
-    /// Replaces them.
+    /// Replaces the current faults.
     pub fn set(&self, settings: FaultSettings) {
         *self.settings.lock() = settings;
     }
 
-    /// The target's process ends by itself.
+    /// Makes the target crash.
     pub fn crash(&self) {
         *self.crashed_at.lock() = Some(Instant::now());
         self.crashed.notify_one();
     }
 
-    /// Waits for that.
+    /// Returns when the target crashes.
     pub async fn wait_for_crash(&self) {
         self.crashed.notified().await;
     }
 
-    /// Whether it ended that long ago. Says so once.
+    /// Returns whether the target crashed at least `min_age` ago. Returns true once for each crash.
     pub fn take_crash(&self, min_age: Duration) -> bool {
         let mut crashed_at = self.crashed_at.lock();
         let is_due = crashed_at.is_some_and(|at| at.elapsed() >= min_age);
@@ -96,7 +95,8 @@
         is_due
     }
 
-    /// After how many tokens the answer that starts now breaks off, if it does.
+    /// Returns the number of tokens after which an answer that starts now is to be aborted, if any.
+    /// Counts towards `break_count`.
     pub fn take_break_after_tokens(&self) -> Option<u32> {
         let mut settings = self.settings.lock();
         let after = settings.break_after_tokens?;
--- a/src/emulator/ledger.rs
+++ b/src/emulator/ledger.rs
@@ -1,4 +1,4 @@
-//! What really ran on the stand-ins: the truth that answers and figures are checked against.
+//! Records what ran on the emulated targets, for comparison with what clients observed.
 
 use std::collections::BTreeMap;
 
@@ -7,39 +7,38 @@
 
 use crate::ids::{RequestId, TargetId};
 
-/// Counts of all that ran.
+/// Counters shared by all emulated targets.
 #[derive(Default)]
 pub struct Ledger {
     counts: Mutex<Counts>,
 }
 
-/// Counts of all that ran.
+/// Counters of what ran on the emulated targets since the emulator started.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// How often each request started to run, by request id.
+    /// Number of times that targets accepted each request. Refused requests are not counted.
     pub runs: BTreeMap<RequestId, u32>,
-    /// Requests that reached each target, by target.
+    /// Number of requests that each target accepted.
     pub by_target: BTreeMap<TargetId, u64>,
-    /// Prompt tokens of all started requests.
+    /// Prompt tokens of all prompts that left the prefill stage.
     pub prompt_tokens: u64,
-    /// Prompt tokens that were resident.
+    /// Prompt tokens reused from the engine's prefix cache, without imported ones.
     pub resident_tokens: u64,
-    /// Prompt tokens that were imported.
+    /// Prompt tokens reused after an import from a store.
     pub imported_tokens: u64,
-    /// Tokens generated.
     pub generated_tokens: u64,
-    /// Bytes that stores sent.
+    /// Bytes that engines read from stores.
     pub import_bytes: u64,
-    /// Bytes that stores received.
+    /// Bytes that engines wrote to stores.
     pub export_bytes: u64,
-    /// Imports refused or found damaged.
+    /// Imports that were refused, unavailable or damaged.
     pub failed_imports: u64,
-    /// Orders taken by each engine: fencing numbers in order of arrival.
+    /// Fencing numbers of the weight loads that each engine started, in order of arrival.
     pub orders: BTreeMap<TargetId, Vec<u64>>,
 }
 
 impl Counts {
-    /// Share of prompt tokens that were computed again or for the first time, of 1.
+    /// Fraction of prompt tokens that were computed instead of reused.
     pub fn recomputed_share(&self) -> f64 {
         if self.prompt_tokens == 0 {
             return 0.0;
@@ -50,12 +49,12 @@
 }
 
 impl Ledger {
-    /// Changes the counts.
+    /// Updates the counters.
     pub fn update(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut self.counts.lock());
     }
 
-    /// Records that a request started to run on a target.
+    /// Records that a target accepted a request.
     pub fn record_start(&self, target: &str, request_id: &str) {
         self.update(|counts| {
             *counts.runs.entry(request_id.to_string()).or_default() += 1;
@@ -63,7 +62,7 @@
         });
     }
 
-    /// A copy of the counts.
+    /// Returns a copy of the counters.
     pub fn counts(&self) -> Counts {
         self.counts.lock().clone()
     }
--- a/src/emulator/mod.rs
+++ b/src/emulator/mod.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for targets and the platform, for demonstration, measurement and tests.
+//! Emulates the platform and its targets (engines, stores and services) for demos, load tests and
+//! integration tests.
 //!
-//! Each stand-in listens on a port of its own and runs on a thread of its own, so that one can die
-//! with all its connections while the others go on.
+//! Each target has its own thread and port, so that it can crash with all its connections without
+//! affecting the others.
 
 pub mod answer;
 pub mod cache;
--- a/src/emulator/priority_semaphore.rs
+++ b/src/emulator/priority_semaphore.rs
@@ -1,4 +1,4 @@
-//! A semaphore whose waiters are served by priority, then in order.
+//! A semaphore whose waiters are served by priority, then in order of arrival.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-/// Lets a bounded number of holders in.
+/// A counting semaphore. Clones share the permits.
 #[derive(Clone)]
 pub struct PrioritySemaphore {
     state: Arc<Mutex<State>>,
@@ -15,22 +15,23 @@
 struct State {
     available: usize,
     next_ticket: u64,
+    /// Waiters by priority and ticket.
     waiting: BTreeMap<(u8, u64), oneshot::Sender<Permit>>,
 }
 
-/// Held while inside; dropping it lets the next one in.
+/// A permit of a semaphore. Dropping it passes it on to the next waiter.
 pub struct Permit {
     semaphore: PrioritySemaphore,
 }
 
 impl PrioritySemaphore {
-    /// A gate that lets `permits` holders in.
+    /// Creates a semaphore with `permits` permits.
     pub fn new(permits: usize) -> PrioritySemaphore {
         let state = State { available: permits, next_ticket: 0, waiting: BTreeMap::new() };
         PrioritySemaphore { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Waits for a place; priority 0 goes first.
+    /// Waits for a permit. Lower values of `priority` go first.
     pub async fn acquire(&self, priority: u8) -> Permit {
         let waiter = {
             let mut state = self.state.lock();
@@ -46,7 +47,8 @@
         };
         match waiter.await {
             Ok(permit) => permit,
-            // Unreachable while the gate lives; a pass of its own keeps the count right.
+            // Unreachable, as `self` keeps the sender alive. A permit of another semaphore would not
+            // change the number of available permits.
             Err(_) => Permit { semaphore: PrioritySemaphore::new(0) },
         }
     }
@@ -67,7 +69,7 @@
                 }
             }
         };
-        // A waiter that gave up hands the pass back, and its drop lets the next one in.
+        // If the waiter was cancelled, `send` returns the permit and its drop serves the next one.
         if let Some(sender) = next_waiter {
             drop(sender.send(Permit { semaphore: self.clone() }));
         }
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service: echoes a call and counts how often each call ran.
+//! An emulated service instance, which echoes each request and records it in the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::edge::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 use crate::http::{self, Request, Response};
 
-/// A stand-in instance of a plain service.
+/// An emulated service instance.
 pub struct Service {
     settings: ServiceSettings,
     faults: Arc<TargetFaults>,
@@ -21,7 +21,6 @@
 }
 
 impl Service {
-    /// Starts an instance.
     pub fn start(
         settings: ServiceSettings,
         faults: Arc<TargetFaults>,
@@ -30,11 +29,12 @@
         Arc::new(Service { settings, faults, ledger })
     }
 
-    /// Answers one HTTP request.
+    /// Handles one HTTP request.
     pub async fn handle(self: Arc<Service>, request: Request) -> Response {
         let fault_settings = self.faults.settings();
         if fault_settings.refuse {
-            let mut response = http::text(StatusCode::SERVICE_UNAVAILABLE, "refused".into());
+            let mut response =
+                http::text(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault".into());
             http::set_header(&mut response, NOT_RUN_HEADER, "true");
             return response;
         }
@@ -44,7 +44,7 @@
         tokio::time::sleep(call).await;
         if self.faults.take_break_after_tokens().is_some() {
             let broken = futures::stream::once(async {
-                Err::<Bytes, _>(std::io::Error::other("broken on demand"))
+                Err::<Bytes, _>(std::io::Error::other("aborted by an injected fault"))
             });
             return http::stream("application/json", broken);
         }
--- a/src/emulator/target_list.rs
+++ b/src/emulator/target_list.rs
@@ -1,4 +1,4 @@
-//! The stand-in platform: a lagging list of targets, the ledger, and the fault knobs.
+//! The platform's target list, which shows changes with a delay.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -8,20 +8,22 @@
 use crate::edge::api::{Presence, Target, TargetList};
 use crate::ids::TargetId;
 
-/// The list as it is and as it is shown.
+/// A target list whose changes become visible after a delay.
 pub struct DelayedTargetList {
     lag: Duration,
     versions: Mutex<ListVersions>,
 }
 
 struct ListVersions {
+    /// The list with all changes, visible or not.
     current: Vec<Target>,
-    /// Versions of the list with the time from which each is shown; never empty.
+    /// The visible version and later ones, each with the time at which it becomes visible. Never
+    /// empty.
     published: VecDeque<(Instant, TargetList)>,
 }
 
 impl DelayedTargetList {
-    /// A platform that lists `targets` at once and later changes after `lag`.
+    /// Creates a list of `targets`, which are visible at once. Changes become visible after `lag`.
     pub fn new(targets: Vec<Target>, lag: Duration) -> DelayedTargetList {
         let list = TargetList { targets: targets.clone() };
         let published = VecDeque::from([(Instant::now(), list)]);
@@ -31,7 +33,7 @@
         }
     }
 
-    /// The list as it is shown now.
+    /// Returns the version that is visible now.
     pub fn visible(&self) -> TargetList {
         let now = Instant::now();
         let mut versions = self.versions.lock();
@@ -50,12 +52,12 @@
         });
     }
 
-    /// Takes a target off the list.
+    /// Removes a target from the list.
     pub fn remove(&self, id: &TargetId) {
         self.update(|current| current.retain(|target| target.id != *id));
     }
 
-    /// Lists a target that started again.
+    /// Replaces the entry of a restarted target, or adds it.
     pub fn replace(&self, target: Target) {
         self.update(|current| {
             current.retain(|other| other.id != target.id);
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -1,4 +1,4 @@
-//! How a stand-in engine moves kept prefixes from and to a store.
+//! Transfers of prefixes between an emulated engine and a store.
 
 use reqwest::Client;
 use warp::http::StatusCode;
@@ -6,7 +6,7 @@
 use super::store;
 use crate::edge::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
 
-/// Reads an object. `None` if it could not be had whole, in this very generation.
+/// Reads an object from a store. Returns `None` if this generation is unavailable or damaged.
 pub(super) async fn import_object(
     client: &Client,
     store_url: &str,
@@ -21,10 +21,10 @@
     (crc32fast::hash(&content) == object.checksum).then_some(())
 }
 
-/// Writes and commits an object.
+/// Writes an object to a store and commits it.
 ///
 /// # Errors
-/// The store's status, or 502 if it could not be reached.
+/// Returns the status of the store, or 502 if the store could not be reached.
 pub(super) async fn export_object(
     client: &Client,
     order: &ExportOrder,
