--- a/src/emulator/answer.rs
+++ b/src/emulator/answer.rs
@@ -1,5 +1,5 @@
-//! Deterministic answers, so that a client can detect altered, reordered or truncated text and answers
-//! to other requests.
+//! Deterministic answers, so that a client can detect altered, reordered or truncated text and
+//! answers to other requests.
 
 use crate::prompt::Owner;
 
@@ -27,7 +27,7 @@
         self.tokens
     }
 
-    /// Returns the text of token `index`, counted from 0. The last token states the number of tokens.
+    /// Returns the text of token `index`, counted from 0. The last token states how many there are.
     pub fn token(&self, index: u32) -> String {
         let space = if index == 0 { "" } else { " " };
         if index + 1 == self.tokens {
--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -1,4 +1,5 @@
-//! A stand-in model engine: continuous batching, a prefix cache, lagging reports, fenced orders.
+//! An emulated model engine with continuous batching, a prefix cache, delayed reports and fenced
+//! orders.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -30,32 +31,34 @@
 use crate::ids::{BlockKey, Incarnation};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 
-/// How often a load sample is taken for the lagging report.
+/// Interval between the load samples from which delayed load reports are served.
 const LOAD_SAMPLE_PERIOD: Duration = Duration::from_millis(20);
-/// Events that are kept for readers.
+/// Number of cache events that can be read.
 const MAX_RETAINED_EVENTS: usize = 65_536;
-/// Finished or broken answers that can still be resumed.
+/// Number of completions that can be resumed.
 const MAX_RETAINED_COMPLETIONS: usize = 4_096;
-/// From the begin of a prompt on which it dies until it does.
+/// Delay between accepting a prompt that crashes the engine and the crash.
 const CRASH_DELAY: Duration = Duration::from_millis(20);
-/// Weight loading progresses in steps of this length.
+/// Interval between updates of the progress of a weight load.
 const WEIGHT_LOAD_STEP: Duration = Duration::from_millis(10);
 
-/// Engines of one process that load weights at the moment: they share one rate.
+/// Number of engines that are loading weights. They share the bandwidth.
 #[derive(Default)]
 pub struct ActiveWeightLoads {
     count: AtomicU32,
 }
 
-/// A stand-in engine.
+/// An emulated engine.
 pub struct Engine {
     settings: EngineSettings,
     incarnation: Incarnation,
     faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
     weight_loads: Arc<ActiveWeightLoads>,
+    /// How long a weight load takes while no other engine loads weights.
     weight_load_duration: Duration,
     batch_slots: PrioritySemaphore,
+    /// Has one permit: prompts are prefilled one at a time.
     prefill_slot: PrioritySemaphore,
     client: reqwest::Client,
     state: Mutex<State>,
@@ -63,29 +66,35 @@
 
 struct State {
     cache: PrefixCache,
+    /// Cache events, each with the time from which it can be read.
     events: VecDeque<(Instant, CacheEvent)>,
     next_event_seq: u64,
+    /// Load reports with the time at which each was taken.
     load_samples: VecDeque<(Instant, LoadReport)>,
+    /// Tokens to be prefilled for all accepted requests, estimated when each arrived.
     queued_prefill_tokens: u64,
+    /// Number of requests in the batch.
     running: u32,
+    /// `None` while weights are loading.
     weight_version: Option<String>,
     highest_fencing_number: u64,
     completions: HashMap<StreamId, Arc<Completion>>,
+    /// The keys of `completions`, oldest first.
     completion_order: VecDeque<StreamId>,
 }
 
-/// A request on its way through the engine.
+/// An accepted request.
 struct PromptJob {
     completion: Arc<Completion>,
     chain: Chain,
-    /// Tokens that it counts in the queue.
+    /// Number of its tokens in `State::queued_prefill_tokens`.
     queued_tokens: u64,
     priority: u8,
     import: Option<ImportOrder>,
 }
 
 impl Engine {
-    /// Starts an engine with empty memory. Must be called inside a tokio runtime.
+    /// Starts an engine with an empty cache. Must be called within a tokio runtime.
     pub fn start(
         settings: EngineSettings,
         incarnation: Incarnation,
@@ -122,7 +131,7 @@
         engine
     }
 
-    /// Answers one HTTP request.
+    /// Handles one HTTP request.
     pub async fn handle(self: Arc<Engine>, request: Request) -> Response {
         let segments = request.segments();
         match segments.as_slice() {
@@ -134,7 +143,7 @@
             ["kv", "export"] => self.export(&request).await,
             ["cancel"] => self.cancel(&request),
             ["orders"] => self.handle_order(&request),
-            _ => http::text(StatusCode::NOT_FOUND, "no such interface".into()),
+            _ => http::text(StatusCode::NOT_FOUND, "no such endpoint".into()),
         }
     }
 
@@ -147,7 +156,7 @@
             return refuse_not_run(StatusCode::CONFLICT, "another weight version is loaded");
         }
         if self.faults.settings().refuse {
-            return refuse_not_run(StatusCode::SERVICE_UNAVAILABLE, "refused on demand");
+            return refuse_not_run(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault");
         }
         let owner = Owner {
             account: request.header(OWNER_HEADER).unwrap_or_default().to_string(),
@@ -178,7 +187,7 @@
                 tokio::time::sleep(CRASH_DELAY).await;
                 faults.crash();
             });
-            // It never gets to its first token.
+            // The prompt is not run, so that the engine crashes before the first token.
             return self.stream(id, completion, 0);
         }
         let queued_tokens = self.add_to_queue(&chain);
@@ -188,7 +197,7 @@
         self.stream(id, completion, 0)
     }
 
-    /// Generates one answer to its end, whether or not somebody listens, unless it is cancelled.
+    /// Runs a prompt to its end unless it is cancelled, even if the client disconnects.
     async fn run_prompt(self: Arc<Engine>, job: PromptJob) {
         let PromptJob { completion, chain, queued_tokens, priority, import } = job;
         let batch_permit: Permit = self.batch_slots.acquire(priority).await;
@@ -251,7 +260,8 @@
         }
     }
 
-    /// Counts the tokens that must be prefilled as far as is known on arrival.
+    /// Estimates the tokens to be prefilled for a new request from the current cache contents, and
+    /// adds them to the queue. Returns their number.
     fn add_to_queue(&self, chain: &Chain) -> u64 {
         let mut state = self.state.lock();
         let resident_tokens = state.cache.resident_blocks(&chain.keys) * BLOCK_TOKENS;
@@ -283,11 +293,11 @@
         }
     }
 
-    /// Imports a prefix and returns its length in tokens; 0 if it could not be had whole.
+    /// Imports a prefix. Returns its length in tokens, or 0 if nothing was imported.
     async fn import(&self, chain: &Chain, order: Option<ImportOrder>) -> usize {
         let Some(ImportOrder { store_url, object }) = order else { return 0 };
         let blocks = object.blocks as usize;
-        // The key proves owner and content: a foreign or shorter chain can't have it.
+        // Keys are hashes of the owner and content, so a prefix of another prompt has another key.
         if blocks == 0 || chain.keys.get(blocks - 1) != Some(&object.key) {
             self.ledger.update(|counts| counts.failed_imports += 1);
             return 0;
@@ -329,7 +339,7 @@
         };
         match transfer::export_object(&self.client, &order, &object, content).await {
             Ok(()) => http::json(StatusCode::OK, &object),
-            Err(status) => http::text(status, "the store did not take it".into()),
+            Err(status) => http::text(status, "the store rejected the object".into()),
         }
     }
 
@@ -355,7 +365,7 @@
 
     fn stream(&self, id: StreamId, completion: Arc<Completion>, from_token: u32) -> Response {
         let events = CompletionStream {
-            // A resumed stream breaks only if the fault is still set.
+            // A resumed stream is aborted only if the fault is still set.
             break_at_token: self.faults.take_break_after_tokens().map(|after| from_token + after),
             id: if self.faults.settings().crossed { format!("other-{id}") } else { id },
             model: self.settings.model.clone(),
@@ -380,7 +390,7 @@
 
     fn handle_order(self: &Arc<Engine>, request: &Request) -> Response {
         let Ok(order) = request.json::<EngineOrder>() else {
-            return http::text(StatusCode::BAD_REQUEST, "the body is not an order".into());
+            return http::text(StatusCode::BAD_REQUEST, "the body is not an engine order".into());
         };
         {
             let mut state = self.state.lock();
@@ -464,7 +474,7 @@
                 let mut state = self.state.lock();
                 let report = self.current_load(&state);
                 state.load_samples.push_back((now, report));
-                // One sample older than the lag stays, as the one that is shown.
+                // Keeps one sample that is older than the lag, for the next report.
                 while state
                     .load_samples
                     .get(1)
@@ -478,7 +488,7 @@
     }
 }
 
-/// A refusal that proves that nothing was run.
+/// Refuses a request, with a header that marks it as not run.
 fn refuse_not_run(status: StatusCode, message: &str) -> Response {
     let mut response = http::json(status, &json!({"error": {"message": message}}));
     http::set_header(&mut response, NOT_RUN_HEADER, "true");
--- a/src/emulator/faults.rs
+++ b/src/emulator/faults.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultAction {
-    /// Stops the target, resets its connections and removes it from the target list.
+    /// Stops the target with all its connections and removes it from the target list.
     Die,
     /// Restarts the target with an empty memory, on a new port and without faults.
     Restart,
@@ -40,10 +40,9 @@
     pub break_count: Option<u32>,
     /// Engines put the id of another request into their chunks.
     pub crossed: bool,
-    /// Delays the start of each answer.
+    /// Delays each answer of an engine or a service.
     pub delay_ms: u64,
-    /// Engines and services refuse all requests with status 503 and the header for requests that
-    /// were not run.
+    /// Engines and services refuse all requests with status 503, marked as not run.
     pub refuse: bool,
     /// Factor by which a store's link is slower; values below 1 count as 1.
     pub link_slower: f64,
--- a/src/emulator/priority_semaphore.rs
+++ b/src/emulator/priority_semaphore.rs
@@ -47,7 +47,7 @@
         };
         match waiter.await {
             Ok(permit) => permit,
-            // Unreachable, as `self` keeps the sender alive. A permit of another semaphore would not
+            // Unreachable, as `self` keeps the sender alive. A permit of another semaphore does not
             // change the number of available permits.
             Err(_) => Permit { semaphore: PrioritySemaphore::new(0) },
         }
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the stand-ins.
+//! Settings of the emulator.
 
 use std::net::IpAddr;
 use std::path::Path;
@@ -10,113 +10,103 @@
 use crate::settings::{log_settings, read_json};
 use crate::telemetry::logs::LogSettings;
 
-/// Settings of all stand-ins of one process.
+/// Settings of the emulator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EmulatorSettings {
-    /// The loopback address that all listen on.
+    /// The loopback address on which the emulator and all targets listen.
     pub ip: IpAddr,
-    /// Port of the platform's list; 0 for any free one.
+    /// Port of the target list; 0 for any free port.
     pub platform_port: u16,
-    /// Engines.
     pub engines: Vec<EngineSettings>,
-    /// Stores.
     pub stores: Vec<StoreSettings>,
-    /// Instances of plain services.
+    /// Service instances.
     pub services: Vec<ServiceSettings>,
-    /// How late the platform's list shows a change, in milliseconds.
+    /// Delay before the target list shows a change, in milliseconds.
     pub platform_lag_ms: u64,
-    /// How long one weight load takes alone, in milliseconds; several at once share the rate.
+    /// Duration of a weight load in milliseconds. Concurrent loads share the bandwidth.
     pub weight_load_ms: u64,
-    /// Logging.
     pub log: LogSettings,
 }
 
 /// Settings of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Its id.
     pub id: String,
-    /// Its model.
     pub model: String,
-    /// The weight version that it starts with.
+    /// The weight version that is loaded at the start.
     pub weight_version: String,
-    /// Its failure domain.
     pub failure_domain: String,
-    /// Prefill rate in tokens a second.
+    /// Prefill rate in tokens per second.
     pub prefill_tokens_per_s: u64,
-    /// Time between two tokens, in microseconds.
+    /// Time between two generated tokens, in microseconds.
     pub token_us: u64,
-    /// Largest batch.
+    /// Largest number of requests in the batch.
     pub max_batch: u64,
-    /// Tokens that its prefix cache holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Bytes of KV cache a token.
+    /// Size of the KV cache of a token in bytes.
     pub kv_bytes_per_token: u64,
-    /// How old its load reports are, in milliseconds.
+    /// Age of the load reports in milliseconds.
     pub load_lag_ms: u64,
-    /// How late its cache events come, in milliseconds.
+    /// Delay of the cache events in milliseconds.
     pub event_lag_ms: u64,
-    /// One event of this many is lost; 0 for none.
+    /// Cache events whose number is a multiple of this are dropped; 0 for none.
     pub event_loss_one_in: u64,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the engine refuses orders with an old fencing number.
     pub checks_fencing: bool,
-    /// Whether it says that equal requests give equal answers.
+    /// Whether the engine reports that equal requests get equal answers.
     pub reproducible: bool,
 }
 
 /// Settings of one store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// Its id.
     pub id: String,
-    /// Its failure domain.
     pub failure_domain: String,
-    /// Bytes in memory; older objects lie on disk.
+    /// Capacity of the memory tier in bytes. Less recently used objects are on disk.
     pub memory_bytes: u64,
-    /// Bytes in memory and on disk together.
+    /// Total capacity in bytes, in memory and on disk.
     pub capacity_bytes: u64,
-    /// Rate of its link in bytes a second.
+    /// Bandwidth of the link in bytes per second.
     pub link_bytes_per_s: u64,
-    /// Rate of its disk in bytes a second.
+    /// Bandwidth of the disk in bytes per second.
     pub disk_bytes_per_s: u64,
 }
 
-/// Settings of one instance of a plain service.
+/// Settings of one service instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSettings {
-    /// Its id.
     pub id: String,
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its failure domain.
     pub failure_domain: String,
-    /// How long a call takes, in milliseconds.
+    /// Duration of a call in milliseconds.
     pub call_ms: u64,
 }
 
 impl EmulatorSettings {
-    /// Reads and checks the settings in a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// `Error::Start` if the file can't be read, `Error::Invalid` with everything that is wrong.
+    /// `Error::Start` if the file can't be read, `Error::Invalid` with all problems found.
     pub fn read(path: &Path) -> Result<EmulatorSettings> {
         EmulatorSettings::from_value(&read_json(path)?, &path.display().to_string())
     }
 
-    /// Checks settings that were already parsed; `file` names them in errors.
+    /// Validates settings that were already parsed. `file` is named in errors.
     ///
     /// # Errors
-    /// `Error::Invalid` with everything that is wrong.
+    /// `Error::Invalid` with all problems found.
     pub fn from_value(value: &Value, file: &str) -> Result<EmulatorSettings> {
         let mut problems = Vec::new();
         let mut fields = Fields::new(value, "", &mut problems);
         let ip_text = fields.optional_text("ip").unwrap_or_else(|| "127.0.0.1".into());
         let ip = ip_text.parse().unwrap_or_else(|_| {
-            fields.problem("ip", format!("{ip_text:?} is not an address"), "give 127.0.0.1");
+            fields.problem("ip", format!("{ip_text:?} is not an IP address"), "give 127.0.0.1");
             IpAddr::from([127, 0, 0, 1])
         });
         if !ip.is_loopback() {
-            let remedy = "give a loopback address: stand-ins are for one machine";
+            let remedy = "give a loopback address: the emulator serves one machine only";
             fields.problem("ip", format!("{ip} is not a loopback address"), remedy);
         }
         let settings = EmulatorSettings {
@@ -137,6 +127,7 @@
     }
 }
 
+/// Upper bound of settings without a natural limit.
 const MAX_QUANTITY: u64 = 1 << 50;
 
 fn engine_settings(mut fields: Fields<'_>) -> EngineSettings {
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -1,4 +1,5 @@
-//! A stand-in store of kept KV cache: a memory and a disk tier behind a limited link.
+//! An emulated store of KV cache objects: a memory tier and a disk tier behind a link of limited
+//! bandwidth.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,10 +16,10 @@
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
 
-/// Bytes of stand-in content for each block; the link is charged for the real size.
+/// Size of the placeholder content of a block. Transfer times follow from the real size.
 const SYNTHETIC_BYTES_PER_BLOCK: usize = 16;
 
-/// A stand-in store.
+/// An emulated store.
 pub struct Store {
     settings: StoreSettings,
     incarnation: Incarnation,
@@ -29,14 +30,16 @@
 
 struct State {
     objects: BTreeMap<BlockKey, StoredObject>,
+    /// Total size of the objects, committed or not.
     used_bytes: u64,
-    /// When the link is free again.
+    /// When the link has finished all transfers.
     link_free_at: Instant,
     next_use_tick: u64,
-    /// Highest epoch of an owner seen for each key; lower ones may not free it.
+    /// Highest owner epoch seen for each key. Requests with a lower epoch are refused.
     owner_epochs: BTreeMap<BlockKey, u64>,
 }
 
+/// An object that is being or has been written.
 struct StoredObject {
     metadata: KeptObject,
     content: Vec<u8>,
@@ -44,12 +47,12 @@
     last_use_tick: u64,
 }
 
-/// The URL of one writing of an object.
+/// Returns the URL of one generation of an object.
 pub fn object_url(store_url: &str, key: BlockKey, generation: u64) -> String {
     format!("{store_url}/objects/{key:032x}/{generation}")
 }
 
-/// The stand-in content of a prefix.
+/// Returns the placeholder content of a prefix.
 pub fn synthetic_content(key: BlockKey, blocks: u32) -> Vec<u8> {
     let mut bytes = vec![0; blocks as usize * SYNTHETIC_BYTES_PER_BLOCK];
     blake3::Hasher::new().update(&key.to_le_bytes()).finalize_xof().fill(&mut bytes);
@@ -57,7 +60,7 @@
 }
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn start(
         settings: StoreSettings,
         incarnation: Incarnation,
@@ -74,7 +77,7 @@
         Arc::new(Store { settings, incarnation, faults, ledger, state: Mutex::new(state) })
     }
 
-    /// Answers one HTTP request.
+    /// Handles one HTTP request.
     pub async fn handle(self: Arc<Store>, request: Request) -> Response {
         let segments = request.segments();
         match (request.method.clone(), segments.as_slice()) {
@@ -83,7 +86,10 @@
                 let (Ok(key), Ok(generation)) =
                     (BlockKey::from_str_radix(key, 16), generation.parse())
                 else {
-                    return http::text(StatusCode::BAD_REQUEST, "not a key".into());
+                    return http::text(
+                        StatusCode::BAD_REQUEST,
+                        "the key or the generation is invalid".into(),
+                    );
                 };
                 match method {
                     Method::PUT => self.put(&request, key, generation).await,
@@ -96,34 +102,40 @@
                 let (Ok(key), Ok(generation)) =
                     (BlockKey::from_str_radix(key, 16), generation.parse())
                 else {
-                    return http::text(StatusCode::BAD_REQUEST, "not a key".into());
+                    return http::text(
+                        StatusCode::BAD_REQUEST,
+                        "the key or the generation is invalid".into(),
+                    );
                 };
                 self.commit(&request, key, generation)
             }
             (Method::GET, ["inventory"]) => http::json(StatusCode::OK, &self.inventory()),
             (Method::GET, ["load"]) => http::json(StatusCode::OK, &self.load_report()),
-            _ => http::text(StatusCode::NOT_FOUND, "no such interface".into()),
+            _ => http::text(StatusCode::NOT_FOUND, "no such endpoint".into()),
         }
     }
 
     fn begin_write(&self, request: &Request) -> Response {
         let Ok(BeginWrite { object, owner_epoch }) = request.json::<BeginWrite>() else {
-            return http::text(StatusCode::BAD_REQUEST, "the body is not a begin order".into());
+            return http::text(
+                StatusCode::BAD_REQUEST,
+                "the body is not a begin-write request".into(),
+            );
         };
         let mut state = self.state.lock();
         if state.owner_epochs.get(&object.key).is_some_and(|epoch| *epoch > owner_epoch) {
-            return http::text(StatusCode::PRECONDITION_FAILED, "an old owner epoch".into());
+            return http::text(StatusCode::PRECONDITION_FAILED, "the owner epoch is stale".into());
         }
         let is_full = state.used_bytes + object.size_bytes > self.settings.capacity_bytes;
         if is_full || self.faults.settings().full {
             return http::text(StatusCode::INSUFFICIENT_STORAGE, "the store is full".into());
         }
-        // A generation is written once: a second writer of it would mix two contents.
+        // Each generation has one writer, so that its content is never a mix of two writes.
         let already_written = state.objects.get(&object.key).is_some_and(|present| {
             present.metadata.generation >= object.generation || present.committed
         });
         if already_written {
-            return http::text(StatusCode::CONFLICT, "the key is there already".into());
+            return http::text(StatusCode::CONFLICT, "the object already exists".into());
         }
         let size_bytes = object.size_bytes;
         state.owner_epochs.insert(object.key, owner_epoch);
@@ -159,7 +171,7 @@
 
     fn commit(&self, request: &Request, key: BlockKey, generation: u64) -> Response {
         let Ok(CommitWrite { checksum }) = request.json::<CommitWrite>() else {
-            return http::text(StatusCode::BAD_REQUEST, "the body is not a commit".into());
+            return http::text(StatusCode::BAD_REQUEST, "the body is not a commit request".into());
         };
         let mut state = self.state.lock();
         let tick = state.next_use_tick;
@@ -172,13 +184,16 @@
                 object.last_use_tick = tick;
                 http::json(StatusCode::OK, &object.metadata)
             }
-            _ => http::text(StatusCode::CONFLICT, "the content is not whole".into()),
+            _ => http::text(
+                StatusCode::CONFLICT,
+                "the generation does not exist or its checksum does not match".into(),
+            ),
         }
     }
 
     async fn get(&self, key: BlockKey, generation: u64) -> Response {
         let Some(size_bytes) = self.touch_object(key, generation, true) else {
-            return http::text(StatusCode::NOT_FOUND, "not committed in this generation".into());
+            return http::text(StatusCode::NOT_FOUND, "this generation is not committed".into());
         };
         let is_on_disk = self.is_on_disk(key);
         let disk_time_s = size_bytes as f64 / self.settings.disk_bytes_per_s as f64;
@@ -187,7 +202,7 @@
         self.reserve_link_and_wait(size_bytes, disk_delay).await;
         let state = self.state.lock();
         let object = state.objects.get(&key);
-        // Checked again after the transfer: it may have been freed meanwhile.
+        // The object may have been deleted during the transfer.
         match object.filter(|object| object.metadata.generation == generation && object.committed) {
             Some(object) => {
                 self.ledger.update(|counts| counts.import_bytes += size_bytes);
@@ -197,7 +212,9 @@
                 }
                 http::body(StatusCode::OK, "application/octet-stream", content)
             }
-            None => http::text(StatusCode::NOT_FOUND, "freed during the read".into()),
+            None => {
+                http::text(StatusCode::NOT_FOUND, "the object was deleted during the read".into())
+            }
         }
     }
 
@@ -205,7 +222,7 @@
         let epoch = request.parameter("epoch").and_then(|text| text.parse().ok()).unwrap_or(0);
         let mut state = self.state.lock();
         if state.owner_epochs.get(&key).is_some_and(|highest| *highest > epoch) {
-            return http::text(StatusCode::PRECONDITION_FAILED, "an old owner epoch".into());
+            return http::text(StatusCode::PRECONDITION_FAILED, "the owner epoch is stale".into());
         }
         state.owner_epochs.insert(key, epoch);
         if state.objects.get(&key).is_some_and(|object| object.metadata.generation == generation)
@@ -216,6 +233,8 @@
         http::json(StatusCode::OK, &json!({"freed": true}))
     }
 
+    /// Marks an object as used and returns its size. Returns `None` if there is no object with this
+    /// generation and state.
     fn touch_object(&self, key: BlockKey, generation: u64, expect_committed: bool) -> Option<u64> {
         let mut state = self.state.lock();
         let tick = state.next_use_tick;
@@ -228,7 +247,7 @@
         Some(object.metadata.size_bytes)
     }
 
-    /// Whether newer objects fill the memory tier, so that this one lies on disk.
+    /// Returns whether an object is on disk because more recently used ones fill the memory tier.
     fn is_on_disk(&self, key: BlockKey) -> bool {
         let state = self.state.lock();
         let Some(object) = state.objects.get(&key) else { return false };
@@ -241,7 +260,8 @@
         newer_bytes + object.metadata.size_bytes > self.settings.memory_bytes
     }
 
-    /// Waits for the link and uses it for `size_bytes` bytes.
+    /// Reserves the link for a transfer, after those already reserved. Waits until the transfer and
+    /// the disk access are complete.
     async fn reserve_link_and_wait(&self, size_bytes: u64, disk_delay: Duration) {
         let completed_at = {
             let mut state = self.state.lock();
--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -1,4 +1,5 @@
-//! The streamed answers of a stand-in engine: generated once, read as often as they are resumed.
+//! Completions of an emulated engine. Each is generated once and can be streamed several times, as
+//! streams can be resumed.
 
 use std::sync::Arc;
 
@@ -9,17 +10,17 @@
 use crate::edge::chat::{Chunk, Shape, Usage};
 use crate::edge::sse;
 
-/// Names a stream: request id, a dot, the attempt.
+/// Identifies a stream: the request id, a dot and the attempt.
 pub(super) type StreamId = String;
 
-/// One answer while and after it is generated.
+/// A completion that is being or has been generated.
 pub(super) struct Completion {
     pub(super) answer: Answer,
     pub(super) shape: Shape,
     pub(super) progress: watch::Sender<Progress>,
 }
 
-/// How far an answer has been generated.
+/// The progress of a completion.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Progress {
     pub(super) produced_tokens: u32,
@@ -27,29 +28,30 @@
     pub(super) usage: Usage,
 }
 
-/// What is sent next.
+/// Which event a stream sends next.
 pub(super) enum StreamState {
     Tokens,
     Usage,
     Done,
+    /// The stream has ended.
     End,
 }
 
-/// The parts of one streamed answer that are still to be sent.
+/// The server-sent events of a completion that are still to be sent.
 pub(super) struct CompletionStream {
     pub(super) id: StreamId,
     pub(super) model: String,
     pub(super) completion: Arc<Completion>,
     pub(super) progress: watch::Receiver<Progress>,
-    /// The token that comes next.
+    /// Index of the next token.
     pub(super) next_token: u32,
-    /// The token before which a fault breaks the stream off.
+    /// Index of the token at which a fault aborts the stream.
     pub(super) break_at_token: Option<u32>,
     pub(super) state: StreamState,
 }
 
 impl CompletionStream {
-    /// The next part and the rest.
+    /// Returns the next event and the remaining stream.
     pub(super) async fn next_event(
         mut self,
     ) -> Option<(Result<Bytes, std::io::Error>, CompletionStream)> {
@@ -74,7 +76,7 @@
 
     async fn next_token_event(&mut self) -> Option<Result<String, std::io::Error>> {
         if self.break_at_token.is_some_and(|at| self.next_token >= at) {
-            return Some(Err(std::io::Error::other("broken on demand")));
+            return Some(Err(std::io::Error::other("aborted by an injected fault")));
         }
         let index = self.next_token;
         let tokens = self.completion.answer.tokens();
--- a/src/emulator/supervisor.rs
+++ b/src/emulator/supervisor.rs
@@ -1,4 +1,5 @@
-//! Runs the stand-ins: a thread, a runtime and a port for each.
+//! Runs the emulated targets, each with its own thread, runtime and port. Serves the target list, the
+//! ledger and fault injection over HTTP.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -23,15 +24,15 @@
 use crate::http::{self, Request, Response};
 use crate::ids::{Incarnation, TargetId};
 
-/// Bodies that stand-ins accept.
+/// Largest request body that targets and the emulator accept.
 const BODY_LIMIT_BYTES: usize = 64 << 20;
 
-/// A target that has died by itself starts again after this time.
+/// Delay before a crashed target is restarted.
 const CRASH_RESTART_DELAY: Duration = Duration::from_millis(500);
-/// How often it is looked whether one has.
+/// Interval between checks for crashed targets.
 const CRASH_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// All stand-ins of one process.
+/// The emulated targets of one process.
 pub struct Emulator {
     ip: IpAddr,
     weight_load_duration: Duration,
@@ -52,15 +53,15 @@
     target_settings: TargetSettings,
     list_entry: Target,
     faults: Arc<TargetFaults>,
-    /// Dropping it ends the target with all its connections; `None` while it is dead.
+    /// Dropping it stops the target with all its connections. `None` once it was stopped.
     shutdown: Option<oneshot::Sender<()>>,
 }
 
 impl Emulator {
-    /// Starts all stand-ins and returns them with the platform's address.
+    /// Starts all targets. Returns the emulator and the address of its HTTP server.
     ///
     /// # Errors
-    /// `Error::Start` if a port can't be had.
+    /// `Error::Start` if a port can't be bound or a runtime can't be created.
     pub async fn start(settings: EmulatorSettings) -> Result<(Arc<Emulator>, SocketAddr)> {
         let all_settings = settings
             .engines
@@ -107,7 +108,7 @@
         Ok((emulator, address))
     }
 
-    /// What really ran.
+    /// Returns a copy of the ledger's counters.
     pub fn counts(&self) -> Counts {
         self.ledger.counts()
     }
@@ -129,7 +130,7 @@
         Ok(address)
     }
 
-    /// Starts targets again that have died by themselves, for as long as the process lives.
+    /// Restarts crashed targets with their faults. Never returns.
     async fn restart_crashed_targets(self: Arc<Emulator>) {
         loop {
             tokio::time::sleep(CRASH_CHECK_PERIOD).await;
@@ -154,7 +155,10 @@
                 Ok(fault_request) => self.set_fault(fault_request),
                 Err(reason) => http::text(StatusCode::BAD_REQUEST, reason),
             },
-            _ => http::text(StatusCode::NOT_FOUND, "try targets, ledger or faults".into()),
+            _ => http::text(
+                StatusCode::NOT_FOUND,
+                "no such endpoint; there are GET /targets, GET /ledger and POST /faults".into(),
+            ),
         }
     }
 
@@ -215,6 +219,7 @@
     }
 }
 
+/// Returns the entry of a running target in the target list.
 fn list_entry(settings: &TargetSettings, address: SocketAddr, incarnation: Incarnation) -> Target {
     let (id, role, failure_domain, checks_fencing) = match settings {
         TargetSettings::Engine(engine) => {
@@ -238,7 +243,7 @@
     }
 }
 
-/// All that one target needs to start.
+/// Starts one target.
 struct TargetLauncher {
     settings: TargetSettings,
     incarnation: Incarnation,
@@ -249,9 +254,11 @@
 }
 
 impl TargetLauncher {
-    /// Runs the target on a thread of its own until the returned sender is dropped.
+    /// Runs the target on a new thread until it crashes or the returned sender is dropped. Also
+    /// returns the address of the target.
     fn launch_on_thread(self, address: SocketAddr) -> Result<(SocketAddr, oneshot::Sender<()>)> {
-        let failed = |source| Error::start("stand-in", source, "free a port or raise the limits");
+        let failed =
+            |source| Error::start("emulated target", source, "free a port or raise the limits");
         let listener = std::net::TcpListener::bind(address).map_err(failed)?;
         listener.set_nonblocking(true).map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
@@ -267,7 +274,7 @@
                     _ = shutdown_requested => {}
                 }
             });
-            // Drops every task and socket of the target at once, as a kill would.
+            // Drops all tasks and sockets of the target at once, as if its process had been killed.
             runtime.shutdown_background();
         });
         Ok((address, shutdown))
