--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -16,7 +16,7 @@
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
 
-/// Size of the placeholder content of a block. Transfer times follow from the real size.
+/// Size of the synthetic content of a block. Transfer times are computed from the real size.
 const SYNTHETIC_BYTES_PER_BLOCK: usize = 16;
 
 /// An emulated store.
@@ -52,7 +52,7 @@
     format!("{store_url}/objects/{key:032x}/{generation}")
 }
 
-/// Returns the placeholder content of a prefix.
+/// Returns the synthetic content of a prefix.
 pub fn synthetic_content(key: BlockKey, blocks: u32) -> Vec<u8> {
     let mut bytes = vec![0; blocks as usize * SYNTHETIC_BYTES_PER_BLOCK];
     blake3::Hasher::new().update(&key.to_le_bytes()).finalize_xof().fill(&mut bytes);
--- a/src/emulator/supervisor.rs
+++ b/src/emulator/supervisor.rs
@@ -1,5 +1,5 @@
-//! Runs the emulated targets, each with its own thread, runtime and port. Serves the target list, the
-//! ledger and fault injection over HTTP.
+//! Runs the emulated targets, each with its own thread, runtime and port. Serves the target list,
+//! the ledger and fault injection over HTTP.
 
 use std::collections::BTreeMap;
 use std::future::Future;
--- a/src/load/emulated_deployment.rs
+++ b/src/load/emulated_deployment.rs
@@ -1,34 +1,33 @@
-//! Emulated targets and the configuration of each workload's deployment, for one machine.
+//! Emulator settings and a configuration for each workload profile, sized for one machine.
 
 use serde_json::{Value, json};
 
 use super::workload::WorkloadProfile;
 use crate::config::document::key_hash;
 
-/// Tokens that one stand-in engine prefills in a second.
+/// Prefill rate of an emulated engine in tokens per second.
 pub const PREFILL_TOKENS_PER_S: u64 = 20_000;
-/// Tokens that one stand-in engine's prefix cache holds: far fewer than the contexts need.
+/// Capacity of an emulated engine's prefix cache in tokens. Much smaller than the contexts of a
+/// workload, so that they are evicted between two uses.
 pub const CACHE_TOKENS: u64 = 16_384;
 const KV_BYTES_PER_TOKEN: u64 = 65_536;
 const LINK_BYTES_PER_S: u64 = 8 << 30;
 const STORE_CAPACITY_BYTES: u64 = 400 << 30;
 
-/// Emulated targets and a configuration for them.
+/// Settings of an emulator, and a configuration for its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EmulatedDeployment {
-    /// Settings of the emulator.
     pub emulator: Value,
-    /// The configuration.
     pub config: Value,
 }
 
-/// The bearer key of an account in these workloads.
+/// Returns the bearer key of an account.
 pub fn account_key(account: &str) -> String {
     format!("key-of-{account}")
 }
 
 impl EmulatedDeployment {
-    /// The deployment of a workload, with this routing policy.
+    /// Returns the deployment of a workload profile, with the given routing policy for all models.
     pub fn new(profile: WorkloadProfile, policy: &str) -> EmulatedDeployment {
         let spec = DeploymentSpec::of(profile);
         let engines: Vec<Value> = spec
@@ -50,7 +49,8 @@
             .map(|index| {
                 json!({
                     "id": format!("store-{index}"), "failure_domain": spec.failure_domains[index],
-                    "memory_bytes": STORE_CAPACITY_BYTES / 4, "capacity_bytes": STORE_CAPACITY_BYTES,
+                    "memory_bytes": STORE_CAPACITY_BYTES / 4,
+                    "capacity_bytes": STORE_CAPACITY_BYTES,
                     "link_bytes_per_s": LINK_BYTES_PER_S, "disk_bytes_per_s": LINK_BYTES_PER_S / 2,
                 })
             })
@@ -64,17 +64,21 @@
                        "failure_domain": spec.failure_domains[index]})
             })
             .collect();
-        let emulator = json!({"engines": engines, "stores": stores, "services": services, "log": {"level": "warn"}});
+        let emulator = json!({"engines": engines, "stores": stores, "services": services,
+                              "log": {"level": "warn"}});
         EmulatedDeployment { emulator, config: spec.config(policy) }
     }
 }
 
+/// What differs between the deployments of the workload profiles.
 struct DeploymentSpec {
     failure_domains: [&'static str; 3],
+    /// Each model and its number of engines.
     models: Vec<(&'static str, usize)>,
-    /// Services and whether a call may repeat.
+    /// Each service and whether its calls may be repeated.
     services: Vec<(&'static str, bool)>,
-    /// Kinds: name, priority, repeatable, objective in milliseconds.
+    /// Each kind of request: its name, its priority, whether it may be repeated, and the objective
+    /// for the time to first token in milliseconds.
     kinds: Vec<(&'static str, u8, bool, u64)>,
     prices: Value,
 }
--- a/src/load/lower_bound.rs
+++ b/src/load/lower_bound.rs
@@ -1,4 +1,5 @@
-//! The clairvoyant lower bound of a workload: every token that came before is free, nothing waits.
+//! A lower bound for the results of a workload, which assumes that all prefixes that were computed
+//! before are reused at no cost, and that no request waits.
 
 use std::collections::HashSet;
 
@@ -7,17 +8,17 @@
 use crate::ids::BlockKey;
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
-/// What no policy can beat on a workload.
+/// The lower bound for any routing policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LowerBound {
-    /// Least share of prompt tokens that must be computed_tokens.
+    /// Fraction of prompt tokens that must be computed.
     pub recomputed_share: f64,
-    /// Least 95th percentile of the time to first token of prompts, in milliseconds.
+    /// 95th percentile of the time to first token of all prompts, in milliseconds.
     pub first_token_p95_ms: f64,
 }
 
 impl LowerBound {
-    /// The bound of a workload.
+    /// Computes the lower bound of a workload.
     pub fn of(workload: &Workload) -> LowerBound {
         let mut known_blocks: HashSet<BlockKey> = HashSet::new();
         let mut prompt_tokens = 0;
--- a/src/load/mod.rs
+++ b/src/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load tool: seeded workloads of the two deployments' shape, sent to nodes and checked.
+//! The load generator: sends synthetic workloads to nodes, and checks and summarizes the answers.
 
 pub mod emulated_deployment;
 pub mod lower_bound;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run of the load tool showed.
+//! The results of a load test.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,100 +9,92 @@
 use crate::edge::chat::Usage;
 use crate::emulator::ledger::Counts;
 
-/// One request and how it ended.
+/// The result of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestResult {
-    /// When it was sent, from the start.
+    /// Time from the start of the test at which the request was scheduled.
     pub send_offset: Duration,
-    /// Its kind.
     pub kind: &'static str,
-    /// Its id.
     pub request_id: String,
-    /// Whether it must not repeat.
+    /// Whether the request must not run more than once.
     pub non_repeatable: bool,
-    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// With its own whole answer.
+    /// A correct and complete answer.
     Answered {
-        /// Time to first token, or to the whole answer of a plain call.
+        /// Time to the first token of a prompt, or to the complete answer of a service.
         first_token: Duration,
-        /// Its tokens.
+        /// Zero for services.
         usage: Usage,
     },
-    /// With a refusal.
+    /// A response with an error status.
     Refused {
-        /// Why.
+        /// The error code, or `none`.
         code: String,
-        /// Whether it was told that nothing was run.
+        /// Whether the response stated that the request was not run.
         not_run: bool,
-        /// Whether it was told when to come back.
+        /// Whether the response had a `retry-after` header.
         retry_after: bool,
     },
-    /// With something that is not its answer.
+    /// A complete answer with unexpected content, which is given.
     Wrong(String),
-    /// With a part of an answer and no end mark.
+    /// An answer that was incomplete or unreadable, with details.
     Broken(String),
-    /// With nothing.
+    /// No response, or no complete answer in time.
     Lost,
 }
 
-/// Figures of a run.
+/// The summary of a load test.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunSummary {
-    /// Requests sent.
     pub sent: u64,
-    /// Requests with their own whole answer.
+    /// Requests with a correct and complete answer.
     pub answered: u64,
-    /// Refusals by code.
+    /// Number of refusals by error code.
     pub refused: BTreeMap<String, u64>,
-    /// Answers that were wrong, broken off, or never came. Must be 0 while nothing fails.
+    /// Complete answers with unexpected content. Must always be 0.
     pub wrong: u64,
-    /// Answers that broke off with an error.
+    /// Answers that were incomplete or unreadable.
     pub broken: u64,
-    /// Requests without any answer.
+    /// Requests without a response or without a complete answer in time. Must always be 0.
     pub lost: u64,
-    /// Requests that must not repeat and ran more than once. Must always be 0.
+    /// Requests that ran more than once but must not. Must always be 0.
     pub doubled: u64,
-    /// Refusals that said `not_run` of a request that ran. Must always be 0.
+    /// Requests that ran although their refusal stated `not_run`. Must always be 0.
     pub false_not_run: u64,
-    /// Time to first token by kind, and of all prompts under `prompts`.
+    /// Time to first token by kind of request, and of all prompts under the key `prompts`.
     pub first_token: BTreeMap<String, Percentiles>,
-    /// Share of prompt tokens that were computed, of 1, as the engines counted.
+    /// Fraction of prompt tokens that were computed, according to the engines.
     pub recomputed_share: f64,
-    /// Bytes moved from stores to engines.
+    /// Bytes transferred from stores to engines.
     pub import_bytes: u64,
-    /// Bytes moved from engines to stores.
+    /// Bytes transferred from engines to stores.
     pub export_bytes: u64,
-    /// Imports that failed.
     pub failed_imports: u64,
 }
 
-/// Percentiles in milliseconds.
+/// Percentiles of durations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Number of values.
+    /// Number of durations.
     pub count: u64,
-    /// Half are no higher.
     pub p50_ms: f64,
-    /// 95 of 100 are no higher.
     pub p95_ms: f64,
-    /// 99 of 100 are no higher.
     pub p99_ms: f64,
 }
 
 impl Percentiles {
-    /// Percentiles of some durations.
+    /// Computes the percentiles of `values`.
     pub fn of(values: impl IntoIterator<Item = Duration>) -> Percentiles {
-        // Cannot fail: three digits are in the accepted range.
+        // Cannot fail: 3 significant digits are supported.
         let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Percentiles::default() };
         for value in values {
             let recorded = histogram.record(value.as_micros() as u64);
-            debug_assert!(recorded.is_ok(), "the histogram grows with its values");
+            debug_assert!(recorded.is_ok(), "a resizable histogram accepts all values");
         }
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Percentiles { count: histogram.len(), p50_ms: at(0.50), p95_ms: at(0.95), p99_ms: at(0.99) }
@@ -110,7 +102,8 @@
 }
 
 impl RunSummary {
-    /// Figures of all results. `before` and `after` are the emulator's counts around the run.
+    /// Summarizes the results. `before` and `after` are the emulator's counters at the start and the
+    /// end of the test.
     pub fn of(results: &[RequestResult], before: &Counts, after: &Counts) -> RunSummary {
         let mut summary = RunSummary { sent: results.len() as u64, ..RunSummary::default() };
         let mut times: BTreeMap<String, Vec<Duration>> = BTreeMap::new();
@@ -138,12 +131,13 @@
         summary
     }
 
-    /// Whether each request got its own whole answer or a refusal, none twice.
+    /// Returns whether no answer was wrong or lost, no request ran more often than it may, and no
+    /// refusal falsely stated that the request was not run. Incomplete answers are accepted.
     pub fn is_correct(&self) -> bool {
         self.wrong + self.lost + self.doubled + self.false_not_run == 0
     }
 
-    /// A table for people.
+    /// Formats the summary as a human-readable table.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<12} {:>7} {:>9} {:>9} {:>9}",
@@ -193,7 +187,7 @@
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for (id, count) in &after.runs {
             let earlier = before.runs.get(id).copied().unwrap_or(0);
-            // A prompt's run is named by the request id and a drawn part.
+            // For prompts, the id of a run is the request id, `~` and a random suffix.
             let request_id = id.split('~').next().unwrap_or(id);
             *runs.entry(request_id).or_default() += count - earlier;
         }
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -1,4 +1,4 @@
-//! Sends a workload to nodes on time, and checks each answer by content.
+//! Sends a workload to nodes on schedule and verifies the content of each answer.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,23 +14,23 @@
 use crate::emulator::answer::Answer;
 use crate::error::{Error, Result};
 
-/// An answer that takes longer is counted as lost.
+/// Requests without a complete answer after this time count as lost.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Where a workload is sent.
+/// The nodes that receive a workload.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    /// Base URLs of nodes; requests go to them in turn, as behind a balancer.
+    /// Base URLs of the nodes. Requests are distributed round-robin.
     pub node_urls: Vec<String>,
 }
 
-/// Sends all arrivals on time and waits for all answers.
+/// Sends all requests on schedule and waits for their results.
 ///
 /// # Errors
-/// `Error::Start` if there is no node or the client can't be built.
+/// `Error::Start` if there is no node or the HTTP client can't be created.
 pub async fn send_all(endpoints: Endpoints, arrivals: Vec<Arrival>) -> Result<Vec<RequestResult>> {
     if endpoints.node_urls.is_empty() {
-        return Err(Error::start("load", "there is no node", "name one with --node"));
+        return Err(Error::start("load", "no node was given", "name one with --node"));
     }
     let client = Client::builder()
         .no_proxy()
@@ -68,7 +68,7 @@
     Ok(results)
 }
 
-/// Sends one request and checks its answer.
+/// Sends one request and verifies its answer.
 pub async fn send_request(client: &Client, node_url: &str, arrival: Arrival) -> Outcome {
     let sent_at = Instant::now();
     let request = match &arrival.call {
@@ -132,7 +132,7 @@
             usage = chunk.usage.unwrap_or(usage);
         }
     }
-    Outcome::Broken("the stream ended without its end mark".into())
+    Outcome::Broken("the stream ended without [DONE]".into())
 }
 
 async fn read_refusal(response: reqwest::Response) -> Outcome {
--- a/src/load/workload.rs
+++ b/src/load/workload.rs
@@ -1,4 +1,5 @@
-//! Seeded workloads: contexts that return after long gaps, short requests, and plain calls.
+//! Synthetic workloads: prompts whose contexts return after long gaps, short prompts, and calls of
+//! services.
 
 use std::time::Duration;
 
@@ -10,37 +11,39 @@
 use crate::edge::chat::PromptRequest;
 use crate::prompt::Owner;
 
-/// Accounts of a workload; a few are large.
+/// Number of accounts. Their popularity follows a Zipf distribution.
 pub const ACCOUNTS: usize = 10;
-/// Median length of a context in tokens.
+/// Parameters of the log-normal distribution of the initial length of a context in tokens.
 const CONTEXT_TOKENS_MEDIAN: f64 = 1_600.0;
 const CONTEXT_TOKENS_SIGMA: f64 = 0.5;
+/// Bounds of the initial length of a context in tokens.
 const CONTEXT_TOKENS_RANGE: (f64, f64) = (300.0, 6_000.0);
-/// Tokens that each return adds.
+/// Number of tokens that each turn adds to a context.
 const TURN_TOKENS: usize = 60;
-/// Tokens of a short prompt.
+/// Length of a short prompt in tokens.
 const SHORT_PROMPT_TOKENS: usize = 40;
-/// Median gap between two returns of a context if none is named. Days are compressed to seconds:
-/// 1 s stands for about 3 hours.
+/// Default of `WorkloadParameters::return_gap`. Time is compressed: 1 s represents about 3 hours.
 pub const DEFAULT_RETURN_GAP: Duration = Duration::from_secs(8);
+/// Sigma of the log-normal distribution of the delay before a context may return.
 const READY_DELAY_SIGMA: f64 = 0.8;
-/// Exponent of the contexts' popularity.
+/// Exponent of the Zipf distribution of the popularity of contexts.
 const CONTEXT_POPULARITY_EXPONENT: f64 = 0.8;
-/// Tokens generated for a long and a short request.
+/// Length of a long answer in tokens.
 const LONG_ANSWER_TOKENS: u32 = 24;
+/// Length of a short answer in tokens.
 const SHORT_ANSWER_TOKENS: u32 = 6;
 
-/// The profile of a deployment's load.
+/// The mix of requests that a workload models.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkloadProfile {
-    /// Bagmati Gearworks: long service histories, counters, part orders.
+    /// Bagmati Gearworks: prompts with long service histories, counter questions and part orders.
     Gearworks,
-    /// Swan Coast: guideline audits, quick checks, templates and downloads.
+    /// Swan Coast: audits and checks against guidelines, colour checks and downloads.
     Portal,
 }
 
 impl WorkloadProfile {
-    /// The profile of this name.
+    /// Returns the profile with this name.
     pub fn parse(name: &str) -> Option<WorkloadProfile> {
         match name {
             "gearworks" => Some(WorkloadProfile::Gearworks),
@@ -49,7 +52,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name of the profile.
     pub fn name(self) -> &'static str {
         match self {
             WorkloadProfile::Gearworks => "gearworks",
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Engines that run the long prompts.
+    /// Returns the number of engines for the model of long prompts.
     pub fn long_prompt_engines(self) -> usize {
         match self {
             WorkloadProfile::Gearworks => 12,
@@ -65,7 +68,7 @@
         }
     }
 
-    /// The model of long prompts, the model of short ones.
+    /// Returns the models of returning and of short prompts.
     fn models(self) -> (&'static str, &'static str) {
         match self {
             WorkloadProfile::Gearworks => ("mechanic", "counter"),
@@ -73,7 +76,8 @@
         }
     }
 
-    /// The kind of long prompts, of returning short ones, and of short ones.
+    /// Returns the kinds of returning prompts with a long answer, of returning prompts with a short
+    /// answer, and of short prompts.
     fn kinds(self) -> (&'static str, &'static str, &'static str) {
         match self {
             WorkloadProfile::Gearworks => ("diagnosis", "verdict", "counter"),
@@ -81,7 +85,7 @@
         }
     }
 
-    /// The plain service that is called, and the kind of the calls.
+    /// Returns the service that is called and the kind of its calls.
     fn service(self) -> (&'static str, &'static str) {
         match self {
             WorkloadProfile::Gearworks => ("part-order", "order"),
@@ -90,71 +94,60 @@
     }
 }
 
-/// One request of a workload.
+/// A request of a workload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it is sent, from the start.
+    /// Time from the start of the workload at which the request is sent.
     pub send_offset: Duration,
-    /// Its account.
     pub account: String,
-    /// Its kind.
     pub kind: &'static str,
-    /// Its id.
     pub request_id: String,
-    /// What is sent.
     pub call: Call,
 }
 
-/// What is sent.
+/// The content of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// A prompt.
     Prompt {
-        /// The model.
         model: &'static str,
-        /// The text of its only message.
+        /// The text of the only message.
         text: String,
-        /// Tokens to generate.
+        /// Number of tokens to generate.
         answer_tokens: u32,
     },
-    /// A call of a plain service that must not repeat.
-    Service {
-        /// The service.
-        service: &'static str,
-    },
+    /// A call of a service that must not run more than once.
+    Service { service: &'static str },
 }
 
-/// What to generate.
+/// Parameters of a workload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkloadParameters {
-    /// The profile.
     pub profile: WorkloadProfile,
-    /// Requests a second.
+    /// Mean request rate.
     pub requests_per_s: f64,
-    /// How long, in seconds.
+    /// Duration of the workload in seconds.
     pub seconds: f64,
-    /// About how long a context stays away.
+    /// Approximate time between two turns of a context.
     pub return_gap: Duration,
-    /// Equal seeds give equal workloads.
+    /// Workloads with equal parameters and seeds are equal.
     pub seed: u64,
 }
 
-/// A workload.
+/// A sequence of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workload {
-    /// Its profile.
     pub profile: WorkloadProfile,
-    /// Its requests in the order in which they are sent.
+    /// The requests in the order in which they are sent.
     pub arrivals: Vec<Arrival>,
 }
 
-/// The accounts.
+/// Returns the ids of all accounts.
 pub fn account_ids() -> impl Iterator<Item = String> {
     (0..ACCOUNTS).map(|index| format!("member-{index}"))
 }
 
 impl Workload {
-    /// Generates the requests.
+    /// Generates a workload.
     pub fn generate(parameters: &WorkloadParameters) -> Workload {
         let WorkloadParameters { profile, requests_per_s, seconds, seed, .. } = *parameters;
         let mut generator = ArrivalGenerator::new(parameters);
@@ -174,7 +167,7 @@
 }
 
 impl Call {
-    /// The body of a prompt as a client sends it.
+    /// Returns the body of a chat completion request.
     pub fn prompt_body(model: &str, text: &str, answer_tokens: u32, stream: bool) -> Value {
         json!({
             "model": model, "stream": stream, "max_tokens": answer_tokens,
@@ -183,7 +176,7 @@
         })
     }
 
-    /// The text that an engine's template makes of a prompt.
+    /// Returns the prompt text after an engine has applied its chat template.
     pub fn prompt_text(model: &str, text: &str) -> String {
         let body = Call::prompt_body(model, text, 1, true);
         let request: Result<PromptRequest, _> = serde_json::from_value(body);
@@ -191,7 +184,7 @@
     }
 }
 
-/// What a prompt of these workloads belongs to.
+/// Returns the owner of the blocks of a prompt.
 pub fn prompt_owner(account: &str, model: &str) -> Owner {
     Owner {
         account: account.to_string(),
@@ -210,13 +203,13 @@
     account_popularity: Zipf<f64>,
 }
 
-/// A service history or guideline set that returns.
+/// A conversation that is continued after gaps.
 struct Context {
     number: usize,
     account: String,
     initial_tokens: usize,
     turns: usize,
-    /// Not before this time does it return.
+    /// Earliest time of the next turn.
     ready_at_s: f64,
 }
 
@@ -224,7 +217,7 @@
     fn new(parameters: &WorkloadParameters) -> ArrivalGenerator {
         let mut rng = SmallRng::seed_from_u64(parameters.seed);
         let gap_s = parameters.return_gap.as_secs_f64();
-        // So many that each returns about once a gap.
+        // With this number of contexts, each returns about once per gap.
         let count = (parameters.requests_per_s * gap_s).ceil().max(8.0) as usize;
         let context_tokens = log_normal(CONTEXT_TOKENS_MEDIAN, CONTEXT_TOKENS_SIGMA);
         let account_popularity = zipf(ACCOUNTS as f64, 1.0);
@@ -279,11 +272,11 @@
         format!("member-{}", self.account_popularity.sample(&mut self.rng) as usize - 1)
     }
 
-    /// The next turn of a context that is due: its history and what is new.
+    /// Takes a turn of a context that may return. Returns its account and the text of the context.
     fn next_turn(&mut self, at_s: f64) -> (String, String) {
         let drawn_index = self.context_popularity.sample(&mut self.rng) as usize - 1;
         let count = self.contexts.len();
-        // From the drawn one on, the first that is due; if none is, the drawn one comes early.
+        // The first context from the drawn one on that may return, or the drawn one if none may.
         let index = (0..count)
             .map(|offset| (drawn_index + offset) % count)
             .find(|index| self.contexts[*index].ready_at_s <= at_s)
@@ -298,7 +291,8 @@
     }
 }
 
-/// A deterministic text; a longer one of the same name begins with the shorter.
+/// Returns words `from..to` of the text with this name. With equal `name` and `from`, a shorter text
+/// is a prefix of a longer one.
 fn synthetic_text(name: &str, from: usize, to: usize) -> String {
     let words: Vec<String> = (from..to).map(|index| format!("{name}.{index:x}")).collect();
     words.join(" ")
@@ -309,7 +303,7 @@
 }
 
 fn log_normal(median: f64, sigma: f64) -> LogNormal<f64> {
-    LogNormal::new(median.ln(), sigma).unwrap_or_else(|_| unreachable!("the spread is finite"))
+    LogNormal::new(median.ln(), sigma).unwrap_or_else(|_| unreachable!("sigma is finite"))
 }
 
 fn zipf(count: f64, exponent: f64) -> Zipf<f64> {
