--- a/src/emulator/answer.rs
+++ b/src/emulator/answer.rs
@@ -29,13 +29,13 @@
 
     /// Returns the text of token `index`, counted from 0. The last token states how many there are.
     pub fn token(&self, index: u32) -> String {
-        let space = if index == 0 { "" } else { " " };
+        let separator = if index == 0 { "" } else { " " };
         if index + 1 == self.tokens {
-            return format!("{space}end:{}", self.tokens);
+            return format!("{separator}end:{}", self.tokens);
         }
-        let mixed = (self.seed ^ u64::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15))
+        let hash = (self.seed ^ u64::from(index).wrapping_mul(0x9E37_79B9_7F4A_7C15))
             .wrapping_mul(0xD6E8_FEB8_6659_FD93);
-        format!("{space}{index}:{:05x}", mixed >> 44)
+        format!("{separator}{index}:{:05x}", hash >> 44)
     }
 
     /// Returns the text of all tokens.
--- a/src/load/emulated_deployment.rs
+++ b/src/load/emulated_deployment.rs
@@ -80,6 +80,7 @@
     /// Each kind of request: its name, its priority, whether it may be repeated, and the objective
     /// for the time to first token in milliseconds.
     kinds: Vec<(&'static str, u8, bool, u64)>,
+    /// The section `prices` of the configuration.
     prices: Value,
 }
 
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -102,8 +102,8 @@
 }
 
 impl RunSummary {
-    /// Summarizes the results. `before` and `after` are the emulator's counters at the start and the
-    /// end of the test.
+    /// Summarizes the results. `before` and `after` are the emulator's counters at the start and at
+    /// the end of the test.
     pub fn of(results: &[RequestResult], before: &Counts, after: &Counts) -> RunSummary {
         let mut summary = RunSummary { sent: results.len() as u64, ..RunSummary::default() };
         let mut times: BTreeMap<String, Vec<Duration>> = BTreeMap::new();
--- a/src/load/workload.rs
+++ b/src/load/workload.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Returns the number of engines for the model of long prompts.
-    pub fn long_prompt_engines(self) -> usize {
+    /// Returns the number of engines for the model of returning prompts.
+    pub fn returning_prompt_engines(self) -> usize {
         match self {
             WorkloadProfile::Gearworks => 12,
             WorkloadProfile::Portal => 20,
@@ -108,9 +108,9 @@
 /// The content of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
+    /// A chat completion with one message.
     Prompt {
         model: &'static str,
-        /// The text of the only message.
         text: String,
         /// Number of tokens to generate.
         answer_tokens: u32,
@@ -244,22 +244,27 @@
 
     fn arrival(&mut self, at_s: f64, seed: u64, number: usize) -> Arrival {
         let request_id = format!("w{seed}-{number}");
-        let (long_kind, short_return_kind, short_kind) = self.profile.kinds();
-        let (long_model, short_model) = self.profile.models();
+        let (long_answer_kind, short_answer_kind, short_prompt_kind) = self.profile.kinds();
+        let (returning_model, short_prompt_model) = self.profile.models();
         let draw: f64 = self.rng.random();
         let (account, kind, call) = if draw < 0.70 {
             let (account, text) = self.next_turn(at_s);
-            let is_long = draw < 0.45;
-            let kind = if is_long { long_kind } else { short_return_kind };
-            let answer_tokens = if is_long { LONG_ANSWER_TOKENS } else { SHORT_ANSWER_TOKENS };
-            (account, kind, Call::Prompt { model: long_model, text, answer_tokens })
+            let has_long_answer = draw < 0.45;
+            let kind = if has_long_answer { long_answer_kind } else { short_answer_kind };
+            let answer_tokens =
+                if has_long_answer { LONG_ANSWER_TOKENS } else { SHORT_ANSWER_TOKENS };
+            (account, kind, Call::Prompt { model: returning_model, text, answer_tokens })
         } else if draw < 0.95 {
             let account = self.sample_account();
             let text = synthetic_text(&format!("q{number}"), 0, SHORT_PROMPT_TOKENS);
             (
                 account,
-                short_kind,
-                Call::Prompt { model: short_model, text, answer_tokens: SHORT_ANSWER_TOKENS },
+                short_prompt_kind,
+                Call::Prompt {
+                    model: short_prompt_model,
+                    text,
+                    answer_tokens: SHORT_ANSWER_TOKENS,
+                },
             )
         } else {
             let (service, kind) = self.profile.service();
@@ -291,8 +296,8 @@
     }
 }
 
-/// Returns words `from..to` of the text with this name. With equal `name` and `from`, a shorter text
-/// is a prefix of a longer one.
+/// Returns words `from..to` of the text with this name. If `name` and `from` are equal, a shorter
+/// text is a prefix of a longer one.
 fn synthetic_text(name: &str, from: usize, to: usize) -> String {
     let words: Vec<String> = (from..to).map(|index| format!("{name}.{index:x}")).collect();
     words.join(" ")
