--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -83,7 +83,7 @@
     completion_order: VecDeque<StreamId>,
 }
 
-/// An accepted request.
+/// A prompt that was accepted.
 struct PromptJob {
     completion: Arc<Completion>,
     chain: Chain,
@@ -180,7 +180,7 @@
             progress: watch::Sender::new(Progress::default()),
         });
         self.ledger.record_start(&self.settings.id, &request_id);
-        self.retain(&id, &completion);
+        self.retain_completion(&id, &completion);
         if self.faults.settings().dies_on.is_some_and(|pattern| text.contains(&pattern)) {
             let faults = self.faults.clone();
             tokio::spawn(async move {
@@ -188,13 +188,13 @@
                 faults.crash();
             });
             // The prompt is not run, so that the engine crashes before the first token.
-            return self.stream(id, completion, 0);
+            return self.stream_response(id, completion, 0);
         }
         let queued_tokens = self.add_to_queue(&chain);
         let job =
             PromptJob { completion: completion.clone(), chain, queued_tokens, priority, import };
         tokio::spawn(self.clone().run_prompt(job));
-        self.stream(id, completion, 0)
+        self.stream_response(id, completion, 0)
     }
 
     /// Runs a prompt to its end unless it is cancelled, even if the client disconnects.
@@ -343,7 +343,7 @@
         }
     }
 
-    fn retain(&self, id: &str, completion: &Arc<Completion>) {
+    fn retain_completion(&self, id: &str, completion: &Arc<Completion>) {
         let mut state = self.state.lock();
         state.completions.insert(id.to_string(), completion.clone());
         state.completion_order.push_back(id.to_string());
@@ -358,12 +358,17 @@
         let from_token = request.parameter("from").and_then(|text| text.parse().ok()).unwrap_or(0);
         let completion = self.state.lock().completions.get(id).cloned();
         match completion {
-            Some(completion) => self.stream(id.to_string(), completion, from_token),
+            Some(completion) => self.stream_response(id.to_string(), completion, from_token),
             None => refuse_not_run(StatusCode::NOT_FOUND, "no such stream"),
         }
     }
 
-    fn stream(&self, id: StreamId, completion: Arc<Completion>, from_token: u32) -> Response {
+    fn stream_response(
+        &self,
+        id: StreamId,
+        completion: Arc<Completion>,
+        from_token: u32,
+    ) -> Response {
         let events = CompletionStream {
             // A resumed stream is aborted only if the fault is still set.
             break_at_token: self.faults.take_break_after_tokens().map(|after| from_token + after),
--- a/src/emulator/supervisor.rs
+++ b/src/emulator/supervisor.rs
@@ -76,7 +76,7 @@
         for target_settings in all_settings {
             let faults = Arc::new(TargetFaults::default());
             let launcher = TargetLauncher {
-                settings: target_settings.clone(),
+                target_settings: target_settings.clone(),
                 incarnation: 1,
                 faults: faults.clone(),
                 ledger: ledger.clone(),
@@ -204,7 +204,7 @@
         target.faults.set(FaultSettings::default());
         let incarnation = target.list_entry.incarnation + 1;
         let launcher = TargetLauncher {
-            settings: target.target_settings.clone(),
+            target_settings: target.target_settings.clone(),
             incarnation,
             faults: target.faults.clone(),
             ledger: self.ledger.clone(),
@@ -245,7 +245,7 @@
 
 /// Starts one target.
 struct TargetLauncher {
-    settings: TargetSettings,
+    target_settings: TargetSettings,
     incarnation: Incarnation,
     faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
@@ -282,7 +282,7 @@
 
     async fn serve(self, listener: std::net::TcpListener) {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-        match self.settings {
+        match self.target_settings {
             TargetSettings::Engine(settings) => {
                 let engine = Engine::start(
                     settings,
