--- a/src/emulator/ledger.rs
+++ b/src/emulator/ledger.rs
@@ -49,7 +49,6 @@
 }
 
 impl Ledger {
-    /// Updates the counters.
     pub fn update(&self, change: impl FnOnce(&mut Counts)) {
         change(&mut self.counts.lock());
     }
--- a/src/emulator/priority_semaphore.rs
+++ b/src/emulator/priority_semaphore.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Number of waiters.
+    /// Returns the number of waiters.
     pub fn waiting(&self) -> usize {
         self.state.lock().waiting.len()
     }
--- a/src/emulator/target_list.rs
+++ b/src/emulator/target_list.rs
@@ -43,7 +43,6 @@
         versions.published.front().map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Marks a target as leaving.
     pub fn mark_leaving(&self, id: &str) {
         self.update(|current| {
             for target in current.iter_mut().filter(|target| target.id == id) {
@@ -52,7 +51,6 @@
         });
     }
 
-    /// Removes a target from the list.
     pub fn remove(&self, id: &TargetId) {
         self.update(|current| current.retain(|target| target.id != *id));
     }
