--- a/src/emulator/cache.rs
+++ b/src/emulator/cache.rs
@@ -1,43 +1,44 @@
-//! A stand-in engine's prefix cache: least recently used blocks go first, but none that a request
-//! in the batch holds.
+//! The prefix cache of an emulated engine. Evicts the least recently used blocks that no request in
+//! the batch has pinned.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::edge::api::CacheChange;
 use crate::ids::BlockKey;
 
-/// A bounded cache of prefix blocks.
+/// An LRU cache of prefix blocks. Pinned blocks do not count against its capacity.
 pub struct PrefixCache {
     capacity_blocks: usize,
+    /// The tick of the last use of each block.
     by_key: HashMap<BlockKey, u64>,
-    /// Invariant: the inverse of `by_key`; each tick is used once.
+    /// Invariant: the inverse of `by_key`. Ticks are unique.
     by_tick: BTreeMap<u64, BlockKey>,
-    /// Requests in the batch that hold each block; they do not count against the capacity.
-    held: HashMap<BlockKey, u32>,
+    /// Number of requests in the batch that have pinned each block, resident or not.
+    pin_counts: HashMap<BlockKey, u32>,
     next_tick: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_blocks: usize) -> PrefixCache {
         PrefixCache {
             capacity_blocks,
             by_key: HashMap::new(),
             by_tick: BTreeMap::new(),
-            held: HashMap::new(),
+            pin_counts: HashMap::new(),
             next_tick: 0,
         }
     }
 
-    /// Blocks of the prefix that are resident from its start.
-    pub fn resident(&self, keys: &[BlockKey]) -> usize {
+    /// Returns the number of leading blocks that are resident.
+    pub fn resident_blocks(&self, keys: &[BlockKey]) -> usize {
         keys.iter().take_while(|key| self.by_key.contains_key(key)).count()
     }
 
-    /// Makes a prefix resident and marks it as used. Returns what came and what went.
-    pub fn store(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
+    /// Inserts the blocks of a prefix or marks them as used. Returns the stored and evicted blocks.
+    pub fn insert(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         let mut changes = Vec::new();
-        // From the end, so that the start of a prefix outlives what builds on it.
+        // In reverse, so that a block is evicted before those that it depends on.
         for key in keys.iter().rev() {
             self.next_tick += 1;
             match self.by_key.insert(*key, self.next_tick) {
@@ -52,20 +53,20 @@
         changes
     }
 
-    /// Keeps a prefix from being evicted, whether it is resident yet or not.
-    pub fn hold(&mut self, keys: &[BlockKey]) {
+    /// Prevents the eviction of blocks, including those that are inserted later.
+    pub fn pin(&mut self, keys: &[BlockKey]) {
         for key in keys {
-            *self.held.entry(*key).or_default() += 1;
+            *self.pin_counts.entry(*key).or_default() += 1;
         }
     }
 
-    /// Ends a hold. Returns what went.
-    pub fn release(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
+    /// Reverts one call of `pin`. Returns the evicted blocks.
+    pub fn unpin(&mut self, keys: &[BlockKey]) -> Vec<(CacheChange, BlockKey)> {
         for key in keys {
-            if let Some(count) = self.held.get_mut(key) {
+            if let Some(count) = self.pin_counts.get_mut(key) {
                 *count -= 1;
                 if *count == 0 {
-                    self.held.remove(key);
+                    self.pin_counts.remove(key);
                 }
             }
         }
@@ -73,12 +74,13 @@
     }
 
     fn evict(&mut self) -> Vec<(CacheChange, BlockKey)> {
-        let held = self.held.keys().filter(|key| self.by_key.contains_key(key)).count();
-        let excess = (self.by_key.len() - held).saturating_sub(self.capacity_blocks);
+        let pinned_blocks =
+            self.pin_counts.keys().filter(|key| self.by_key.contains_key(key)).count();
+        let excess = (self.by_key.len() - pinned_blocks).saturating_sub(self.capacity_blocks);
         let oldest: Vec<(u64, BlockKey)> = self
             .by_tick
             .iter()
-            .filter(|(_, key)| !self.held.contains_key(key))
+            .filter(|(_, key)| !self.pin_counts.contains_key(key))
             .take(excess)
             .map(|(tick, key)| (*tick, *key))
             .collect();
@@ -89,7 +91,7 @@
         oldest.into_iter().map(|(_, key)| (CacheChange::Evicted, key)).collect()
     }
 
-    /// Forgets everything.
+    /// Removes all blocks. Pins remain.
     pub fn clear(&mut self) {
         self.by_key.clear();
         self.by_tick.clear();
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -1,4 +1,4 @@
-//! A stand-in plain service: echoes a call and counts how often each call ran.
+//! An emulated service instance, which echoes each request and records it in the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,44 +7,44 @@
 use serde_json::json;
 use warp::http::StatusCode;
 
-use super::knobs::Faults;
+use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::settings::ServiceSettings;
 use crate::edge::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 use crate::http::{self, Request, Response};
 
-/// A stand-in instance of a plain service.
+/// An emulated service instance.
 pub struct Service {
     settings: ServiceSettings,
-    faults: Arc<Faults>,
+    faults: Arc<TargetFaults>,
     ledger: Arc<Ledger>,
 }
 
 impl Service {
-    /// Starts an instance.
     pub fn start(
         settings: ServiceSettings,
-        faults: Arc<Faults>,
+        faults: Arc<TargetFaults>,
         ledger: Arc<Ledger>,
     ) -> Arc<Service> {
         Arc::new(Service { settings, faults, ledger })
     }
 
-    /// Answers one HTTP request.
+    /// Handles one HTTP request.
     pub async fn handle(self: Arc<Service>, request: Request) -> Response {
-        let knobs = self.faults.get();
-        if knobs.refuse {
-            let mut response = http::text(StatusCode::SERVICE_UNAVAILABLE, "refused".into());
+        let fault_settings = self.faults.settings();
+        if fault_settings.refuse {
+            let mut response =
+                http::text(StatusCode::SERVICE_UNAVAILABLE, "refused by an injected fault".into());
             http::set_header(&mut response, NOT_RUN_HEADER, "true");
             return response;
         }
         let request_id = request.header(REQUEST_HEADER).unwrap_or("none").to_string();
-        self.ledger.started(&self.settings.id, &request_id);
-        let call = Duration::from_millis(self.settings.call_ms + knobs.delay_ms);
+        self.ledger.record_start(&self.settings.id, &request_id);
+        let call = Duration::from_millis(self.settings.call_ms + fault_settings.delay_ms);
         tokio::time::sleep(call).await;
-        if self.faults.take_break().is_some() {
+        if self.faults.take_break_after_tokens().is_some() {
             let broken = futures::stream::once(async {
-                Err::<Bytes, _>(std::io::Error::other("broken on demand"))
+                Err::<Bytes, _>(std::io::Error::other("aborted by an injected fault"))
             });
             return http::stream("application/json", broken);
         }
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -1,4 +1,4 @@
-//! How a stand-in engine moves kept prefixes from and to a store.
+//! Transfers of prefixes between an emulated engine and a store.
 
 use reqwest::Client;
 use warp::http::StatusCode;
@@ -6,8 +6,12 @@
 use super::store;
 use crate::edge::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
 
-/// Reads an object. `None` if it could not be had whole, in this very generation.
-pub(super) async fn fetch(client: &Client, store_url: &str, object: &KeptObject) -> Option<()> {
+/// Reads an object from a store. Returns `None` if this generation is unavailable or damaged.
+pub(super) async fn import_object(
+    client: &Client,
+    store_url: &str,
+    object: &KeptObject,
+) -> Option<()> {
     let url = store::object_url(store_url, object.key, object.generation);
     let response = client.get(url).send().await.ok()?;
     if response.status() != reqwest::StatusCode::OK {
@@ -17,11 +21,11 @@
     (crc32fast::hash(&content) == object.checksum).then_some(())
 }
 
-/// Writes and commits an object.
+/// Writes an object to a store and commits it.
 ///
 /// # Errors
-/// The store's status, or 502 if it could not be reached.
-pub(super) async fn send(
+/// Returns the status of the store, or 502 if the store could not be reached.
+pub(super) async fn export_object(
     client: &Client,
     order: &ExportOrder,
     object: &KeptObject,
--- a/src/load/deployment.rs
+++ b/src/load/emulated_deployment.rs
@@ -1,44 +1,43 @@
-//! Emulated targets and the configuration of each workload's deployment, for one machine.
+//! Emulator settings and a configuration for each workload profile, sized for one machine.
 
 use serde_json::{Value, json};
 
-use super::workload::Shape;
+use super::workload::WorkloadProfile;
 use crate::config::document::key_hash;
 
-/// Tokens that one stand-in engine prefills in a second.
+/// Prefill rate of an emulated engine in tokens per second.
 pub const PREFILL_TOKENS_PER_S: u64 = 20_000;
-/// Tokens that one stand-in engine's prefix cache holds: far fewer than the contexts need.
+/// Capacity of an emulated engine's prefix cache in tokens. Much smaller than the contexts of a
+/// workload, so that they are evicted between two uses.
 pub const CACHE_TOKENS: u64 = 16_384;
 const KV_BYTES_PER_TOKEN: u64 = 65_536;
 const LINK_BYTES_PER_S: u64 = 8 << 30;
-const STORE_BYTES: u64 = 400 << 30;
+const STORE_CAPACITY_BYTES: u64 = 400 << 30;
 
-/// Emulated targets and a configuration for them.
+/// Settings of an emulator, and a configuration for its targets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Deployment {
-    /// Settings of the emulator.
+pub struct EmulatedDeployment {
     pub emulator: Value,
-    /// The configuration.
     pub config: Value,
 }
 
-/// The bearer key of an account in these workloads.
+/// Returns the bearer key of an account.
 pub fn account_key(account: &str) -> String {
     format!("key-of-{account}")
 }
 
-impl Deployment {
-    /// The deployment of a workload, with this routing policy.
-    pub fn new(shape: Shape, policy: &str) -> Deployment {
-        let parts = Parts::of(shape);
-        let engines: Vec<Value> = parts
+impl EmulatedDeployment {
+    /// Returns the deployment of a workload profile, with the given routing policy for all models.
+    pub fn new(profile: WorkloadProfile, policy: &str) -> EmulatedDeployment {
+        let spec = DeploymentSpec::of(profile);
+        let engines: Vec<Value> = spec
             .models
             .iter()
             .flat_map(|(model, count)| (0..*count).map(move |index| (model, index)))
             .map(|(model, index)| {
                 json!({
                     "id": format!("{model}-{index}"), "model": model, "weight_version": "v1",
-                    "failure_domain": parts.domains[index % parts.domains.len()],
+                    "failure_domain": spec.failure_domains[index % spec.failure_domains.len()],
                     "prefill_tokens_per_s": PREFILL_TOKENS_PER_S, "token_us": 4_000,
                     "max_batch": 16, "cache_tokens": CACHE_TOKENS,
                     "kv_bytes_per_token": KV_BYTES_PER_TOKEN,
@@ -49,41 +48,47 @@
         let stores: Vec<Value> = (0..2)
             .map(|index| {
                 json!({
-                    "id": format!("store-{index}"), "failure_domain": parts.domains[index],
-                    "memory_bytes": STORE_BYTES / 4, "capacity_bytes": STORE_BYTES,
+                    "id": format!("store-{index}"), "failure_domain": spec.failure_domains[index],
+                    "memory_bytes": STORE_CAPACITY_BYTES / 4,
+                    "capacity_bytes": STORE_CAPACITY_BYTES,
                     "link_bytes_per_s": LINK_BYTES_PER_S, "disk_bytes_per_s": LINK_BYTES_PER_S / 2,
                 })
             })
             .collect();
-        let services: Vec<Value> = parts
+        let services: Vec<Value> = spec
             .services
             .iter()
             .flat_map(|(service, _)| (0..2).map(move |index| (service, index)))
             .map(|(service, index)| {
                 json!({"id": format!("{service}-{index}"), "service": service,
-                       "failure_domain": parts.domains[index]})
+                       "failure_domain": spec.failure_domains[index]})
             })
             .collect();
-        let emulator = json!({"engines": engines, "stores": stores, "services": services, "log": {"level": "warn"}});
-        Deployment { emulator, config: parts.config(policy) }
+        let emulator = json!({"engines": engines, "stores": stores, "services": services,
+                              "log": {"level": "warn"}});
+        EmulatedDeployment { emulator, config: spec.config(policy) }
     }
 }
 
-struct Parts {
-    domains: [&'static str; 3],
+/// What differs between the deployments of the workload profiles.
+struct DeploymentSpec {
+    failure_domains: [&'static str; 3],
+    /// Each model and its number of engines.
     models: Vec<(&'static str, usize)>,
-    /// Services and whether a call may repeat.
+    /// Each service and whether its calls may be repeated.
     services: Vec<(&'static str, bool)>,
-    /// Kinds: name, priority, repeatable, objective in milliseconds.
+    /// Each kind of request: its name, its priority, whether it may be repeated, and the objective
+    /// for the time to first token in milliseconds.
     kinds: Vec<(&'static str, u8, bool, u64)>,
+    /// The section `prices` of the configuration.
     prices: Value,
 }
 
-impl Parts {
-    fn of(shape: Shape) -> Parts {
-        match shape {
-            Shape::Gearworks => Parts {
-                domains: ["patan", "bhaktapur", "kirtipur"],
+impl DeploymentSpec {
+    fn of(profile: WorkloadProfile) -> DeploymentSpec {
+        match profile {
+            WorkloadProfile::Gearworks => DeploymentSpec {
+                failure_domains: ["patan", "bhaktapur", "kirtipur"],
                 models: vec![("mechanic", 12), ("counter", 3)],
                 services: vec![("part-order", false)],
                 kinds: vec![
@@ -95,8 +100,8 @@
                 ],
                 prices: json!({"link_s_per_mib": 0.00002, "recompute_s_per_kilotoken": 0.1}),
             },
-            Shape::Portal => Parts {
-                domains: ["east", "north", "south"],
+            WorkloadProfile::Portal => DeploymentSpec {
+                failure_domains: ["east", "north", "south"],
                 models: vec![("guideline", 20), ("portal", 3)],
                 services: vec![("template", true), ("download", false)],
                 kinds: vec![
@@ -112,7 +117,7 @@
     }
 
     fn config(&self, policy: &str) -> Value {
-        let accounts: serde_json::Map<String, Value> = super::workload::accounts()
+        let accounts: serde_json::Map<String, Value> = super::workload::account_ids()
             .map(|id| {
                 let key_blake3 = key_hash(&account_key(&id));
                 (id, json!({"key_blake3": key_blake3, "max_running": 4_096}))
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a run of the load tool showed.
+//! The results of a load test.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -9,150 +9,144 @@
 use crate::edge::chat::Usage;
 use crate::emulator::ledger::Counts;
 
-/// One request and how it ended.
+/// The result of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sample {
-    /// When it was sent, from the start.
-    pub at: Duration,
-    /// Its kind.
+pub struct RequestResult {
+    /// Time from the start of the test at which the request was scheduled.
+    pub send_offset: Duration,
     pub kind: &'static str,
-    /// Its id.
     pub request_id: String,
-    /// Whether it must not repeat.
-    pub once: bool,
-    /// How it ended.
+    /// Whether the request must not run more than once.
+    pub non_repeatable: bool,
     pub outcome: Outcome,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// With its own whole answer.
+    /// A correct and complete answer.
     Answered {
-        /// Time to first token, or to the whole answer of a plain call.
+        /// Time to the first token of a prompt, or to the complete answer of a service.
         first_token: Duration,
-        /// Its tokens.
+        /// Zero for services.
         usage: Usage,
     },
-    /// With a refusal.
+    /// A response with an error status.
     Refused {
-        /// Why.
+        /// The error code, or `none`.
         code: String,
-        /// Whether it was told that nothing was run.
+        /// Whether the response stated that the request was not run.
         not_run: bool,
-        /// Whether it was told when to come back.
+        /// Whether the response had a `retry-after` header.
         retry_after: bool,
     },
-    /// With something that is not its answer.
+    /// A complete answer with unexpected content, which is given.
     Wrong(String),
-    /// With a part of an answer and no end mark.
+    /// An answer that was incomplete or unreadable, with details.
     Broken(String),
-    /// With nothing.
+    /// No response, or no complete answer in time.
     Lost,
 }
 
-/// Figures of a run.
+/// The summary of a load test.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// Requests sent.
+pub struct RunSummary {
     pub sent: u64,
-    /// Requests with their own whole answer.
+    /// Requests with a correct and complete answer.
     pub answered: u64,
-    /// Refusals by code.
+    /// Number of refusals by error code.
     pub refused: BTreeMap<String, u64>,
-    /// Answers that were wrong, broken off, or never came. Must be 0 while nothing fails.
+    /// Complete answers with unexpected content. Must always be 0.
     pub wrong: u64,
-    /// Answers that broke off with an error.
+    /// Answers that were incomplete or unreadable.
     pub broken: u64,
-    /// Requests without any answer.
+    /// Requests without a response or without a complete answer in time. Must always be 0.
     pub lost: u64,
-    /// Requests that must not repeat and ran more than once. Must always be 0.
+    /// Requests that ran more than once but must not. Must always be 0.
     pub doubled: u64,
-    /// Refusals that said `not_run` of a request that ran. Must always be 0.
+    /// Requests that ran although their refusal stated `not_run`. Must always be 0.
     pub false_not_run: u64,
-    /// Time to first token by kind, and of all prompts under `prompts`.
+    /// Time to first token by kind of request, and of all prompts under the key `prompts`.
     pub first_token: BTreeMap<String, Percentiles>,
-    /// Share of prompt tokens that were computed, of 1, as the engines counted.
+    /// Fraction of prompt tokens that were computed, according to the engines.
     pub recomputed_share: f64,
-    /// Bytes moved from stores to engines.
+    /// Bytes transferred from stores to engines.
     pub import_bytes: u64,
-    /// Bytes moved from engines to stores.
+    /// Bytes transferred from engines to stores.
     pub export_bytes: u64,
-    /// Imports that failed.
     pub failed_imports: u64,
 }
 
-/// Percentiles in milliseconds.
+/// Percentiles of durations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Number of values.
+    /// Number of durations.
     pub count: u64,
-    /// Half are no higher.
     pub p50_ms: f64,
-    /// 95 of 100 are no higher.
     pub p95_ms: f64,
-    /// 99 of 100 are no higher.
     pub p99_ms: f64,
 }
 
 impl Percentiles {
-    /// Percentiles of some durations.
+    /// Computes the percentiles of `values`.
     pub fn of(values: impl IntoIterator<Item = Duration>) -> Percentiles {
-        // Cannot fail: three digits are in the accepted range.
+        // Cannot fail: 3 significant digits are supported.
         let Ok(mut histogram) = Histogram::<u64>::new(3) else { return Percentiles::default() };
         for value in values {
             let recorded = histogram.record(value.as_micros() as u64);
-            debug_assert!(recorded.is_ok(), "the histogram grows with its values");
+            debug_assert!(recorded.is_ok(), "a resizable histogram accepts all values");
         }
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Percentiles { count: histogram.len(), p50_ms: at(0.50), p95_ms: at(0.95), p99_ms: at(0.99) }
     }
 }
 
-impl Figures {
-    /// Figures of all samples. `before` and `after` are the emulator's counts around the run.
-    pub fn of(samples: &[Sample], before: &Counts, after: &Counts) -> Figures {
-        let mut figures = Figures { sent: samples.len() as u64, ..Figures::default() };
+impl RunSummary {
+    /// Summarizes the results. `before` and `after` are the emulator's counters at the start and at
+    /// the end of the test.
+    pub fn of(results: &[RequestResult], before: &Counts, after: &Counts) -> RunSummary {
+        let mut summary = RunSummary { sent: results.len() as u64, ..RunSummary::default() };
         let mut times: BTreeMap<String, Vec<Duration>> = BTreeMap::new();
-        for sample in samples {
-            match &sample.outcome {
+        for result in results {
+            match &result.outcome {
                 Outcome::Answered { first_token, usage } => {
-                    figures.answered += 1;
-                    times.entry(sample.kind.to_string()).or_default().push(*first_token);
+                    summary.answered += 1;
+                    times.entry(result.kind.to_string()).or_default().push(*first_token);
                     if usage.prompt_tokens > 0 {
                         times.entry("prompts".to_string()).or_default().push(*first_token);
                     }
                 }
                 Outcome::Refused { code, .. } => {
-                    *figures.refused.entry(code.clone()).or_default() += 1;
+                    *summary.refused.entry(code.clone()).or_default() += 1;
                 }
-                Outcome::Wrong(_) => figures.wrong += 1,
-                Outcome::Broken(_) => figures.broken += 1,
-                Outcome::Lost => figures.lost += 1,
+                Outcome::Wrong(_) => summary.wrong += 1,
+                Outcome::Broken(_) => summary.broken += 1,
+                Outcome::Lost => summary.lost += 1,
             }
         }
-        figures.first_token =
+        summary.first_token =
             times.into_iter().map(|(kind, times)| (kind, Percentiles::of(times))).collect();
-        figures.take_counts(before, after);
-        figures.take_runs(samples, before, after);
-        figures
+        summary.add_counter_deltas(before, after);
+        summary.count_violations(results, before, after);
+        summary
     }
 
-    /// Whether each request got its own whole answer or a refusal, none twice.
-    pub fn is_safe(&self) -> bool {
+    /// Returns whether no answer was wrong or lost, no request ran more often than it may, and no
+    /// refusal falsely stated that the request was not run. Incomplete answers are accepted.
+    pub fn is_correct(&self) -> bool {
         self.wrong + self.lost + self.doubled + self.false_not_run == 0
     }
 
-    /// A table for people.
+    /// Formats the summary as a human-readable table.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:<12} {:>7} {:>9} {:>9} {:>9}",
             "kind", "count", "p50 ms", "p95 ms", "p99 ms"
         )];
-        for (kind, p) in &self.first_token {
+        for (kind, percentiles) in &self.first_token {
             lines.push(format!(
                 "{kind:<12} {:>7} {:>9.1} {:>9.1} {:>9.1}",
-                p.count, p.p50_ms, p.p95_ms, p.p99_ms
+                percentiles.count, percentiles.p50_ms, percentiles.p95_ms, percentiles.p99_ms
             ));
         }
         lines.push(format!("share of context recomputed: {:.1} %", self.recomputed_share * 100.0));
@@ -176,34 +170,35 @@
         lines.join("\n")
     }
 
-    fn take_counts(&mut self, before: &Counts, after: &Counts) {
-        let prompt = after.prompt_tokens - before.prompt_tokens;
-        let reused = after.resident_tokens + after.imported_tokens
+    fn add_counter_deltas(&mut self, before: &Counts, after: &Counts) {
+        let prompt_tokens = after.prompt_tokens - before.prompt_tokens;
+        let reused_tokens = after.resident_tokens + after.imported_tokens
             - before.resident_tokens
             - before.imported_tokens;
-        if prompt > 0 {
-            self.recomputed_share = 1.0 - reused as f64 / prompt as f64;
+        if prompt_tokens > 0 {
+            self.recomputed_share = 1.0 - reused_tokens as f64 / prompt_tokens as f64;
         }
         self.import_bytes = after.import_bytes - before.import_bytes;
         self.export_bytes = after.export_bytes - before.export_bytes;
         self.failed_imports = after.failed_imports - before.failed_imports;
     }
 
-    fn take_runs(&mut self, samples: &[Sample], before: &Counts, after: &Counts) {
+    fn count_violations(&mut self, results: &[RequestResult], before: &Counts, after: &Counts) {
         let mut runs: HashMap<&str, u32> = HashMap::new();
         for (id, count) in &after.runs {
             let earlier = before.runs.get(id).copied().unwrap_or(0);
-            // A prompt's run is named by the request id and a drawn part.
+            // For prompts, the id of a run is the request id, `~` and a random suffix.
             let request_id = id.split('~').next().unwrap_or(id);
             *runs.entry(request_id).or_default() += count - earlier;
         }
-        let runs_of = |sample: &Sample| runs.get(sample.request_id.as_str()).copied().unwrap_or(0);
-        let doubled = samples.iter().filter(|sample| sample.once && runs_of(sample) > 1);
+        let runs_of =
+            |result: &RequestResult| runs.get(result.request_id.as_str()).copied().unwrap_or(0);
+        let doubled = results.iter().filter(|result| result.non_repeatable && runs_of(result) > 1);
         self.doubled = doubled.count() as u64;
         let claims_not_run =
             |outcome: &Outcome| matches!(outcome, Outcome::Refused { not_run: true, .. });
         let false_claims =
-            samples.iter().filter(|sample| claims_not_run(&sample.outcome) && runs_of(sample) > 0);
+            results.iter().filter(|result| claims_not_run(&result.outcome) && runs_of(result) > 0);
         self.false_not_run = false_claims.count() as u64;
     }
 }
