--- a/src/commands/roles.rs
+++ b/src/commands/roles.rs
@@ -39,7 +39,7 @@
         drop(reload::take_hang_ups()?);
     }
     let host = platform::settings::read()?;
-    logs::start_bounded(LevelFilter::Info)?;
+    logs::start_non_blocking(LevelFilter::Info)?;
     essential::log_panics();
     let result = LocalSet::new().block_on(&runtime, role(host));
     runtime.shutdown_background();
--- a/src/control/operator_server.rs
+++ b/src/control/operator_server.rs
@@ -23,8 +23,8 @@
 use crate::ids::ModelId;
 use crate::net;
 use crate::platform::operator::{self, Refused};
+use crate::telemetry::deployment_metrics::ReplicaMetrics;
 use crate::telemetry::metrics::label;
-use crate::telemetry::roles::ReplicaMetrics;
 
 /// Largest accepted request body.
 const MAX_BODY_BYTES: usize = 8 << 20;
@@ -122,7 +122,7 @@
             Err(refused) => text(refused.status, refused.message),
         };
         let status = label("status", answer.status().as_str());
-        self.metrics.operator_calls.add(1, &[status]);
+        self.metrics.operator_requests.add(1, &[status]);
         log::info!(
             "event=operator_call method={} path={path} status={}",
             head.method,
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -20,7 +20,7 @@
 use crate::ids::ServiceId;
 use crate::net::http::{Answer, CallError, Exchange, fetch};
 use crate::platform::instances::{self, Page};
-use crate::telemetry::roles::ReplicaMetrics;
+use crate::telemetry::deployment_metrics::ReplicaMetrics;
 
 /// Upper limit of the interval between reads, however low the allowed rate is.
 const MAX_READ_INTERVAL_S: f64 = 60.0;
@@ -95,7 +95,7 @@
                     failing = false;
                     pages = read.pages;
                     let count = read.listing.unreadable_count() as u64;
-                    self.metrics.unreadable_entries.add(count, &[]);
+                    self.metrics.malformed_entries.add(count, &[]);
                     unreadable.log_if_changed(&read.listing, boot_now());
                     self.record_targets(read.listing.into_targets(), began);
                     last_own_read = Some(self.shared.reader_election.get().read_at());
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -40,7 +40,7 @@
 use crate::log::{Index, Members};
 use crate::net::text_server;
 use crate::reload;
-use crate::telemetry::roles::ReplicaMetrics;
+use crate::telemetry::deployment_metrics::ReplicaMetrics;
 
 /// Followers time out after 0.3 s without a heartbeat, and a new leader is elected within another
 /// 0.6 s. The round trip between replicas takes about 1 ms, a slow disk sync tens of milliseconds.
@@ -164,16 +164,16 @@
 ) -> String {
     let view = shared.view.borrow();
     metrics.term.record(view.term, &[]);
-    metrics.leads.record(view.leads.into(), &[]);
+    metrics.is_leader.record(view.leads.into(), &[]);
     let version = view.state.published.as_ref().map_or(0, |published| published.version());
     metrics.deployment_version.record(version, &[]);
     if let Some(entries) = shared.entry_count.get() {
-        metrics.entries.record(entries.into(), &[]);
+        metrics.connected_entries.record(entries.into(), &[]);
     }
-    metrics.requests_held.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
+    metrics.held_requests.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
     let age = boot_now().saturating_sub(shared.reader_election.get().read_at());
     metrics.target_list_age_s.record(age.as_secs_f64(), &[]);
-    metrics.waiting.record(scheduling.waiting_count() as u64, &[]);
+    metrics.queued_prompts.record(scheduling.waiting_count() as u64, &[]);
     metrics.text()
 }
 
--- a/src/gateway/request_record.rs
+++ b/src/gateway/request_record.rs
@@ -115,7 +115,7 @@
     /// Records that an attempt at a target failed.
     pub fn attempt_failed(&mut self, target: &TargetStart, reason: &str) {
         let at_ms = self.elapsed().as_millis();
-        self.gateway.metrics.missed.add(1, &[label("reason", reason)]);
+        self.gateway.metrics.failed_attempts.add(1, &[label("reason", reason)]);
         let _ = write!(self.attempts, " at_ms={at_ms} failed={target} reason={reason:?}");
     }
 
@@ -149,10 +149,10 @@
         self.gateway.active_requests.set(self.gateway.active_requests.get().saturating_sub(1));
         let outcome = self.outcome.get();
         let (ending, reason) = outcome.labels();
-        self.gateway.metrics.ended(&self.route, ending, reason);
+        self.gateway.metrics.record_request(&self.route, ending, reason);
         if let Some(first) = self.first_part {
             let route = [label("route", &self.route)];
-            self.gateway.metrics.first_part_s.record(first.as_secs_f64(), &route);
+            self.gateway.metrics.first_chunk_s.record(first.as_secs_f64(), &route);
         }
         if !self.gateway.log_limiter.should_log(&self.id, outcome.is_success(), boot_now()) {
             return;
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -17,7 +17,7 @@
 use crate::host::HostSettings;
 use crate::net::text_server;
 use crate::reload;
-use crate::telemetry::roles::EntryMetrics;
+use crate::telemetry::deployment_metrics::EntryMetrics;
 
 /// How long an entry still accepts callers after it reports that it is not ready. The load balancer
 /// checks readiness once a second and removes an entry after two failed checks.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -32,7 +32,7 @@
 use crate::quarantine::{Quarantine, notify};
 use crate::scheduler::weights::{self, RolloutHistories};
 use crate::scheduler::{End, PlacementEvent, TicketId};
-use crate::telemetry::roles::EntryMetrics;
+use crate::telemetry::deployment_metrics::EntryMetrics;
 
 /// Number of entries that share the retry budget until a replica reports it.
 const INITIAL_ENTRY_COUNT: u32 = 16;
@@ -171,11 +171,11 @@
 
     /// Updates the gauges and returns all metrics as Prometheus text.
     pub fn metrics_text(&self) -> String {
-        self.metrics.answering.record(self.active_requests.get() as u64, &[]);
+        self.metrics.active_requests.record(self.active_requests.get() as u64, &[]);
         let held = self.quarantine.borrow().held_count(boot_now());
-        self.metrics.requests_held.record(held as u64, &[]);
+        self.metrics.held_requests.record(held as u64, &[]);
         if let Some(age) = self.state_age() {
-            self.metrics.belief_age_s.record(age.as_secs_f64(), &[]);
+            self.metrics.state_age_s.record(age.as_secs_f64(), &[]);
         }
         if let Some(table) = self.table() {
             self.metrics.deployment_version.record(table.deployment().version, &[]);
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -103,7 +103,7 @@
     let choice = placement::choose(&gateway.fleet.borrow(), &criteria, boot_now());
     let choice = choice.map_err(NoTarget::Selection)?;
     if routed.metadata.prompt.is_some() {
-        gateway.metrics.placed_alone.add(1, &[]);
+        gateway.metrics.fallback_placements.add(1, &[]);
     }
     let trace = format!(
         "by=entry load={:.1} home={} expected_ms={}{}",
--- a/src/gateway/termination.rs
+++ b/src/gateway/termination.rs
@@ -111,7 +111,7 @@
         runs.len(),
         shown.join(",")
     );
-    gateway.metrics.targets_ended.add(1, &[label("evidence", evidence)]);
+    gateway.metrics.target_ends.add(1, &[label("evidence", evidence)]);
     notify::update_and_notify(&gateway.quarantine, |known| {
         known.record_target_end(runs, target, boot_now())
     });
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -43,7 +43,7 @@
 use crate::route::Router;
 use crate::settings::Settings;
 use crate::telemetry::burn::Burn;
-use crate::telemetry::metrics::Metrics;
+use crate::telemetry::metrics::NodeMetrics;
 use freshness::Fresh;
 use places::Places;
 use quarantining::Quarantining;
@@ -59,7 +59,7 @@
     /// Its settings.
     pub settings: Settings,
     /// Its metrics.
-    pub metrics: Arc<Metrics>,
+    pub metrics: Arc<NodeMetrics>,
     /// Its client of targets and the platform.
     pub client: TargetClient,
     /// Its connections to other nodes.
@@ -116,7 +116,7 @@
         let addresses: HashMap<NodeId, SocketAddr> =
             settings.nodes.iter().map(|node| (node.node_id, node.peer_address)).collect();
         let links = Links::new(settings.node_id, key.clone(), addresses);
-        let metrics = Arc::new(Metrics::new()?);
+        let metrics = Arc::new(NodeMetrics::new()?);
         let known = Arc::new(Mutex::new(MembershipView::default()));
         let membership = start_membership(&settings, key, boot, &links, &known).await?;
         let replica = start_replica(&settings, &links, &metrics)?;
@@ -301,7 +301,7 @@
 fn start_replica(
     settings: &Settings,
     links: &Arc<Links>,
-    metrics: &Arc<Metrics>,
+    metrics: &Arc<NodeMetrics>,
 ) -> Result<Option<ReplicaHandle>> {
     let Some(folder) = &settings.data_folder else { return Ok(None) };
     let (disk, recovered) = Disk::open(folder)?;
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -19,7 +19,7 @@
 use crate::log::state::{Command, PatchAnswer, Reply, State};
 use crate::log::{Index, Message, Payload, Term};
 use crate::peer::Links;
-use crate::telemetry::metrics::Metrics;
+use crate::telemetry::metrics::NodeMetrics;
 
 /// Inputs taken before their effects are made durable, at the most.
 const BATCH: usize = 256;
@@ -32,7 +32,7 @@
     driver: Driver,
     state: State,
     links: Arc<Links>,
-    metrics: Arc<Metrics>,
+    metrics: Arc<NodeMetrics>,
     lease: Duration,
     /// Leases granted; `None` while this replica does not surely lead.
     grantor: Option<LeaseGrantor>,
@@ -119,7 +119,7 @@
         disk: Disk,
         state: State,
         links: Arc<Links>,
-        metrics: Arc<Metrics>,
+        metrics: Arc<NodeMetrics>,
         lease: Duration,
     ) -> (Replica, watch::Receiver<ReplicaStatus>) {
         let status = ReplicaStatus { raft: raft.status(), number: 0, in_force: 0, claims: 0 };
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -9,7 +9,7 @@
 use log4rs::config::{Appender, Config, Logger, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-use super::bounded::BoundedAppender;
+use super::non_blocking_appender::NonBlockingAppender;
 use crate::error::{Error, Result};
 
 const PATTERN: &str = "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
@@ -30,8 +30,8 @@
 ///
 /// # Errors
 /// `Error::Start` if logging was started before.
-pub fn start_bounded(level: LevelFilter) -> Result<()> {
-    let appender = |pattern| Box::new(BoundedAppender::new(pattern, std::io::stdout()));
+pub fn start_non_blocking(level: LevelFilter) -> Result<()> {
+    let appender = |pattern| Box::new(NonBlockingAppender::new(pattern, std::io::stdout()));
     install(level, appender(PATTERN), appender(LIBRARY_PATTERN))
 }
 
--- a/src/telemetry/registered.rs
+++ b/src/telemetry/metric_registry.rs
@@ -7,18 +7,18 @@
 use crate::error::{Error, Result};
 
 /// A registry of instruments.
-pub struct Registered {
+pub struct MetricRegistry {
     registry: Registry,
     // Kept so that the instruments stay connected to the registry.
     _provider: SdkMeterProvider,
 }
 
-impl Registered {
+impl MetricRegistry {
     /// An empty registry, and what builds instruments for it.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
-    pub fn new() -> Result<(Registered, Meter)> {
+    pub fn new() -> Result<(MetricRegistry, Meter)> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -26,7 +26,7 @@
             .map_err(|source| Error::start("metrics", source, "report this as a defect"))?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("kumquatpost");
-        Ok((Registered { registry, _provider: provider }, meter))
+        Ok((MetricRegistry { registry, _provider: provider }, meter))
     }
 
     /// All metrics as Prometheus text.
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -3,7 +3,7 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
-use super::registered::Registered;
+use super::metric_registry::MetricRegistry;
 use crate::error::Result;
 
 /// 1.8 s is the users' limit for 95 in 100.
@@ -13,8 +13,8 @@
 const IN_FORCE_BOUNDARIES_S: [f64; 9] = [0.5, 1.0, 2.0, 3.0, 4.0, 6.0, 10.0, 18.0, 60.0];
 
 /// The instruments of one node. Names and units are listed in docs/OPERATIONS.md.
-pub struct Metrics {
-    registered: Registered,
+pub struct NodeMetrics {
+    registry: MetricRegistry,
     /// Requests answered, by kind, account and result code.
     pub requests: Counter<u64>,
     /// Time to first token in seconds, by kind.
@@ -33,14 +33,14 @@
     pub dispatches: Counter<u64>,
 }
 
-impl Metrics {
+impl NodeMetrics {
     /// Builds the instruments.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
-    pub fn new() -> Result<Metrics> {
-        let (registered, meter) = Registered::new()?;
-        Ok(Metrics {
+    pub fn new() -> Result<NodeMetrics> {
+        let (registry, meter) = MetricRegistry::new()?;
+        Ok(NodeMetrics {
             requests: meter.u64_counter("kumquatpost_requests").build(),
             first_token_s: meter
                 .f64_histogram("kumquatpost_first_token")
@@ -57,13 +57,13 @@
                 .with_boundaries(IN_FORCE_BOUNDARIES_S.to_vec())
                 .build(),
             dispatches: meter.u64_counter("kumquatpost_dispatches").build(),
-            registered,
+            registry,
         })
     }
 
     /// All metrics as Prometheus text.
     pub fn text(&self) -> String {
-        self.registered.text()
+        self.registry.text()
     }
 }
 
--- a/src/telemetry/bounded.rs
+++ b/src/telemetry/non_blocking_appender.rs
@@ -16,32 +16,32 @@
 use log4rs::encode::writer::simple::SimpleWriter;
 
 /// Lines that wait for a slow reader: some seconds of a busy entry, about a megabyte.
-const QUEUE_LEN: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 /// Bytes that are written at once.
 const CHUNK_BYTES: usize = 64 << 10;
 /// Longest time for which the last lines are waited for at the end.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The appender.
-pub struct BoundedAppender {
+pub struct NonBlockingAppender {
     encoder: PatternEncoder,
-    queue: SyncSender<Entry>,
+    queue: SyncSender<QueueItem>,
     dropped: Arc<AtomicU64>,
 }
 
-enum Entry {
+enum QueueItem {
     Line(Vec<u8>),
     Flush(SyncSender<()>),
 }
 
-impl BoundedAppender {
+impl NonBlockingAppender {
     /// Writes lines to `output`, from a thread of its own.
-    pub fn new(pattern: &str, output: impl Write + Send + 'static) -> BoundedAppender {
-        let (queue, entries) = sync_channel(QUEUE_LEN);
+    pub fn new(pattern: &str, output: impl Write + Send + 'static) -> NonBlockingAppender {
+        let (queue, items) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let counted = dropped.clone();
-        thread::spawn(move || write_all(&entries, &counted, output));
-        BoundedAppender { encoder: PatternEncoder::new(pattern), queue, dropped }
+        let shared_count = dropped.clone();
+        thread::spawn(move || write_lines(&items, &shared_count, output));
+        NonBlockingAppender { encoder: PatternEncoder::new(pattern), queue, dropped }
     }
 
     /// Lines that were dropped and not yet reported.
@@ -50,17 +50,17 @@
     }
 }
 
-impl fmt::Debug for BoundedAppender {
+impl fmt::Debug for NonBlockingAppender {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("BoundedAppender").field("dropped", &self.dropped()).finish()
     }
 }
 
-impl Append for BoundedAppender {
+impl Append for NonBlockingAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let mut line = SimpleWriter(Vec::with_capacity(256));
         self.encoder.encode(&mut line, record)?;
-        if self.queue.try_send(Entry::Line(line.0)).is_err() {
+        if self.queue.try_send(QueueItem::Line(line.0)).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
@@ -68,24 +68,24 @@
 
     fn flush(&self) {
         let (sender, written) = sync_channel(1);
-        if self.queue.try_send(Entry::Flush(sender)).is_ok() {
+        if self.queue.try_send(QueueItem::Flush(sender)).is_ok() {
             // A reader that has stopped must not keep the process from ending.
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-fn write_all(entries: &Receiver<Entry>, dropped: &AtomicU64, mut output: impl Write) {
+fn write_lines(items: &Receiver<QueueItem>, dropped: &AtomicU64, mut output: impl Write) {
     let mut chunk = Vec::with_capacity(CHUNK_BYTES);
-    while let Ok(first) = entries.recv() {
-        let mut flushed = Vec::new();
+    while let Ok(first) = items.recv() {
+        let mut flush_requests = Vec::new();
         let mut next = Some(first);
-        while let Some(entry) = next {
-            match entry {
-                Entry::Line(line) => chunk.extend_from_slice(&line),
-                Entry::Flush(sender) => flushed.push(sender),
+        while let Some(item) = next {
+            match item {
+                QueueItem::Line(line) => chunk.extend_from_slice(&line),
+                QueueItem::Flush(sender) => flush_requests.push(sender),
             }
-            next = if chunk.len() < CHUNK_BYTES { entries.try_recv().ok() } else { None };
+            next = if chunk.len() < CHUNK_BYTES { items.try_recv().ok() } else { None };
         }
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
@@ -96,7 +96,7 @@
         // Nobody could be told of a failure here.
         let _ = output.write_all(&chunk).and_then(|()| output.flush());
         chunk.clear();
-        for sender in flushed {
+        for sender in flush_requests {
             // Whoever asked may have given up waiting.
             let _ = sender.try_send(());
         }
--- a/tests/deployment/explaining.rs
+++ b/tests/deployment/explaining.rs
@@ -6,8 +6,8 @@
 
 use kumquatpost::gateway::log_limiter::RequestLogLimiter;
 use kumquatpost::queries::request::{Line, story};
-use kumquatpost::telemetry::bounded::BoundedAppender;
-use kumquatpost::telemetry::roles::EntryMetrics;
+use kumquatpost::telemetry::deployment_metrics::EntryMetrics;
+use kumquatpost::telemetry::non_blocking_appender::NonBlockingAppender;
 use log4rs::append::Append;
 
 use crate::fixtures::ms;
@@ -42,7 +42,8 @@
 fn a_reader_that_has_stopped_keeps_nobody_waiting_and_each_line_is_written_or_counted() {
     const LINES: u64 = 20_000;
     let ((release, released), (ended, written)) = (channel(), channel());
-    let appender = BoundedAppender::new("{m}{n}", Stuck { released, written: Vec::new(), ended });
+    let appender =
+        NonBlockingAppender::new("{m}{n}", Stuck { released, written: Vec::new(), ended });
     let begun = Instant::now();
     // As long as a request's line, so that a chunk holds some hundred.
     let text = format!("event=request {:>200}", "");
@@ -120,8 +121,8 @@
 #[test]
 fn metrics_tell_endings_by_route_and_reason() {
     let metrics = EntryMetrics::new().expect("instruments");
-    metrics.ended("r-1", "refused", "busy");
-    metrics.ended("r-1", "refused", "busy");
+    metrics.record_request("r-1", "refused", "busy");
+    metrics.record_request("r-1", "refused", "busy");
     let text = metrics.text();
     let line = text.lines().find(|line| line.starts_with("kumquatpost_requests_total{"));
     let line = line.expect("a counter");
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -12,7 +12,7 @@
 use kumquatpost::gateway::server;
 use kumquatpost::gateway::state::Gateway;
 use kumquatpost::platform::settings;
-use kumquatpost::telemetry::roles::EntryMetrics;
+use kumquatpost::telemetry::deployment_metrics::EntryMetrics;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reading.rs
@@ -11,7 +11,7 @@
 };
 use kumquatpost::control::roster_reader::{self, TargetListSource};
 use kumquatpost::control::state::ControlState;
-use kumquatpost::telemetry::roles::ReplicaMetrics;
+use kumquatpost::telemetry::deployment_metrics::ReplicaMetrics;
 use tokio::io::BufReader;
 use tokio::net::TcpListener;
 
