--- a/src/cli.rs
+++ b/src/cli.rs
@@ -177,9 +177,11 @@
             Ok(())
         }
         Command::CheckSettings(file) => queries::check_settings::run(&file),
-        Command::ConfigGet { node } => queries::node::print(&node, "/v1/config"),
-        Command::ConfigHistory { node } => queries::node::print(&node, "/v1/config/history"),
-        Command::Status { node } => queries::node::print(&node, "/v1/status"),
+        Command::ConfigGet { node } => queries::operator_client::print(&node, "/v1/config"),
+        Command::ConfigHistory { node } => {
+            queries::operator_client::print(&node, "/v1/config/history")
+        }
+        Command::Status { node } => queries::operator_client::print(&node, "/v1/status"),
         Command::Burn(options) => burn::run(&options),
         Command::Request(options) => request::run(&options),
         Command::Capacity => queries::capacity::run(),
--- a/src/commands/config_patch.rs
+++ b/src/commands/config_patch.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 use crate::error::{Error, Result};
-use crate::queries::node;
+use crate::queries::operator_client;
 use crate::settings::read_json;
 
 /// Attempts to submit a patch whose answer was lost. Each sends the same id, so it is one patch.
@@ -57,8 +57,8 @@
 }
 
 async fn newest(node: &str) -> Result<u64> {
-    let request = node::client()?.get(format!("{node}/v1/config"));
-    let answer = node::answer(node, request).await?;
+    let request = operator_client::http_client()?.get(format!("{node}/v1/config"));
+    let answer = operator_client::send(node, request).await?;
     let value: Value = serde_json::from_str(&answer).unwrap_or_default();
     value["number"].as_u64().ok_or_else(|| {
         Error::ask(node, "its answer names no number", "check that it is an operators' address")
@@ -66,10 +66,10 @@
 }
 
 async fn submit(node: &str, patch: &Value, base: u64, patch_id: &str) -> Result<String> {
-    let request = node::client()?
+    let request = operator_client::http_client()?
         .patch(format!("{node}/v1/config"))
         .header("if-match", format!("\"{base}\""))
         .header("idempotency-key", patch_id)
         .json(patch);
-    node::answer(node, request).await
+    operator_client::send(node, request).await
 }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -8,7 +8,7 @@
 use crate::error::{Error, Result};
 use crate::load::bound::Bound;
 use crate::load::{Deployment, Figures, Plan, Target, Workload, send_all};
-use crate::queries::node;
+use crate::queries::operator_client;
 
 /// What to send.
 #[derive(Clone, Debug, PartialEq)]
@@ -73,8 +73,8 @@
 
 async fn counts(options: &Options) -> Result<Counts> {
     let Some(platform) = &options.platform else { return Ok(Counts::default()) };
-    let request = node::client()?.get(format!("{platform}/ledger"));
-    let text = node::answer(platform, request).await?;
+    let request = operator_client::http_client()?.get(format!("{platform}/ledger"));
+    let text = operator_client::send(platform, request).await?;
     serde_json::from_str(&text)
         .map_err(|source| Error::ask(platform, source, "check that it is an emulator"))
 }
--- a/src/commands/replicas.rs
+++ b/src/commands/replicas.rs
@@ -4,7 +4,7 @@
 
 use crate::error::Result;
 use crate::log::raft::Change;
-use crate::queries::node;
+use crate::queries::operator_client;
 
 /// What to change.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,9 +26,9 @@
         Change::Remove(id) => json!({"remove": id}),
     };
     super::block_on(async {
-        let client = node::client()?;
+        let client = operator_client::http_client()?;
         let request = client.post(format!("{}/v1/replicas", options.node)).json(&body);
-        println!("{}", node::answer(&options.node, request).await?);
+        println!("{}", operator_client::send(&options.node, request).await?);
         Ok(())
     })
 }
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 use crate::node::places::Place;
 use crate::quarantine::Fingerprint;
-use crate::telemetry::burn::Served;
+use crate::telemetry::burn::FinishedRequest;
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
 
@@ -252,14 +252,14 @@
             return;
         }
         let due = Duration::from_millis(self.kind.objective.first_token_ms);
-        let served = Served {
+        let finished = FinishedRequest {
             kind: &self.kind_id,
             account: &self.account,
             target,
             good: result.is_ok() && first_token.unwrap_or(took) <= due,
             objective_share: self.kind.objective.share,
         };
-        node.burn.lock().record(served, boot_now());
+        node.burn.lock().record(finished, boot_now());
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -42,7 +42,7 @@
 use crate::replica::{self, Replica, ReplicaStatus};
 use crate::route::Router;
 use crate::settings::Settings;
-use crate::telemetry::burn::Burn;
+use crate::telemetry::burn::BurnCounter;
 use crate::telemetry::metrics::NodeMetrics;
 use freshness::Fresh;
 use places::Places;
@@ -71,7 +71,7 @@
     /// Requests that run and wait.
     pub places: Places,
     /// Counts against the service levels.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnCounter>,
     sharing: Mutex<Sharing>,
     quarantining: Mutex<Quarantining>,
     fresh: Mutex<Fresh>,
@@ -126,7 +126,7 @@
             router: Mutex::new(Router::new(settings.node_id, settings.bounds.watched_engines)),
             catalog: Mutex::new(Catalog::new(settings.bounds.context_entries, boot)),
             places: Places::new(settings.bounds.queue_len),
-            burn: Mutex::new(Burn::default()),
+            burn: Mutex::new(BurnCounter::default()),
             sharing: Mutex::new(Sharing::new(settings.timing.lease)),
             quarantining: Mutex::new(Quarantining::new(boot)),
             fresh: Mutex::new(Fresh::new(settings.timing.lease, now)),
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -3,5 +3,5 @@
 pub mod burn;
 pub mod capacity;
 pub mod check_settings;
-pub mod node;
+pub mod operator_client;
 pub mod request;
--- a/src/queries/node.rs
+++ b/src/queries/operator_client.rs
@@ -9,16 +9,16 @@
 use crate::error::{Error, Result};
 
 /// A node must answer within this time.
-const TIMEOUT: Duration = Duration::from_secs(8);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// A client of the operators' interface.
 ///
 /// # Errors
 /// `Error::Start` if it can't be built.
-pub fn client() -> Result<Client> {
+pub fn http_client() -> Result<Client> {
     Client::builder()
         .no_proxy()
-        .timeout(TIMEOUT)
+        .timeout(REQUEST_TIMEOUT)
         .build()
         .map_err(|source| Error::start("http client", source, "raise the file limit"))
 }
@@ -29,8 +29,8 @@
 /// If it can't be asked.
 pub fn print(node: &str, path: &str) -> Result<()> {
     block_on(async {
-        let request = client()?.get(format!("{node}{path}"));
-        let text = answer(node, request).await?;
+        let request = http_client()?.get(format!("{node}{path}"));
+        let text = send(node, request).await?;
         let value: Value = serde_json::from_str(&text).unwrap_or(Value::String(text));
         println!("{value:#}");
         Ok(())
@@ -42,7 +42,7 @@
 /// # Errors
 /// `Error::Failed` with the node's message if it refused for good, `Error::Ask` if it could not
 /// be asked or could not answer now.
-pub async fn answer(node: &str, request: RequestBuilder) -> Result<String> {
+pub async fn send(node: &str, request: RequestBuilder) -> Result<String> {
     let remedy = "check that it runs and that this is its operators' address";
     let response = request.send().await.map_err(|source| Error::ask(node, source, remedy))?;
     let status = response.status();
--- a/src/queries/request.rs
+++ b/src/queries/request.rs
@@ -21,8 +21,8 @@
 /// If the folder can't be read, or no line names the request.
 pub fn run(options: &Options) -> Result<()> {
     let lines = read_folder(&options.logs)?;
-    let story = story(&lines, &options.id);
-    if story.is_empty() {
+    let related = related_lines(&lines, &options.id);
+    if related.is_empty() {
         return Err(Error::Failed {
             message: format!(
                 "no line names request {:?}; check the id, or whether its logs are in {}",
@@ -31,83 +31,92 @@
             ),
         });
     }
-    story.iter().for_each(|line| println!("{line}"));
+    related.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
 /// A line of a log with the process that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Line {
+pub struct LogLine {
     /// The time that the process wrote.
-    pub at: String,
+    pub timestamp: String,
     /// The log's file name without its ending.
     pub process: String,
     /// The line.
     pub text: String,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; `None` if it has no time.
-    pub fn parse(process: &str, text: &str) -> Option<Line> {
-        let at = field(text, "ts")?.to_string();
-        Some(Line { at, process: process.to_string(), text: text.to_string() })
+    pub fn parse(process: &str, text: &str) -> Option<LogLine> {
+        let timestamp = first_value(text, "ts")?.to_string();
+        Some(LogLine { timestamp, process: process.to_string(), text: text.to_string() })
     }
 }
 
 /// The lines of a request in order, and among them those by which the processes that wrote them
 /// changed what they believe, or that name a target that it met, within the seconds of the request.
-pub fn story(lines: &[Line], id: &str) -> Vec<String> {
-    let is_its = |line: &&Line| field(&line.text, "id") == Some(id);
-    let own: Vec<&Line> = lines.iter().filter(is_its).collect();
-    let (Some(first), Some(last)) = (own.iter().min(), own.iter().max()) else { return Vec::new() };
-    let took_ms = own.iter().filter_map(|line| field(&line.text, "took_ms")?.parse().ok()).max();
-    let begun = earlier(&first.at, took_ms.unwrap_or(0));
+pub fn related_lines(lines: &[LogLine], id: &str) -> Vec<String> {
+    let is_of_request = |line: &&LogLine| first_value(&line.text, "id") == Some(id);
+    let request_lines: Vec<&LogLine> = lines.iter().filter(is_of_request).collect();
+    let (Some(first), Some(last)) = (request_lines.iter().min(), request_lines.iter().max()) else {
+        return Vec::new();
+    };
+    let took_ms = request_lines
+        .iter()
+        .filter_map(|line| first_value(&line.text, "took_ms")?.parse().ok())
+        .max();
+    let started_at = time_before(&first.timestamp, took_ms.unwrap_or(0));
     let targets: BTreeSet<&str> =
-        own.iter().flat_map(|line| fields(&line.text, "target")).collect();
-    let processes: BTreeSet<&str> = own.iter().map(|line| line.process.as_str()).collect();
-    let mut shown: Vec<&Line> = lines
+        request_lines.iter().flat_map(|line| values(&line.text, "target")).collect();
+    let processes: BTreeSet<&str> =
+        request_lines.iter().map(|line| line.process.as_str()).collect();
+    let mut shown: Vec<&LogLine> = lines
         .iter()
-        .filter(|line| begun <= line.at && line.at <= last.at)
-        .filter(|line| field(&line.text, "event") != Some("request"))
+        .filter(|line| started_at <= line.timestamp && line.timestamp <= last.timestamp)
+        .filter(|line| first_value(&line.text, "event") != Some("request"))
         .filter(|line| {
             processes.contains(line.process.as_str())
                 || targets.iter().any(|target| line.text.contains(target))
         })
-        .chain(own)
+        .chain(request_lines)
         .collect();
     shown.sort();
     shown.iter().map(|line| format!("{} {}", line.process, line.text)).collect()
 }
 
-fn read_folder(folder: &Path) -> Result<Vec<Line>> {
+fn read_folder(folder: &Path) -> Result<Vec<LogLine>> {
     let shown = folder.display().to_string();
-    let failed = |source| Error::start(&shown, source, "name a folder with the processes' logs");
+    let folder_error =
+        |source| Error::start(&shown, source, "name a folder with the processes' logs");
     let mut lines = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(failed)? {
-        let path = entry.map_err(failed)?.path();
+    for entry in std::fs::read_dir(folder).map_err(folder_error)? {
+        let path = entry.map_err(folder_error)?.path();
         if !path.is_file() {
             continue;
         }
         let process = path.file_stem().map_or(String::new(), |name| name.to_string_lossy().into());
-        let text = std::fs::read(&path).map_err(failed)?;
+        let text = std::fs::read(&path).map_err(folder_error)?;
         let text = String::from_utf8_lossy(&text);
-        lines.extend(text.lines().filter_map(|text| Line::parse(&process, text)));
+        lines.extend(text.lines().filter_map(|text| LogLine::parse(&process, text)));
     }
     Ok(lines)
 }
 
 /// The first value of a key in a line of key=value pairs.
-fn field<'t>(text: &'t str, key: &str) -> Option<&'t str> {
-    fields(text, key).next()
+fn first_value<'t>(text: &'t str, key: &str) -> Option<&'t str> {
+    values(text, key).next()
 }
 
-fn fields<'t>(text: &'t str, key: &str) -> impl Iterator<Item = &'t str> {
+fn values<'t>(text: &'t str, key: &str) -> impl Iterator<Item = &'t str> {
     text.split(' ').filter_map(move |pair| pair.strip_prefix(key)?.strip_prefix('='))
 }
 
 /// A time in the logs' form, some milliseconds earlier; the same where it has another form.
-fn earlier(at: &str, by_ms: i64) -> String {
-    let Ok(time) = chrono::DateTime::parse_from_rfc3339(at) else { return at.to_string() };
-    let time = time - chrono::TimeDelta::milliseconds(by_ms);
+fn time_before(timestamp: &str, ms: i64) -> String {
+    let Ok(time) = chrono::DateTime::parse_from_rfc3339(timestamp) else {
+        return timestamp.to_string();
+    };
+    let time = time - chrono::TimeDelta::milliseconds(ms);
     time.format("%Y-%m-%dT%H:%M:%S%.3fZ").to_string()
 }
--- a/src/telemetry/burn.rs
+++ b/src/telemetry/burn.rs
@@ -21,7 +21,7 @@
 ];
 /// Series of one sort that are kept; more share the series `other`.
 const MAX_SERIES: usize = 4_096;
-const OTHER: &str = "other";
+const OVERFLOW_SERIES: &str = "other";
 
 /// A window of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
 
 /// Requests, and how many of them missed their objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Count {
+pub struct SloCount {
     /// All requests.
     pub total: u64,
     /// Those that were refused, failed, or answered too late.
@@ -44,9 +44,9 @@
     pub allowed: f64,
 }
 
-impl Count {
+impl SloCount {
     /// Adds another count.
-    pub fn add(&mut self, other: Count) {
+    pub fn add(&mut self, other: SloCount) {
         self.total += other.total;
         self.bad += other.bad;
         self.allowed += other.allowed;
@@ -60,7 +60,7 @@
 
 /// What a request was.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Served<'a> {
+pub struct FinishedRequest<'a> {
     /// Its kind.
     pub kind: &'a str,
     /// Its account.
@@ -75,47 +75,47 @@
 
 /// Counts of one node.
 #[derive(Clone, Debug, Default)]
-pub struct Burn {
+pub struct BurnCounter {
     kinds: BTreeMap<String, Series>,
     accounts: BTreeMap<String, Series>,
     targets: BTreeMap<String, Series>,
 }
 
 /// Counts by window, ready to be sent and added to other nodes'.
-pub type Windows = [Count; WINDOWS.len()];
+pub type WindowCounts = [SloCount; WINDOWS.len()];
 
 /// What a node reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnCounts {
     /// By kind.
-    pub kinds: BTreeMap<String, Windows>,
+    pub kinds: BTreeMap<String, WindowCounts>,
     /// By account.
-    pub accounts: BTreeMap<String, Windows>,
+    pub accounts: BTreeMap<String, WindowCounts>,
     /// By the target that answered or failed last.
-    pub targets: BTreeMap<String, Windows>,
+    pub targets: BTreeMap<String, WindowCounts>,
 }
 
-impl Burn {
+impl BurnCounter {
     /// Records a request that ended.
-    pub fn record(&mut self, served: Served<'_>, now: BootTime) {
-        let bad = u64::from(!served.good);
-        let count = Count { total: 1, bad, allowed: 1.0 - served.objective_share };
-        series(&mut self.kinds, served.kind).record(count, now);
-        series(&mut self.accounts, served.account).record(count, now);
-        if let Some(target) = served.target {
-            series(&mut self.targets, target).record(count, now);
+    pub fn record(&mut self, request: FinishedRequest<'_>, now: BootTime) {
+        let bad = u64::from(!request.good);
+        let count = SloCount { total: 1, bad, allowed: 1.0 - request.objective_share };
+        series_mut(&mut self.kinds, request.kind).record(count, now);
+        series_mut(&mut self.accounts, request.account).record(count, now);
+        if let Some(target) = request.target {
+            series_mut(&mut self.targets, target).record(count, now);
         }
     }
 
     /// Counts of all windows up to `now`.
     pub fn counts(&self, now: BootTime) -> BurnCounts {
-        let all = |of: &BTreeMap<String, Series>| {
-            of.iter().map(|(name, series)| (name.clone(), series.windows(now))).collect()
+        let window_counts = |map: &BTreeMap<String, Series>| {
+            map.iter().map(|(name, series)| (name.clone(), series.windows(now))).collect()
         };
         BurnCounts {
-            kinds: all(&self.kinds),
-            accounts: all(&self.accounts),
-            targets: all(&self.targets),
+            kinds: window_counts(&self.kinds),
+            accounts: window_counts(&self.accounts),
+            targets: window_counts(&self.targets),
         }
     }
 }
@@ -128,70 +128,71 @@
             (&mut self.accounts, other.accounts),
             (&mut self.targets, other.targets),
         ];
-        for (ours, theirs) in pairs {
-            for (name, windows) in theirs {
-                let sum = ours.entry(name).or_default();
-                for (count, more) in sum.iter_mut().zip(windows) {
-                    count.add(more);
+        for (sums, added) in pairs {
+            for (name, windows) in added {
+                let sum = sums.entry(name).or_default();
+                for (count, added_count) in sum.iter_mut().zip(windows) {
+                    count.add(added_count);
                 }
             }
         }
     }
 }
 
-fn series<'b>(of: &'b mut BTreeMap<String, Series>, name: &str) -> &'b mut Series {
-    let name = if of.len() >= MAX_SERIES && !of.contains_key(name) { OTHER } else { name };
-    of.entry(name.to_string()).or_default()
+fn series_mut<'b>(map: &'b mut BTreeMap<String, Series>, name: &str) -> &'b mut Series {
+    let name =
+        if map.len() >= MAX_SERIES && !map.contains_key(name) { OVERFLOW_SERIES } else { name };
+    map.entry(name.to_string()).or_default()
 }
 
 /// Buckets of one series for all windows.
 #[derive(Clone, Debug, Default)]
 struct Series {
-    rings: [Ring; WINDOWS.len()],
+    rings: [BucketRing; WINDOWS.len()],
 }
 
 /// Buckets of one window. Invariant: bucket `n % BUCKETS` holds period `n` if that is among the
 /// last `BUCKETS` up to `newest`, else nothing that counts.
 #[derive(Clone, Debug, Default)]
-struct Ring {
-    newest: u64,
-    buckets: [Count; BUCKETS],
+struct BucketRing {
+    newest_period: u64,
+    buckets: [SloCount; BUCKETS],
 }
 
 impl Series {
-    fn record(&mut self, count: Count, now: BootTime) {
+    fn record(&mut self, count: SloCount, now: BootTime) {
         for (ring, window) in self.rings.iter_mut().zip(WINDOWS) {
-            ring.turn(period(window, now));
-            ring.buckets[ring.newest as usize % BUCKETS].add(count);
+            ring.advance_to(period_at(window, now));
+            ring.buckets[ring.newest_period as usize % BUCKETS].add(count);
         }
     }
 
-    fn windows(&self, now: BootTime) -> Windows {
-        let mut windows = Windows::default();
+    fn windows(&self, now: BootTime) -> WindowCounts {
+        let mut windows = WindowCounts::default();
         for ((sum, ring), window) in windows.iter_mut().zip(&self.rings).zip(WINDOWS) {
             let mut ring = ring.clone();
-            ring.turn(period(window, now));
+            ring.advance_to(period_at(window, now));
             ring.buckets.iter().for_each(|bucket| sum.add(*bucket));
         }
         windows
     }
 }
 
-impl Ring {
+impl BucketRing {
     /// Goes on to a period, emptying the buckets of those in between.
-    fn turn(&mut self, period: u64) {
-        if period <= self.newest {
+    fn advance_to(&mut self, period: u64) {
+        if period <= self.newest_period {
             return;
         }
-        let passed = (period - self.newest).min(BUCKETS as u64);
-        for step in 0..passed {
-            self.buckets[(period - step) as usize % BUCKETS] = Count::default();
+        let elapsed_periods = (period - self.newest_period).min(BUCKETS as u64);
+        for offset in 0..elapsed_periods {
+            self.buckets[(period - offset) as usize % BUCKETS] = SloCount::default();
         }
-        self.newest = period;
+        self.newest_period = period;
     }
 }
 
-fn period(window: Window, now: BootTime) -> u64 {
-    let length_ms = window.length.as_millis() as u64 / BUCKETS as u64;
-    now.as_millis() as u64 / length_ms
+fn period_at(window: Window, now: BootTime) -> u64 {
+    let period_ms = window.length.as_millis() as u64 / BUCKETS as u64;
+    now.as_millis() as u64 / period_ms
 }
--- a/tests/deployment/explaining.rs
+++ b/tests/deployment/explaining.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use kumquatpost::gateway::log_limiter::RequestLogLimiter;
-use kumquatpost::queries::request::{Line, story};
+use kumquatpost::queries::request::{LogLine, related_lines};
 use kumquatpost::telemetry::deployment_metrics::EntryMetrics;
 use kumquatpost::telemetry::non_blocking_appender::NonBlockingAppender;
 use log4rs::append::Append;
@@ -106,16 +106,16 @@
 
 #[test]
 fn an_id_leads_to_its_whole_story() {
-    let lines: Vec<Line> =
-        LOGS.iter().filter_map(|(process, text)| Line::parse(process, text)).collect();
+    let lines: Vec<LogLine> =
+        LOGS.iter().filter_map(|(process, text)| LogLine::parse(process, text)).collect();
     assert_eq!(lines.len(), LOGS.len());
-    let told: Vec<String> = story(&lines, "r1");
+    let told: Vec<String> = related_lines(&lines, "r1");
     let events: Vec<&str> =
         told.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
     assert_eq!(events, ["subscription_lost", "weights_ordered", "request"]);
     assert!(told[1].starts_with("replica-1 ") && told[1].contains("engine=i-7"));
-    assert_eq!(story(&lines, "r3"), Vec::<String>::new());
-    assert_eq!(Line::parse("x", "no time here"), None);
+    assert_eq!(related_lines(&lines, "r3"), Vec::<String>::new());
+    assert_eq!(LogLine::parse("x", "no time here"), None);
 }
 
 #[test]
--- a/tests/logic/burn.rs
+++ b/tests/logic/burn.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use kumquatpost::queries::burn::{Report, verdict};
-use kumquatpost::telemetry::burn::{Burn, Count, Served};
+use kumquatpost::queries::burn::{Report, alert_level};
+use kumquatpost::telemetry::burn::{BurnCounter, FinishedRequest, SloCount};
 
 const START: Duration = Duration::from_secs(1_000_000);
 
-fn served(kind: &str, good: bool) -> Served<'_> {
-    Served { kind, account: "anna", target: Some("engine-0"), good, objective_share: 0.95 }
+fn served(kind: &str, good: bool) -> FinishedRequest<'_> {
+    FinishedRequest { kind, account: "anna", target: Some("engine-0"), good, objective_share: 0.95 }
 }
 
 #[test]
 fn counts_leave_each_window_when_it_has_passed() {
-    let mut burn = Burn::default();
+    let mut burn = BurnCounter::default();
     for number in 0..100 {
         burn.record(served("diagnosis", number >= 10), START);
     }
@@ -36,7 +36,7 @@
 
 #[test]
 fn alarms_need_a_short_and_a_long_window() {
-    let count = |rate: f64| Count { total: 1_000, bad: (rate * 50.0) as u64, allowed: 50.0 };
+    let count = |rate: f64| SloCount { total: 1_000, bad: (rate * 50.0) as u64, allowed: 50.0 };
     let cases = [
         ([0.0, 0.0, 0.0, 0.0], "fine"),
         ([20.0, 1.0, 0.5, 0.1], "fine"),
@@ -45,29 +45,29 @@
         ([0.0, 0.0, 0.0, 2.0], "fine"),
     ];
     for (rates, expected) in cases {
-        assert_eq!(verdict(&rates.map(count)), expected, "{rates:?}");
+        assert_eq!(alert_level(&rates.map(count)), expected, "{rates:?}");
     }
 }
 
 #[test]
 fn a_report_adds_nodes_and_names_those_it_could_not_ask() {
-    let mut burn = Burn::default();
+    let mut burn = BurnCounter::default();
     burn.record(served("diagnosis", false), START);
     burn.record(served("counter", true), START);
     let mut report = Report::default();
     report.counts.add(burn.counts(START));
     report.counts.add(burn.counts(START));
-    report.unasked.push(("http://127.0.0.1:1".into(), "no answer".into()));
+    report.unreachable.push(("http://127.0.0.1:1".into(), "no answer".into()));
     insta::assert_snapshot!(report.text());
     assert!(report.svg().contains("diagnosis 5m"));
 }
 
 #[test]
 fn the_number_of_series_is_bounded() {
-    let mut burn = Burn::default();
+    let mut burn = BurnCounter::default();
     for number in 0..10_000 {
         let account = format!("a{number}");
-        burn.record(Served { account: &account, ..served("k", true) }, START);
+        burn.record(FinishedRequest { account: &account, ..served("k", true) }, START);
     }
     assert!(burn.counts(START).accounts.len() <= 4_097);
 }
