--- a/src/cli.rs
+++ b/src/cli.rs
@@ -164,8 +164,8 @@
             Ok(())
         }
         Command::Serve(file) => commands::serve::run(&file),
-        Command::Entry => commands::roles::entry(),
-        Command::Replica => commands::roles::replica(),
+        Command::Entry => commands::deployment_role::run_entry(),
+        Command::Replica => commands::deployment_role::run_replica(),
         Command::Emulate(file) => commands::emulate::run(&file),
         Command::Demo(options) => demo::run(&options),
         Command::Load(options) => load::run(&options),
--- a/src/commands/config_patch.rs
+++ b/src/commands/config_patch.rs
@@ -10,7 +10,7 @@
 use crate::settings::read_json;
 
 /// Attempts to submit a patch whose answer was lost. Each sends the same id, so it is one patch.
-const ATTEMPTS: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// What to submit.
 #[derive(Clone, Debug, PartialEq)]
@@ -38,30 +38,30 @@
     super::block_on(async {
         let base = match options.base {
             Some(base) => base,
-            None => newest(&options.node).await?,
+            None => fetch_newest_number(&options.node).await?,
         };
-        let mut last = None;
-        for _ in 0..ATTEMPTS {
+        let mut last_error = None;
+        for _ in 0..MAX_ATTEMPTS {
             match submit(&options.node, &patch, base, &patch_id).await {
                 Ok(answer) => {
                     println!("{answer}");
                     return Ok(());
                 }
                 Err(error @ Error::Failed { .. }) => return Err(error),
-                Err(error) => last = Some(error),
+                Err(error) => last_error = Some(error),
             }
         }
         eprintln!("the answer was lost; send it again with --base {base} --id {patch_id}");
-        Err(last.unwrap_or(Error::Failed { message: "no attempt was made".into() }))
+        Err(last_error.unwrap_or(Error::Failed { message: "no attempt was made".into() }))
     })
 }
 
-async fn newest(node: &str) -> Result<u64> {
+async fn fetch_newest_number(node: &str) -> Result<u64> {
     let request = operator_client::http_client()?.get(format!("{node}/v1/config"));
     let answer = operator_client::send(node, request).await?;
     let value: Value = serde_json::from_str(&answer).unwrap_or_default();
     value["number"].as_u64().ok_or_else(|| {
-        Error::ask(node, "its answer names no number", "check that it is an operators' address")
+        Error::request(node, "its answer names no number", "check that it is an operators' address")
     })
 }
 
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -17,13 +17,13 @@
 use crate::telemetry::logs::{self, LogSettings};
 
 /// Requests a second.
-const RATE: f64 = 40.0;
+const REQUESTS_PER_S: f64 = 40.0;
 /// About how long a context stays away.
-const GAP: Duration = Duration::from_millis(1_500);
+const CONTEXT_GAP: Duration = Duration::from_millis(1_500);
 /// The node must be ready within this time.
-const START_TIMEOUT: Duration = Duration::from_secs(6);
-const START_CHECK: Duration = Duration::from_millis(20);
-const PROGRESS_PERIOD: Duration = Duration::from_secs(2);
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What to show.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,7 +42,7 @@
 /// Which check did not hold.
 pub fn run(options: &Options) -> Result<()> {
     logs::start(&LogSettings { level: LevelFilter::Error, file: None })?;
-    match super::block_on(show(options)) {
+    match super::block_on(run_demo(options)) {
         Ok(()) => {
             println!("demo: ok");
             Ok(())
@@ -54,33 +54,34 @@
     }
 }
 
-async fn show(options: &Options) -> Result<()> {
-    let folder = Folder::new()?;
+async fn run_demo(options: &Options) -> Result<()> {
+    let folder = TempFolder::new()?;
     let deployment = Deployment::new(options.shape, "cost");
     let settings = EmulatorSettings::from_value(&deployment.emulator, "demo")?;
     let (emulator, platform) = Emulator::start(settings).await?;
     let settings = node_settings(&folder, platform, &deployment)?;
-    let (node, listening) = Node::start(settings).await?;
-    until_ready(&node).await?;
-    println!("a node serves at http://{}, stand-ins at http://{platform}", listening.callers);
+    let (node, addresses) = Node::start(settings).await?;
+    wait_until_ready(&node).await?;
+    println!("a node serves at http://{}, stand-ins at http://{platform}", addresses.callers);
 
     let Options { seconds, seed, shape } = *options;
-    let workload = Workload::generate(&Plan { shape, rate: RATE, seconds, gap: GAP, seed });
+    let workload =
+        Workload::generate(&Plan { shape, rate: REQUESTS_PER_S, seconds, gap: CONTEXT_GAP, seed });
     let bound = Bound::of(&workload);
     println!("{} requests over {} s", workload.arrivals.len(), options.seconds);
     let before = emulator.counts();
-    let progress = tokio::spawn(show_progress(emulator.clone()));
-    let target = Target { nodes: vec![format!("http://{}", listening.callers)] };
+    let progress = tokio::spawn(print_progress(emulator.clone()));
+    let target = Target { nodes: vec![format!("http://{}", addresses.callers)] };
     let samples = send_all(target, workload.arrivals).await?;
     progress.abort();
     let figures = Figures::of(&samples, &before, &emulator.counts());
     println!("{}", figures.table());
     println!("least share that could be recomputed: {:.1} %", bound.recomputed_share * 100.0);
-    let cut_off = node.close().await;
-    check(&figures, cut_off)
+    let aborted = node.close().await;
+    check_results(&figures, aborted)
 }
 
-fn check(figures: &Figures, cut_off: usize) -> Result<()> {
+fn check_results(figures: &Figures, aborted: usize) -> Result<()> {
     let failed = |message: String| Err(Error::Failed { message });
     if figures.answered != figures.sent {
         return failed(format!("{} of {} were answered", figures.answered, figures.sent));
@@ -88,15 +89,15 @@
     if !figures.is_safe() {
         return failed("an answer was wrong, lost or doubled".into());
     }
-    if cut_off > 0 {
-        return failed(format!("{cut_off} requests were cut off by the shutdown"));
+    if aborted > 0 {
+        return failed(format!("{aborted} requests were cut off by the shutdown"));
     }
     Ok(())
 }
 
-async fn show_progress(emulator: Arc<Emulator>) {
+async fn print_progress(emulator: Arc<Emulator>) {
     loop {
-        tokio::time::sleep(PROGRESS_PERIOD).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let counts = emulator.counts();
         println!(
             "{} runs so far, {:.1} % of context recomputed",
@@ -106,21 +107,21 @@
     }
 }
 
-async fn until_ready(node: &Node) -> Result<()> {
+async fn wait_until_ready(node: &Node) -> Result<()> {
     let ready = async {
         while !node.is_ready() {
-            tokio::time::sleep(START_CHECK).await;
+            tokio::time::sleep(READY_CHECK_INTERVAL).await;
         }
         // One more poll, so that every engine's load is known.
         tokio::time::sleep(node.settings.timing.load_poll * 2).await;
     };
-    tokio::time::timeout(START_TIMEOUT, ready)
+    tokio::time::timeout(READY_TIMEOUT, ready)
         .await
         .map_err(|_| Error::start("demo", "the node did not get ready", "free some cores"))
 }
 
 fn node_settings(
-    folder: &Folder,
+    folder: &TempFolder,
     platform: SocketAddr,
     deployment: &Deployment,
 ) -> Result<Settings> {
@@ -142,21 +143,21 @@
 }
 
 /// A folder of its own that is removed at the end.
-struct Folder {
+struct TempFolder {
     path: PathBuf,
 }
 
-impl Folder {
-    fn new() -> Result<Folder> {
+impl TempFolder {
+    fn new() -> Result<TempFolder> {
         let path = std::env::temp_dir().join(format!("kumquatpost-demo-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|source| {
             Error::start("demo", source, "free the folder for temporary files")
         })?;
-        Ok(Folder { path })
+        Ok(TempFolder { path })
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.path));
     }
--- a/src/commands/roles.rs
+++ b/src/commands/deployment_role.rs
@@ -6,7 +6,7 @@
 use tokio::task::LocalSet;
 
 use crate::error::{Error, Result};
-use crate::essential;
+use crate::essential_tasks;
 use crate::host::HostSettings;
 use crate::telemetry::logs;
 use crate::{control, gateway, platform, reload};
@@ -15,32 +15,32 @@
 ///
 /// # Errors
 /// If it can't start.
-pub fn entry() -> Result<()> {
-    run(gateway::run::run)
+pub fn run_entry() -> Result<()> {
+    run_role(gateway::run::run)
 }
 
 /// Runs a replica until SIGTERM or SIGINT.
 ///
 /// # Errors
 /// If it can't start.
-pub fn replica() -> Result<()> {
-    run(control::run::run)
+pub fn run_replica() -> Result<()> {
+    run_role(control::run::run)
 }
 
 /// These hosts have a part of one core, so one thread does all the work.
-fn run<F: Future<Output = Result<()>>>(role: impl FnOnce(HostSettings) -> F) -> Result<()> {
+fn run_role<F: Future<Output = Result<()>>>(role: impl FnOnce(HostSettings) -> F) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|source| Error::start("runtime", source, "raise the limits of this user"))?;
     {
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         // Taken from now on, even if nobody listens yet.
-        drop(reload::take_hang_ups()?);
+        drop(reload::listen_for_sighup()?);
     }
     let host = platform::settings::read()?;
     logs::start_non_blocking(LevelFilter::Info)?;
-    essential::log_panics();
+    essential_tasks::log_panics();
     let result = LocalSet::new().block_on(&runtime, role(host));
     runtime.shutdown_background();
     log::logger().flush();
--- a/src/commands/emulate.rs
+++ b/src/commands/emulate.rs
@@ -16,6 +16,6 @@
     super::block_on(async {
         let (_emulator, platform) = Emulator::start(settings).await?;
         println!("ready platform=http://{platform}");
-        super::until_asked_to_end().await
+        super::wait_for_shutdown_signal().await
     })
 }
--- a/src/commands/key_new.rs
+++ b/src/commands/key_new.rs
@@ -14,13 +14,17 @@
 /// # Errors
 /// `Error::Start` if the file is there already or can't be written.
 pub fn run(file: &Path) -> Result<()> {
-    let failed = |source| {
+    let file_error = |source| {
         let name = file.display().to_string();
         Error::start(&name, source, "name a new file in a folder that this user may write")
     };
     let key: [u8; 32] = rand::rng().random();
     let hex: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
-    let mut opened =
-        OpenOptions::new().write(true).create_new(true).mode(0o600).open(file).map_err(failed)?;
-    writeln!(opened, "{hex}").map_err(failed)
+    let mut key_file = OpenOptions::new()
+        .write(true)
+        .create_new(true)
+        .mode(0o600)
+        .open(file)
+        .map_err(file_error)?;
+    writeln!(key_file, "{hex}").map_err(file_error)
 }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -43,10 +43,10 @@
     super::block_on(async {
         let workload = Workload::generate(&options.plan);
         let bound = Bound::of(&workload);
-        let before = counts(options).await?;
+        let before = fetch_counts(options).await?;
         let target = Target { nodes: options.nodes.clone() };
         let samples = send_all(target, workload.arrivals).await?;
-        let after = counts(options).await?;
+        let after = fetch_counts(options).await?;
         let figures = Figures::of(&samples, &before, &after);
         println!("{}", figures.table());
         println!(
@@ -71,10 +71,10 @@
     })
 }
 
-async fn counts(options: &Options) -> Result<Counts> {
+async fn fetch_counts(options: &Options) -> Result<Counts> {
     let Some(platform) = &options.platform else { return Ok(Counts::default()) };
     let request = operator_client::http_client()?.get(format!("{platform}/ledger"));
     let text = operator_client::send(platform, request).await?;
     serde_json::from_str(&text)
-        .map_err(|source| Error::ask(platform, source, "check that it is an emulator"))
+        .map_err(|source| Error::request(platform, source, "check that it is an emulator"))
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -2,11 +2,11 @@
 
 pub mod config_patch;
 pub mod demo;
+pub mod deployment_role;
 pub mod emulate;
 pub mod key_new;
 pub mod load;
 pub mod replicas;
-pub mod roles;
 pub mod serve;
 
 use std::future::Future;
@@ -31,13 +31,13 @@
 ///
 /// # Errors
 /// `Error::Start` if signals can't be taken.
-pub async fn until_asked_to_end() -> Result<()> {
+pub async fn wait_for_shutdown_signal() -> Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
-    let take = |kind| {
+    let listen = |kind| {
         signal(kind).map_err(|source| Error::start("signals", source, "report this as a defect"))
     };
-    let mut terminate = take(SignalKind::terminate())?;
-    let mut interrupt = take(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
+    let mut interrupt = listen(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -15,14 +15,14 @@
     let settings = Settings::read(file)?;
     logs::start(&settings.log)?;
     super::block_on(async {
-        let (node, listening) = Node::start(settings).await?;
-        println!("ready callers={} operators={}", listening.callers, listening.operators);
-        super::until_asked_to_end().await?;
+        let (node, addresses) = Node::start(settings).await?;
+        println!("ready callers={} operators={}", addresses.callers, addresses.operators);
+        super::wait_for_shutdown_signal().await?;
         match node.close().await {
             0 => Ok(()),
-            cut_off => Err(Error::Failed {
+            aborted => Err(Error::Failed {
                 message: format!(
-                    "{cut_off} requests were cut off by the shutdown; raise timing.shutdown_ms"
+                    "{aborted} requests were cut off by the shutdown; raise timing.shutdown_ms"
                 ),
             }),
         }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -32,7 +32,7 @@
 use super::state::ControlState;
 use crate::clock::boot_now;
 use crate::error::{Error, Result};
-use crate::essential::essentials;
+use crate::essential_tasks::essential_tasks;
 use crate::host::HostSettings;
 use crate::log::disk::Disk;
 use crate::log::driver::Driver;
@@ -102,7 +102,7 @@
     });
     let (inputs, receiver) = mpsc::channel(QUEUE_LEN);
     let peers = listen(SocketAddr::new(host.ip, host.peer_port)).await?;
-    let (tasks, mut first_end) = essentials();
+    let (tasks, mut first_exit) = essential_tasks();
     let scheduling = Rc::new(SchedulerService::new(shared.clone(), host.periods.old_weights));
     tasks.spawn("scheduling", scheduling.clone().run());
     tasks.spawn("dispatching", scheduling.clone().keep_dispatching());
@@ -143,14 +143,14 @@
         unanswered: RefCell::default(),
     });
     tasks.spawn("ordering", rollout.run());
-    let reloaded = reload::keep_reading(host.clone(), |host| {
+    let reloaded = reload::watch_settings(host.clone(), |host| {
         shared.seeds.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
         ended = run_replica(&host, &folder, &identity, shared.clone(), receiver) => ended,
-        asked = crate::commands::until_asked_to_end() => asked,
+        asked = crate::commands::wait_for_shutdown_signal() => asked,
         failed = reloaded => failed,
-        error = first_end.wait() => Err(error),
+        error = first_exit.wait() => Err(error),
     }?;
     log::info!("event=stop role=replica host={}", host.name);
     Ok(())
--- a/src/edge/client.rs
+++ b/src/edge/client.rs
@@ -178,14 +178,14 @@
     /// platform that gives no ETag sends the whole list each time.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Request` if it can't be read.
     pub async fn targets(
         &self,
         platform_url: &str,
         known: &str,
     ) -> Result<Option<(TargetList, String)>> {
         let url = format!("{platform_url}/targets");
-        let failed = |source| Error::ask(&url, source, "check that it runs at this URL");
+        let failed = |source| Error::request(&url, source, "check that it runs at this URL");
         let request = self.pooled.get(&url).timeout(REPORT_TIMEOUT).header("if-none-match", known);
         let response = request.send().await.map_err(failed)?;
         if response.status() == StatusCode::NOT_MODIFIED {
@@ -200,7 +200,7 @@
     /// An engine's load.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Request` if it can't be read.
     pub async fn load(&self, url: &str) -> Result<LoadReport> {
         self.read(&format!("{url}/load")).await
     }
@@ -208,7 +208,7 @@
     /// An engine's cache events after a number.
     ///
     /// # Errors
-    /// `Error::Ask` if they can't be read.
+    /// `Error::Request` if they can't be read.
     pub async fn events(&self, url: &str, after: u64) -> Result<CacheEvents> {
         self.read(&format!("{url}/kv/events?after={after}")).await
     }
@@ -216,7 +216,7 @@
     /// A store's report.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Request` if it can't be read.
     pub async fn store(&self, url: &str) -> Result<StoreReport> {
         self.read(&format!("{url}/load")).await
     }
@@ -224,7 +224,7 @@
     /// Everything committed in a store.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Request` if it can't be read.
     pub async fn inventory(&self, url: &str) -> Result<Inventory> {
         self.read(&format!("{url}/inventory")).await
     }
@@ -232,17 +232,17 @@
     /// Lets an engine export a resident prefix.
     ///
     /// # Errors
-    /// `Error::Ask` if it is not resident any more or the store does not take it.
+    /// `Error::Request` if it is not resident any more or the store does not take it.
     pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<KeptObject> {
         let url = format!("{url}/kv/export");
         let response = self.post(&url, order, EXPORT_TIMEOUT).await?;
-        response.json().await.map_err(|source| Error::ask(&url, source, "try again later"))
+        response.json().await.map_err(|source| Error::request(&url, source, "try again later"))
     }
 
     /// Frees an object in a store, fenced by the owner's epoch.
     ///
     /// # Errors
-    /// `Error::Ask` if the store can't be asked or knows a later epoch.
+    /// `Error::Request` if the store can't be asked or knows a later epoch.
     pub async fn free(
         &self,
         url: &str,
@@ -252,14 +252,14 @@
     ) -> Result<()> {
         let url = format!("{url}/objects/{key:032x}/{generation}?epoch={owner_epoch}");
         let sent = self.pooled.delete(&url).timeout(REPORT_TIMEOUT).send().await;
-        let response = sent.map_err(|source| Error::ask(&url, source, "try again later"))?;
+        let response = sent.map_err(|source| Error::request(&url, source, "try again later"))?;
         expect_success(&url, response.status())
     }
 
     /// Sends an order to an engine. Returns whether what it orders is done already.
     ///
     /// # Errors
-    /// `Error::Ask` if the engine can't be asked or knows a higher fencing number.
+    /// `Error::Request` if the engine can't be asked or knows a higher fencing number.
     pub async fn order(&self, url: &str, order: &EngineOrder) -> Result<bool> {
         let response = self.post(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
         Ok(response.status() == StatusCode::OK)
@@ -267,13 +267,13 @@
 
     async fn post<T: Serialize>(&self, url: &str, body: &T, timeout: Duration) -> Result<Response> {
         let sent = self.pooled.post(url).json(body).timeout(timeout).send().await;
-        let response = sent.map_err(|source| Error::ask(url, source, "try again later"))?;
+        let response = sent.map_err(|source| Error::request(url, source, "try again later"))?;
         expect_success(url, response.status())?;
         Ok(response)
     }
 
     async fn read<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
-        let failed = |source| Error::ask(url, source, "check that it runs at this URL");
+        let failed = |source| Error::request(url, source, "check that it runs at this URL");
         let response = self.pooled.get(url).timeout(REPORT_TIMEOUT).send().await.map_err(failed)?;
         expect_success(url, response.status())?;
         response.json().await.map_err(failed)
@@ -284,7 +284,7 @@
     if status.is_success() {
         return Ok(());
     }
-    Err(Error::ask(url, format!("answered {status}"), "see its log"))
+    Err(Error::request(url, format!("answered {status}"), "see its log"))
 }
 
 async fn checked(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
--- a/src/error.rs
+++ b/src/error.rs
@@ -20,7 +20,7 @@
         remedy: String,
     },
     /// Settings or a configuration are invalid.
-    #[snafu(display("{file}: {}", list(problems)))]
+    #[snafu(display("{file}: {}", join_problems(problems)))]
     Invalid {
         /// The file, or `patch`.
         file: String,
@@ -28,10 +28,10 @@
         problems: Vec<Problem>,
     },
     /// A part of the process could not start.
-    #[snafu(display("{part}: {reason}; {remedy}"))]
+    #[snafu(display("{component}: {reason}; {remedy}"))]
     Start {
         /// The setting or part.
-        part: String,
+        component: String,
         /// Why.
         reason: String,
         /// What to do.
@@ -39,7 +39,7 @@
     },
     /// A node or target could not be asked.
     #[snafu(display("{address}: {reason}; {remedy}"))]
-    Ask {
+    Request {
         /// Whom we asked.
         address: String,
         /// Why it failed.
@@ -57,17 +57,17 @@
 
 impl Error {
     /// A part that could not start.
-    pub fn start(part: &str, reason: impl fmt::Display, remedy: &str) -> Error {
+    pub fn start(component: &str, reason: impl fmt::Display, remedy: &str) -> Error {
         Error::Start {
-            part: part.to_string(),
+            component: component.to_string(),
             reason: reason.to_string(),
             remedy: remedy.to_string(),
         }
     }
 
     /// A node or target that could not be asked.
-    pub fn ask(address: &str, reason: impl fmt::Display, remedy: &str) -> Error {
-        Error::Ask {
+    pub fn request(address: &str, reason: impl fmt::Display, remedy: &str) -> Error {
+        Error::Request {
             address: address.to_string(),
             reason: reason.to_string(),
             remedy: remedy.to_string(),
@@ -79,7 +79,7 @@
         match self {
             Error::Usage { .. } => 2,
             Error::Invalid { .. } => 3,
-            Error::Start { .. } | Error::Ask { .. } | Error::Failed { .. } => 1,
+            Error::Start { .. } | Error::Request { .. } | Error::Failed { .. } => 1,
         }
     }
 }
@@ -101,6 +101,6 @@
     }
 }
 
-fn list(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     problems.iter().map(Problem::to_string).collect::<Vec<_>>().join(" | ")
 }
--- a/src/essential.rs
+++ b/src/essential_tasks.rs
@@ -9,40 +9,40 @@
 
 /// Starts essential tasks on this thread.
 #[derive(Clone, Debug)]
-pub struct Essentials {
-    ended: mpsc::UnboundedSender<&'static str>,
+pub struct EssentialTasks {
+    exits: mpsc::UnboundedSender<&'static str>,
 }
 
 /// Tells of the first essential task that ends.
 #[derive(Debug)]
-pub struct FirstEnd {
-    ended: mpsc::UnboundedReceiver<&'static str>,
+pub struct FirstExit {
+    exits: mpsc::UnboundedReceiver<&'static str>,
 }
 
 /// No tasks yet.
-pub fn essentials() -> (Essentials, FirstEnd) {
-    let (sender, ended) = mpsc::unbounded_channel();
-    (Essentials { ended: sender }, FirstEnd { ended })
+pub fn essential_tasks() -> (EssentialTasks, FirstExit) {
+    let (sender, exits) = mpsc::unbounded_channel();
+    (EssentialTasks { exits: sender }, FirstExit { exits })
 }
 
-impl Essentials {
+impl EssentialTasks {
     /// Starts a task that should never end.
     pub fn spawn(&self, name: &'static str, task: impl Future<Output = ()> + 'static) {
-        let running = tokio::task::spawn_local(task);
-        let ended = self.ended.clone();
+        let handle = tokio::task::spawn_local(task);
+        let exits = self.exits.clone();
         tokio::task::spawn_local(async move {
-            let reason = running.await.err().map(|error| error.to_string());
+            let reason = handle.await.err().map(|error| error.to_string());
             log::error!("event=task_ended task={name} reason={reason:?}");
             // If nobody listens, the process ends already.
-            let _ = ended.send(name);
+            let _ = exits.send(name);
         });
     }
 }
 
-impl FirstEnd {
+impl FirstExit {
     /// Waits until a task ends.
     pub async fn wait(&mut self) -> Error {
-        match self.ended.recv().await {
+        match self.exits.recv().await {
             Some(task) => {
                 let reason = "the task has ended";
                 Error::start(task, reason, "report this as a defect, with the log")
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -13,7 +13,7 @@
 use super::{scheduler_connection, server, subscription};
 use crate::control::run::listen;
 use crate::error::{Error, Result};
-use crate::essential::essentials;
+use crate::essential_tasks::essential_tasks;
 use crate::host::HostSettings;
 use crate::net::text_server;
 use crate::reload;
@@ -44,7 +44,7 @@
     let gateway = Rc::new(Gateway::new(host, EntryMetrics::new()?));
     let (closing, closed) = watch::channel(false);
     let open_connections = Rc::new(Cell::new(0));
-    let (tasks, mut first_end) = essentials();
+    let (tasks, mut first_exit) = essential_tasks();
     subscription::start(&gateway, &tasks);
     tasks.spawn("scheduler_connection", scheduler_connection::keep_connected(gateway.clone()));
     let ready = listen(readiness_address).await?;
@@ -67,13 +67,13 @@
         open_connections.clone(),
     ));
     tasks.spawn("clean", close_expired_connections(gateway.clone()));
-    let reloaded = reload::keep_reading(gateway.host.clone(), |host| {
+    let reloaded = reload::watch_settings(gateway.host.clone(), |host| {
         gateway.replicas.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
-        ended = crate::commands::until_asked_to_end() => ended?,
+        ended = crate::commands::wait_for_shutdown_signal() => ended?,
         failed = reloaded => failed?,
-        error = first_end.wait() => return Err(error),
+        error = first_exit.wait() => return Err(error),
     }
     shut_down(&gateway, &closing, &open_connections).await;
     Ok(())
--- a/src/gateway/subscription.rs
+++ b/src/gateway/subscription.rs
@@ -16,7 +16,7 @@
     self, Handshake, RosterSubscription, SubscriberRequest, Update, encode,
 };
 use crate::control::publisher::HEARTBEAT_INTERVAL;
-use crate::essential::Essentials;
+use crate::essential_tasks::EssentialTasks;
 use crate::net;
 use crate::quarantine::Revision;
 use crate::scheduler::weights;
@@ -36,7 +36,7 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Starts the tasks that maintain the subscriptions.
-pub fn start(gateway: &Rc<Gateway>, tasks: &Essentials) {
+pub fn start(gateway: &Rc<Gateway>, tasks: &EssentialTasks) {
     for _ in 0..SUBSCRIPTIONS_AT_ONCE {
         tasks.spawn("subscription", keep_subscribed(gateway.clone()));
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod emulator;
 pub mod entry;
 pub mod error;
-pub mod essential;
+pub mod essential_tasks;
 pub mod fleet;
 pub mod gateway;
 pub mod host;
--- a/src/queries/burn.rs
+++ b/src/queries/burn.rs
@@ -46,7 +46,7 @@
     let report = block_on(collect(&options.nodes))?;
     if report.unreachable.len() == options.nodes.len() {
         let reason = report.unreachable.first().map_or("there is none", |(_, reason)| reason);
-        return Err(Error::ask("report burn", reason, "name nodes that run with --node"));
+        return Err(Error::request("report burn", reason, "name nodes that run with --node"));
     }
     if let Some(file) = &options.svg {
         std::fs::write(file, report.svg())
--- a/src/queries/operator_client.rs
+++ b/src/queries/operator_client.rs
@@ -40,20 +40,20 @@
 /// The text of a node's answer.
 ///
 /// # Errors
-/// `Error::Failed` with the node's message if it refused for good, `Error::Ask` if it could not
+/// `Error::Failed` with the node's message if it refused for good, `Error::Request` if it could not
 /// be asked or could not answer now.
 pub async fn send(node: &str, request: RequestBuilder) -> Result<String> {
     let remedy = "check that it runs and that this is its operators' address";
-    let response = request.send().await.map_err(|source| Error::ask(node, source, remedy))?;
+    let response = request.send().await.map_err(|source| Error::request(node, source, remedy))?;
     let status = response.status();
-    let text = response.text().await.map_err(|source| Error::ask(node, source, remedy))?;
+    let text = response.text().await.map_err(|source| Error::request(node, source, remedy))?;
     if status.is_success() {
         return Ok(text);
     }
     let value: Value = serde_json::from_str(&text).unwrap_or_default();
     let message = value.pointer("/error/message").and_then(Value::as_str).unwrap_or(&text);
     if status.is_server_error() {
-        return Err(Error::ask(node, message, "try again in a moment"));
+        return Err(Error::request(node, message, "try again in a moment"));
     }
     Err(Error::Failed { message: message.to_string() })
 }
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -9,13 +9,13 @@
 use crate::platform::settings;
 
 /// How often the file is looked at without a signal: seeds change some seconds before they matter.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Has SIGHUP taken from here on, so that one that comes while the process starts does not end it.
 ///
 /// # Errors
 /// If signals can't be taken.
-pub fn take_hang_ups() -> Result<Signal> {
+pub fn listen_for_sighup() -> Result<Signal> {
     signal(SignalKind::hangup())
         .map_err(|source| Error::start("signals", source, "report this as a defect"))
 }
@@ -24,22 +24,22 @@
 ///
 /// # Errors
 /// If signals can't be taken.
-pub async fn keep_reading(
-    mut known: HostSettings,
+pub async fn watch_settings(
+    mut current: HostSettings,
     mut on_change: impl FnMut(&HostSettings),
 ) -> Result<()> {
-    let mut hang_up = take_hang_ups()?;
+    let mut sighup = listen_for_sighup()?;
     loop {
         let was_told = tokio::select! {
-            told = hang_up.recv() => told.is_some(),
-            () = tokio::time::sleep(LOOK_EVERY) => false,
+            received = sighup.recv() => received.is_some(),
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         match settings::read() {
-            Ok(read) => {
-                if read != known {
-                    log::info!("event=reload was_told={was_told} seeds={:?}", read.seeds);
-                    on_change(&read);
-                    known = read;
+            Ok(settings) => {
+                if settings != current {
+                    log::info!("event=reload was_told={was_told} seeds={:?}", settings.seeds);
+                    on_change(&settings);
+                    current = settings;
                 }
             }
             Err(error) => log::warn!("event=reload_failed reason={:?}", error.to_string()),
--- a/tests/deployment/essential.rs
+++ b/tests/deployment/essential.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kumquatpost::essential::essentials;
+use kumquatpost::essential_tasks::essential_tasks;
 use tokio::task::LocalSet;
 
 /// An end that is noticed is noticed at once; one that is not must not keep the test for ever.
@@ -12,10 +12,10 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let (tasks, mut first_end) = essentials();
+        let (tasks, mut first_exit) = essential_tasks();
         tasks.spawn("other", std::future::pending());
         tasks.spawn("ordering", task);
-        let first = tokio::time::timeout(NEVER, first_end.wait()).await;
+        let first = tokio::time::timeout(NEVER, first_exit.wait()).await;
         first.expect("the end is noticed").to_string()
     })
 }
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -13,7 +13,7 @@
 use kumquatpost::control::state::Published;
 use kumquatpost::deployment::Deployment;
 use kumquatpost::deployment::document::RunPolicy;
-use kumquatpost::essential::{Essentials, essentials};
+use kumquatpost::essential_tasks::{EssentialTasks, essential_tasks};
 use kumquatpost::gateway::subscription;
 use kumquatpost::scheduler::weights::OldWeights;
 use tokio::net::TcpListener;
@@ -92,8 +92,8 @@
     deployment
 }
 
-async fn listening(entry: &Entry) -> Essentials {
-    let (tasks, _first_end) = essentials();
+async fn listening(entry: &Entry) -> EssentialTasks {
+    let (tasks, _first_exit) = essential_tasks();
     subscription::start(&entry.gateway, &tasks);
     tasks
 }
@@ -108,7 +108,7 @@
 }
 
 /// An entry before one target, which hears one replica that has published version 1.
-async fn hearing(ip: IpAddr) -> (Entry, Arc<StandInReplica>, StandIn, Essentials) {
+async fn hearing(ip: IpAddr) -> (Entry, Arc<StandInReplica>, StandIn, EssentialTasks) {
     let answers = (0..4).map(|_| (ok("done"), Then::KeepOpen)).collect();
     let app = StandIn::start(answers).await;
     let entry = entry(unhurried(), vec![target("i-1", "app", app.address)]).await;
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -18,7 +18,7 @@
 use kumquatpost::control::shared::Shared;
 use kumquatpost::control::state::{Command, ControlState};
 use kumquatpost::control::weight_ages::{due_commands, estimated_age};
-use kumquatpost::essential::essentials;
+use kumquatpost::essential_tasks::essential_tasks;
 use kumquatpost::fleet::{FleetView, Listed, Presence};
 use kumquatpost::gateway::{scheduler_connection, subscription};
 use kumquatpost::scheduler::Placed;
@@ -71,7 +71,7 @@
         let flag = is_named.clone();
         std::thread::spawn(move || tell_as_a_replica(at, flag));
         entry.gateway.replicas.borrow_mut().insert(ip);
-        let (tasks, _first_end) = essentials();
+        let (tasks, _first_exit) = essential_tasks();
         subscription::start(&entry.gateway, &tasks);
         while entry.gateway.state_age().is_none() {
             tokio::time::sleep(ms(10)).await;
