--- a/src/capacity/costs.rs
+++ b/src/capacity/benchmarks.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::slopes::Point;
+use super::cost_models::Point;
 use crate::claims::{ClaimKey, ClaimToken, Outcome};
 use crate::config::document::key_hash;
 use crate::config::{Book, Policy, Prices, Update};
@@ -41,11 +41,11 @@
 pub(super) const HTTP_HEADER_BYTES: f64 = 250.0;
 
 /// Microseconds of one call, as the median of several rounds.
-fn median_us(rounds: usize, calls: usize, mut call: impl FnMut(usize)) -> f64 {
+fn median_us(rounds: usize, calls: usize, mut operation: impl FnMut(usize)) -> f64 {
     let mut times: Vec<f64> = (0..rounds)
         .map(|round| {
             let start = Instant::now();
-            (0..calls).for_each(|number| call(round * calls + number));
+            (0..calls).for_each(|number| operation(round * calls + number));
             start.elapsed().as_secs_f64() * 1e6 / calls as f64
         })
         .collect();
@@ -55,9 +55,9 @@
 
 /// Growth of this process's resident memory while `make` makes something. That is never freed:
 /// memory that is free already would hide the growth of the next measurement.
-fn resident_growth<T>(make: impl FnOnce() -> T) -> f64 {
+fn resident_growth_bytes<T>(allocate: impl FnOnce() -> T) -> f64 {
     let before = resident_bytes();
-    std::mem::forget(std::hint::black_box(make()));
+    std::mem::forget(std::hint::black_box(allocate()));
     (resident_bytes() - before).max(0.0)
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-pub(super) fn report() -> LoadReport {
+pub(super) fn load_report() -> LoadReport {
     LoadReport {
         incarnation: 1,
         age_ms: 100,
@@ -101,7 +101,7 @@
 
 fn engine_view() -> EngineView {
     let mut engine = EngineView::new("model-12", "http://10.0.0.1:8000", "domain-1", 1);
-    engine.apply_report(report(), NOW);
+    engine.apply_report(load_report(), NOW);
     engine
 }
 
@@ -141,25 +141,25 @@
     })
 }
 
-fn seen(number: u128, blocks: u32) -> AnsweredPrompt {
+fn answered_prompt(number: u128, blocks: u32) -> AnsweredPrompt {
     let key = |blocks: u32| (number << 32) | u128::from(blocks);
     let positions = (1..=blocks).map(|n| Position { blocks: n, key: key(n) }).collect();
     AnsweredPrompt { root: key(1), positions }
 }
 
-fn fills() -> BTreeMap<String, f64> {
+fn store_fill_ratios() -> BTreeMap<String, f64> {
     BTreeMap::from([("store-0".to_string(), 0.3), ("store-1".to_string(), 0.4)])
 }
 
 /// A catalog in which every context has one committed copy.
-fn catalog(contexts: usize) -> Catalog {
+fn filled_catalog(contexts: usize) -> Catalog {
     let mut catalog = Catalog::new(contexts * 2, 1);
     for number in 0..contexts as u128 {
-        let seen = seen(number, CONTEXT_BLOCKS);
-        if let Some(plan) = catalog.record_answer(&seen, &fills(), NOW) {
+        let prompt = answered_prompt(number, CONTEXT_BLOCKS);
+        if let Some(plan) = catalog.record_answer(&prompt, &store_fill_ratios(), NOW) {
             let kept = PrefixLocation {
                 store: plan.store.clone(),
-                object: object(&seen, plan.generation),
+                object: kept_object(&prompt, plan.generation),
             };
             let (root, key, generation) = (plan.root, plan.position.key, plan.generation);
             catalog.record_export(&ExportOutcome { root, key, generation, kept: Some(kept) }, NOW);
@@ -168,10 +168,10 @@
     catalog
 }
 
-fn object(seen: &AnsweredPrompt, generation: u64) -> KeptObject {
-    let last = seen.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
+fn kept_object(prompt: &AnsweredPrompt, generation: u64) -> KeptObject {
+    let last = prompt.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
     KeptObject {
-        root: seen.root,
+        root: prompt.root,
         key: last.key,
         generation,
         blocks: last.blocks,
@@ -181,26 +181,26 @@
 }
 
 pub(super) fn catalog_us(contexts: usize) -> f64 {
-    let mut catalog = catalog(contexts);
-    let fills = fills();
+    let mut catalog = filled_catalog(contexts);
+    let store_fill_ratios = store_fill_ratios();
     median_us(9, 1_000, |number| {
-        let seen = seen((number * 7_919 % contexts) as u128, CONTEXT_BLOCKS);
-        std::hint::black_box(catalog.lookup(seen.root, NOW));
-        std::hint::black_box(catalog.record_answer(&seen, &fills, NOW));
+        let prompt = answered_prompt((number * 7_919 % contexts) as u128, CONTEXT_BLOCKS);
+        std::hint::black_box(catalog.lookup(prompt.root, NOW));
+        std::hint::black_box(catalog.record_answer(&prompt, &store_fill_ratios, NOW));
     })
 }
 
 pub(super) fn catalog_bytes(contexts: usize) -> f64 {
-    resident_growth(|| catalog(contexts))
+    resident_growth_bytes(|| filled_catalog(contexts))
 }
 
 pub(super) fn context_wire_bytes(blocks: usize) -> f64 {
-    let seen = seen(7, blocks as u32);
-    let kept = PrefixLocation { store: "store-0".into(), object: object(&seen, 1) };
+    let prompt = answered_prompt(7, blocks as u32);
+    let kept = PrefixLocation { store: "store-0".into(), object: kept_object(&prompt, 1) };
     let frames = [
-        Frame::Ask(1_000_000, Ask::Lookup { root: seen.root }),
+        Frame::Ask(1_000_000, Ask::Lookup { root: prompt.root }),
         Frame::Answer(1_000_000, Answer::Kept(vec![kept])),
-        Frame::Ask(1_000_001, Ask::Seen(seen)),
+        Frame::Ask(1_000_001, Ask::Seen(prompt)),
         Frame::Answer(1_000_001, Answer::Export(None)),
     ];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
@@ -243,7 +243,7 @@
 }
 
 pub(super) fn claim_bytes(claims: usize) -> f64 {
-    resident_growth(|| state_with_claims(claims))
+    resident_growth_bytes(|| state_with_claims(claims))
 }
 
 pub(super) fn claim_log_bytes(claims: usize) -> f64 {
@@ -284,7 +284,7 @@
     Ok(points)
 }
 
-pub(super) fn document(accounts: usize) -> serde_json::Value {
+pub(super) fn config_document(accounts: usize) -> serde_json::Value {
     let accounts: serde_json::Map<String, serde_json::Value> = (0..accounts)
         .map(|number| {
             let key_blake3 = key_hash(&number.to_string());
@@ -298,14 +298,14 @@
 
 pub(super) fn patch_us(accounts: usize) -> f64 {
     let mut book = Book::default();
-    let document = document(accounts);
-    if let Ok(next) = book.patched(&document) {
-        book.accept(next, document.to_string());
+    let document = config_document(accounts);
+    if let Ok(patched) = book.patched(&document) {
+        book.accept(patched, document.to_string());
     }
     median_us(5, 4, |number| {
         let change = json!({"accounts": {"account-1": {"max_running": 1 + number}}});
-        if let Ok(next) = book.patched(&change) {
-            book.accept(next, change.to_string());
+        if let Ok(patched) = book.patched(&change) {
+            book.accept(patched, change.to_string());
         }
     })
 }
@@ -327,20 +327,15 @@
     let patches: Vec<(u64, String)> =
         (0..patches as u64).map(|n| (1_000_000 + n, text.clone())).collect();
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
-    let told = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
-    let renew = Renew {
-        has: 1_000_000,
-        acked: 1_000_000,
-        as_relay: true,
-        quarantine: Vec::new(),
-        heard: told,
-    };
+    let heard = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
+    let renew =
+        Renew { has: 1_000_000, acked: 1_000_000, as_relay: true, quarantine: Vec::new(), heard };
     let granted = Answer::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
-        told,
+        told: heard,
     };
     let frames = [Frame::Ask(1_000_000, Ask::Renew(renew)), Frame::Answer(1_000_000, granted)];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
@@ -358,44 +353,45 @@
 
 /// Processor microseconds and sent bytes of membership at one node in one second, with as many
 /// nodes, one of which dies.
-pub(super) fn swim(nodes: usize) -> (f64, f64) {
+pub(super) fn swim_costs(nodes: usize) -> (f64, f64) {
     const SECONDS: u64 = 30;
     const STEP: Duration = Duration::from_millis(100);
     let timing = SwimTiming { probe_interval: Duration::from_millis(500) };
     let seeds: Vec<Member> = (1..=nodes as NodeId).map(member).collect();
-    let mut all: HashMap<NodeId, Swim> = (1..=nodes as NodeId)
+    let mut members_by_id: HashMap<NodeId, Swim> = (1..=nodes as NodeId)
         .map(|node| (node, Swim::new(member(node), seeds.clone(), timing, node, NOW)))
         .collect();
     let mut packets: Vec<(NodeId, NodeId, Packet)> = Vec::new();
     let (mut sent_bytes, mut now) = (0, NOW);
     let start = Instant::now();
-    let mut coding = Duration::ZERO;
+    let mut encoding_time = Duration::ZERO;
     while now < NOW + Duration::from_secs(SECONDS) {
         now += STEP;
-        let mut next = Vec::new();
+        let mut outgoing = Vec::new();
         for (from, to, packet) in packets.drain(..) {
-            if let Some(swim) = all.get_mut(&to) {
-                next.extend(swim.receive(from, packet, now).into_iter().map(|(n, p)| (to, n, p)));
+            if let Some(swim) = members_by_id.get_mut(&to) {
+                outgoing
+                    .extend(swim.receive(from, packet, now).into_iter().map(|(n, p)| (to, n, p)));
             }
         }
-        for (id, swim) in &mut all {
-            next.extend(swim.tick(now).into_iter().map(|(to, packet)| (*id, to, packet)));
+        for (id, swim) in &mut members_by_id {
+            outgoing.extend(swim.tick(now).into_iter().map(|(to, packet)| (*id, to, packet)));
         }
         // Sent in whole; the time of encoding counts, that of counting does not.
-        let encoding = Instant::now();
-        for (_, _, packet) in &next {
+        let encoding_start = Instant::now();
+        for (_, _, packet) in &outgoing {
             sent_bytes += postcard::to_stdvec(packet).map_or(0, |bytes| bytes.len());
             sent_bytes += DATAGRAM_OVERHEAD_BYTES;
         }
-        coding += encoding.elapsed();
-        packets = next;
+        encoding_time += encoding_start.elapsed();
+        packets = outgoing;
         if now == NOW + Duration::from_secs(5) {
-            all.remove(&1);
+            members_by_id.remove(&1);
         }
     }
     let per_node_second = nodes as f64 * SECONDS as f64;
-    let took = start.elapsed().max(coding);
-    (took.as_secs_f64() * 1e6 / per_node_second, sent_bytes as f64 / per_node_second)
+    let elapsed = start.elapsed().max(encoding_time);
+    (elapsed.as_secs_f64() * 1e6 / per_node_second, sent_bytes as f64 / per_node_second)
 }
 
 pub(super) fn target_list(targets: usize) -> TargetList {
@@ -423,7 +419,7 @@
 }
 
 pub(super) fn engine_view_bytes(engines: usize) -> f64 {
-    resident_growth(|| {
+    resident_growth_bytes(|| {
         (0..engines as u128)
             .map(|number| {
                 let mut engine = engine_view();
@@ -439,9 +435,9 @@
 
 pub(super) fn plan_us(engines: usize) -> f64 {
     let mut book = Book::default();
-    let document = document(1);
-    if let Ok(next) = book.patched(&document) {
-        book.accept(next, document.to_string());
+    let document = config_document(1);
+    if let Ok(patched) = book.patched(&document) {
+        book.accept(patched, document.to_string());
     }
     let models = book.newest().config.models.clone();
     let states: Vec<EngineState> = (0..engines)
@@ -462,27 +458,31 @@
 
 pub(super) fn share_us(holders: usize) -> f64 {
     let mut shares = ShareAllocator::new(Duration::from_secs(3));
-    let ask = |demand: usize| ShareRequest {
+    let share_request = |demand: usize| ShareRequest {
         account: "account-1234".into(),
         demand: demand as u32,
         limit: 10_000,
         nodes: 1_500,
     };
     for node in 0..holders {
-        shares.grant(node as NodeId, &ask(20), NOW);
+        shares.grant(node as NodeId, &share_request(20), NOW);
     }
     median_us(9, 500, |number| {
-        std::hint::black_box(shares.grant((number % holders) as NodeId, &ask(number % 40), NOW));
+        std::hint::black_box(shares.grant(
+            (number % holders) as NodeId,
+            &share_request(number % 40),
+            NOW,
+        ));
     })
 }
 
-pub(super) fn share_wire_bytes(asks: usize) -> f64 {
+pub(super) fn share_wire_bytes(requests: usize) -> f64 {
     let demand =
         ShareRequest { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
     let share = GrantedShare { share: 20, lasts: Duration::from_secs(3) };
     let frames =
         [Frame::Ask(1_000_000, Ask::Share(demand)), Frame::Answer(1_000_000, Answer::Share(share))];
-    (frames.iter().map(wire_bytes).sum::<usize>() * asks) as f64
+    (frames.iter().map(wire_bytes).sum::<usize>() * requests) as f64
 }
 
 /// Bytes on the wire of one entry between replicas.
--- a/src/capacity/slopes.rs
+++ b/src/capacity/cost_models.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use super::costs;
+use super::benchmarks;
 use crate::error::Result;
 
 /// A measured point.
@@ -16,7 +16,7 @@
 
 /// A cost that grows with a size.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Slope {
+pub struct CostModel {
     /// What was measured, with the unit.
     pub name: &'static str,
     /// The measured points, smallest first.
@@ -24,200 +24,229 @@
     /// Cost at size 0, by least squares; never below 0.
     pub base: f64,
     /// Cost of one more, by least squares; never below 0.
-    pub each: f64,
+    pub per_unit: f64,
 }
 
 /// All slopes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Slopes {
+pub struct CostModels {
     /// Microseconds of a decision, by candidates.
-    pub decide_us: Slope,
+    pub decide_us: CostModel,
     /// Microseconds to cut a prompt into blocks, by tokens.
-    pub chain_us: Slope,
+    pub chain_us: CostModel,
     /// Microseconds of a lookup and a note of an owner, by contexts known.
-    pub catalog_us: Slope,
+    pub catalog_us: CostModel,
     /// Bytes of memory of a catalog, by contexts.
-    pub catalog_bytes: Slope,
+    pub catalog_bytes: CostModel,
     /// Bytes on the wire of a lookup, its answer, a note and its answer, by blocks.
-    pub context_wire_bytes: Slope,
+    pub context_wire_bytes: CostModel,
     /// Microseconds to apply a claim and its outcome, by claims held.
-    pub claim_us: Slope,
+    pub claim_us: CostModel,
     /// Bytes of memory of claims, by claims held.
-    pub claim_bytes: Slope,
+    pub claim_bytes: CostModel,
     /// Bytes of log entries of claims and outcomes, by claims.
-    pub claim_log_bytes: Slope,
+    pub claim_log_bytes: CostModel,
     /// Microseconds to write and sync entries, by entries in a batch.
-    pub sync_us: Slope,
+    pub sync_us: CostModel,
     /// Microseconds to take a patch, by accounts in the document.
-    pub patch_us: Slope,
+    pub patch_us: CostModel,
     /// Bytes of the document, by accounts.
-    pub document_bytes: Slope,
+    pub document_bytes: CostModel,
     /// Microseconds to grant a lease, by leases granted.
-    pub grant_us: Slope,
+    pub grant_us: CostModel,
     /// Bytes on the wire of a renewal and its answer, by patches carried.
-    pub renew_wire_bytes: Slope,
+    pub renew_wire_bytes: CostModel,
     /// Processor microseconds of membership a second, by nodes known.
-    pub swim_us_per_s: Slope,
+    pub swim_us_per_s: CostModel,
     /// Bytes sent for membership a second, by nodes known.
-    pub swim_bytes_per_s: Slope,
+    pub swim_bytes_per_s: CostModel,
     /// Microseconds to take the platform's list, by targets.
-    pub list_us: Slope,
+    pub list_us: CostModel,
     /// Bytes of the platform's list, by targets.
-    pub list_bytes: Slope,
+    pub list_bytes: CostModel,
     /// Bytes of memory of engine views, by engines watched.
-    pub engine_view_bytes: Slope,
+    pub engine_view_bytes: CostModel,
     /// Bytes of engines' load reports, by engines.
-    pub report_bytes: Slope,
+    pub report_bytes: CostModel,
     /// Microseconds to plan orders, by engines.
-    pub plan_us: Slope,
+    pub plan_us: CostModel,
     /// Microseconds to lease a share of an account's limit, by nodes that hold one.
-    pub share_us: Slope,
+    pub share_us: CostModel,
     /// Bytes on the wire of asking for shares, by asks.
-    pub share_wire_bytes: Slope,
+    pub share_wire_bytes: CostModel,
 }
 
-impl Slope {
+impl CostModel {
     /// Fits a line through the points.
-    pub fn fit(name: &'static str, points: Vec<Point>) -> Slope {
+    pub fn fit(name: &'static str, points: Vec<Point>) -> CostModel {
         let count = points.len() as f64;
         let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
         let (mean_size, mean_cost) = (mean(|p| p.size), mean(|p| p.cost));
         let covariance: f64 =
             points.iter().map(|p| (p.size - mean_size) * (p.cost - mean_cost)).sum();
         let variance: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
-        let each = if variance > 0.0 { (covariance / variance).max(0.0) } else { 0.0 };
-        let base = (mean_cost - each * mean_size).max(0.0);
-        Slope { name, points, base, each }
+        let per_unit = if variance > 0.0 { (covariance / variance).max(0.0) } else { 0.0 };
+        let base = (mean_cost - per_unit * mean_size).max(0.0);
+        CostModel { name, points, base, per_unit }
     }
 
     /// The cost at a size beyond those measured, if it grows with the logarithm of the size.
-    pub fn at_by_logarithm(&self, size: f64) -> f64 {
+    pub fn at_log_growth(&self, size: f64) -> f64 {
         let Some(largest) = self.points.last() else { return 0.0 };
         largest.cost * (size.max(2.0).ln() / largest.size.max(2.0).ln()).max(1.0)
     }
 
     /// The cost at a size.
     pub fn at(&self, size: f64) -> f64 {
-        self.base + self.each * size
+        self.base + self.per_unit * size
     }
 
     pub(super) fn measure(
         name: &'static str,
         sizes: &[usize],
         cost: impl Fn(usize) -> f64,
-    ) -> Slope {
+    ) -> CostModel {
         let points = sizes.iter().map(|size| Point { size: *size as f64, cost: cost(*size) });
-        Slope::fit(name, points.collect())
+        CostModel::fit(name, points.collect())
     }
 }
 
-impl Slopes {
+impl CostModels {
     /// Measures all of them; `folder` is on the disk whose syncs are measured.
     ///
     /// # Errors
     /// If the folder can't be used.
-    pub fn measure(folder: &Path) -> Result<Slopes> {
-        let share_us =
-            Slope::measure("share of a limit, µs by holders", &[8, 64, 214], costs::share_us);
-        let share_wire_bytes = Slope::measure(
+    pub fn measure(folder: &Path) -> Result<CostModels> {
+        let share_us = CostModel::measure(
+            "share of a limit, µs by holders",
+            &[8, 64, 214],
+            benchmarks::share_us,
+        );
+        let share_wire_bytes = CostModel::measure(
             "shares of a limit, wire bytes by asks",
             &[1, 10, 100],
-            costs::share_wire_bytes,
+            benchmarks::share_wire_bytes,
         );
         let swim: Vec<(f64, f64, f64)> = [8, 32, 107, 430]
             .map(|nodes| {
-                let (us, bytes) = costs::swim(nodes);
+                let (us, bytes) = benchmarks::swim_costs(nodes);
                 (nodes as f64, us, bytes)
             })
             .to_vec();
         let swim_points = |cost: fn(&(f64, f64, f64)) -> f64| {
-            swim.iter().map(|one| Point { size: one.0, cost: cost(one) }).collect()
+            swim.iter().map(|run| Point { size: run.0, cost: cost(run) }).collect()
         };
-        let few = [1_000, 10_000, 50_000, 100_000];
+        let growth_sizes = [1_000, 10_000, 50_000, 100_000];
         // Memory first, while none that was freed can be used again.
-        let engine_view_bytes = Slope::measure(
+        let engine_view_bytes = CostModel::measure(
             "engine views, bytes by engines",
             &[16, 64, 256],
-            costs::engine_view_bytes,
+            benchmarks::engine_view_bytes,
+        );
+        let catalog_bytes = CostModel::measure(
+            "catalog, bytes by contexts",
+            &growth_sizes,
+            benchmarks::catalog_bytes,
         );
-        let catalog_bytes =
-            Slope::measure("catalog, bytes by contexts", &few, costs::catalog_bytes);
-        let claim_bytes = Slope::measure("claims, bytes by claims held", &few, costs::claim_bytes);
-        Ok(Slopes {
+        let claim_bytes = CostModel::measure(
+            "claims, bytes by claims held",
+            &growth_sizes,
+            benchmarks::claim_bytes,
+        );
+        Ok(CostModels {
             share_us,
             share_wire_bytes,
-            decide_us: Slope::measure(
+            decide_us: CostModel::measure(
                 "decision, µs by candidates",
                 &[23, 220, 1_000, 4_600],
-                costs::decide_us,
+                benchmarks::decide_us,
             ),
-            chain_us: Slope::measure(
+            chain_us: CostModel::measure(
                 "cutting a prompt, µs by tokens",
                 &[500, 2_000, 8_000],
-                costs::chain_us,
+                benchmarks::chain_us,
+            ),
+            catalog_us: CostModel::measure(
+                "lookup and note, µs by contexts",
+                &growth_sizes,
+                benchmarks::catalog_us,
             ),
-            catalog_us: Slope::measure("lookup and note, µs by contexts", &few, costs::catalog_us),
             catalog_bytes,
-            context_wire_bytes: Slope::measure(
+            context_wire_bytes: CostModel::measure(
                 "lookup and note, wire bytes by blocks",
                 &[4, 16, 64],
-                costs::context_wire_bytes,
+                benchmarks::context_wire_bytes,
+            ),
+            claim_us: CostModel::measure(
+                "claim and outcome, µs by claims held",
+                &growth_sizes,
+                benchmarks::claim_us,
             ),
-            claim_us: Slope::measure("claim and outcome, µs by claims held", &few, costs::claim_us),
             claim_bytes,
-            claim_log_bytes: Slope::measure(
+            claim_log_bytes: CostModel::measure(
                 "claim and outcome, log bytes by claims",
                 &[1, 10, 100],
-                costs::claim_log_bytes,
+                benchmarks::claim_log_bytes,
+            ),
+            sync_us: CostModel::fit(
+                "write and sync, µs by entries",
+                benchmarks::sync_points(folder)?,
             ),
-            sync_us: Slope::fit("write and sync, µs by entries", costs::sync_points(folder)?),
-            patch_us: Slope::measure(
+            patch_us: CostModel::measure(
                 "patch, µs by accounts",
                 &[10, 300, 1_000, 3_000],
-                costs::patch_us,
+                benchmarks::patch_us,
             ),
-            document_bytes: Slope::measure(
+            document_bytes: CostModel::measure(
                 "document, bytes by accounts",
                 &[10, 300, 3_000],
-                |accounts| costs::document(accounts).to_string().len() as f64,
+                |accounts| benchmarks::config_document(accounts).to_string().len() as f64,
             ),
-            grant_us: Slope::measure("grant, µs by leases", &[8, 107, 500, 1_500], costs::grant_us),
-            renew_wire_bytes: Slope::measure(
+            grant_us: CostModel::measure(
+                "grant, µs by leases",
+                &[8, 107, 500, 1_500],
+                benchmarks::grant_us,
+            ),
+            renew_wire_bytes: CostModel::measure(
                 "renewal, wire bytes by patches",
                 &[0, 1, 10],
-                costs::renew_wire_bytes,
+                benchmarks::renew_wire_bytes,
+            ),
+            swim_us_per_s: CostModel::fit("membership, µs/s by nodes", swim_points(|run| run.1)),
+            swim_bytes_per_s: CostModel::fit(
+                "membership, bytes/s by nodes",
+                swim_points(|run| run.2),
             ),
-            swim_us_per_s: Slope::fit("membership, µs/s by nodes", swim_points(|one| one.1)),
-            swim_bytes_per_s: Slope::fit("membership, bytes/s by nodes", swim_points(|one| one.2)),
-            list_us: Slope::measure(
+            list_us: CostModel::measure(
                 "target list, µs by targets",
                 &[23, 220, 1_000, 4_600],
-                costs::list_us,
+                benchmarks::list_us,
             ),
-            list_bytes: Slope::measure(
+            list_bytes: CostModel::measure(
                 "target list, bytes by targets",
                 &[23, 220, 4_600],
-                |targets| costs::json_bytes(&costs::target_list(targets)),
+                |targets| benchmarks::json_bytes(&benchmarks::target_list(targets)),
             ),
             engine_view_bytes,
-            report_bytes: Slope::measure(
+            report_bytes: CostModel::measure(
                 "load reports, bytes by engines",
                 &[1, 10, 100],
                 |engines| {
                     engines as f64
-                        * (costs::json_bytes(&costs::report()) + costs::HTTP_HEADER_BYTES)
+                        * (benchmarks::json_bytes(&benchmarks::load_report())
+                            + benchmarks::HTTP_HEADER_BYTES)
                 },
             ),
-            plan_us: Slope::measure(
+            plan_us: CostModel::measure(
                 "planning orders, µs by engines",
                 &[23, 220, 1_000, 4_600],
-                costs::plan_us,
+                benchmarks::plan_us,
             ),
         })
     }
 
     /// All of them, for a table.
-    pub fn all(&self) -> Vec<&Slope> {
+    pub fn all(&self) -> Vec<&CostModel> {
         vec![
             &self.decide_us,
             &self.chain_us,
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -1,10 +1,10 @@
 //! Capacity: slopes measured on this machine, and each role worked out at the two-year size.
 
-pub mod costs;
-pub mod roles;
-pub mod size;
-pub mod slopes;
+pub mod benchmarks;
+pub mod cost_models;
+pub mod planned_scale;
+pub mod role_loads;
 
-pub use roles::{Role, roles, total};
-pub use size::TwoYears;
-pub use slopes::{Point, Slope, Slopes};
+pub use cost_models::{CostModel, CostModels, Point};
+pub use planned_scale::PlannedScale;
+pub use role_loads::{RoleLoad, role_loads, total_load};
--- a/src/capacity/size.rs
+++ b/src/capacity/planned_scale.rs
@@ -2,7 +2,7 @@
 
 /// The users' plan for two years, and the limits that they set.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TwoYears {
+pub struct PlannedScale {
     /// Nodes.
     pub nodes: f64,
     /// Engines.
@@ -26,7 +26,7 @@
     /// Nodes that start a second: failures, restarts and replacements.
     pub node_starts_per_s: f64,
     /// Limit: share of a core for control on a node.
-    pub limit_core: f64,
+    pub limit_cores: f64,
     /// Limit: bytes of memory for control on a node.
     pub limit_memory_bytes: f64,
     /// Limit: bytes a second for control of a node.
@@ -39,9 +39,9 @@
 
 const DAY_S: f64 = 86_400.0;
 
-impl Default for TwoYears {
-    fn default() -> TwoYears {
-        TwoYears {
+impl Default for PlannedScale {
+    fn default() -> PlannedScale {
+        PlannedScale {
             nodes: 1_500.0,
             engines: 4_600.0,
             requests_per_s: 31_000.0,
@@ -53,7 +53,7 @@
             domains: 14.0,
             config_changes_per_s: 11_000.0 / DAY_S,
             node_starts_per_s: (65.0 + 760.0) / DAY_S,
-            limit_core: 0.025,
+            limit_cores: 0.025,
             limit_memory_bytes: 64.0 * 1_048_576.0,
             limit_bytes_per_s: 17_000.0,
             limit_hosts: 8.0,
@@ -62,7 +62,7 @@
     }
 }
 
-impl TwoYears {
+impl PlannedScale {
     /// Requests a second at one node.
     pub fn requests_per_node(&self) -> f64 {
         self.requests_per_s / self.nodes
--- a/src/queries/capacity.rs
+++ b/src/queries/capacity.rs
@@ -1,13 +1,13 @@
 //! `capacity`: measures slopes on this machine and works out each role at the two-year size.
 
-use crate::capacity::{Role, Slope, Slopes, TwoYears, roles, total};
+use crate::capacity::{CostModel, CostModels, PlannedScale, RoleLoad, role_loads, total_load};
 use crate::error::{Error, Result};
 
 const MEBIBYTE: f64 = 1_048_576.0;
 /// Roles that need another design at this size: docs/CAPACITY.md says which.
-const NOT_FITTING: [&str; 2] = ["reading engines' reports", "reading the platform's list"];
+const UNSCALABLE_ROLES: [&str; 2] = ["reading engines' reports", "reading the platform's list"];
 /// Memory of a host set aside, assumed.
-const SET_ASIDE_MEMORY_BYTES: f64 = 16_384.0 * MEBIBYTE;
+const DEDICATED_HOST_MEMORY_BYTES: f64 = 16_384.0 * MEBIBYTE;
 
 /// Measures and prints the tables of docs/CAPACITY.md.
 ///
@@ -18,45 +18,51 @@
     std::fs::create_dir_all(&folder).map_err(|source| {
         Error::start("capacity", source, "free the folder for temporary files")
     })?;
-    let measured = Slopes::measure(&folder);
+    let measured = CostModels::measure(&folder);
     drop(std::fs::remove_dir_all(&folder));
-    let slopes = measured?;
-    let size = TwoYears::default();
-    println!("{}\n", slope_table(&slopes));
-    let mut roles = roles(&slopes, &size);
-    let sums = [total(&roles, &[]), total(&roles, &NOT_FITTING)];
+    let costs = measured?;
+    let scale = PlannedScale::default();
+    println!("{}\n", cost_table(&costs));
+    let mut roles = role_loads(&costs, &scale);
+    let sums = [total_load(&roles, &[]), total_load(&roles, &UNSCALABLE_ROLES)];
     roles.extend(sums);
-    println!("{}", role_table(&roles, &size));
+    println!("{}", role_table(&roles, &scale));
     Ok(())
 }
 
-fn slope_table(slopes: &Slopes) -> String {
+fn cost_table(costs: &CostModels) -> String {
     let header = "| slope | points (size: cost) | base | each |\n|---|---|---|---|".to_string();
-    let rows = slopes.all().into_iter().map(slope_row);
+    let rows = costs.all().into_iter().map(cost_row);
     std::iter::once(header).chain(rows).collect::<Vec<_>>().join("\n")
 }
 
-fn slope_row(slope: &Slope) -> String {
+fn cost_row(model: &CostModel) -> String {
     let points: Vec<String> =
-        slope.points.iter().map(|point| format!("{}: {:.1}", point.size, point.cost)).collect();
-    format!("| {} | {} | {:.1} | {:.4} |", slope.name, points.join(", "), slope.base, slope.each)
+        model.points.iter().map(|point| format!("{}: {:.1}", point.size, point.cost)).collect();
+    format!(
+        "| {} | {} | {:.1} | {:.4} |",
+        model.name,
+        points.join(", "),
+        model.base,
+        model.per_unit
+    )
 }
 
-fn role_table(roles: &[Role], size: &TwoYears) -> String {
+fn role_table(roles: &[RoleLoad], scale: &PlannedScale) -> String {
     let mut lines = vec![
         "| role | messages/s | bytes/s | % of a core | MiB | verdict | formula | mechanism |"
             .to_string(),
         "|---|---|---|---|---|---|---|---|".to_string(),
     ];
-    lines.extend(roles.iter().map(|role| role_row(role, size)));
+    lines.extend(roles.iter().map(|role| role_row(role, scale)));
     lines.join("\n")
 }
 
-fn role_row(role: &Role, size: &TwoYears) -> String {
-    let percent = if role.core.is_nan() {
+fn role_row(role: &RoleLoad, scale: &PlannedScale) -> String {
+    let percent = if role.cores.is_nan() {
         "not measured".to_string()
     } else {
-        format!("{:.3}", role.core * 100.0)
+        format!("{:.3}", role.cores * 100.0)
     };
     format!(
         "| {} | {:.1} | {:.0} | {percent} | {:.2} | {} | {} | {} |",
@@ -64,7 +70,7 @@
         role.messages_per_s,
         role.bytes_per_s,
         role.memory_bytes / MEBIBYTE,
-        verdict(role, size),
+        limit_check(role, scale),
         role.formula,
         role.mechanism,
     )
@@ -72,25 +78,29 @@
 
 /// What does not fit, in plain words. The limits are those of control on one node; on hosts set
 /// aside a whole core and the memory of the host may be used.
-fn verdict(role: &Role, size: &TwoYears) -> String {
-    if !role.control {
+fn limit_check(role: &RoleLoad, scale: &PlannedScale) -> String {
+    if !role.is_control {
         return "serves requests".into();
     }
-    let (cores, memory) = if role.set_aside {
-        (1.0, SET_ASIDE_MEMORY_BYTES)
+    let (cores, memory) = if role.on_dedicated_host {
+        (1.0, DEDICATED_HOST_MEMORY_BYTES)
     } else {
-        (size.limit_core, size.limit_memory_bytes)
+        (scale.limit_cores, scale.limit_memory_bytes)
     };
-    let bytes = if role.set_aside { f64::INFINITY } else { size.limit_bytes_per_s };
-    let over = [
-        ("processor", role.core, cores),
+    let bytes = if role.on_dedicated_host { f64::INFINITY } else { scale.limit_bytes_per_s };
+    let checks = [
+        ("processor", role.cores, cores),
         ("memory", role.memory_bytes, memory),
         ("bytes", role.bytes_per_s, bytes),
     ];
-    let broken: Vec<String> = over
+    let exceeded: Vec<String> = checks
         .iter()
         .filter(|(_, value, limit)| value > limit)
         .map(|(what, value, limit)| format!("{what} {:.1} times the limit", value / limit))
         .collect();
-    if broken.is_empty() { "fits".into() } else { format!("DOES NOT FIT: {}", broken.join(", ")) }
+    if exceeded.is_empty() {
+        "fits".into()
+    } else {
+        format!("DOES NOT FIT: {}", exceeded.join(", "))
+    }
 }
