--- a/src/capacity/benchmarks.rs
+++ b/src/capacity/benchmarks.rs
@@ -327,15 +327,20 @@
     let patches: Vec<(u64, String)> =
         (0..patches as u64).map(|n| (1_000_000 + n, text.clone())).collect();
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
-    let heard = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
-    let renew =
-        Renew { has: 1_000_000, acked: 1_000_000, as_relay: true, quarantine: Vec::new(), heard };
+    let heard_state = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
+    let renew = Renew {
+        has: 1_000_000,
+        acked: 1_000_000,
+        as_relay: true,
+        quarantine: Vec::new(),
+        heard: heard_state,
+    };
     let granted = Answer::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
-        told: heard,
+        told: heard_state,
     };
     let frames = [Frame::Ask(1_000_000, Ask::Renew(renew)), Frame::Answer(1_000_000, granted)];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
--- a/src/capacity/role_loads.rs
+++ b/src/capacity/role_loads.rs
@@ -217,12 +217,12 @@
 
 fn lease_renewal(costs: &CostModels, scale: &PlannedScale) -> RoleLoad {
     let patches_per_renewal = scale.config_changes_per_s / RENEWALS_PER_S;
-    let bytes_per_s = costs.renew_wire_bytes.at(patches_per_renewal) * RENEWALS_PER_S;
+    let renewal_bytes_per_s = costs.renew_wire_bytes.at(patches_per_renewal) * RENEWALS_PER_S;
     let patch_us = costs.patch_us.at(scale.accounts);
     RoleLoad {
         name: "freshness lease and configuration",
         messages_per_s: RENEWALS_PER_S * 2.0,
-        bytes_per_s,
+        bytes_per_s: renewal_bytes_per_s,
         cores: cores(patch_us * scale.config_changes_per_s),
         memory_bytes: costs.document_bytes.at(scale.accounts) * 4.0,
         is_control: true,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -123,33 +123,37 @@
     if args.contains(["-V", "--version"]) {
         return Ok(Command::Print(format!("kumquatpost {}\n", env!("CARGO_PKG_VERSION"))));
     }
-    let wants_help = args.contains(["-h", "--help"]);
-    let Some(name) = args.subcommand().map_err(usage)? else { return no_command(args, wants_help) };
-    if wants_help {
-        return Ok(Command::Print(help_of(&name)));
+    let help = args.contains(["-h", "--help"]);
+    let Some(name) = args.subcommand().map_err(usage_error)? else { return no_command(args, help) };
+    if help {
+        return Ok(Command::Print(command_help(&name)));
     }
     let (command, flags) = match name.as_str() {
         "help" => (Command::Print(HELP.into()), &[][..]),
-        "serve" => (Command::Serve(args.value_from_str("--settings").map_err(usage)?), SETTINGS),
+        "serve" => (
+            Command::Serve(args.value_from_str("--settings").map_err(usage_error)?),
+            SETTINGS_FLAGS,
+        ),
         "entry" => (Command::Entry, &[][..]),
         "replica" => (Command::Replica, &[][..]),
-        "emulate" => {
-            (Command::Emulate(args.value_from_str("--settings").map_err(usage)?), SETTINGS)
-        }
-        "demo" => (Command::Demo(demo_options(&mut args)?), DEMO),
-        "load" => (Command::Load(load_options(&mut args)?), LOAD),
-        "replicas" => (Command::Replicas(replicas_options(&mut args)?), NODE),
-        "config" => config(&mut args)?,
-        "key" => (key(&mut args)?, &[][..]),
-        "check-settings" => (Command::CheckSettings(file(&mut args)?), &[][..]),
-        "status" => (Command::Status { node: node(&mut args)? }, NODE),
-        "report" => report(&mut args)?,
+        "emulate" => (
+            Command::Emulate(args.value_from_str("--settings").map_err(usage_error)?),
+            SETTINGS_FLAGS,
+        ),
+        "demo" => (Command::Demo(parse_demo(&mut args)?), DEMO_FLAGS),
+        "load" => (Command::Load(parse_load(&mut args)?), LOAD_FLAGS),
+        "replicas" => (Command::Replicas(parse_replicas(&mut args)?), NODE_FLAGS),
+        "config" => parse_config(&mut args)?,
+        "key" => (parse_key(&mut args)?, &[][..]),
+        "check-settings" => (Command::CheckSettings(file_argument(&mut args)?), &[][..]),
+        "status" => (Command::Status { node: node_flag(&mut args)? }, NODE_FLAGS),
+        "report" => parse_report(&mut args)?,
         "capacity" => (Command::Capacity, &[][..]),
-        other => return Err(unknown("command", other, COMMANDS)),
+        unknown => return Err(unknown_error("command", unknown, COMMANDS)),
     };
     match args.finish().first() {
         None => Ok(command),
-        Some(rest) => Err(unknown("argument", &rest.to_string_lossy(), flags)),
+        Some(unused) => Err(unknown_error("argument", &unused.to_string_lossy(), flags)),
     }
 }
 
@@ -188,10 +192,10 @@
     }
 }
 
-const SETTINGS: &[&str] = &["--settings"];
-const NODE: &[&str] = &["--node"];
-const DEMO: &[&str] = &["--seconds", "--seed", "--workload"];
-const LOAD: &[&str] = &[
+const SETTINGS_FLAGS: &[&str] = &["--settings"];
+const NODE_FLAGS: &[&str] = &["--node"];
+const DEMO_FLAGS: &[&str] = &["--seconds", "--seed", "--workload"];
+const LOAD_FLAGS: &[&str] = &[
     "--node",
     "--platform",
     "--workload",
@@ -204,15 +208,17 @@
     "--print-config",
     "--policy",
 ];
-const BURN: &[&str] = &["--node", "--json", "--svg"];
-const REQUEST: &[&str] = &["--logs"];
-const PATCH: &[&str] = &["--node", "--file", "--base", "--id"];
+const BURN_FLAGS: &[&str] = &["--node", "--json", "--svg"];
+const REQUEST_FLAGS: &[&str] = &["--logs"];
+const PATCH_FLAGS: &[&str] = &["--node", "--file", "--base", "--id"];
 
-fn no_command(args: Arguments, wants_help: bool) -> Result<Command> {
-    let rest = args.finish();
-    match rest.first() {
-        Some(rest) => Err(unknown("flag", &rest.to_string_lossy(), &["--help", "--version"])),
-        None if wants_help => Ok(Command::Print(HELP.into())),
+fn no_command(args: Arguments, help: bool) -> Result<Command> {
+    let unused = args.finish();
+    match unused.first() {
+        Some(unused) => {
+            Err(unknown_error("flag", &unused.to_string_lossy(), &["--help", "--version"]))
+        }
+        None if help => Ok(Command::Print(HELP.into())),
         None => Err(Error::Usage {
             message: "no command".into(),
             remedy: "name one; `kumquatpost --help` lists them".into(),
@@ -220,144 +226,145 @@
     }
 }
 
-fn demo_options(args: &mut Arguments) -> Result<demo::Options> {
+fn parse_demo(args: &mut Arguments) -> Result<demo::Options> {
     Ok(demo::Options {
-        seconds: optional(args, "--seconds")?.unwrap_or(8.0),
-        seed: optional(args, "--seed")?.unwrap_or(1),
-        shape: shape(args)?,
+        seconds: optional_flag(args, "--seconds")?.unwrap_or(8.0),
+        seed: optional_flag(args, "--seed")?.unwrap_or(1),
+        shape: workload_flag(args)?,
     })
 }
 
-fn load_options(args: &mut Arguments) -> Result<load::Options> {
-    let nodes = args.values_from_str("--node").map_err(usage)?;
+fn parse_load(args: &mut Arguments) -> Result<load::Options> {
+    let nodes = args.values_from_str("--node").map_err(usage_error)?;
     Ok(load::Options {
         nodes,
-        platform: optional(args, "--platform")?,
+        platform: optional_flag(args, "--platform")?,
         plan: Plan {
-            shape: shape(args)?,
-            rate: optional(args, "--rate")?.unwrap_or(50.0),
-            seconds: optional(args, "--seconds")?.unwrap_or(20.0),
-            gap: optional(args, "--gap-ms")?.map_or(GAP_MEDIAN, Duration::from_millis),
-            seed: optional(args, "--seed")?.unwrap_or(1),
+            shape: workload_flag(args)?,
+            rate: optional_flag(args, "--rate")?.unwrap_or(50.0),
+            seconds: optional_flag(args, "--seconds")?.unwrap_or(20.0),
+            gap: optional_flag(args, "--gap-ms")?.map_or(GAP_MEDIAN, Duration::from_millis),
+            seed: optional_flag(args, "--seed")?.unwrap_or(1),
         },
-        json: optional(args, "--json")?,
-        policy: optional(args, "--policy")?.unwrap_or_else(|| "cost".to_string()),
+        json: optional_flag(args, "--json")?,
+        policy: optional_flag(args, "--policy")?.unwrap_or_else(|| "cost".to_string()),
         print_emulator: args.contains("--print-emulator"),
         print_config: args.contains("--print-config"),
     })
 }
 
-fn replicas_options(args: &mut Arguments) -> Result<replicas::Options> {
-    let node = node(args)?;
-    let verb: String = free(args, "add, promote or remove")?;
-    let id: NodeId = free(args, "a node's number")?;
-    let change = match verb.as_str() {
+fn parse_replicas(args: &mut Arguments) -> Result<replicas::Options> {
+    let node = node_flag(args)?;
+    let subcommand: String = positional(args, "add, promote or remove")?;
+    let id: NodeId = positional(args, "a node's number")?;
+    let change = match subcommand.as_str() {
         "add" => Change::AddLearner(id),
         "promote" => Change::Promote(id),
         "remove" => Change::Remove(id),
-        other => return Err(unknown("change", other, &["add", "promote", "remove"])),
+        unknown => return Err(unknown_error("change", unknown, &["add", "promote", "remove"])),
     };
     Ok(replicas::Options { node, change })
 }
 
-fn config(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
-    let verb: String = free(args, "get, patch or history")?;
-    match verb.as_str() {
-        "get" => Ok((Command::ConfigGet { node: node(args)? }, NODE)),
-        "history" => Ok((Command::ConfigHistory { node: node(args)? }, NODE)),
+fn parse_config(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
+    let subcommand: String = positional(args, "get, patch or history")?;
+    match subcommand.as_str() {
+        "get" => Ok((Command::ConfigGet { node: node_flag(args)? }, NODE_FLAGS)),
+        "history" => Ok((Command::ConfigHistory { node: node_flag(args)? }, NODE_FLAGS)),
         "patch" => {
             let options = config_patch::Options {
-                node: node(args)?,
-                file: args.value_from_str("--file").map_err(usage)?,
-                base: optional(args, "--base")?,
-                patch_id: optional(args, "--id")?,
+                node: node_flag(args)?,
+                file: args.value_from_str("--file").map_err(usage_error)?,
+                base: optional_flag(args, "--base")?,
+                patch_id: optional_flag(args, "--id")?,
             };
-            Ok((Command::ConfigPatch(options), PATCH))
+            Ok((Command::ConfigPatch(options), PATCH_FLAGS))
         }
-        other => Err(unknown("verb", other, &["get", "patch", "history"])),
+        unknown => Err(unknown_error("subcommand", unknown, &["get", "patch", "history"])),
     }
 }
 
-fn report(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
-    let verb: String = free(args, "burn or request")?;
-    match verb.as_str() {
+fn parse_report(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
+    let subcommand: String = positional(args, "burn or request")?;
+    match subcommand.as_str() {
         "burn" => {
             let options = burn::Options {
                 json: args.contains("--json"),
-                svg: optional(args, "--svg")?,
-                nodes: args.values_from_str("--node").map_err(usage)?,
+                svg: optional_flag(args, "--svg")?,
+                nodes: args.values_from_str("--node").map_err(usage_error)?,
             };
-            Ok((Command::Burn(options), BURN))
+            Ok((Command::Burn(options), BURN_FLAGS))
         }
         "request" => {
             let options = request::Options {
-                logs: args.value_from_str("--logs").map_err(usage)?,
-                id: free(args, "the request's id")?,
+                logs: args.value_from_str("--logs").map_err(usage_error)?,
+                id: positional(args, "the request's id")?,
             };
-            Ok((Command::Request(options), REQUEST))
+            Ok((Command::Request(options), REQUEST_FLAGS))
         }
-        other => Err(unknown("report", other, &["burn", "request"])),
+        unknown => Err(unknown_error("report", unknown, &["burn", "request"])),
     }
 }
 
-fn key(args: &mut Arguments) -> Result<Command> {
-    let verb: String = free(args, "new or hash")?;
-    match verb.as_str() {
-        "new" => Ok(Command::KeyNew(file(args)?)),
-        "hash" => Ok(Command::KeyHash(free(args, "an account's bearer key")?)),
-        other => Err(unknown("verb", other, &["new", "hash"])),
+fn parse_key(args: &mut Arguments) -> Result<Command> {
+    let subcommand: String = positional(args, "new or hash")?;
+    match subcommand.as_str() {
+        "new" => Ok(Command::KeyNew(file_argument(args)?)),
+        "hash" => Ok(Command::KeyHash(positional(args, "an account's bearer key")?)),
+        unknown => Err(unknown_error("subcommand", unknown, &["new", "hash"])),
     }
 }
 
-fn shape(args: &mut Arguments) -> Result<Shape> {
-    let name: String = optional(args, "--workload")?.unwrap_or_else(|| "gearworks".to_string());
-    Shape::parse(&name).ok_or_else(|| unknown("workload", &name, &["gearworks", "portal"]))
+fn workload_flag(args: &mut Arguments) -> Result<Shape> {
+    let name: String =
+        optional_flag(args, "--workload")?.unwrap_or_else(|| "gearworks".to_string());
+    Shape::parse(&name).ok_or_else(|| unknown_error("workload", &name, &["gearworks", "portal"]))
 }
 
-fn node(args: &mut Arguments) -> Result<String> {
-    args.value_from_str("--node").map_err(usage)
+fn node_flag(args: &mut Arguments) -> Result<String> {
+    args.value_from_str("--node").map_err(usage_error)
 }
 
-fn file(args: &mut Arguments) -> Result<PathBuf> {
-    free::<String>(args, "a file").map(PathBuf::from)
+fn file_argument(args: &mut Arguments) -> Result<PathBuf> {
+    positional::<String>(args, "a file").map(PathBuf::from)
 }
 
-fn free<T>(args: &mut Arguments, what: &str) -> Result<T>
+fn positional<T>(args: &mut Arguments, expected: &str) -> Result<T>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
 {
     args.free_from_str().map_err(|error| Error::Usage {
         message: error.to_string(),
-        remedy: format!("give {what}"),
+        remedy: format!("give {expected}"),
     })
 }
 
-fn optional<T>(args: &mut Arguments, flag: &'static str) -> Result<Option<T>>
+fn optional_flag<T>(args: &mut Arguments, flag: &'static str) -> Result<Option<T>>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
 {
-    args.opt_value_from_str(flag).map_err(usage)
+    args.opt_value_from_str(flag).map_err(usage_error)
 }
 
-fn usage(error: pico_args::Error) -> Error {
+fn usage_error(error: pico_args::Error) -> Error {
     Error::Usage {
         message: error.to_string(),
         remedy: "`kumquatpost COMMAND --help` tells the options".into(),
     }
 }
 
-fn unknown(what: &str, name: &str, known: &[&str]) -> Error {
+fn unknown_error(kind: &str, name: &str, known: &[&str]) -> Error {
     let remedy = match nearest(name, known) {
         Some(known) => format!("did you mean {known}?"),
         None if known.is_empty() => "leave it out".to_string(),
         None => format!("known are: {}", known.join(", ")),
     };
-    Error::Usage { message: format!("unknown {what} {name:?}"), remedy }
+    Error::Usage { message: format!("unknown {kind} {name:?}"), remedy }
 }
 
-fn help_of(command: &str) -> String {
+fn command_help(command: &str) -> String {
     let options = match command {
         "entry" | "replica" => {
             "run one role of a deployment; the platform names its settings file in the environment\n"
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -7,7 +7,7 @@
 
 use crate::checked::Fields;
 use crate::error::{Error, Result};
-use crate::settings::{log_settings, read_json};
+use crate::settings::{parse_log_settings, read_json};
 use crate::telemetry::logs::LogSettings;
 
 /// Settings of all stand-ins of one process.
@@ -127,7 +127,7 @@
             services: fields.list("services", service),
             platform_lag_ms: fields.number("platform_lag_ms", 100, 0, 600_000),
             weight_load_ms: fields.number("weight_load_ms", 300, 0, 600_000),
-            log: fields.object("log", log_settings),
+            log: fields.object("log", parse_log_settings),
         };
         fields.finish();
         if problems.is_empty() {
--- a/src/queries/request.rs
+++ b/src/queries/request.rs
@@ -58,19 +58,14 @@
 /// changed what they believe, or that name a target that it met, within the seconds of the request.
 pub fn related_lines(lines: &[LogLine], id: &str) -> Vec<String> {
     let is_of_request = |line: &&LogLine| first_value(&line.text, "id") == Some(id);
-    let request_lines: Vec<&LogLine> = lines.iter().filter(is_of_request).collect();
-    let (Some(first), Some(last)) = (request_lines.iter().min(), request_lines.iter().max()) else {
-        return Vec::new();
-    };
-    let took_ms = request_lines
-        .iter()
-        .filter_map(|line| first_value(&line.text, "took_ms")?.parse().ok())
-        .max();
+    let own: Vec<&LogLine> = lines.iter().filter(is_of_request).collect();
+    let (Some(first), Some(last)) = (own.iter().min(), own.iter().max()) else { return Vec::new() };
+    let took_ms =
+        own.iter().filter_map(|line| first_value(&line.text, "took_ms")?.parse().ok()).max();
     let started_at = time_before(&first.timestamp, took_ms.unwrap_or(0));
     let targets: BTreeSet<&str> =
-        request_lines.iter().flat_map(|line| values(&line.text, "target")).collect();
-    let processes: BTreeSet<&str> =
-        request_lines.iter().map(|line| line.process.as_str()).collect();
+        own.iter().flat_map(|line| values(&line.text, "target")).collect();
+    let processes: BTreeSet<&str> = own.iter().map(|line| line.process.as_str()).collect();
     let mut shown: Vec<&LogLine> = lines
         .iter()
         .filter(|line| started_at <= line.timestamp && line.timestamp <= last.timestamp)
@@ -79,7 +74,7 @@
             processes.contains(line.process.as_str())
                 || targets.iter().any(|target| line.text.contains(target))
         })
-        .chain(request_lines)
+        .chain(own)
         .collect();
     shown.sort();
     shown.iter().map(|line| format!("{} {}", line.process, line.text)).collect()
@@ -113,10 +108,8 @@
 }
 
 /// A time in the logs' form, some milliseconds earlier; the same where it has another form.
-fn time_before(timestamp: &str, ms: i64) -> String {
-    let Ok(time) = chrono::DateTime::parse_from_rfc3339(timestamp) else {
-        return timestamp.to_string();
-    };
+fn time_before(ts: &str, ms: i64) -> String {
+    let Ok(time) = chrono::DateTime::parse_from_rfc3339(ts) else { return ts.to_string() };
     let time = time - chrono::TimeDelta::milliseconds(ms);
     time.format("%Y-%m-%dT%H:%M:%S%.3fZ").to_string()
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -13,10 +13,10 @@
 use crate::ids::{DomainId, NodeId};
 use crate::telemetry::logs::LogSettings;
 
-const MAX_MS: u64 = 86_400_000;
+const MAX_PERIOD_MS: u64 = 86_400_000;
 const MAX_BODY_BYTES: u64 = 64 << 20;
 /// A renewal must be able to fail this often before a lease ends.
-const RENEWALS_PER_LEASE: u32 = 2;
+const MIN_RENEWALS_PER_LEASE: u32 = 2;
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq)]
@@ -119,7 +119,7 @@
     /// `Error::Invalid` with everything that is wrong.
     pub fn from_value(value: &Value, file: &str) -> Result<Settings> {
         let mut problems = Vec::new();
-        let settings = settings(value, &mut problems);
+        let settings = parse_settings(value, &mut problems);
         settings.check(&mut problems);
         if problems.is_empty() {
             return Ok(settings);
@@ -141,7 +141,7 @@
         let mut report = |path: &str, message: String, remedy: &str| {
             problems.push(Problem { path: path.into(), message, remedy: remedy.into() });
         };
-        if self.timing.lease < self.timing.renew * RENEWALS_PER_LEASE {
+        if self.timing.lease < self.timing.renew * MIN_RENEWALS_PER_LEASE {
             let message = format!("{} is shorter than two renewals", self.timing.lease.as_millis());
             report("timing.lease_ms", message, "raise it to at least twice timing.renew_ms");
         }
@@ -189,7 +189,7 @@
     })
 }
 
-fn settings(value: &Value, problems: &mut Vec<Problem>) -> Settings {
+fn parse_settings(value: &Value, problems: &mut Vec<Problem>) -> Settings {
     let mut fields = Fields::new(value, "", problems);
     let environment = fields.optional_text("environment").unwrap_or_else(|| "production".into());
     if !["production", "test"].contains(&environment.as_str()) {
@@ -214,18 +214,18 @@
         key_file: fields.text("key_file", "name the file with the nodes' shared key").into(),
         data_folder: fields.optional_text("data_folder").map(PathBuf::from),
         platform_url: fields.text("platform_url", "give the URL of the platform's list"),
-        nodes: fields.list("nodes", node_settings),
+        nodes: fields.list("nodes", parse_node_settings),
         first_config: fields.raw("first_config"),
-        log: fields.object("log", log_settings),
-        timing: fields.object("timing", timing),
-        bounds: fields.object("bounds", bounds),
+        log: fields.object("log", parse_log_settings),
+        timing: fields.object("timing", parse_timing),
+        bounds: fields.object("bounds", parse_bounds),
         fault_knobs,
     };
     fields.finish();
     settings
 }
 
-fn node_settings(mut fields: Fields<'_>) -> NodeSettings {
+fn parse_node_settings(mut fields: Fields<'_>) -> NodeSettings {
     let node = NodeSettings {
         node_id: fields.number("node_id", 0, 1, u32::MAX.into()),
         peer_address: fields.address("peer_address"),
@@ -237,7 +237,7 @@
 }
 
 /// Reads the `log` object, which `serve` and `emulate` share.
-pub fn log_settings(mut fields: Fields<'_>) -> LogSettings {
+pub fn parse_log_settings(mut fields: Fields<'_>) -> LogSettings {
     let text = fields.optional_text("level").unwrap_or_else(|| "info".into());
     let level = LevelFilter::from_str(&text).unwrap_or_else(|_| {
         let remedy = "give off, error, warn, info, debug or trace";
@@ -249,8 +249,9 @@
     settings
 }
 
-fn timing(mut fields: Fields<'_>) -> Timing {
-    let mut period = |name, default| Duration::from_millis(fields.number(name, default, 1, MAX_MS));
+fn parse_timing(mut fields: Fields<'_>) -> Timing {
+    let mut period =
+        |name, default| Duration::from_millis(fields.number(name, default, 1, MAX_PERIOD_MS));
     let timing = Timing {
         lease: period("lease_ms", 3_000),
         renew: period("renew_ms", 1_000),
@@ -267,7 +268,7 @@
     timing
 }
 
-fn bounds(mut fields: Fields<'_>) -> Bounds {
+fn parse_bounds(mut fields: Fields<'_>) -> Bounds {
     let bounds = Bounds {
         queue_len: fields.number("queue_len", 256, 1, 1_000_000) as usize,
         body_bytes: fields.number("body_bytes", 4 << 20, 1, MAX_BODY_BYTES) as usize,
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -31,8 +31,8 @@
 /// # Errors
 /// `Error::Start` if logging was started before.
 pub fn start_non_blocking(level: LevelFilter) -> Result<()> {
-    let appender = |pattern| Box::new(NonBlockingAppender::new(pattern, std::io::stdout()));
-    install(level, appender(PATTERN), appender(LIBRARY_PATTERN))
+    let build_appender = |pattern| Box::new(NonBlockingAppender::new(pattern, std::io::stdout()));
+    install(level, build_appender(PATTERN), build_appender(LIBRARY_PATTERN))
 }
 
 /// Starts logging for this process.
@@ -40,15 +40,23 @@
 /// # Errors
 /// `Error::Start` if the file can't be opened or logging was started before.
 pub fn start(settings: &LogSettings) -> Result<()> {
-    install(settings.level, appender(settings, PATTERN)?, appender(settings, LIBRARY_PATTERN)?)
+    install(
+        settings.level,
+        build_appender(settings, PATTERN)?,
+        build_appender(settings, LIBRARY_PATTERN)?,
+    )
 }
 
-fn install(level: LevelFilter, ours: Box<dyn Append>, libraries: Box<dyn Append>) -> Result<()> {
+fn install(
+    level: LevelFilter,
+    own_appender: Box<dyn Append>,
+    library_appender: Box<dyn Append>,
+) -> Result<()> {
     let logger = Logger::builder().appender("ours").additive(false);
     let root = Root::builder().appender("libraries");
     let config = Config::builder()
-        .appender(Appender::builder().build("ours", ours))
-        .appender(Appender::builder().build("libraries", libraries))
+        .appender(Appender::builder().build("ours", own_appender))
+        .appender(Appender::builder().build("libraries", library_appender))
         .logger(logger.build("kumquatpost", level))
         .build(root.build(level.min(LevelFilter::Warn)))
         .map_err(|source| Error::start("log", source, "check the log settings"))?;
@@ -57,7 +65,7 @@
     Ok(())
 }
 
-fn appender(settings: &LogSettings, pattern: &str) -> Result<Box<dyn Append>> {
+fn build_appender(settings: &LogSettings, pattern: &str) -> Result<Box<dyn Append>> {
     let encoder = Box::new(PatternEncoder::new(pattern));
     match &settings.file {
         Some(path) => match FileAppender::builder().encoder(encoder).build(path) {
@@ -74,7 +82,7 @@
 
 /// Quotes a value for a log line if it holds spaces, quotes or line breaks.
 pub fn quoted(value: &str) -> String {
-    let plain = !value.is_empty()
+    let is_bare = !value.is_empty()
         && !value.contains(|c: char| c.is_whitespace() || c == '"' || c == '=' || c.is_control());
-    if plain { value.to_string() } else { format!("{value:?}") }
+    if is_bare { value.to_string() } else { format!("{value:?}") }
 }
