--- a/src/capacity/benchmarks.rs
+++ b/src/capacity/benchmarks.rs
@@ -1,4 +1,4 @@
-//! What one thing costs on this machine, at a given size.
+//! Measures the cost of single operations on this machine, each at a given size.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -29,18 +29,18 @@
 use crate::route::residency::MAX_TRACKED_BLOCKS;
 use crate::route::{EngineView, RouteRequest, Router, View, decide};
 
-/// Length and code before each frame.
+/// Length prefix and authentication code of a frame.
 const FRAME_OVERHEAD_BYTES: usize = 4 + CODE_BYTES;
-/// Sender, receiver, start, number and code around each datagram.
+/// Sender, receiver, start, sequence number and authentication code of a datagram.
 const DATAGRAM_OVERHEAD_BYTES: usize = 32 + CODE_BYTES;
-/// Blocks of a typical context: about 2,000 tokens.
+/// Blocks of a typical context, about 2,000 tokens.
 const CONTEXT_BLOCKS: u32 = 16;
 const NOW: Duration = Duration::from_secs(10_000);
 
-/// Request and answer headers of one poll of a report, about.
+/// Approximate size of the request and response headers of one poll of a load report.
 pub(super) const HTTP_HEADER_BYTES: f64 = 250.0;
 
-/// Microseconds of one call, as the median of several rounds.
+/// Time of one call in microseconds: the median over `rounds` of the mean over `calls`.
 fn median_us(rounds: usize, calls: usize, mut operation: impl FnMut(usize)) -> f64 {
     let mut times: Vec<f64> = (0..rounds)
         .map(|round| {
@@ -53,8 +53,8 @@
     times[times.len() / 2]
 }
 
-/// Growth of this process's resident memory while `make` makes something. That is never freed:
-/// memory that is free already would hide the growth of the next measurement.
+/// Growth of this process's resident memory during `allocate`. The result is leaked: the next measurement would
+/// reuse freed memory and show too little growth.
 fn resident_growth_bytes<T>(allocate: impl FnOnce() -> T) -> f64 {
     let before = resident_bytes();
     std::mem::forget(std::hint::black_box(allocate()));
@@ -111,7 +111,7 @@
     let mut view = View { live_nodes: 8, ..View::default() };
     for number in 0..candidates {
         let mut engine = engine_view();
-        // Each engine has some other contexts; a few have this one.
+        // Every engine holds another context; one in 50 also holds the requested one.
         engine.residency.expect_resident(&[number as u128]);
         if number % 50 == 0 {
             engine.residency.expect_resident(&chain.keys);
@@ -151,7 +151,7 @@
     BTreeMap::from([("store-0".to_string(), 0.3), ("store-1".to_string(), 0.4)])
 }
 
-/// A catalog in which every context has one committed copy.
+/// A catalog in which every context has one exported copy.
 fn filled_catalog(contexts: usize) -> Catalog {
     let mut catalog = Catalog::new(contexts * 2, 1);
     for number in 0..contexts as u128 {
@@ -327,20 +327,20 @@
     let patches: Vec<(u64, String)> =
         (0..patches as u64).map(|n| (1_000_000 + n, text.clone())).collect();
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
-    let heard_state = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
+    let told = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
     let renew = Renew {
         has: 1_000_000,
         acked: 1_000_000,
         as_relay: true,
         quarantine: Vec::new(),
-        heard: heard_state,
+        heard: told,
     };
     let granted = Answer::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
-        told: heard_state,
+        told,
     };
     let frames = [Frame::Ask(1_000_000, Ask::Renew(renew)), Frame::Answer(1_000_000, granted)];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
@@ -356,8 +356,8 @@
     }
 }
 
-/// Processor microseconds and sent bytes of membership at one node in one second, with as many
-/// nodes, one of which dies.
+/// Processor time in microseconds and bytes sent by the membership protocol, per node and second, in a group of
+/// `nodes` of which one fails.
 pub(super) fn swim_costs(nodes: usize) -> (f64, f64) {
     const SECONDS: u64 = 30;
     const STEP: Duration = Duration::from_millis(100);
@@ -382,7 +382,6 @@
         for (id, swim) in &mut members_by_id {
             outgoing.extend(swim.tick(now).into_iter().map(|(to, packet)| (*id, to, packet)));
         }
-        // Sent in whole; the time of encoding counts, that of counting does not.
         let encoding_start = Instant::now();
         for (_, _, packet) in &outgoing {
             sent_bytes += postcard::to_stdvec(packet).map_or(0, |bytes| bytes.len());
@@ -428,7 +427,7 @@
         (0..engines as u128)
             .map(|number| {
                 let mut engine = engine_view();
-                // Each remembers as much as it may.
+                // The maximum number of blocks is tracked for each engine.
                 let keys: Vec<u128> =
                     (0..MAX_TRACKED_BLOCKS as u128).map(|block| (number << 32) | block).collect();
                 engine.residency.expect_resident(&keys);
@@ -490,7 +489,7 @@
     (frames.iter().map(wire_bytes).sum::<usize>() * requests) as f64
 }
 
-/// Bytes on the wire of one entry between replicas.
+/// Size of the message that replicates one log entry of this size.
 pub fn append_wire_bytes(entry_bytes: usize) -> f64 {
     let payload = Payload::Command(vec![0; entry_bytes].into());
     let entry = Entry { index: 1_000_000, term: 10, payload };
--- a/src/capacity/cost_models.rs
+++ b/src/capacity/cost_models.rs
@@ -1,83 +1,83 @@
-//! Slopes: what one more of something costs, measured on this machine at three sizes or more.
+//! Linear cost models, each fitted to measurements on this machine at three sizes or more.
 
 use std::path::Path;
 
 use super::benchmarks;
 use crate::error::Result;
 
-/// A measured point.
+/// The measured cost at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// How many of something there were.
+    /// Number of items.
     pub size: f64,
-    /// What it cost.
+    /// Cost, in the unit that the model names.
     pub cost: f64,
 }
 
-/// A cost that grows with a size.
+/// A cost as a linear function of a size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CostModel {
-    /// What was measured, with the unit.
+    /// What is modelled, with its unit and the meaning of the size.
     pub name: &'static str,
-    /// The measured points, smallest first.
+    /// The measured points, in ascending order of size.
     pub points: Vec<Point>,
-    /// Cost at size 0, by least squares; never below 0.
+    /// Cost at size 0 by least squares, at least 0.
     pub base: f64,
-    /// Cost of one more, by least squares; never below 0.
+    /// Additional cost of each item by least squares, at least 0.
     pub per_unit: f64,
 }
 
-/// All slopes.
+/// The cost models of all operations.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CostModels {
-    /// Microseconds of a decision, by candidates.
+    /// Time of a routing decision, by candidate engines.
     pub decide_us: CostModel,
-    /// Microseconds to cut a prompt into blocks, by tokens.
+    /// Time to hash a prompt into blocks, by tokens.
     pub chain_us: CostModel,
-    /// Microseconds of a lookup and a note of an owner, by contexts known.
+    /// Time of a lookup and an update in the prefix catalog, by contexts in it.
     pub catalog_us: CostModel,
-    /// Bytes of memory of a catalog, by contexts.
+    /// Memory of the prefix catalog, by contexts.
     pub catalog_bytes: CostModel,
-    /// Bytes on the wire of a lookup, its answer, a note and its answer, by blocks.
+    /// Bytes sent for a lookup and an update in the prefix catalog and their replies, by blocks.
     pub context_wire_bytes: CostModel,
-    /// Microseconds to apply a claim and its outcome, by claims held.
+    /// Time to apply a claim and its outcome, by retained claims.
     pub claim_us: CostModel,
-    /// Bytes of memory of claims, by claims held.
+    /// Memory of claims, by retained claims.
     pub claim_bytes: CostModel,
-    /// Bytes of log entries of claims and outcomes, by claims.
+    /// Size of the log entries of claims and outcomes, by claims.
     pub claim_log_bytes: CostModel,
-    /// Microseconds to write and sync entries, by entries in a batch.
+    /// Time to write and sync a batch of log entries, by entries.
     pub sync_us: CostModel,
-    /// Microseconds to take a patch, by accounts in the document.
+    /// Time to apply a configuration patch, by accounts in the document.
     pub patch_us: CostModel,
-    /// Bytes of the document, by accounts.
+    /// Size of the configuration document, by accounts.
     pub document_bytes: CostModel,
-    /// Microseconds to grant a lease, by leases granted.
+    /// Time to grant a lease, by granted leases.
     pub grant_us: CostModel,
-    /// Bytes on the wire of a renewal and its answer, by patches carried.
+    /// Bytes sent for a lease renewal and its reply, by patches in the reply.
     pub renew_wire_bytes: CostModel,
-    /// Processor microseconds of membership a second, by nodes known.
+    /// Processor time of the membership protocol per second, by known nodes.
     pub swim_us_per_s: CostModel,
-    /// Bytes sent for membership a second, by nodes known.
+    /// Bytes sent by the membership protocol per second, by known nodes.
     pub swim_bytes_per_s: CostModel,
-    /// Microseconds to take the platform's list, by targets.
+    /// Time to parse and apply the platform's target list, by targets.
     pub list_us: CostModel,
-    /// Bytes of the platform's list, by targets.
+    /// Size of the platform's target list, by targets.
     pub list_bytes: CostModel,
-    /// Bytes of memory of engine views, by engines watched.
+    /// Memory of engine views, by watched engines.
     pub engine_view_bytes: CostModel,
-    /// Bytes of engines' load reports, by engines.
+    /// Size of the engines' load reports with HTTP headers, by engines.
     pub report_bytes: CostModel,
-    /// Microseconds to plan orders, by engines.
+    /// Time to plan load orders, by engines.
     pub plan_us: CostModel,
-    /// Microseconds to lease a share of an account's limit, by nodes that hold one.
+    /// Time to grant a share of an account's limit, by nodes that hold one.
     pub share_us: CostModel,
-    /// Bytes on the wire of asking for shares, by asks.
+    /// Bytes sent for share requests and their replies, by requests.
     pub share_wire_bytes: CostModel,
 }
 
 impl CostModel {
-    /// Fits a line through the points.
+    /// Fits a line to the points by least squares.
     pub fn fit(name: &'static str, points: Vec<Point>) -> CostModel {
         let count = points.len() as f64;
         let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / count;
@@ -90,13 +90,14 @@
         CostModel { name, points, base, per_unit }
     }
 
-    /// The cost at a size beyond those measured, if it grows with the logarithm of the size.
+    /// The cost at a size, extrapolated from the largest measured point with logarithmic growth. Sizes below
+    /// that point get its cost.
     pub fn at_log_growth(&self, size: f64) -> f64 {
         let Some(largest) = self.points.last() else { return 0.0 };
         largest.cost * (size.max(2.0).ln() / largest.size.max(2.0).ln()).max(1.0)
     }
 
-    /// The cost at a size.
+    /// The cost at a size by the linear fit.
     pub fn at(&self, size: f64) -> f64 {
         self.base + self.per_unit * size
     }
@@ -112,10 +113,10 @@
 }
 
 impl CostModels {
-    /// Measures all of them; `folder` is on the disk whose syncs are measured.
+    /// Measures all costs and fits the models. `folder` must be on the disk whose sync time is to be measured.
     ///
     /// # Errors
-    /// If the folder can't be used.
+    /// If the folder can't be written.
     pub fn measure(folder: &Path) -> Result<CostModels> {
         let share_us = CostModel::measure(
             "share of a limit, µs by holders",
@@ -123,7 +124,7 @@
             benchmarks::share_us,
         );
         let share_wire_bytes = CostModel::measure(
-            "shares of a limit, wire bytes by asks",
+            "shares of a limit, wire bytes by requests",
             &[1, 10, 100],
             benchmarks::share_wire_bytes,
         );
@@ -137,7 +138,7 @@
             swim.iter().map(|run| Point { size: run.0, cost: cost(run) }).collect()
         };
         let growth_sizes = [1_000, 10_000, 50_000, 100_000];
-        // Memory first, while none that was freed can be used again.
+        // Memory is measured before anything is freed: reused memory would not show as growth.
         let engine_view_bytes = CostModel::measure(
             "engine views, bytes by engines",
             &[16, 64, 256],
@@ -149,7 +150,7 @@
             benchmarks::catalog_bytes,
         );
         let claim_bytes = CostModel::measure(
-            "claims, bytes by claims held",
+            "claims, bytes by retained claims",
             &growth_sizes,
             benchmarks::claim_bytes,
         );
@@ -162,23 +163,23 @@
                 benchmarks::decide_us,
             ),
             chain_us: CostModel::measure(
-                "cutting a prompt, µs by tokens",
+                "hashing a prompt, µs by tokens",
                 &[500, 2_000, 8_000],
                 benchmarks::chain_us,
             ),
             catalog_us: CostModel::measure(
-                "lookup and note, µs by contexts",
+                "catalog lookup and update, µs by contexts",
                 &growth_sizes,
                 benchmarks::catalog_us,
             ),
             catalog_bytes,
             context_wire_bytes: CostModel::measure(
-                "lookup and note, wire bytes by blocks",
+                "catalog lookup and update, wire bytes by blocks",
                 &[4, 16, 64],
                 benchmarks::context_wire_bytes,
             ),
             claim_us: CostModel::measure(
-                "claim and outcome, µs by claims held",
+                "claim and outcome, µs by retained claims",
                 &growth_sizes,
                 benchmarks::claim_us,
             ),
@@ -238,14 +239,14 @@
                 },
             ),
             plan_us: CostModel::measure(
-                "planning orders, µs by engines",
+                "planning load orders, µs by engines",
                 &[23, 220, 1_000, 4_600],
                 benchmarks::plan_us,
             ),
         })
     }
 
-    /// All of them, for a table.
+    /// All models, in the order of the printed table.
     pub fn all(&self) -> Vec<&CostModel> {
         vec![
             &self.decide_us,
--- a/src/capacity/mod.rs
+++ b/src/capacity/mod.rs
@@ -1,4 +1,5 @@
-//! Capacity: slopes measured on this machine, and each role worked out at the two-year size.
+//! Capacity planning: cost models measured on this machine, and from them the estimated load of each role at
+//! the planned scale.
 
 pub mod benchmarks;
 pub mod cost_models;
--- a/src/capacity/planned_scale.rs
+++ b/src/capacity/planned_scale.rs
@@ -1,39 +1,36 @@
-//! The size to design for.
+//! The scale that capacity is planned for.
 
-/// The users' plan for two years, and the limits that they set.
+/// The scale expected in two years, and the limits on the resources that the control plane may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlannedScale {
-    /// Nodes.
     pub nodes: f64,
-    /// Engines.
     pub engines: f64,
-    /// Requests a second at the peak.
+    /// Peak request rate.
     pub requests_per_s: f64,
-    /// Tokens generated a second at the peak.
+    /// Peak rate of generated tokens.
     pub tokens_per_s: f64,
-    /// Contexts that return.
+    /// Contexts whose prompts return.
     pub contexts: f64,
     /// Client accounts.
     pub accounts: f64,
-    /// Models in steady use.
+    /// Models in regular use.
     pub models: f64,
-    /// Regions.
     pub regions: f64,
     /// Failure domains.
     pub domains: f64,
-    /// Changes of configuration a second.
+    /// Rate of configuration changes.
     pub config_changes_per_s: f64,
-    /// Nodes that start a second: failures, restarts and replacements.
+    /// Rate of node starts: recoveries from failures, restarts and replacements.
     pub node_starts_per_s: f64,
-    /// Limit: share of a core for control on a node.
+    /// Maximum processor use of the control plane on a node, in cores.
     pub limit_cores: f64,
-    /// Limit: bytes of memory for control on a node.
+    /// Maximum memory use of the control plane on a node.
     pub limit_memory_bytes: f64,
-    /// Limit: bytes a second for control of a node.
+    /// Maximum network traffic of the control plane on a node.
     pub limit_bytes_per_s: f64,
-    /// Limit: hosts set aside.
+    /// Maximum number of dedicated hosts.
     pub limit_hosts: f64,
-    /// Limit: seconds until an accepted configuration is in force everywhere.
+    /// Maximum time until an accepted configuration is in force on all nodes.
     pub limit_in_force_s: f64,
 }
 
@@ -63,22 +60,22 @@
 }
 
 impl PlannedScale {
-    /// Requests a second at one node.
+    /// Request rate of one node.
     pub fn requests_per_node(&self) -> f64 {
         self.requests_per_s / self.nodes
     }
 
-    /// Nodes in one failure domain.
+    /// Average number of nodes in a failure domain.
     pub fn nodes_per_domain(&self) -> f64 {
         self.nodes / self.domains
     }
 
-    /// Nodes in one region.
+    /// Average number of nodes in a region.
     pub fn nodes_per_region(&self) -> f64 {
         self.nodes / self.regions
     }
 
-    /// Contexts known to one owner; each has two owners.
+    /// Contexts in the prefix catalog of one node; each context has two owners.
     pub fn contexts_per_node(&self) -> f64 {
         self.contexts * 2.0 / self.nodes
     }
--- a/src/capacity/role_loads.rs
+++ b/src/capacity/role_loads.rs
@@ -1,68 +1,66 @@
-//! Each role at the two-year size, worked out from the slopes.
+//! Estimates the load of each role at the planned scale from the cost models.
 
 use super::benchmarks::append_wire_bytes;
 use super::cost_models::CostModels;
 use super::planned_scale::PlannedScale;
 use crate::route::residency::MAX_TRACKED_BLOCKS;
 
-/// Share of requests that are marked not repeatable, assumed.
+/// Assumed share of requests that are marked not repeatable.
 const NON_REPEATABLE_SHARE: f64 = 0.02;
-/// Share of requests whose prompt returns, so that it is looked up and noted, assumed.
+/// Assumed share of requests whose prompt returns and is therefore looked up in the prefix catalog.
 const RETURNING_PROMPT_SHARE: f64 = 0.7;
-/// Tokens of such a prompt, assumed.
+/// Assumed length of such a prompt in tokens.
 const PROMPT_TOKENS: f64 = 2_000.0;
-/// Blocks of such a prompt.
+/// Length of such a prompt in blocks.
 const PROMPT_BLOCKS: f64 = 16.0;
-/// Renewals a second of one node.
+/// Lease renewals of one node per second.
 const RENEWALS_PER_S: f64 = 1.0;
-/// Reads of the platform's list a second of one node, by the default settings.
+/// Reads of the platform's target list by one node per second with the default settings.
 const LIST_READS_PER_S: f64 = 2.0;
-/// Reads of one engine's reports a second, by the default settings.
+/// Reads of one engine's load reports per second with the default settings.
 const REPORT_READS_PER_S: f64 = 4.0;
-/// Engines of one model that a node watches, by the default settings.
+/// Engines of one model that a node watches with the default settings.
 const WATCHED_ENGINES_PER_MODEL: f64 = 64.0;
-/// Blocks remembered of all engines' caches together.
+/// Cached blocks tracked by a router, summed over all engines.
 const TRACKED_BLOCKS: f64 = 131_072.0;
-/// Changes of a target a day that make a node read the whole list: starts, leavings, failures.
+/// Assumed starts, departures and failures of targets per day; each makes every node read the whole list.
 const TARGET_CHANGES_PER_DAY: f64 = 2_000.0;
-/// A read of a list that has not changed, with headers.
+/// Size of a request and a "not modified" response, with headers.
 const NOT_MODIFIED_BYTES: f64 = 300.0;
-/// Accounts with requests at one node within a lease: no more than its requests a second.
+/// Accounts with requests at one node during a lease; about the request rate of a node, which bounds it.
 const ACTIVE_ACCOUNTS: f64 = 20.0;
-/// Plans of orders a second of the leader.
+/// Load order plans of the leader per second.
 const PLANS_PER_S: f64 = 3.3;
-/// Seconds for which claims are kept.
+/// Time for which claims are retained.
 const CLAIM_RETENTION_S: f64 = 86_400.0;
-/// Replicas that a leader sends entries to, of five.
+/// Followers in a group of five replicas.
 const FOLLOWERS: f64 = 4.0;
-/// Claims that one sync makes durable when they come at this rate, assumed.
+/// Assumed number of claims that one sync makes durable at the planned rate.
 const CLAIMS_PER_SYNC: f64 = 8.0;
 const US_PER_S: f64 = 1e6;
 
-/// One role on one node at the two-year size.
+/// The load of one role on one node at the planned scale.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoleLoad {
-    /// Its name.
     pub name: &'static str,
-    /// Messages a second, sent and received.
+    /// Messages sent and received.
     pub messages_per_s: f64,
-    /// Bytes a second, sent and received.
+    /// Bytes sent and received.
     pub bytes_per_s: f64,
-    /// Share of a core.
+    /// Processor use in cores; NaN if it is not estimated.
     pub cores: f64,
-    /// Bytes of memory.
     pub memory_bytes: f64,
-    /// Whether it counts against the limits of control; the rest serves requests.
+    /// Whether it counts towards the limits of the control plane; the other roles serve requests.
     pub is_control: bool,
-    /// Whether it runs on the hosts set aside, so not on every node.
+    /// Whether it runs on dedicated hosts rather than on every node.
     pub on_dedicated_host: bool,
-    /// How the figures come about.
+    /// How the figures are computed.
     pub formula: String,
-    /// The mechanism that carries it.
+    /// How the role is implemented.
     pub mechanism: &'static str,
 }
 
-/// All roles.
+/// The load of every role.
 pub fn role_loads(costs: &CostModels, scale: &PlannedScale) -> Vec<RoleLoad> {
     vec![
         entry(costs, scale),
@@ -80,8 +78,8 @@
     ]
 }
 
-/// All control on one node that is not set aside, and the part of it that can't be helped by
-/// leaving out what does not fit.
+/// The summed load of the control roles on one node, without dedicated hosts and the `excluded` roles. A
+/// processor use that is not estimated counts as 0.
 pub fn total_load(roles: &[RoleLoad], excluded: &[&str]) -> RoleLoad {
     let included = || {
         roles.iter().filter(|role| {
@@ -89,8 +87,11 @@
         })
     };
     let sum = |value: fn(&RoleLoad) -> f64| included().map(value).filter(|v| !v.is_nan()).sum();
-    let name =
-        if excluded.is_empty() { "all control on a relay" } else { "the same without these" };
+    let name = if excluded.is_empty() {
+        "all control on a relay"
+    } else {
+        "all control on a relay, some roles excluded"
+    };
     RoleLoad {
         name,
         messages_per_s: sum(|role| role.messages_per_s),
@@ -100,7 +101,7 @@
         is_control: true,
         on_dedicated_host: false,
         formula: if excluded.is_empty() {
-            "sum of all control above that is not set aside".into()
+            "sum of all control roles above that do not run on dedicated hosts".into()
         } else {
             format!("without: {}", excluded.join(", "))
         },
@@ -124,11 +125,11 @@
         is_control: false,
         on_dedicated_host: false,
         formula: format!(
-            "{requests_per_s:.1} requests/s × {chain_us:.0} µs to cut {PROMPT_TOKENS:.0} tokens; relaying \
-             {:.0} tokens/s is not in it (see the measured cost of a node)",
+            "{requests_per_s:.1} requests/s × {chain_us:.0} µs to hash {PROMPT_TOKENS:.0} tokens; without relaying \
+             {:.0} tokens/s (see the measured cost of a node)",
             scale.tokens_per_s / scale.nodes
         ),
-        mechanism: "each node decides and streams what reaches it",
+        mechanism: "each node routes and streams the requests that it receives",
     }
 }
 
@@ -146,10 +147,10 @@
         on_dedicated_host: false,
         formula: format!(
             "{requests_per_s:.1} decisions/s × {decide_us:.1} µs at {WATCHED_ENGINES_PER_MODEL:.0} candidates; \
-             memory of {TRACKED_BLOCKS:.0} remembered blocks × {:.0} bytes",
+             memory of {TRACKED_BLOCKS:.0} tracked blocks × {:.0} bytes",
             costs.engine_view_bytes.per_unit / MAX_TRACKED_BLOCKS as f64
         ),
-        mechanism: "pure decision over the watched engines of one model",
+        mechanism: "pure function of the watched engines of one model",
     }
 }
 
@@ -165,9 +166,9 @@
         is_control: true,
         on_dedicated_host: false,
         formula: format!(
-            "{watched_engines:.0} engines watched × {REPORT_READS_PER_S:.0} reads/s × 2 (load and events)"
+            "{watched_engines:.0} watched engines × {REPORT_READS_PER_S:.0} reads/s × 2 (load and events)"
         ),
-        mechanism: "every node reads each engine that it watches",
+        mechanism: "every node polls each engine that it watches",
     }
 }
 
@@ -190,7 +191,7 @@
             costs.list_bytes.at(scale.engines),
             scale.engines
         ),
-        mechanism: "conditional reads with an ETag; leaving also spreads with membership",
+        mechanism: "conditional reads with an ETag; departures are also gossiped by the membership protocol",
     }
 }
 
@@ -198,20 +199,20 @@
     let lookups_per_s = scale.requests_per_node() * RETURNING_PROMPT_SHARE;
     let contexts = scale.contexts_per_node();
     RoleLoad {
-        name: "whereabouts owner",
+        name: "prefix catalog owner",
         messages_per_s: lookups_per_s * 4.0,
-        // Asked and answering: every node does both.
+        // Every node both sends lookups and replies to them.
         bytes_per_s: lookups_per_s * costs.context_wire_bytes.at(PROMPT_BLOCKS) * 2.0,
         cores: cores(lookups_per_s * costs.catalog_us.at_log_growth(contexts)),
         memory_bytes: costs.catalog_bytes.at(contexts),
         is_control: false,
         on_dedicated_host: false,
         formula: format!(
-            "{lookups_per_s:.1} lookups and notes/s × {:.1} µs; {contexts:.0} contexts × {:.0} bytes",
+            "{lookups_per_s:.1} lookups and updates/s × {:.1} µs; {contexts:.0} contexts × {:.0} bytes",
             costs.catalog_us.at_log_growth(contexts),
             costs.catalog_bytes.per_unit
         ),
-        mechanism: "two owners by rendezvous hashing; rebuilt from inventories",
+        mechanism: "two owners by rendezvous hashing; rebuilt from the inventories of stores",
     }
 }
 
@@ -232,7 +233,7 @@
              {:.0} accounts",
             scale.config_changes_per_s, scale.accounts
         ),
-        mechanism: "deltas ride on renewals along leader, relay, node",
+        mechanism: "deltas in the renewal replies from the leader to relays and from relays to nodes",
     }
 }
 
@@ -256,7 +257,7 @@
 }
 
 fn limit_shares(costs: &CostModels, scale: &PlannedScale) -> RoleLoad {
-    // Asked and asking: every node does both.
+    // Every node both sends share requests and replies to them.
     let share_requests_per_s = ACTIVE_ACCOUNTS * 2.0;
     let holders = scale.nodes_per_region();
     RoleLoad {
@@ -268,11 +269,11 @@
         is_control: true,
         on_dedicated_host: false,
         formula: format!(
-            "{ACTIVE_ACCOUNTS:.0} accounts active at a node (at most one for each request a second), \
-             each asked for once a second; {:.1} µs at {holders:.0} holders",
+            "{ACTIVE_ACCOUNTS:.0} accounts active at a node (at most its requests per second), \
+             one share request/s each; {:.1} µs at {holders:.0} holders",
             costs.share_us.at(holders)
         ),
-        mechanism: "one owner an account by rendezvous hashing; leases of shares",
+        mechanism: "one owner per account by rendezvous hashing; shares are leased",
     }
 }
 
@@ -287,11 +288,11 @@
         is_control: true,
         on_dedicated_host: false,
         formula: format!(
-            "{known_nodes:.0} nodes known: {:.0} µs/s and {:.0} bytes/s sent, as many received",
+            "{known_nodes:.0} known nodes: {:.0} µs/s and {:.0} bytes/s sent, the same received",
             costs.swim_us_per_s.at(known_nodes),
             costs.swim_bytes_per_s.at(known_nodes)
         ),
-        mechanism: "SWIM-like probes; one group over all regions today",
+        mechanism: "SWIM-like probes; one group over all regions",
     }
 }
 
@@ -301,7 +302,7 @@
     let syncs_per_s = claims_per_s * 2.0 / CLAIMS_PER_SYNC;
     let sync_us = costs.sync_us.at(CLAIMS_PER_SYNC);
     RoleLoad {
-        name: "claims, one group",
+        name: "claims, one replica group",
         messages_per_s: claims_per_s * 2.0 * (2.0 + FOLLOWERS * 2.0),
         bytes_per_s: claims_per_s * costs.claim_log_bytes.per_unit * (1.0 + FOLLOWERS),
         cores: cores(claims_per_s * costs.claim_us.at_log_growth(retained_claims)),
@@ -309,7 +310,7 @@
         is_control: true,
         on_dedicated_host: true,
         formula: format!(
-            "{claims_per_s:.0} claims/s ({:.0} % of requests) × {:.0} µs; {retained_claims:.0} held for a day × \
+            "{claims_per_s:.0} claims/s ({:.0} % of requests) × {:.0} µs; {retained_claims:.0} retained for a day × \
              {:.0} bytes; {syncs_per_s:.0} syncs/s × {sync_us:.0} µs: the disk is {:.0} % busy",
             NON_REPEATABLE_SHARE * 100.0,
             costs.claim_us.at_log_growth(retained_claims),
@@ -337,16 +338,16 @@
         on_dedicated_host: true,
         formula: format!(
             "{changes_per_s:.3} changes/s to {FOLLOWERS:.0} followers, {relays:.0} relays, heartbeats 10/s; \
-             65,536 remembered answers"
+             65,536 retained answers"
         ),
-        mechanism: "Raft of our own; five replicas on hosts set aside",
+        mechanism: "Raft; five replicas on dedicated hosts",
     }
 }
 
 fn order_planning(costs: &CostModels, scale: &PlannedScale) -> RoleLoad {
     let plan_us = costs.plan_us.at(scale.engines);
     RoleLoad {
-        name: "orders",
+        name: "load orders",
         messages_per_s: PLANS_PER_S,
         bytes_per_s: 0.0,
         cores: cores(plan_us * PLANS_PER_S),
@@ -354,9 +355,9 @@
         is_control: true,
         on_dedicated_host: true,
         formula: format!(
-            "{PLANS_PER_S} plans/s × {plan_us:.0} µs at {:.0} engines, while a roll-out is under way",
+            "{PLANS_PER_S} plans/s × {plan_us:.0} µs at {:.0} engines, during a rollout",
             scale.engines
         ),
-        mechanism: "the log's leader plans over all engines",
+        mechanism: "the leader of the log plans for all engines",
     }
 }
--- a/src/queries/capacity.rs
+++ b/src/queries/capacity.rs
@@ -1,22 +1,22 @@
-//! `capacity`: measures slopes on this machine and works out each role at the two-year size.
+//! `capacity`: measures costs on this machine and estimates the load of each role at the planned scale.
 
 use crate::capacity::{CostModel, CostModels, PlannedScale, RoleLoad, role_loads, total_load};
 use crate::error::{Error, Result};
 
 const MEBIBYTE: f64 = 1_048_576.0;
-/// Roles that need another design at this size: docs/CAPACITY.md says which.
+/// Roles that need another design at the planned scale; see docs/CAPACITY.md.
 const UNSCALABLE_ROLES: [&str; 2] = ["reading engines' reports", "reading the platform's list"];
-/// Memory of a host set aside, assumed.
+/// Assumed memory of a dedicated host.
 const DEDICATED_HOST_MEMORY_BYTES: f64 = 16_384.0 * MEBIBYTE;
 
-/// Measures and prints the tables of docs/CAPACITY.md.
+/// Measures the costs and prints the tables of docs/CAPACITY.md.
 ///
 /// # Errors
-/// If a measurement can't be made.
+/// If a measurement fails.
 pub fn run() -> Result<()> {
     let folder = std::env::temp_dir().join(format!("kumquatpost-capacity-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|source| {
-        Error::start("capacity", source, "free the folder for temporary files")
+        Error::start("capacity", source, "make the folder for temporary files writable")
     })?;
     let measured = CostModels::measure(&folder);
     drop(std::fs::remove_dir_all(&folder));
@@ -31,7 +31,7 @@
 }
 
 fn cost_table(costs: &CostModels) -> String {
-    let header = "| slope | points (size: cost) | base | each |\n|---|---|---|---|".to_string();
+    let header = "| cost | points (size: cost) | base | per unit |\n|---|---|---|---|".to_string();
     let rows = costs.all().into_iter().map(cost_row);
     std::iter::once(header).chain(rows).collect::<Vec<_>>().join("\n")
 }
@@ -76,8 +76,8 @@
     )
 }
 
-/// What does not fit, in plain words. The limits are those of control on one node; on hosts set
-/// aside a whole core and the memory of the host may be used.
+/// Describes which limits a role exceeds. A control role on every node has the limits of the planned scale; one
+/// on a dedicated host may use a whole core and the memory of the host.
 fn limit_check(role: &RoleLoad, scale: &PlannedScale) -> String {
     if !role.is_control {
         return "serves requests".into();
