--- a/src/telemetry/burn.rs
+++ b/src/telemetry/burn.rs
@@ -1,7 +1,6 @@
-//! Service-level burn: how fast the error budgets of kinds and accounts are used up.
+//! Burn rates of the error budgets of request kinds, accounts and targets.
 //!
-//! Each series keeps counts in buckets for windows of 5 minutes, 1 hour, 6 hours and 3 days, so
-//! that it takes the same small room whatever the traffic.
+//! The number of series and the number of buckets per series are bounded, so memory use does not grow with traffic.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,70 +9,66 @@
 
 use crate::clock::BootTime;
 
-/// Buckets in each window.
+/// Buckets per window.
 const BUCKETS: usize = 12;
-/// Windows of the report, shortest first.
+/// Windows of the report in ascending order of length.
 pub const WINDOWS: [Window; 4] = [
     Window { name: "5m", length: Duration::from_secs(300) },
     Window { name: "1h", length: Duration::from_secs(3_600) },
     Window { name: "6h", length: Duration::from_secs(6 * 3_600) },
     Window { name: "3d", length: Duration::from_secs(3 * 86_400) },
 ];
-/// Series of one sort that are kept; more share the series `other`.
+/// Maximum number of series per dimension; further names share `OVERFLOW_SERIES`.
 const MAX_SERIES: usize = 4_096;
 const OVERFLOW_SERIES: &str = "other";
 
 /// A window of the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Window {
-    /// Its name.
     pub name: &'static str,
-    /// Its length.
     pub length: Duration,
 }
 
-/// Requests, and how many of them missed their objective.
+/// Number of requests, and of those that missed their objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SloCount {
     /// All requests.
     pub total: u64,
-    /// Those that were refused, failed, or answered too late.
+    /// Requests that were refused, failed, or were answered too late.
     pub bad: u64,
-    /// The share of requests that may be bad, summed over all requests, so that counts of
-    /// kinds with different objectives can be added.
+    /// Error budget: the share of requests that may be bad, summed over all requests, so that counts of kinds with
+    /// different objectives can be added.
     pub allowed: f64,
 }
 
 impl SloCount {
-    /// Adds another count.
+    /// Adds another count to this one.
     pub fn add(&mut self, other: SloCount) {
         self.total += other.total;
         self.bad += other.bad;
         self.allowed += other.allowed;
     }
 
-    /// How many times faster than allowed the budget is used up; 1 uses it up exactly.
+    /// Ratio of bad requests to the error budget; 1 uses up the budget exactly.
     pub fn burn_rate(&self) -> f64 {
         if self.allowed <= 0.0 { 0.0 } else { self.bad as f64 / self.allowed }
     }
 }
 
-/// What a request was.
+/// A finished request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedRequest<'a> {
-    /// Its kind.
     pub kind: &'a str,
-    /// Its account.
     pub account: &'a str,
-    /// The target that answered or failed it last; `None` if it reached none.
+    /// The last target that answered or failed the request; `None` if it was sent to none.
     pub target: Option<&'a str>,
-    /// Whether it met its objective.
+    /// Whether the request met its objective.
     pub good: bool,
-    /// The share of such requests that must be good, of 1.
+    /// Fraction of requests of this kind that must be good.
     pub objective_share: f64,
 }
 
-/// Counts of one node.
+/// Counts the requests of one node.
 #[derive(Clone, Debug, Default)]
 pub struct BurnCounter {
     kinds: BTreeMap<String, Series>,
@@ -81,22 +76,22 @@
     targets: BTreeMap<String, Series>,
 }
 
-/// Counts by window, ready to be sent and added to other nodes'.
+/// Counts by window, in the order of `WINDOWS`.
 pub type WindowCounts = [SloCount; WINDOWS.len()];
 
-/// What a node reports.
+/// The counts that a node reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnCounts {
-    /// By kind.
+    /// By request kind.
     pub kinds: BTreeMap<String, WindowCounts>,
-    /// By account.
+    /// By client account.
     pub accounts: BTreeMap<String, WindowCounts>,
-    /// By the target that answered or failed last.
+    /// By the last target that answered or failed the request.
     pub targets: BTreeMap<String, WindowCounts>,
 }
 
 impl BurnCounter {
-    /// Records a request that ended.
+    /// Counts a finished request.
     pub fn record(&mut self, request: FinishedRequest<'_>, now: BootTime) {
         let bad = u64::from(!request.good);
         let count = SloCount { total: 1, bad, allowed: 1.0 - request.objective_share };
@@ -107,7 +102,7 @@
         }
     }
 
-    /// Counts of all windows up to `now`.
+    /// The counts of all windows that end at `now`.
     pub fn counts(&self, now: BootTime) -> BurnCounts {
         let window_counts = |map: &BTreeMap<String, Series>| {
             map.iter().map(|(name, series)| (name.clone(), series.windows(now))).collect()
@@ -145,14 +140,14 @@
     map.entry(name.to_string()).or_default()
 }
 
-/// Buckets of one series for all windows.
+/// The buckets of one name, for all windows.
 #[derive(Clone, Debug, Default)]
 struct Series {
     rings: [BucketRing; WINDOWS.len()],
 }
 
-/// Buckets of one window. Invariant: bucket `n % BUCKETS` holds period `n` if that is among the
-/// last `BUCKETS` up to `newest`, else nothing that counts.
+/// Ring buffer of the buckets of one window. Bucket `n % BUCKETS` holds period `n`, for the last `BUCKETS` periods
+/// up to `newest_period`.
 #[derive(Clone, Debug, Default)]
 struct BucketRing {
     newest_period: u64,
@@ -179,7 +174,7 @@
 }
 
 impl BucketRing {
-    /// Goes on to a period, emptying the buckets of those in between.
+    /// Moves on to a later period and resets the buckets that it reuses.
     fn advance_to(&mut self, period: u64) {
         if period <= self.newest_period {
             return;
--- a/src/telemetry/deployment_metrics.rs
+++ b/src/telemetry/deployment_metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of entries and replicas, through OpenTelemetry, served as Prometheus text.
+//! Metrics of entries and replicas.
 
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
 
@@ -6,58 +6,58 @@
 use super::metrics::label;
 use crate::error::Result;
 
-/// Objectives of the deployments are 0.1 to 0.8 s, callers wait up to 15 s.
+/// Cover the objectives of deployments, 0.1 to 0.8 s, and the maximum wait of callers, 15 s.
 const FIRST_CHUNK_BOUNDARIES_S: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.5, 5.0, 15.0];
 
-/// Instruments of an entry.
+/// Metric instruments of an entry.
 pub struct EntryMetrics {
     registry: MetricRegistry,
-    /// Requests that ended, by route, ending and reason.
+    /// Finished requests, by route, ending and reason.
     pub requests: Counter<u64>,
-    /// Time to the first part of a relayed answer, by route.
+    /// Time to the first chunk of a relayed response, by route.
     pub first_chunk_s: Histogram<f64>,
-    /// Attempts at targets that brought no answer, by reason.
+    /// Failed attempts at targets, by reason.
     pub failed_attempts: Counter<u64>,
-    /// Requests that are being answered.
+    /// Requests in progress.
     pub active_requests: Gauge<u64>,
-    /// How old what is known of the deployment may be.
+    /// Maximum age of the deployment state that this entry has.
     pub state_age_s: Gauge<f64>,
-    /// The version of the deployment in force here.
+    /// Version of the deployment in force on this entry.
     pub deployment_version: Gauge<u64>,
-    /// Prompts that were placed without the scheduler.
+    /// Prompts that this entry placed itself, without the scheduler.
     pub fallback_placements: Counter<u64>,
-    /// Targets that ended while they ran requests of this entry, by evidence.
+    /// Targets that ended while running requests of this entry, by evidence.
     pub target_ends: Counter<u64>,
-    /// Requests that are held, since targets have ended under them.
+    /// Requests held in quarantine because targets have ended while running them.
     pub held_requests: Gauge<u64>,
 }
 
-/// Instruments of a replica.
+/// Metric instruments of a replica.
 pub struct ReplicaMetrics {
     registry: MetricRegistry,
-    /// The term of the log.
+    /// Current term of the replicated log.
     pub term: Gauge<u64>,
-    /// Whether this replica leads.
+    /// 1 if this replica is the leader, otherwise 0.
     pub is_leader: Gauge<u64>,
-    /// The newest deployment that is applied here.
+    /// Version of the newest deployment applied on this replica.
     pub deployment_version: Gauge<u64>,
-    /// Entries that are connected to any replica.
+    /// Entries connected to any replica.
     pub connected_entries: Gauge<u64>,
-    /// How old the list of targets is.
+    /// Age of the platform's target list.
     pub target_list_age_s: Gauge<f64>,
-    /// Prompts that wait for an engine.
+    /// Prompts queued for an engine.
     pub queued_prompts: Gauge<u64>,
-    /// Operators' calls, by status.
+    /// Requests of operators, by status.
     pub operator_requests: Counter<u64>,
-    /// Entries of the platform's list that could not be read, in all lists that were read here.
+    /// Malformed entries, summed over all reads of the platform's target list by this replica.
     pub malformed_entries: Counter<u64>,
-    /// Requests that are held, since targets have ended under them.
+    /// Requests held in quarantine because targets have ended while running them.
     pub held_requests: Gauge<u64>,
 }
 
 impl EntryMetrics {
-    /// Builds the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
@@ -81,20 +81,20 @@
         })
     }
 
-    /// Records a request that ended.
+    /// Counts a finished request.
     pub fn record_request(&self, route: &str, ending: &str, reason: &str) {
         let labels = [label("route", route), label("ending", ending), label("reason", reason)];
         self.requests.add(1, &labels);
     }
 
-    /// All metrics as text.
+    /// All metrics as Prometheus text.
     pub fn text(&self) -> String {
         self.registry.text()
     }
 }
 
 impl ReplicaMetrics {
-    /// Builds the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
@@ -117,7 +117,7 @@
         })
     }
 
-    /// All metrics as text.
+    /// All metrics as Prometheus text.
     pub fn text(&self) -> String {
         self.registry.text()
     }
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event, through log4rs.
+//! Log setup: each event is one line of key=value pairs.
 
 use std::path::PathBuf;
 
@@ -13,32 +13,32 @@
 use crate::error::{Error, Result};
 
 const PATTERN: &str = "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
-/// Lines of libraries, which are no pairs by themselves.
+/// Wraps the free text that libraries log in key=value pairs.
 const LIBRARY_PATTERN: &str =
     "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} event=library source={t} message=<{m}>{n}";
 
-/// Where log lines go and which.
+/// Level and destination of logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least severe level that is written.
+    /// Least severe level to log.
     pub level: LevelFilter,
-    /// The file to append to; standard error if `None`.
+    /// File to append to; standard error if `None`.
     pub file: Option<PathBuf>,
 }
 
-/// Starts logging to standard output without ever waiting for its reader.
+/// Starts logging to standard output. Loggers never block on a slow reader.
 ///
 /// # Errors
-/// `Error::Start` if logging was started before.
+/// `Error::Start` if logging is already started.
 pub fn start_non_blocking(level: LevelFilter) -> Result<()> {
     let build_appender = |pattern| Box::new(NonBlockingAppender::new(pattern, std::io::stdout()));
     install(level, build_appender(PATTERN), build_appender(LIBRARY_PATTERN))
 }
 
-/// Starts logging for this process.
+/// Starts logging to the destination in the settings.
 ///
 /// # Errors
-/// `Error::Start` if the file can't be opened or logging was started before.
+/// `Error::Start` if the file can't be opened or logging is already started.
 pub fn start(settings: &LogSettings) -> Result<()> {
     install(
         settings.level,
@@ -61,7 +61,7 @@
         .build(root.build(level.min(LevelFilter::Warn)))
         .map_err(|source| Error::start("log", source, "check the log settings"))?;
     log4rs::init_config(config)
-        .map_err(|source| Error::start("log", source, "start logging once a process"))?;
+        .map_err(|source| Error::start("log", source, "start logging only once per process"))?;
     Ok(())
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Quotes a value for a log line if it holds spaces, quotes or line breaks.
+/// Formats a value for a log line: quoted if it is empty or contains whitespace, quotes, `=` or control characters.
 pub fn quoted(value: &str) -> String {
     let is_bare = !value.is_empty()
         && !value.contains(|c: char| c.is_whitespace() || c == '"' || c == '=' || c.is_control());
--- a/src/telemetry/metric_registry.rs
+++ b/src/telemetry/metric_registry.rs
@@ -1,4 +1,4 @@
-//! Where a process's instruments are registered, and how they are shown.
+//! The registry of a process's metric instruments, with export as Prometheus text.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -6,15 +6,15 @@
 
 use crate::error::{Error, Result};
 
-/// A registry of instruments.
+/// A registry of metric instruments.
 pub struct MetricRegistry {
     registry: Registry,
-    // Kept so that the instruments stay connected to the registry.
+    // The instruments report to the registry only while their provider exists.
     _provider: SdkMeterProvider,
 }
 
 impl MetricRegistry {
-    /// An empty registry, and what builds instruments for it.
+    /// Creates an empty registry and a meter that builds instruments in it.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics through OpenTelemetry, shown as Prometheus text.
+//! Metrics of a node.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram};
@@ -6,35 +6,35 @@
 use super::metric_registry::MetricRegistry;
 use crate::error::Result;
 
-/// 1.8 s is the users' limit for 95 in 100.
+/// Include 1.8 s, the objective for the 95th percentile.
 const FIRST_TOKEN_BOUNDARIES_S: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 5.0, 20.0];
-/// 18 s is the users' limit.
+/// Include 18 s, the limit until a configuration is in force.
 const IN_FORCE_BOUNDARIES_S: [f64; 9] = [0.5, 1.0, 2.0, 3.0, 4.0, 6.0, 10.0, 18.0, 60.0];
 
-/// The instruments of one node. Names and units are listed in docs/OPERATIONS.md.
+/// The metric instruments of one node. Names and units are listed in docs/OPERATIONS.md.
 pub struct NodeMetrics {
     registry: MetricRegistry,
-    /// Requests answered, by kind, account and result code.
+    /// Finished requests, by kind, account and result code.
     pub requests: Counter<u64>,
     /// Time to first token in seconds, by kind.
     pub first_token_s: Histogram<f64>,
     /// Prompt tokens of answered requests.
     pub prompt_tokens: Counter<u64>,
-    /// Prompt tokens that an engine found resident or imported, so did not recompute.
+    /// Prompt tokens whose KV cache was resident or imported, so that they were not recomputed.
     pub reused_tokens: Counter<u64>,
-    /// Bytes of KV cache moved over links to and from stores, by direction.
+    /// KV cache bytes transferred to and from stores, by direction.
     pub link_bytes: Counter<u64>,
-    /// The configuration number in force on this node.
+    /// Number of the configuration in force on this node.
     pub config_number: Gauge<u64>,
-    /// Seconds from the acceptance of a configuration until it was in force everywhere.
+    /// Time from the acceptance of a configuration until it is in force on all nodes, in seconds.
     pub in_force_s: Histogram<f64>,
     /// Dispatches to targets, by target and outcome.
     pub dispatches: Counter<u64>,
 }
 
 impl NodeMetrics {
-    /// Builds the instruments.
+    /// Creates the instruments.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
@@ -67,7 +67,7 @@
     }
 }
 
-/// A label of a metric.
+/// Creates a metric label.
 pub fn label(name: &'static str, value: &str) -> KeyValue {
     KeyValue::new(name, value.to_string())
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: logs, metrics and the report on service-level burn.
+//! Logs, metrics and the burn rates of service-level objectives.
 
 pub mod burn;
 pub mod deployment_metrics;
--- a/src/telemetry/non_blocking_appender.rs
+++ b/src/telemetry/non_blocking_appender.rs
@@ -1,5 +1,5 @@
-//! An appender that never keeps a caller waiting: lines go through a bounded queue to a thread that
-//! writes them. When the queue is full, lines are dropped and counted.
+//! A log appender that never blocks its callers. A bounded queue passes lines to a writer thread; when the queue
+//! is full, lines are dropped and counted.
 
 use std::fmt;
 use std::io::Write;
@@ -15,14 +15,14 @@
 use log4rs::encode::pattern::PatternEncoder;
 use log4rs::encode::writer::simple::SimpleWriter;
 
-/// Lines that wait for a slow reader: some seconds of a busy entry, about a megabyte.
+/// Lines queued for a slow reader: a few seconds of logs of a busy entry, about a megabyte.
 const MAX_QUEUED_LINES: usize = 4_096;
-/// Bytes that are written at once.
+/// Size at which a chunk of lines is written.
 const CHUNK_BYTES: usize = 64 << 10;
-/// Longest time for which the last lines are waited for at the end.
+/// Maximum time that a flush waits for the queued lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The appender.
+/// A log4rs appender that never blocks its callers.
 pub struct NonBlockingAppender {
     encoder: PatternEncoder,
     queue: SyncSender<QueueItem>,
@@ -35,7 +35,7 @@
 }
 
 impl NonBlockingAppender {
-    /// Writes lines to `output`, from a thread of its own.
+    /// Starts a thread that writes lines to `output`.
     pub fn new(pattern: &str, output: impl Write + Send + 'static) -> NonBlockingAppender {
         let (queue, items) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -44,7 +44,7 @@
         NonBlockingAppender { encoder: PatternEncoder::new(pattern), queue, dropped }
     }
 
-    /// Lines that were dropped and not yet reported.
+    /// Number of dropped lines that the output does not report yet.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -69,7 +69,7 @@
     fn flush(&self) {
         let (sender, written) = sync_channel(1);
         if self.queue.try_send(QueueItem::Flush(sender)).is_ok() {
-            // A reader that has stopped must not keep the process from ending.
+            // Bounded, so that a stalled reader of the output can't block the exit of the process.
             let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
@@ -93,11 +93,11 @@
                 format!("level=WARN event=log_lines_dropped count={lost}\n").as_bytes(),
             );
         }
-        // Nobody could be told of a failure here.
+        // A failure to write logs can't be logged.
         let _ = output.write_all(&chunk).and_then(|()| output.flush());
         chunk.clear();
         for sender in flush_requests {
-            // Whoever asked may have given up waiting.
+            // The receiver is gone if its flush has timed out.
             let _ = sender.try_send(());
         }
     }
