--- a/src/queries/burn.rs
+++ b/src/queries/burn.rs
@@ -1,4 +1,4 @@
-//! `report burn`: service-level burn over all nodes, as text, JSON and a plot.
+//! `report burn`: error budget burn rates over all nodes, as text, JSON or an SVG plot.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -10,43 +10,44 @@
 use crate::error::{Error, Result};
 use crate::telemetry::burn::{BurnCounts, WINDOWS, WindowCounts};
 
-/// Burning this many times faster than allowed over both 5 minutes and 1 hour uses up the budget
-/// of 30 days in 2 days: somebody must look at once.
+/// Burn rate over 5 minutes and over 1 hour that needs attention at once: it uses up the error budget of 30 days in
+/// 2 days.
 const URGENT_BURN_RATE: f64 = 14.4;
-/// The same over 6 hours and 3 days uses it up in a month: somebody must look today.
+/// Burn rate over 6 hours and over 3 days that needs attention today: it uses up the error budget of 30 days in
+/// 30 days.
 const SUSTAINED_BURN_RATE: f64 = 1.0;
-/// Rows of the worst targets.
+/// Maximum number of targets to list.
 const MAX_WORST_TARGETS: usize = 5;
 
-/// What to report.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Operators' addresses of the nodes.
     pub nodes: Vec<String>,
-    /// Print JSON instead of text.
+    /// Whether to print JSON instead of text.
     pub json: bool,
-    /// Where to write a plot.
+    /// File to write an SVG plot to.
     pub svg: Option<PathBuf>,
 }
 
-/// Burn over all nodes that could be asked.
+/// The counts of all nodes that responded.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Added counts.
+    /// Sums over the nodes.
     pub counts: BurnCounts,
-    /// Nodes that could not be asked, with the reason.
-    pub unreachable: Vec<(String, String)>,
+    /// Nodes without a valid response, with the reason.
+    pub failed_nodes: Vec<(String, String)>,
 }
 
 /// Prints the report.
 ///
 /// # Errors
-/// If no node could be asked, or the plot can't be written.
+/// If no node returned its counts, or the plot can't be written.
 pub fn run(options: &Options) -> Result<()> {
     let report = block_on(collect(&options.nodes))?;
-    if report.unreachable.len() == options.nodes.len() {
-        let reason = report.unreachable.first().map_or("there is none", |(_, reason)| reason);
-        return Err(Error::request("report burn", reason, "name nodes that run with --node"));
+    if report.failed_nodes.len() == options.nodes.len() {
+        let reason = report.failed_nodes.first().map_or("no node is given", |(_, reason)| reason);
+        return Err(Error::request("report burn", reason, "name running nodes with --node"));
     }
     if let Some(file) = &options.svg {
         std::fs::write(file, report.svg())
@@ -71,14 +72,14 @@
         };
         match counts {
             Ok(counts) => report.counts.add(counts),
-            Err(reason) => report.unreachable.push((address.clone(), reason)),
+            Err(reason) => report.failed_nodes.push((address.clone(), reason)),
         }
     }
     Ok(report)
 }
 
 impl Report {
-    /// For people.
+    /// Tables as plain text.
     pub fn text(&self) -> String {
         let mut lines = Vec::new();
         lines.extend(series_table("kind", &self.counts.kinds));
@@ -89,22 +90,22 @@
         for (target, windows) in self.worst_targets() {
             lines.push(format!("  {target}: {} of {}", windows[1].bad, windows[1].total));
         }
-        if self.unreachable.is_empty() {
-            lines.push("all nodes were asked".into());
+        if self.failed_nodes.is_empty() {
+            lines.push("all nodes responded".into());
         }
-        for (node, reason) in &self.unreachable {
-            lines.push(format!("not asked, so not counted: {node}: {reason}"));
+        for (node, reason) in &self.failed_nodes {
+            lines.push(format!("failed, not counted: {node}: {reason}"));
         }
         lines.join("\n")
     }
 
-    /// For programs.
+    /// The counts of all windows as JSON.
     pub fn json(&self) -> Value {
         let names: Vec<&str> = WINDOWS.iter().map(|window| window.name).collect();
-        json!({"windows": names, "counts": self.counts, "not_asked": self.unreachable})
+        json!({"windows": names, "counts": self.counts, "not_asked": self.failed_nodes})
     }
 
-    /// A bar for each kind and window, as SVG.
+    /// A bar chart of the burn rates of each kind and window, as SVG.
     pub fn svg(&self) -> String {
         const ROW_HEIGHT: usize = 18;
         const BAR_LEFT: usize = 160;
@@ -175,8 +176,8 @@
     std::iter::once(header).chain(rows).collect()
 }
 
-/// What the burn rates call for. Both a short and a long window must burn, so that neither a
-/// blip nor what is over already raises an alarm.
+/// The urgency that the burn rates call for. A short and a long window must both exceed the threshold: this ignores
+/// both short peaks and incidents that are over.
 pub fn alert_level(windows: &WindowCounts) -> &'static str {
     let rate = |index: usize| windows[index].burn_rate();
     if rate(0) > URGENT_BURN_RATE && rate(1) > URGENT_BURN_RATE {
--- a/src/queries/check_settings.rs
+++ b/src/queries/check_settings.rs
@@ -1,4 +1,4 @@
-//! `check-settings`: checks settings of `serve`.
+//! `check-settings`: validates the settings of `serve`.
 
 use std::path::Path;
 
@@ -7,10 +7,11 @@
 use crate::peer::PeerKey;
 use crate::settings::Settings;
 
-/// Checks settings whole and prints that they are valid.
+/// Validates the settings, the first configuration in them and the key file.
 ///
 /// # Errors
-/// Everything that is wrong.
+/// `Error::Invalid` with all problems of the settings or of the first configuration, `Error::Start` if a file
+/// can't be read or the key is too short.
 pub fn run(file: &Path) -> Result<()> {
     let settings = Settings::read(file)?;
     if let Some(document) = &settings.first_config {
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' verbs that only show something.
+//! Read-only commands for operators.
 
 pub mod burn;
 pub mod capacity;
--- a/src/queries/operator_client.rs
+++ b/src/queries/operator_client.rs
@@ -1,4 +1,4 @@
-//! Asks a node's operators' interface.
+//! A client of the operators' interface of a node.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::commands::block_on;
 use crate::error::{Error, Result};
 
-/// A node must answer within this time.
+/// Maximum time for a request to a node, including its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A client of the operators' interface.
+/// Creates an HTTP client for the operators' interface.
 ///
 /// # Errors
 /// `Error::Start` if it can't be built.
@@ -23,10 +23,10 @@
         .map_err(|source| Error::start("http client", source, "raise the file limit"))
 }
 
-/// Prints what a node shows at a path.
+/// Prints the response of a node to a GET request.
 ///
 /// # Errors
-/// If it can't be asked.
+/// If the request fails; see [`send`].
 pub fn print(node: &str, path: &str) -> Result<()> {
     block_on(async {
         let request = http_client()?.get(format!("{node}{path}"));
@@ -37,11 +37,11 @@
     })
 }
 
-/// The text of a node's answer.
+/// Sends a request to a node and returns the body of its response.
 ///
 /// # Errors
-/// `Error::Failed` with the node's message if it refused for good, `Error::Request` if it could not
-/// be asked or could not answer now.
+/// `Error::Failed` with the node's message if the node refused the request, `Error::Request` if it was not reached
+/// or returned a 5xx status, so that the request may be retried.
 pub async fn send(node: &str, request: RequestBuilder) -> Result<String> {
     let remedy = "check that it runs and that this is its operators' address";
     let response = request.send().await.map_err(|source| Error::request(node, source, remedy))?;
--- a/src/queries/request.rs
+++ b/src/queries/request.rs
@@ -1,4 +1,4 @@
-//! `report request`: follows one request over the logs of all processes.
+//! `report request`: finds the log lines of one request in the logs of all processes.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -8,24 +8,23 @@
 /// Options of the command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// The caller's id for the request.
+    /// Id that the caller gave the request.
     pub id: String,
-    /// A folder with one log file a process.
+    /// Folder with one log file per process.
     pub logs: PathBuf,
 }
 
-/// Prints the lines of a request, and what changed around it at the processes and targets that it
-/// met.
+/// Prints the log lines of a request, and the other events during it that concern its processes and targets.
 ///
 /// # Errors
-/// If the folder can't be read, or no line names the request.
+/// If the folder can't be read, or no line has the id.
 pub fn run(options: &Options) -> Result<()> {
     let lines = read_folder(&options.logs)?;
     let related = related_lines(&lines, &options.id);
     if related.is_empty() {
         return Err(Error::Failed {
             message: format!(
-                "no line names request {:?}; check the id, or whether its logs are in {}",
+                "no log line has the request id {:?}; check the id and that its logs are in {}",
                 options.id,
                 options.logs.display()
             ),
@@ -35,27 +34,27 @@
     Ok(())
 }
 
-/// A line of a log with the process that wrote it.
+/// A log line and the process that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogLine {
-    /// The time that the process wrote.
+    /// Value of `ts`, the time at which the process wrote the line.
     pub timestamp: String,
-    /// The log's file name without its ending.
+    /// File name of the log without its extension.
     pub process: String,
-    /// The line.
+    /// The whole line.
     pub text: String,
 }
 
 impl LogLine {
-    /// Reads a line; `None` if it has no time.
+    /// Parses a line; `None` if it has no `ts`.
     pub fn parse(process: &str, text: &str) -> Option<LogLine> {
         let timestamp = first_value(text, "ts")?.to_string();
         Some(LogLine { timestamp, process: process.to_string(), text: text.to_string() })
     }
 }
 
-/// The lines of a request in order, and among them those by which the processes that wrote them
-/// changed what they believe, or that name a target that it met, within the seconds of the request.
+/// The lines of a request in order of time. Other events between its start and its last line are included if a
+/// process of the request logged them or if they name one of its targets.
 pub fn related_lines(lines: &[LogLine], id: &str) -> Vec<String> {
     let is_of_request = |line: &&LogLine| first_value(&line.text, "id") == Some(id);
     let own: Vec<&LogLine> = lines.iter().filter(is_of_request).collect();
@@ -107,7 +106,7 @@
     text.split(' ').filter_map(move |pair| pair.strip_prefix(key)?.strip_prefix('='))
 }
 
-/// A time in the logs' form, some milliseconds earlier; the same where it has another form.
+/// A log timestamp minus some milliseconds; unchanged if it is not in RFC 3339 format.
 fn time_before(ts: &str, ms: i64) -> String {
     let Ok(time) = chrono::DateTime::parse_from_rfc3339(ts) else { return ts.to_string() };
     let time = time - chrono::TimeDelta::milliseconds(ms);
--- a/tests/logic/burn.rs
+++ b/tests/logic/burn.rs
@@ -57,7 +57,7 @@
     let mut report = Report::default();
     report.counts.add(burn.counts(START));
     report.counts.add(burn.counts(START));
-    report.unreachable.push(("http://127.0.0.1:1".into(), "no answer".into()));
+    report.failed_nodes.push(("http://127.0.0.1:1".into(), "no answer".into()));
     insta::assert_snapshot!(report.text());
     assert!(report.svg().contains("diagnosis 5m"));
 }
