--- a/src/commands/config_patch.rs
+++ b/src/commands/config_patch.rs
@@ -1,4 +1,4 @@
-//! `config patch`: submits a patch against a number of the configuration.
+//! `config patch`: submits a patch of the configuration.
 
 use std::path::PathBuf;
 
@@ -9,26 +9,26 @@
 use crate::queries::operator_client;
 use crate::settings::read_json;
 
-/// Attempts to submit a patch whose answer was lost. Each sends the same id, so it is one patch.
+/// Maximum number of attempts to submit a patch. All have the same id, so the patch is applied at most once.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// What to submit.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Operators' address of any node.
     pub node: String,
-    /// A file with a JSON merge patch.
+    /// File with a JSON merge patch.
     pub file: PathBuf,
-    /// The number that it was made against; the newest if `None`.
+    /// Number of the configuration that the patch was made against; the newest if `None`.
     pub base: Option<u64>,
-    /// The patch's id; drawn if `None`.
+    /// Id of the patch; random if `None`.
     pub patch_id: Option<String>,
 }
 
-/// Submits a patch and prints its number.
+/// Submits a patch and prints the response.
 ///
 /// # Errors
-/// Why it was not accepted, or that no node answered.
+/// `Error::Failed` if the patch is refused, `Error::Request` if no attempt got a response.
 pub fn run(options: &Options) -> Result<()> {
     let patch = read_json(&options.file)?;
     let patch_id = options
@@ -51,7 +51,9 @@
                 Err(error) => last_error = Some(error),
             }
         }
-        eprintln!("the answer was lost; send it again with --base {base} --id {patch_id}");
+        eprintln!(
+            "the patch may have been applied; to retry it, add --base {base} --id {patch_id}"
+        );
         Err(last_error.unwrap_or(Error::Failed { message: "no attempt was made".into() }))
     })
 }
@@ -61,7 +63,11 @@
     let answer = operator_client::send(node, request).await?;
     let value: Value = serde_json::from_str(&answer).unwrap_or_default();
     value["number"].as_u64().ok_or_else(|| {
-        Error::request(node, "its answer names no number", "check that it is an operators' address")
+        Error::request(
+            node,
+            "its response has no configuration number",
+            "check that it is an operators' address",
+        )
     })
 }
 
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a node and stand-ins in one process; prompts of a few accounts that return.
+//! `demo`: runs a node and the emulator in one process, sends a workload and checks the results.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,30 +16,29 @@
 use crate::settings::Settings;
 use crate::telemetry::logs::{self, LogSettings};
 
-/// Requests a second.
 const REQUESTS_PER_S: f64 = 40.0;
-/// About how long a context stays away.
+/// Typical time between two prompts of a context.
 const CONTEXT_GAP: Duration = Duration::from_millis(1_500);
-/// The node must be ready within this time.
+/// Maximum time until the node is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(6);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What to show.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// How long prompts are sent, in seconds.
+    /// Duration of the workload in seconds.
     pub seconds: f64,
     /// Seed of the workload.
     pub seed: u64,
-    /// The workload.
+    /// Kind of workload.
     pub shape: Shape,
 }
 
-/// Runs the demonstration. Its last line tells whether all checks held.
+/// Runs the demonstration. The last line printed says whether all checks passed.
 ///
 /// # Errors
-/// Which check did not hold.
+/// The failed check, or why the demonstration could not run.
 pub fn run(options: &Options) -> Result<()> {
     logs::start(&LogSettings { level: LevelFilter::Error, file: None })?;
     match super::block_on(run_demo(options)) {
@@ -84,13 +83,16 @@
 fn check_results(figures: &Figures, aborted: usize) -> Result<()> {
     let failed = |message: String| Err(Error::Failed { message });
     if figures.answered != figures.sent {
-        return failed(format!("{} of {} were answered", figures.answered, figures.sent));
+        return failed(format!(
+            "only {} of {} requests were answered",
+            figures.answered, figures.sent
+        ));
     }
     if !figures.is_safe() {
-        return failed("an answer was wrong, lost or doubled".into());
+        return failed("a response was wrong, lost or duplicated".into());
     }
     if aborted > 0 {
-        return failed(format!("{aborted} requests were cut off by the shutdown"));
+        return failed(format!("{aborted} requests were aborted by the shutdown"));
     }
     Ok(())
 }
@@ -112,12 +114,12 @@
         while !node.is_ready() {
             tokio::time::sleep(READY_CHECK_INTERVAL).await;
         }
-        // One more poll, so that every engine's load is known.
+        // At least one more poll, so that the load of every engine is known.
         tokio::time::sleep(node.settings.timing.load_poll * 2).await;
     };
-    tokio::time::timeout(READY_TIMEOUT, ready)
-        .await
-        .map_err(|_| Error::start("demo", "the node did not get ready", "free some cores"))
+    tokio::time::timeout(READY_TIMEOUT, ready).await.map_err(|_| {
+        Error::start("demo", "the node is not ready in time", "reduce the load of this machine")
+    })
 }
 
 fn node_settings(
@@ -127,7 +129,7 @@
 ) -> Result<Settings> {
     let key_file = folder.path.join("key");
     super::key_new::run(&key_file)?;
-    // Nobody else has to find the only node.
+    // Any port: no other node connects to this one.
     let peer = "127.0.0.1:0";
     let value = json!({
         "environment": "test", "node_id": 1, "region": "demo", "failure_domain": "here",
@@ -142,7 +144,7 @@
     Settings::from_value(&value, "demo")
 }
 
-/// A folder of its own that is removed at the end.
+/// A temporary folder that is removed on drop.
 struct TempFolder {
     path: PathBuf,
 }
@@ -151,7 +153,7 @@
     fn new() -> Result<TempFolder> {
         let path = std::env::temp_dir().join(format!("kumquatpost-demo-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|source| {
-            Error::start("demo", source, "free the folder for temporary files")
+            Error::start("demo", source, "make the folder for temporary files writable")
         })?;
         Ok(TempFolder { path })
     }
--- a/src/commands/deployment_role.rs
+++ b/src/commands/deployment_role.rs
@@ -1,4 +1,4 @@
-//! `entry` and `replica`: run one role of a deployment on the platform's host.
+//! `entry` and `replica`: run one role of a deployment on a host of the platform.
 
 use std::future::Future;
 
@@ -14,7 +14,7 @@
 /// Runs an entry until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If it can't start.
+/// If the settings are invalid, the process can't start, or an essential task ends.
 pub fn run_entry() -> Result<()> {
     run_role(gateway::run::run)
 }
@@ -22,12 +22,12 @@
 /// Runs a replica until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If it can't start.
+/// If the settings are invalid, the process can't start, its disk fails, or an essential task ends.
 pub fn run_replica() -> Result<()> {
     run_role(control::run::run)
 }
 
-/// These hosts have a part of one core, so one thread does all the work.
+/// Runs a role on a single thread: these hosts provide only a fraction of a core.
 fn run_role<F: Future<Output = Result<()>>>(role: impl FnOnce(HostSettings) -> F) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -35,7 +35,7 @@
         .map_err(|source| Error::start("runtime", source, "raise the limits of this user"))?;
     {
         let _guard = runtime.enter();
-        // Taken from now on, even if nobody listens yet.
+        // Installs the SIGHUP handler early: the default action would terminate the process during its start.
         drop(reload::listen_for_sighup()?);
     }
     let host = platform::settings::read()?;
--- a/src/commands/emulate.rs
+++ b/src/commands/emulate.rs
@@ -1,4 +1,4 @@
-//! `emulate`: runs stand-ins for targets and the platform.
+//! `emulate`: runs emulated targets and an emulated platform.
 
 use std::path::Path;
 
@@ -6,10 +6,10 @@
 use crate::error::Result;
 use crate::telemetry::logs;
 
-/// Runs stand-ins until SIGTERM or SIGINT.
+/// Runs the emulator until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// If they can't start.
+/// If the settings are invalid or the emulator can't start.
 pub fn run(file: &Path) -> Result<()> {
     let settings = EmulatorSettings::read(file)?;
     logs::start(&settings.log)?;
--- a/src/commands/key_new.rs
+++ b/src/commands/key_new.rs
@@ -1,4 +1,4 @@
-//! `key new`: writes a new key for the nodes.
+//! `key new`: generates the key with which nodes authenticate each other.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -9,10 +9,10 @@
 
 use crate::error::{Error, Result};
 
-/// Writes a new key that only its owner may read.
+/// Writes a random key to a new file that only its owner may read.
 ///
 /// # Errors
-/// `Error::Start` if the file is there already or can't be written.
+/// `Error::Start` if the file exists or can't be written.
 pub fn run(file: &Path) -> Result<()> {
     let file_error = |source| {
         let name = file.display().to_string();
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends a workload to nodes and checks the answers.
+//! `load`: sends a workload to nodes and checks the responses.
 
 use std::path::PathBuf;
 
@@ -10,29 +10,29 @@
 use crate::load::{Deployment, Figures, Plan, Target, Workload, send_all};
 use crate::queries::operator_client;
 
-/// What to send.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Callers' addresses of nodes.
+    /// Base URLs of the nodes' callers' interfaces.
     pub nodes: Vec<String>,
-    /// The emulator's address.
+    /// Base URL of the emulated platform, to compare the results with the requests that really ran.
     pub platform: Option<String>,
-    /// The workload.
+    /// The workload to send.
     pub plan: Plan,
-    /// Where to write the figures.
+    /// File to write the figures to, as JSON.
     pub json: Option<PathBuf>,
-    /// Policy in the printed configuration.
+    /// Routing policy in the printed configuration.
     pub policy: String,
-    /// Only print settings of the emulator.
+    /// Whether to only print settings of the emulator for the workload.
     pub print_emulator: bool,
-    /// Only print a configuration.
+    /// Whether to only print a configuration for the workload.
     pub print_config: bool,
 }
 
 /// Sends a workload and prints its figures.
 ///
 /// # Errors
-/// If it can't be sent, or if an answer was wrong, lost or doubled.
+/// If the workload can't be sent, or if a response was wrong, lost or duplicated.
 pub fn run(options: &Options) -> Result<()> {
     let deployment = Deployment::new(options.plan.shape, &options.policy);
     if options.print_emulator || options.print_config {
@@ -67,7 +67,7 @@
         if figures.is_safe() {
             return Ok(());
         }
-        Err(Error::Failed { message: "answers were wrong, lost or doubled; see above".into() })
+        Err(Error::Failed { message: "responses were wrong, lost or duplicated; see above".into() })
     })
 }
 
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' verbs that change or run something.
+//! Commands that run a process or change state.
 
 pub mod config_patch;
 pub mod demo;
@@ -13,10 +13,10 @@
 
 use crate::error::{Error, Result};
 
-/// Runs a future on a new runtime with all cores.
+/// Runs a future on a new multi-threaded runtime.
 ///
 /// # Errors
-/// `Error::Start` if there is no runtime, else what the future returns.
+/// `Error::Start` if the runtime can't be created, otherwise the error of the future.
 pub fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -27,10 +27,10 @@
     result
 }
 
-/// Waits until the process is asked to end.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// `Error::Start` if signals can't be taken.
+/// `Error::Start` if the signal handlers can't be installed.
 pub async fn wait_for_shutdown_signal() -> Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let listen = |kind| {
--- a/src/commands/replicas.rs
+++ b/src/commands/replicas.rs
@@ -1,4 +1,4 @@
-//! `replicas`: changes the replicas of the log, one at a time.
+//! `replicas`: changes the replicas of the log, one per call.
 
 use serde_json::json;
 
@@ -6,19 +6,19 @@
 use crate::log::raft::Change;
 use crate::queries::operator_client;
 
-/// What to change.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Operators' address of any node.
     pub node: String,
-    /// The change.
+    /// The membership change.
     pub change: Change,
 }
 
-/// Changes the replicas.
+/// Submits the change and prints the response.
 ///
 /// # Errors
-/// Why the change was not accepted.
+/// If the change is refused or the node can't be reached.
 pub fn run(options: &Options) -> Result<()> {
     let body = match options.change {
         Change::AddLearner(id) => json!({"add_learner": id}),
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: runs a node until it is asked to end.
+//! `serve`: runs a node.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 /// Runs a node until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
-/// If it can't start, or if requests were cut off at the end.
+/// If the node can't start, or if the shutdown aborted requests.
 pub fn run(file: &Path) -> Result<()> {
     let settings = Settings::read(file)?;
     logs::start(&settings.log)?;
@@ -22,7 +22,7 @@
             0 => Ok(()),
             aborted => Err(Error::Failed {
                 message: format!(
-                    "{aborted} requests were cut off by the shutdown; raise timing.shutdown_ms"
+                    "{aborted} requests were aborted by the shutdown; raise timing.shutdown_ms"
                 ),
             }),
         }
