--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface: parses the arguments and runs the command.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -24,25 +24,25 @@
 
 commands:
   serve --settings FILE          run a node
-  entry                          take callers of a deployment on the platform's host
-  replica                        keep the state of a deployment on the platform's host
-  emulate --settings FILE        run stand-ins for targets and the platform
-  demo                           run a node and stand-ins, send prompts, check the answers
-  load                           send a workload to nodes and check the answers
+  entry                          serve callers of a deployment on a host of the platform
+  replica                        keep the state of a deployment on a host of the platform
+  emulate --settings FILE        run emulated targets and an emulated platform
+  demo                           run a node and the emulator, send prompts, check the responses
+  load                           send a workload to nodes and check the responses
   replicas add|promote|remove    change the replicas of the log
   config patch                   change the configuration
-  key new FILE                   write a new key for the nodes
-  key hash KEY                   show an account's key as the configuration holds it
+  key new FILE                   generate the key that nodes share
+  key hash KEY                   show the hash of an account's key for the configuration
 queries:
-  check-settings FILE            check settings of serve
+  check-settings FILE            validate settings of serve
   config get|history             show the configuration
-  status                         show a node's status
-  report burn                    report service-level burn over nodes
-  report request ID --logs DIR   follow one request over the logs of all processes
-  capacity                       measure slopes and work out the two-year size
+  status                         show the status of a node
+  report burn                    report error budget burn rates over nodes
+  report request ID --logs DIR   find one request in the logs of all processes
+  capacity                       measure costs and estimate loads at the planned scale
 
-`kumquatpost COMMAND --help` tells the options.
-exit codes: 0 done, 1 failed, 2 wrong call, 3 invalid settings or configuration
+`kumquatpost COMMAND --help` lists the options.
+exit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid settings or configuration
 ";
 
 const COMMANDS: &[&str] = &[
@@ -64,18 +64,18 @@
 
 const NODE_HELP: &str = "  --node URL     operators' address of a node, as http://IP:PORT\n";
 
-/// A command, read from the command line.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Print a text.
     Print(String),
     /// Run a node.
     Serve(PathBuf),
-    /// Take callers of a deployment.
+    /// Serve callers of a deployment.
     Entry,
     /// Keep the state of a deployment.
     Replica,
-    /// Run stand-ins.
+    /// Run the emulator.
     Emulate(PathBuf),
     /// Run the demonstration.
     Demo(demo::Options),
@@ -85,11 +85,11 @@
     Replicas(replicas::Options),
     /// Change the configuration.
     ConfigPatch(config_patch::Options),
-    /// Write a new key.
+    /// Generate a key.
     KeyNew(PathBuf),
     /// Show the hash of an account's key.
     KeyHash(String),
-    /// Check settings.
+    /// Validate settings.
     CheckSettings(PathBuf),
     /// Show the configuration.
     ConfigGet {
@@ -106,18 +106,18 @@
         /// Operators' address.
         node: String,
     },
-    /// Report service-level burn.
+    /// Report error budget burn rates.
     Burn(burn::Options),
-    /// Follow one request over logs.
+    /// Find one request in logs.
     Request(request::Options),
-    /// Measure slopes.
+    /// Measure costs and estimate loads.
     Capacity,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// `Error::Usage` with what to do instead.
+/// `Error::Usage` with the remedy.
 pub fn parse(arguments: Vec<OsString>) -> Result<Command> {
     let mut args = Arguments::from_vec(arguments);
     if args.contains(["-V", "--version"]) {
@@ -160,7 +160,7 @@
 /// Runs a command.
 ///
 /// # Errors
-/// What stopped it.
+/// The error of the command.
 pub fn run(command: Command) -> Result<()> {
     match command {
         Command::Print(text) => {
@@ -351,7 +351,7 @@
 fn usage_error(error: pico_args::Error) -> Error {
     Error::Usage {
         message: error.to_string(),
-        remedy: "`kumquatpost COMMAND --help` tells the options".into(),
+        remedy: "`kumquatpost COMMAND --help` lists the options".into(),
     }
 }
 
@@ -359,7 +359,7 @@
     let remedy = match nearest(name, known) {
         Some(known) => format!("did you mean {known}?"),
         None if known.is_empty() => "leave it out".to_string(),
-        None => format!("known are: {}", known.join(", ")),
+        None => format!("use one of: {}", known.join(", ")),
     };
     Error::Usage { message: format!("unknown {kind} {name:?}"), remedy }
 }
@@ -367,51 +367,51 @@
 fn command_help(command: &str) -> String {
     let options = match command {
         "entry" | "replica" => {
-            "run one role of a deployment; the platform names its settings file in the environment\n"
+            "run one role of a deployment; the platform gives the settings file in the environment\n"
                 .into()
         }
         "serve" => "run a node\n  --settings FILE   settings in JSON, see examples/serve.json\n".into(),
         "emulate" => {
-            "run stand-ins\n  --settings FILE   settings in JSON, see examples/emulate.json\n".into()
+            "run emulated targets and an emulated platform\n  --settings FILE   settings in JSON, see examples/emulate.json\n".into()
         }
-        "demo" => "run a node and stand-ins in one process, send prompts, check the answers\n\
+        "demo" => "run a node and the emulator in one process, send prompts, check the responses\n\
                    \x20 --workload NAME  gearworks (default) or portal\n\
-                   \x20 --seconds S      how long prompts are sent, 8 if not given\n\
-                   \x20 --seed N         seed of the workload, 1 if not given\n"
+                   \x20 --seconds S      duration of the workload, 8 by default\n\
+                   \x20 --seed N         seed of the workload, 1 by default\n"
             .into(),
-        "load" => "send a workload to nodes and check the answers\n\
+        "load" => "send a workload to nodes and check the responses\n\
                    \x20 --node URL          callers' address of a node; may be given more than once\n\
-                   \x20 --platform URL      the emulator's address, to compare with what really ran\n\
+                   \x20 --platform URL      address of the emulated platform, to compare with the requests that really ran\n\
                    \x20 --workload NAME     gearworks (default) or portal\n\
-                   \x20 --rate R            requests a second, 50 if not given\n\
-                   \x20 --seconds S         how long, 20 if not given\n\
-                   \x20 --gap-ms MS         about how long a context stays away, 8000 if not given\n\
-                   \x20 --seed N            seed, 1 if not given\n\
-                   \x20 --policy NAME       policy in --print-config, cost if not given\n\
-                   \x20 --json FILE         write the figures there\n\
-                   \x20 --print-emulator    print settings of the emulator for the workload, and stop\n\
-                   \x20 --print-config      print a configuration for the workload, and stop\n"
+                   \x20 --rate R            requests per second, 50 by default\n\
+                   \x20 --seconds S         duration of the workload, 20 by default\n\
+                   \x20 --gap-ms MS         typical time between prompts of a context, 8000 by default\n\
+                   \x20 --seed N            seed of the workload, 1 by default\n\
+                   \x20 --policy NAME       routing policy in --print-config, cost by default\n\
+                   \x20 --json FILE         write the figures to a file\n\
+                   \x20 --print-emulator    only print settings of the emulator for the workload\n\
+                   \x20 --print-config      only print a configuration for the workload\n"
             .into(),
         "replicas" => format!("add N | promote N | remove N: change the replicas\n{NODE_HELP}"),
         "config" => format!(
             "get | history | patch: show or change the configuration\n{NODE_HELP}\
              \x20 --file FILE    patch: a JSON merge patch\n\
-             \x20 --base N       patch: the number that it was made against; the newest if not given\n\
-             \x20 --id ID        patch: give the same id to send a patch again; drawn if not given\n"
+             \x20 --base N       patch: number of the configuration it was made against, the newest by default\n\
+             \x20 --id ID        patch: id, random by default; use the same one to retry a patch\n"
         ),
-        "key" => "new FILE: write a new key for the nodes; no file may be there yet\n\
-                  \x20 hash KEY: show an account's bearer key as the configuration holds it\n"
+        "key" => "new FILE: generate the key that nodes share; the file must not exist\n\
+                  \x20 hash KEY: show the hash of an account's bearer key for the configuration\n"
             .into(),
-        "check-settings" => "FILE: check settings of serve, all errors at once\n".into(),
-        "report" => "request ID: print the lines of a request, and what changed around it\n\
-                     \x20 --logs DIR     a folder with one log file a process\n\
-                     burn: report how fast error budgets are used up\n\
+        "check-settings" => "FILE: validate settings of serve and print all problems\n".into(),
+        "report" => "request ID: print the log lines of a request and the events around it\n\
+                     \x20 --logs DIR     folder with one log file per process\n\
+                     burn: report error budget burn rates\n\
                      \x20 --node URL     operators' address of a node; may be given more than once\n\
                      \x20 --json         print JSON\n\
-                     \x20 --svg FILE     write a plot there\n"
+                     \x20 --svg FILE     write a plot to a file\n"
             .into(),
-        "status" => format!("show a node's status\n{NODE_HELP}"),
-        "capacity" => "measure slopes on this machine and print the table of docs/CAPACITY.md\n".into(),
+        "status" => format!("show the status of a node\n{NODE_HELP}"),
+        "capacity" => "measure costs on this machine and print the tables of docs/CAPACITY.md\n".into(),
         _ => return HELP.to_string(),
     };
     format!("kumquatpost {command}: {options}")
