--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `serve`: read from JSON and checked whole before anything starts.
+//! Settings of `serve`. They are read from JSON and validated completely before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,108 +15,108 @@
 
 const MAX_PERIOD_MS: u64 = 86_400_000;
 const MAX_BODY_BYTES: u64 = 64 << 20;
-/// A renewal must be able to fail this often before a lease ends.
+/// Minimum number of renewal intervals in a lease, so that one failed renewal does not end it.
 const MIN_RENEWALS_PER_LEASE: u32 = 2;
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This node; unique, and never given to another host later.
+    /// Id of this node; unique, and never reused for another host.
     pub node_id: NodeId,
-    /// The region that this node is in.
+    /// Region of this node.
     pub region: String,
-    /// The failure domain that this node is in.
+    /// Failure domain of this node.
     pub failure_domain: DomainId,
-    /// Where callers' HTTP is served.
+    /// Address of the HTTP server for callers.
     pub callers_address: SocketAddr,
-    /// Where operators' HTTP is served.
+    /// Address of the HTTP server for operators.
     pub operators_address: SocketAddr,
-    /// Where other nodes reach this one, over TCP and UDP.
+    /// TCP and UDP address for other nodes.
     pub peer_address: SocketAddr,
-    /// File with the key that authenticates nodes to each other.
+    /// File with the key with which nodes authenticate each other.
     pub key_file: PathBuf,
-    /// Folder for durable state; needed by replicas only.
+    /// Folder for durable state; required on replicas only.
     pub data_folder: Option<PathBuf>,
     /// Base URL of the platform's list of targets.
     pub platform_url: String,
-    /// All nodes known at the start, this one among them. At least one is a replica.
+    /// All nodes known at the start, including this one. At least one is a replica.
     pub nodes: Vec<NodeSettings>,
-    /// Proposed as the first configuration while the number is still 0.
+    /// Configuration to propose while there is none, that is, while the configuration number is 0.
     pub first_config: Option<Value>,
-    /// Logging.
+    /// Level and destination of logs.
     pub log: LogSettings,
-    /// Periods and timeouts.
+    /// Intervals, timeouts and retention times.
     pub timing: Timing,
-    /// Bounds on what this node holds.
+    /// Limits on the resources of this node.
     pub bounds: Bounds,
-    /// Lets `POST /v1/faults` cut this node off from others; only where `environment` is `test`.
+    /// Whether `POST /v1/faults` may cut this node off from others; allowed only if `environment` is `test`.
     pub fault_knobs: bool,
 }
 
-/// Another node as the settings name it.
+/// A node in the list of known nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// The node.
+    /// Id of the node.
     pub node_id: NodeId,
-    /// Where it is reached over TCP and UDP.
+    /// TCP and UDP address of the node.
     pub peer_address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub failure_domain: DomainId,
-    /// Whether it votes in the replicated log.
+    /// Whether the node is a voter of the replicated log.
     pub replica: bool,
 }
 
-/// Periods and timeouts.
+/// Intervals, timeouts and retention times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a freshness lease lasts. At least twice `renew`.
+    /// Duration of a freshness lease; at least twice `renew`.
     pub lease: Duration,
-    /// How often a node renews its freshness lease.
+    /// Time between two renewals of the freshness lease of a node.
     pub renew: Duration,
-    /// How often a leader sends heartbeats.
+    /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// How long a replica waits for a leader before it stands for election; at least 3 heartbeats.
+    /// Time without a leader after which a replica starts an election; at least three times `heartbeat`.
     pub election: Duration,
-    /// How often a node probes another one.
+    /// Time between two membership probes of a node.
     pub probe: Duration,
-    /// How often an engine's load and cache events are read.
+    /// Time between two reads of an engine's load report and cache events.
     pub load_poll: Duration,
-    /// How often the platform's list is read.
+    /// Time between two reads of the platform's target list.
     pub platform_poll: Duration,
-    /// How long connecting to a target may take.
+    /// Timeout of connecting to a target.
     pub connect: Duration,
-    /// How long a graceful shutdown waits for running requests.
+    /// Maximum time that a graceful shutdown waits for requests to finish.
     pub shutdown: Duration,
-    /// How long the claim and outcome of a request marked not repeatable are kept.
+    /// Retention time of the claim and outcome of a request that is marked not repeatable.
     pub claim_retention: Duration,
 }
 
-/// Bounds on what this node holds.
+/// Limits on the resources of this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests that may wait for an engine; one more is refused at once.
+    /// Maximum number of requests queued for an engine; further ones are refused at once.
     pub queue_len: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Entries of kept contexts that this node owns.
+    /// Maximum number of contexts in this node's prefix catalog.
     pub context_entries: usize,
-    /// Engines of one model that this node watches.
+    /// Maximum number of engines of one model that this node watches.
     pub watched_engines: usize,
 }
 
 impl Settings {
-    /// Reads and checks the settings in a file.
+    /// Reads and validates the settings in a file.
     ///
     /// # Errors
-    /// `Error::Start` if the file can't be read, `Error::Invalid` with everything that is wrong.
+    /// `Error::Start` if the file can't be read, `Error::Invalid` with all problems found.
     pub fn read(path: &Path) -> Result<Settings> {
         Settings::from_value(&read_json(path)?, &path.display().to_string())
     }
 
-    /// Checks settings that were already parsed; `file` names them in errors.
+    /// Validates settings from parsed JSON. `file` is the name to use in errors.
     ///
     /// # Errors
-    /// `Error::Invalid` with everything that is wrong.
+    /// `Error::Invalid` with all problems found.
     pub fn from_value(value: &Value, file: &str) -> Result<Settings> {
         let mut problems = Vec::new();
         let settings = parse_settings(value, &mut problems);
@@ -127,7 +127,7 @@
         Err(Error::Invalid { file: file.to_string(), problems })
     }
 
-    /// The replicas that the settings name.
+    /// The nodes that are marked as replicas.
     pub fn replicas(&self) -> Vec<NodeId> {
         self.nodes.iter().filter(|node| node.replica).map(|node| node.node_id).collect()
     }
@@ -155,7 +155,7 @@
         let mut ids: Vec<NodeId> = self.nodes.iter().map(|node| node.node_id).collect();
         ids.sort_unstable();
         if ids.windows(2).any(|pair| pair[0] == pair[1]) {
-            report("nodes", "a node_id stands twice".into(), "give each node its own id");
+            report("nodes", "a node_id is listed twice".into(), "give each node its own id");
         }
         if self.replicas().is_empty() {
             report("nodes", "no node is a replica".into(), "mark one, three or five as replica");
@@ -174,7 +174,7 @@
 /// Reads a JSON file.
 ///
 /// # Errors
-/// `Error::Start` if the file can't be read or is not JSON.
+/// `Error::Start` if the file can't be read, `Error::Invalid` if it is not JSON.
 pub fn read_json(path: &Path) -> Result<Value> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -183,7 +183,7 @@
         let problem = Problem {
             path: format!("line {}", source.line()),
             message: source.to_string(),
-            remedy: "mend the JSON there".into(),
+            remedy: "correct the JSON there".into(),
         };
         Error::Invalid { file, problems: vec![problem] }
     })
@@ -236,7 +236,7 @@
     node
 }
 
-/// Reads the `log` object, which `serve` and `emulate` share.
+/// Parses the `log` object, which is the same in the settings of `serve` and `emulate`.
 pub fn parse_log_settings(mut fields: Fields<'_>) -> LogSettings {
     let text = fields.optional_text("level").unwrap_or_else(|| "info".into());
     let level = LevelFilter::from_str(&text).unwrap_or_else(|_| {
