--- a/src/error.rs
+++ b/src/error.rs
@@ -1,17 +1,17 @@
-//! Errors of the process. Each message is one line and names the remedy.
+//! The error type of commands. Each message is one line and names the remedy.
 
 use std::fmt;
 
 use snafu::Snafu;
 
-/// A result, with the process's error if no other is named.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What stops a command.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Error {
-    /// The command line can't be understood.
+    /// The command line is invalid.
     #[snafu(display("{message}; {remedy}"))]
     Usage {
         /// What is wrong.
@@ -24,39 +24,39 @@
     Invalid {
         /// The file, or `patch`.
         file: String,
-        /// Everything that is wrong with it.
+        /// All problems found.
         problems: Vec<Problem>,
     },
-    /// A part of the process could not start.
+    /// A component of the process could not start.
     #[snafu(display("{component}: {reason}; {remedy}"))]
     Start {
-        /// The setting or part.
+        /// The setting or component.
         component: String,
         /// Why.
         reason: String,
         /// What to do.
         remedy: String,
     },
-    /// A node or target could not be asked.
+    /// A request to a node or target failed.
     #[snafu(display("{address}: {reason}; {remedy}"))]
     Request {
-        /// Whom we asked.
+        /// Address of the node or target.
         address: String,
-        /// Why it failed.
+        /// Why the request failed.
         reason: String,
         /// What to do.
         remedy: String,
     },
-    /// A run finished, but what it checked does not hold.
+    /// The command ran, but was refused or a check of its results failed.
     #[snafu(display("{message}"))]
     Failed {
-        /// What does not hold.
+        /// What was refused or which check failed.
         message: String,
     },
 }
 
 impl Error {
-    /// A part that could not start.
+    /// Creates an `Error::Start`.
     pub fn start(component: &str, reason: impl fmt::Display, remedy: &str) -> Error {
         Error::Start {
             component: component.to_string(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A node or target that could not be asked.
+    /// Creates an `Error::Request`.
     pub fn request(address: &str, reason: impl fmt::Display, remedy: &str) -> Error {
         Error::Request {
             address: address.to_string(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The exit code: 2 for a wrong call, 3 for invalid settings, 1 for the rest.
+    /// The exit code: 2 for an invalid command line, 3 for invalid settings or configuration, 1 otherwise.
     pub fn exit_code(&self) -> u8 {
         match self {
             Error::Usage { .. } => 2,
@@ -84,12 +84,12 @@
     }
 }
 
-/// One thing wrong with a document.
+/// One problem of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Where, for example `limits.queue_len`.
+    /// Path of the field, for example `bounds.queue_len`.
     pub path: String,
-    /// What is wrong, with the value.
+    /// What is wrong, including the value.
     pub message: String,
     /// What to do.
     pub remedy: String,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,11 @@
 //! kumquatpost: a serving system for language-model prompts that return after long gaps.
 //!
-//! Decisions are state machines without I/O, fed `(message, now)`; thin shells around them do the
-//! I/O. README.md says what it does, docs/design/ why it is built this way.
+//! Decision logic is in state machines without I/O that get messages and the current time as parameters; thin
+//! layers around them perform the I/O. See README.md for an overview and docs/design/ for the design.
 
 pub mod capacity;
 pub mod checked;
 pub mod claims;
-
 pub mod cli;
 pub mod clock;
 pub mod commands;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary: reads the command line, runs one command, maps its result to an exit code.
+//! The `kumquatpost` binary: runs the command of the command line and maps its result to an exit code.
 
 use std::process::ExitCode;
 
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,4 +1,4 @@
-//! Notices that the settings file has changed, with a signal or without.
+//! Reloads the settings file when it changes, on SIGHUP and periodically.
 
 use std::time::Duration;
 
@@ -8,22 +8,23 @@
 use crate::host::HostSettings;
 use crate::platform::settings;
 
-/// How often the file is looked at without a signal: seeds change some seconds before they matter.
+/// Time between two reads of the file without a signal. New seeds are in the file a few seconds before they are
+/// needed.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Has SIGHUP taken from here on, so that one that comes while the process starts does not end it.
+/// Installs a handler for SIGHUP. From then on, the signal no longer terminates the process.
 ///
 /// # Errors
-/// If signals can't be taken.
+/// `Error::Start` if the signal handler can't be installed.
 pub fn listen_for_sighup() -> Result<Signal> {
     signal(SignalKind::hangup())
         .map_err(|source| Error::start("signals", source, "report this as a defect"))
 }
 
-/// Hands out the settings each time that they have changed, for as long as the process lives.
+/// Calls `on_change` with the new settings whenever they differ from the `current` ones. Returns only on errors.
 ///
 /// # Errors
-/// If signals can't be taken.
+/// `Error::Start` if the signal handler can't be installed.
 pub async fn watch_settings(
     mut current: HostSettings,
     mut on_change: impl FnMut(&HostSettings),
