--- a/src/capacity/benchmarks.rs
+++ b/src/capacity/benchmarks.rs
@@ -151,7 +151,7 @@
     BTreeMap::from([("store-0".to_string(), 0.3), ("store-1".to_string(), 0.4)])
 }
 
-/// A catalog in which every context has one exported copy.
+/// A catalog in which every context has one committed copy.
 fn filled_catalog(contexts: usize) -> Catalog {
     let mut catalog = Catalog::new(contexts * 2, 1);
     for number in 0..contexts as u128 {
@@ -259,7 +259,8 @@
 }
 
 pub(super) fn sync_points(folder: &Path) -> Result<Vec<Point>> {
-    let failed = |source: std::io::Error| Error::start("capacity", source, "free the disk");
+    let failed =
+        |source: std::io::Error| Error::start("capacity", source, "make space on the disk");
     let (mut disk, _) = Disk::open(&folder.join("sync"))?;
     let mut index = 0;
     let mut points = Vec::new();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -372,7 +372,8 @@
         }
         "serve" => "run a node\n  --settings FILE   settings in JSON, see examples/serve.json\n".into(),
         "emulate" => {
-            "run emulated targets and an emulated platform\n  --settings FILE   settings in JSON, see examples/emulate.json\n".into()
+            "run emulated targets and an emulated platform\n\
+             \x20 --settings FILE   settings in JSON, see examples/emulate.json\n".into()
         }
         "demo" => "run a node and the emulator in one process, send prompts, check the responses\n\
                    \x20 --workload NAME  gearworks (default) or portal\n\
--- a/src/queries/burn.rs
+++ b/src/queries/burn.rs
@@ -11,7 +11,7 @@
 use crate::telemetry::burn::{BurnCounts, WINDOWS, WindowCounts};
 
 /// Burn rate over 5 minutes and over 1 hour that needs attention at once: it uses up the error budget of 30 days in
-/// 2 days.
+/// about 2 days.
 const URGENT_BURN_RATE: f64 = 14.4;
 /// Burn rate over 6 hours and over 3 days that needs attention today: it uses up the error budget of 30 days in
 /// 30 days.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -15,7 +15,7 @@
 
 const MAX_PERIOD_MS: u64 = 86_400_000;
 const MAX_BODY_BYTES: u64 = 64 << 20;
-/// Minimum number of renewal intervals in a lease, so that one failed renewal does not end it.
+/// Minimum number of renewal intervals in a lease, so that a failed renewal can be retried before the lease ends.
 const MIN_RENEWALS_PER_LEASE: u32 = 2;
 
 /// Settings of one node.
@@ -147,7 +147,11 @@
         }
         if self.timing.election < self.timing.heartbeat * 3 {
             let message = format!("{} is too short", self.timing.election.as_millis());
-            report("timing.election_ms", message, "raise it to three times timing.heartbeat_ms");
+            report(
+                "timing.election_ms",
+                message,
+                "raise it to at least three times timing.heartbeat_ms",
+            );
         }
         if !self.nodes.iter().any(|node| node.node_id == self.node_id) {
             report("nodes", format!("node {} is missing", self.node_id), "list this node as well");
--- a/src/telemetry/deployment_metrics.rs
+++ b/src/telemetry/deployment_metrics.rs
@@ -6,7 +6,7 @@
 use super::metrics::label;
 use crate::error::Result;
 
-/// Cover the objectives of deployments, 0.1 to 0.8 s, and the maximum wait of callers, 15 s.
+/// Histogram boundaries, which cover the objectives of deployments, 0.1 to 0.8 s, and the maximum wait of callers, 15 s.
 const FIRST_CHUNK_BOUNDARIES_S: [f64; 14] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.5, 5.0, 15.0];
 
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -6,10 +6,10 @@
 use super::metric_registry::MetricRegistry;
 use crate::error::Result;
 
-/// Include 1.8 s, the objective for the 95th percentile.
+/// Histogram boundaries; 1.8 s is the objective for the 95th percentile.
 const FIRST_TOKEN_BOUNDARIES_S: [f64; 13] =
     [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2, 1.8, 2.5, 5.0, 20.0];
-/// Include 18 s, the limit until a configuration is in force.
+/// Histogram boundaries; 18 s is the limit until a configuration is in force.
 const IN_FORCE_BOUNDARIES_S: [f64; 9] = [0.5, 1.0, 2.0, 3.0, 4.0, 6.0, 10.0, 18.0, 60.0];
 
 /// The metric instruments of one node. Names and units are listed in docs/OPERATIONS.md.
--- a/src/telemetry/non_blocking_appender.rs
+++ b/src/telemetry/non_blocking_appender.rs
@@ -52,7 +52,7 @@
 
 impl fmt::Debug for NonBlockingAppender {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("BoundedAppender").field("dropped", &self.dropped()).finish()
+        f.debug_struct("NonBlockingAppender").field("dropped", &self.dropped()).finish()
     }
 }
 
