--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -89,7 +89,7 @@
         ));
     }
     if !figures.is_safe() {
-        return failed("a response was wrong, lost or duplicated".into());
+        return failed("a response was wrong, lost or doubled".into());
     }
     if aborted > 0 {
         return failed(format!("{aborted} requests were aborted by the shutdown"));
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -32,7 +32,7 @@
 /// Sends a workload and prints its figures.
 ///
 /// # Errors
-/// If the workload can't be sent, or if a response was wrong, lost or duplicated.
+/// If the workload can't be sent, or if a response was wrong, lost or doubled.
 pub fn run(options: &Options) -> Result<()> {
     let deployment = Deployment::new(options.plan.shape, &options.policy);
     if options.print_emulator || options.print_config {
@@ -67,7 +67,7 @@
         if figures.is_safe() {
             return Ok(());
         }
-        Err(Error::Failed { message: "responses were wrong, lost or duplicated; see above".into() })
+        Err(Error::Failed { message: "responses were wrong, lost or doubled; see above".into() })
     })
 }
 
