--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command-line interface: parses the arguments and runs the command.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -24,25 +24,25 @@
 
 commands:
   serve --settings FILE          run a node
-  entry                          take callers of a deployment on the platform's host
-  replica                        keep the state of a deployment on the platform's host
-  emulate --settings FILE        run stand-ins for targets and the platform
-  demo                           run a node and stand-ins, send prompts, check the answers
-  load                           send a workload to nodes and check the answers
+  entry                          serve callers of a deployment on a host of the platform
+  replica                        keep the state of a deployment on a host of the platform
+  emulate --settings FILE        run emulated targets and an emulated platform
+  demo                           run a node and the emulator, send prompts, check the responses
+  load                           send a workload to nodes and check the responses
   replicas add|promote|remove    change the replicas of the log
   config patch                   change the configuration
-  key new FILE                   write a new key for the nodes
-  key hash KEY                   show an account's key as the configuration holds it
+  key new FILE                   generate the key that nodes share
+  key hash KEY                   show the hash of an account's key for the configuration
 queries:
-  check-settings FILE            check settings of serve
+  check-settings FILE            validate settings of serve
   config get|history             show the configuration
-  status                         show a node's status
-  report burn                    report service-level burn over nodes
-  report request ID --logs DIR   follow one request over the logs of all processes
-  capacity                       measure slopes and work out the two-year size
+  status                         show the status of a node
+  report burn                    report error budget burn rates over nodes
+  report request ID --logs DIR   find one request in the logs of all processes
+  capacity                       measure costs and estimate loads at the planned scale
 
-`kumquatpost COMMAND --help` tells the options.
-exit codes: 0 done, 1 failed, 2 wrong call, 3 invalid settings or configuration
+`kumquatpost COMMAND --help` lists the options.
+exit codes: 0 success, 1 failure, 2 invalid command line, 3 invalid settings or configuration
 ";
 
 const COMMANDS: &[&str] = &[
@@ -64,18 +64,18 @@
 
 const NODE_HELP: &str = "  --node URL     operators' address of a node, as http://IP:PORT\n";
 
-/// A command, read from the command line.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Print a text.
     Print(String),
     /// Run a node.
     Serve(PathBuf),
-    /// Take callers of a deployment.
+    /// Serve callers of a deployment.
     Entry,
     /// Keep the state of a deployment.
     Replica,
-    /// Run stand-ins.
+    /// Run the emulator.
     Emulate(PathBuf),
     /// Run the demonstration.
     Demo(demo::Options),
@@ -85,11 +85,11 @@
     Replicas(replicas::Options),
     /// Change the configuration.
     ConfigPatch(config_patch::Options),
-    /// Write a new key.
+    /// Generate a key.
     KeyNew(PathBuf),
     /// Show the hash of an account's key.
     KeyHash(String),
-    /// Check settings.
+    /// Validate settings.
     CheckSettings(PathBuf),
     /// Show the configuration.
     ConfigGet {
@@ -106,57 +106,61 @@
         /// Operators' address.
         node: String,
     },
-    /// Report service-level burn.
+    /// Report error budget burn rates.
     Burn(burn::Options),
-    /// Follow one request over logs.
+    /// Find one request in logs.
     Request(request::Options),
-    /// Measure slopes.
+    /// Measure costs and estimate loads.
     Capacity,
 }
 
-/// Reads the command line.
+/// Parses the command line.
 ///
 /// # Errors
-/// `Error::Usage` with what to do instead.
+/// `Error::Usage` with the remedy.
 pub fn parse(arguments: Vec<OsString>) -> Result<Command> {
     let mut args = Arguments::from_vec(arguments);
     if args.contains(["-V", "--version"]) {
         return Ok(Command::Print(format!("kumquatpost {}\n", env!("CARGO_PKG_VERSION"))));
     }
-    let wants_help = args.contains(["-h", "--help"]);
-    let Some(name) = args.subcommand().map_err(usage)? else { return no_command(args, wants_help) };
-    if wants_help {
-        return Ok(Command::Print(help_of(&name)));
+    let help = args.contains(["-h", "--help"]);
+    let Some(name) = args.subcommand().map_err(usage_error)? else { return no_command(args, help) };
+    if help {
+        return Ok(Command::Print(command_help(&name)));
     }
     let (command, flags) = match name.as_str() {
         "help" => (Command::Print(HELP.into()), &[][..]),
-        "serve" => (Command::Serve(args.value_from_str("--settings").map_err(usage)?), SETTINGS),
+        "serve" => (
+            Command::Serve(args.value_from_str("--settings").map_err(usage_error)?),
+            SETTINGS_FLAGS,
+        ),
         "entry" => (Command::Entry, &[][..]),
         "replica" => (Command::Replica, &[][..]),
-        "emulate" => {
-            (Command::Emulate(args.value_from_str("--settings").map_err(usage)?), SETTINGS)
-        }
-        "demo" => (Command::Demo(demo_options(&mut args)?), DEMO),
-        "load" => (Command::Load(load_options(&mut args)?), LOAD),
-        "replicas" => (Command::Replicas(replicas_options(&mut args)?), NODE),
-        "config" => config(&mut args)?,
-        "key" => (key(&mut args)?, &[][..]),
-        "check-settings" => (Command::CheckSettings(file(&mut args)?), &[][..]),
-        "status" => (Command::Status { node: node(&mut args)? }, NODE),
-        "report" => report(&mut args)?,
+        "emulate" => (
+            Command::Emulate(args.value_from_str("--settings").map_err(usage_error)?),
+            SETTINGS_FLAGS,
+        ),
+        "demo" => (Command::Demo(parse_demo(&mut args)?), DEMO_FLAGS),
+        "load" => (Command::Load(parse_load(&mut args)?), LOAD_FLAGS),
+        "replicas" => (Command::Replicas(parse_replicas(&mut args)?), NODE_FLAGS),
+        "config" => parse_config(&mut args)?,
+        "key" => (parse_key(&mut args)?, &[][..]),
+        "check-settings" => (Command::CheckSettings(file_argument(&mut args)?), &[][..]),
+        "status" => (Command::Status { node: node_flag(&mut args)? }, NODE_FLAGS),
+        "report" => parse_report(&mut args)?,
         "capacity" => (Command::Capacity, &[][..]),
-        other => return Err(unknown("command", other, COMMANDS)),
+        unknown => return Err(unknown_error("command", unknown, COMMANDS)),
     };
     match args.finish().first() {
         None => Ok(command),
-        Some(rest) => Err(unknown("argument", &rest.to_string_lossy(), flags)),
+        Some(unused) => Err(unknown_error("argument", &unused.to_string_lossy(), flags)),
     }
 }
 
 /// Runs a command.
 ///
 /// # Errors
-/// What stopped it.
+/// The error of the command.
 pub fn run(command: Command) -> Result<()> {
     match command {
         Command::Print(text) => {
@@ -164,8 +168,8 @@
             Ok(())
         }
         Command::Serve(file) => commands::serve::run(&file),
-        Command::Entry => commands::roles::entry(),
-        Command::Replica => commands::roles::replica(),
+        Command::Entry => commands::deployment_role::run_entry(),
+        Command::Replica => commands::deployment_role::run_replica(),
         Command::Emulate(file) => commands::emulate::run(&file),
         Command::Demo(options) => demo::run(&options),
         Command::Load(options) => load::run(&options),
@@ -177,19 +181,21 @@
             Ok(())
         }
         Command::CheckSettings(file) => queries::check_settings::run(&file),
-        Command::ConfigGet { node } => queries::node::print(&node, "/v1/config"),
-        Command::ConfigHistory { node } => queries::node::print(&node, "/v1/config/history"),
-        Command::Status { node } => queries::node::print(&node, "/v1/status"),
+        Command::ConfigGet { node } => queries::operator_client::print(&node, "/v1/config"),
+        Command::ConfigHistory { node } => {
+            queries::operator_client::print(&node, "/v1/config/history")
+        }
+        Command::Status { node } => queries::operator_client::print(&node, "/v1/status"),
         Command::Burn(options) => burn::run(&options),
         Command::Request(options) => request::run(&options),
         Command::Capacity => queries::capacity::run(),
     }
 }
 
-const SETTINGS: &[&str] = &["--settings"];
-const NODE: &[&str] = &["--node"];
-const DEMO: &[&str] = &["--seconds", "--seed", "--workload"];
-const LOAD: &[&str] = &[
+const SETTINGS_FLAGS: &[&str] = &["--settings"];
+const NODE_FLAGS: &[&str] = &["--node"];
+const DEMO_FLAGS: &[&str] = &["--seconds", "--seed", "--workload"];
+const LOAD_FLAGS: &[&str] = &[
     "--node",
     "--platform",
     "--workload",
@@ -202,15 +208,17 @@
     "--print-config",
     "--policy",
 ];
-const BURN: &[&str] = &["--node", "--json", "--svg"];
-const REQUEST: &[&str] = &["--logs"];
-const PATCH: &[&str] = &["--node", "--file", "--base", "--id"];
+const BURN_FLAGS: &[&str] = &["--node", "--json", "--svg"];
+const REQUEST_FLAGS: &[&str] = &["--logs"];
+const PATCH_FLAGS: &[&str] = &["--node", "--file", "--base", "--id"];
 
-fn no_command(args: Arguments, wants_help: bool) -> Result<Command> {
-    let rest = args.finish();
-    match rest.first() {
-        Some(rest) => Err(unknown("flag", &rest.to_string_lossy(), &["--help", "--version"])),
-        None if wants_help => Ok(Command::Print(HELP.into())),
+fn no_command(args: Arguments, help: bool) -> Result<Command> {
+    let unused = args.finish();
+    match unused.first() {
+        Some(unused) => {
+            Err(unknown_error("flag", &unused.to_string_lossy(), &["--help", "--version"]))
+        }
+        None if help => Ok(Command::Print(HELP.into())),
         None => Err(Error::Usage {
             message: "no command".into(),
             remedy: "name one; `kumquatpost --help` lists them".into(),
@@ -218,193 +226,195 @@
     }
 }
 
-fn demo_options(args: &mut Arguments) -> Result<demo::Options> {
+fn parse_demo(args: &mut Arguments) -> Result<demo::Options> {
     Ok(demo::Options {
-        seconds: optional(args, "--seconds")?.unwrap_or(8.0),
-        seed: optional(args, "--seed")?.unwrap_or(1),
-        profile: profile(args)?,
+        seconds: optional_flag(args, "--seconds")?.unwrap_or(8.0),
+        seed: optional_flag(args, "--seed")?.unwrap_or(1),
+        profile: workload_flag(args)?,
     })
 }
 
-fn load_options(args: &mut Arguments) -> Result<load::Options> {
-    let nodes = args.values_from_str("--node").map_err(usage)?;
+fn parse_load(args: &mut Arguments) -> Result<load::Options> {
+    let nodes = args.values_from_str("--node").map_err(usage_error)?;
     Ok(load::Options {
         nodes,
-        platform: optional(args, "--platform")?,
+        platform: optional_flag(args, "--platform")?,
         plan: WorkloadParameters {
-            profile: profile(args)?,
-            requests_per_s: optional(args, "--rate")?.unwrap_or(50.0),
-            seconds: optional(args, "--seconds")?.unwrap_or(20.0),
-            return_gap: optional(args, "--gap-ms")?
+            profile: workload_flag(args)?,
+            requests_per_s: optional_flag(args, "--rate")?.unwrap_or(50.0),
+            seconds: optional_flag(args, "--seconds")?.unwrap_or(20.0),
+            return_gap: optional_flag(args, "--gap-ms")?
                 .map_or(DEFAULT_RETURN_GAP, Duration::from_millis),
-            seed: optional(args, "--seed")?.unwrap_or(1),
+            seed: optional_flag(args, "--seed")?.unwrap_or(1),
         },
-        json: optional(args, "--json")?,
-        policy: optional(args, "--policy")?.unwrap_or_else(|| "cost".to_string()),
+        json: optional_flag(args, "--json")?,
+        policy: optional_flag(args, "--policy")?.unwrap_or_else(|| "cost".to_string()),
         print_emulator: args.contains("--print-emulator"),
         print_config: args.contains("--print-config"),
     })
 }
 
-fn replicas_options(args: &mut Arguments) -> Result<replicas::Options> {
-    let node = node(args)?;
-    let verb: String = free(args, "add, promote or remove")?;
-    let id: NodeId = free(args, "a node's number")?;
-    let change = match verb.as_str() {
+fn parse_replicas(args: &mut Arguments) -> Result<replicas::Options> {
+    let node = node_flag(args)?;
+    let subcommand: String = positional(args, "add, promote or remove")?;
+    let id: NodeId = positional(args, "a node's number")?;
+    let change = match subcommand.as_str() {
         "add" => Change::AddLearner(id),
         "promote" => Change::Promote(id),
         "remove" => Change::Remove(id),
-        other => return Err(unknown("change", other, &["add", "promote", "remove"])),
+        unknown => return Err(unknown_error("change", unknown, &["add", "promote", "remove"])),
     };
     Ok(replicas::Options { node, change })
 }
 
-fn config(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
-    let verb: String = free(args, "get, patch or history")?;
-    match verb.as_str() {
-        "get" => Ok((Command::ConfigGet { node: node(args)? }, NODE)),
-        "history" => Ok((Command::ConfigHistory { node: node(args)? }, NODE)),
+fn parse_config(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
+    let subcommand: String = positional(args, "get, patch or history")?;
+    match subcommand.as_str() {
+        "get" => Ok((Command::ConfigGet { node: node_flag(args)? }, NODE_FLAGS)),
+        "history" => Ok((Command::ConfigHistory { node: node_flag(args)? }, NODE_FLAGS)),
         "patch" => {
             let options = config_patch::Options {
-                node: node(args)?,
-                file: args.value_from_str("--file").map_err(usage)?,
-                base: optional(args, "--base")?,
-                patch_id: optional(args, "--id")?,
+                node: node_flag(args)?,
+                file: args.value_from_str("--file").map_err(usage_error)?,
+                base: optional_flag(args, "--base")?,
+                patch_id: optional_flag(args, "--id")?,
             };
-            Ok((Command::ConfigPatch(options), PATCH))
+            Ok((Command::ConfigPatch(options), PATCH_FLAGS))
         }
-        other => Err(unknown("verb", other, &["get", "patch", "history"])),
+        unknown => Err(unknown_error("subcommand", unknown, &["get", "patch", "history"])),
     }
 }
 
-fn report(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
-    let verb: String = free(args, "burn or request")?;
-    match verb.as_str() {
+fn parse_report(args: &mut Arguments) -> Result<(Command, &'static [&'static str])> {
+    let subcommand: String = positional(args, "burn or request")?;
+    match subcommand.as_str() {
         "burn" => {
             let options = burn::Options {
                 json: args.contains("--json"),
-                svg: optional(args, "--svg")?,
-                nodes: args.values_from_str("--node").map_err(usage)?,
+                svg: optional_flag(args, "--svg")?,
+                nodes: args.values_from_str("--node").map_err(usage_error)?,
             };
-            Ok((Command::Burn(options), BURN))
+            Ok((Command::Burn(options), BURN_FLAGS))
         }
         "request" => {
             let options = request::Options {
-                logs: args.value_from_str("--logs").map_err(usage)?,
-                id: free(args, "the request's id")?,
+                logs: args.value_from_str("--logs").map_err(usage_error)?,
+                id: positional(args, "the request's id")?,
             };
-            Ok((Command::Request(options), REQUEST))
+            Ok((Command::Request(options), REQUEST_FLAGS))
         }
-        other => Err(unknown("report", other, &["burn", "request"])),
+        unknown => Err(unknown_error("report", unknown, &["burn", "request"])),
     }
 }
 
-fn key(args: &mut Arguments) -> Result<Command> {
-    let verb: String = free(args, "new or hash")?;
-    match verb.as_str() {
-        "new" => Ok(Command::KeyNew(file(args)?)),
-        "hash" => Ok(Command::KeyHash(free(args, "an account's bearer key")?)),
-        other => Err(unknown("verb", other, &["new", "hash"])),
+fn parse_key(args: &mut Arguments) -> Result<Command> {
+    let subcommand: String = positional(args, "new or hash")?;
+    match subcommand.as_str() {
+        "new" => Ok(Command::KeyNew(file_argument(args)?)),
+        "hash" => Ok(Command::KeyHash(positional(args, "an account's bearer key")?)),
+        unknown => Err(unknown_error("subcommand", unknown, &["new", "hash"])),
     }
 }
 
-fn profile(args: &mut Arguments) -> Result<WorkloadProfile> {
-    let name: String = optional(args, "--workload")?.unwrap_or_else(|| "gearworks".to_string());
+fn workload_flag(args: &mut Arguments) -> Result<WorkloadProfile> {
+    let name: String =
+        optional_flag(args, "--workload")?.unwrap_or_else(|| "gearworks".to_string());
     WorkloadProfile::parse(&name)
-        .ok_or_else(|| unknown("workload", &name, &["gearworks", "portal"]))
+        .ok_or_else(|| unknown_error("workload", &name, &["gearworks", "portal"]))
 }
 
-fn node(args: &mut Arguments) -> Result<String> {
-    args.value_from_str("--node").map_err(usage)
+fn node_flag(args: &mut Arguments) -> Result<String> {
+    args.value_from_str("--node").map_err(usage_error)
 }
 
-fn file(args: &mut Arguments) -> Result<PathBuf> {
-    free::<String>(args, "a file").map(PathBuf::from)
+fn file_argument(args: &mut Arguments) -> Result<PathBuf> {
+    positional::<String>(args, "a file").map(PathBuf::from)
 }
 
-fn free<T>(args: &mut Arguments, what: &str) -> Result<T>
+fn positional<T>(args: &mut Arguments, expected: &str) -> Result<T>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
 {
     args.free_from_str().map_err(|error| Error::Usage {
         message: error.to_string(),
-        remedy: format!("give {what}"),
+        remedy: format!("give {expected}"),
     })
 }
 
-fn optional<T>(args: &mut Arguments, flag: &'static str) -> Result<Option<T>>
+fn optional_flag<T>(args: &mut Arguments, flag: &'static str) -> Result<Option<T>>
 where
     T: FromStr,
     T::Err: std::fmt::Display,
 {
-    args.opt_value_from_str(flag).map_err(usage)
+    args.opt_value_from_str(flag).map_err(usage_error)
 }
 
-fn usage(error: pico_args::Error) -> Error {
+fn usage_error(error: pico_args::Error) -> Error {
     Error::Usage {
         message: error.to_string(),
-        remedy: "`kumquatpost COMMAND --help` tells the options".into(),
+        remedy: "`kumquatpost COMMAND --help` lists the options".into(),
     }
 }
 
-fn unknown(what: &str, name: &str, known: &[&str]) -> Error {
+fn unknown_error(kind: &str, name: &str, known: &[&str]) -> Error {
     let remedy = match nearest(name, known) {
         Some(known) => format!("did you mean {known}?"),
         None if known.is_empty() => "leave it out".to_string(),
-        None => format!("known are: {}", known.join(", ")),
+        None => format!("use one of: {}", known.join(", ")),
     };
-    Error::Usage { message: format!("unknown {what} {name:?}"), remedy }
+    Error::Usage { message: format!("unknown {kind} {name:?}"), remedy }
 }
 
-fn help_of(command: &str) -> String {
+fn command_help(command: &str) -> String {
     let options = match command {
         "entry" | "replica" => {
-            "run one role of a deployment; the platform names its settings file in the environment\n"
+            "run one role of a deployment; the platform gives the settings file in the environment\n"
                 .into()
         }
         "serve" => "run a node\n  --settings FILE   settings in JSON, see examples/serve.json\n".into(),
         "emulate" => {
-            "run stand-ins\n  --settings FILE   settings in JSON, see examples/emulate.json\n".into()
+            "run emulated targets and an emulated platform\n\
+             \x20 --settings FILE   settings in JSON, see examples/emulate.json\n".into()
         }
-        "demo" => "run a node and stand-ins in one process, send prompts, check the answers\n\
+        "demo" => "run a node and the emulator in one process, send prompts, check the responses\n\
                    \x20 --workload NAME  gearworks (default) or portal\n\
-                   \x20 --seconds S      how long prompts are sent, 8 if not given\n\
-                   \x20 --seed N         seed of the workload, 1 if not given\n"
+                   \x20 --seconds S      duration of the workload, 8 by default\n\
+                   \x20 --seed N         seed of the workload, 1 by default\n"
             .into(),
-        "load" => "send a workload to nodes and check the answers\n\
+        "load" => "send a workload to nodes and check the responses\n\
                    \x20 --node URL          callers' address of a node; may be given more than once\n\
-                   \x20 --platform URL      the emulator's address, to compare with what really ran\n\
+                   \x20 --platform URL      address of the emulated platform, to compare with the requests that really ran\n\
                    \x20 --workload NAME     gearworks (default) or portal\n\
-                   \x20 --rate R            requests a second, 50 if not given\n\
-                   \x20 --seconds S         how long, 20 if not given\n\
-                   \x20 --gap-ms MS         about how long a context stays away, 8000 if not given\n\
-                   \x20 --seed N            seed, 1 if not given\n\
-                   \x20 --policy NAME       policy in --print-config, cost if not given\n\
-                   \x20 --json FILE         write the figures there\n\
-                   \x20 --print-emulator    print settings of the emulator for the workload, and stop\n\
-                   \x20 --print-config      print a configuration for the workload, and stop\n"
+                   \x20 --rate R            requests per second, 50 by default\n\
+                   \x20 --seconds S         duration of the workload, 20 by default\n\
+                   \x20 --gap-ms MS         typical time between prompts of a context, 8000 by default\n\
+                   \x20 --seed N            seed of the workload, 1 by default\n\
+                   \x20 --policy NAME       routing policy in --print-config, cost by default\n\
+                   \x20 --json FILE         write the figures to a file\n\
+                   \x20 --print-emulator    only print settings of the emulator for the workload\n\
+                   \x20 --print-config      only print a configuration for the workload\n"
             .into(),
         "replicas" => format!("add N | promote N | remove N: change the replicas\n{NODE_HELP}"),
         "config" => format!(
             "get | history | patch: show or change the configuration\n{NODE_HELP}\
              \x20 --file FILE    patch: a JSON merge patch\n\
-             \x20 --base N       patch: the number that it was made against; the newest if not given\n\
-             \x20 --id ID        patch: give the same id to send a patch again; drawn if not given\n"
+             \x20 --base N       patch: number of the configuration it was made against, the newest by default\n\
+             \x20 --id ID        patch: id, random by default; use the same one to retry a patch\n"
         ),
-        "key" => "new FILE: write a new key for the nodes; no file may be there yet\n\
-                  \x20 hash KEY: show an account's bearer key as the configuration holds it\n"
+        "key" => "new FILE: generate the key that nodes share; the file must not exist\n\
+                  \x20 hash KEY: show the hash of an account's bearer key for the configuration\n"
             .into(),
-        "check-settings" => "FILE: check settings of serve, all errors at once\n".into(),
-        "report" => "request ID: print the lines of a request, and what changed around it\n\
-                     \x20 --logs DIR     a folder with one log file a process\n\
-                     burn: report how fast error budgets are used up\n\
+        "check-settings" => "FILE: validate settings of serve and print all problems\n".into(),
+        "report" => "request ID: print the log lines of a request and the events around it\n\
+                     \x20 --logs DIR     folder with one log file per process\n\
+                     burn: report error budget burn rates\n\
                      \x20 --node URL     operators' address of a node; may be given more than once\n\
                      \x20 --json         print JSON\n\
-                     \x20 --svg FILE     write a plot there\n"
+                     \x20 --svg FILE     write a plot to a file\n"
             .into(),
-        "status" => format!("show a node's status\n{NODE_HELP}"),
-        "capacity" => "measure slopes on this machine and print the table of docs/CAPACITY.md\n".into(),
+        "status" => format!("show the status of a node\n{NODE_HELP}"),
+        "capacity" => "measure costs on this machine and print the tables of docs/CAPACITY.md\n".into(),
         _ => return HELP.to_string(),
     };
     format!("kumquatpost {command}: {options}")
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: a node and stand-ins in one process; prompts of a few accounts that return.
+//! `demo`: runs a node and the emulator in one process, sends a workload and checks the results.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -19,33 +19,32 @@
 use crate::settings::Settings;
 use crate::telemetry::logs::{self, LogSettings};
 
-/// Requests a second.
-const RATE: f64 = 40.0;
-/// About how long a context stays away.
-const GAP: Duration = Duration::from_millis(1_500);
-/// The node must be ready within this time.
-const START_TIMEOUT: Duration = Duration::from_secs(6);
-const START_CHECK: Duration = Duration::from_millis(20);
-const PROGRESS_PERIOD: Duration = Duration::from_secs(2);
+const REQUESTS_PER_S: f64 = 40.0;
+/// Typical time between two prompts of a context.
+const CONTEXT_GAP: Duration = Duration::from_millis(1_500);
+/// Maximum time until the node is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What to show.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// How long prompts are sent, in seconds.
+    /// Duration of the workload in seconds.
     pub seconds: f64,
     /// Seed of the workload.
     pub seed: u64,
-    /// The workload.
+    /// Kind of workload.
     pub profile: WorkloadProfile,
 }
 
-/// Runs the demonstration. Its last line tells whether all checks held.
+/// Runs the demonstration. The last line printed says whether all checks passed.
 ///
 /// # Errors
-/// Which check did not hold.
+/// The failed check, or why the demonstration could not run.
 pub fn run(options: &Options) -> Result<()> {
     logs::start(&LogSettings { level: LevelFilter::Error, file: None })?;
-    match super::block_on(show(options)) {
+    match super::block_on(run_demo(options)) {
         Ok(()) => {
             println!("demo: ok");
             Ok(())
@@ -57,55 +56,58 @@
     }
 }
 
-async fn show(options: &Options) -> Result<()> {
-    let folder = Folder::new()?;
+async fn run_demo(options: &Options) -> Result<()> {
+    let folder = TempFolder::new()?;
     let deployment = EmulatedDeployment::new(options.profile, "cost");
     let settings = EmulatorSettings::from_value(&deployment.emulator, "demo")?;
     let (emulator, platform) = Emulator::start(settings).await?;
     let settings = node_settings(&folder, platform, &deployment)?;
-    let (node, listening) = Node::start(settings).await?;
-    until_ready(&node).await?;
-    println!("a node serves at http://{}, stand-ins at http://{platform}", listening.callers);
+    let (node, addresses) = Node::start(settings).await?;
+    wait_until_ready(&node).await?;
+    println!("a node serves at http://{}, stand-ins at http://{platform}", addresses.callers);
 
     let Options { seconds, seed, profile } = *options;
     let workload = Workload::generate(&WorkloadParameters {
         profile,
-        requests_per_s: RATE,
+        requests_per_s: REQUESTS_PER_S,
         seconds,
-        return_gap: GAP,
+        return_gap: CONTEXT_GAP,
         seed,
     });
     let bound = LowerBound::of(&workload);
     println!("{} requests over {} s", workload.arrivals.len(), options.seconds);
     let before = emulator.counts();
-    let progress = tokio::spawn(show_progress(emulator.clone()));
-    let endpoints = Endpoints { node_urls: vec![format!("http://{}", listening.callers)] };
+    let progress = tokio::spawn(print_progress(emulator.clone()));
+    let endpoints = Endpoints { node_urls: vec![format!("http://{}", addresses.callers)] };
     let results = send_all(endpoints, workload.arrivals).await?;
     progress.abort();
     let summary = RunSummary::of(&results, &before, &emulator.counts());
     println!("{}", summary.table());
     println!("least share that could be recomputed: {:.1} %", bound.recomputed_share * 100.0);
-    let cut_off = node.close().await;
-    check(&summary, cut_off)
+    let aborted = node.close().await;
+    check_results(&summary, aborted)
 }
 
-fn check(summary: &RunSummary, cut_off: usize) -> Result<()> {
+fn check_results(summary: &RunSummary, aborted: usize) -> Result<()> {
     let failed = |message: String| Err(Error::Failed { message });
     if summary.answered != summary.sent {
-        return failed(format!("{} of {} were answered", summary.answered, summary.sent));
+        return failed(format!(
+            "only {} of {} requests were answered",
+            summary.answered, summary.sent
+        ));
     }
     if !summary.is_correct() {
-        return failed("an answer was wrong, lost or doubled".into());
+        return failed("a response was wrong, lost or doubled".into());
     }
-    if cut_off > 0 {
-        return failed(format!("{cut_off} requests were cut off by the shutdown"));
+    if aborted > 0 {
+        return failed(format!("{aborted} requests were aborted by the shutdown"));
     }
     Ok(())
 }
 
-async fn show_progress(emulator: Arc<Emulator>) {
+async fn print_progress(emulator: Arc<Emulator>) {
     loop {
-        tokio::time::sleep(PROGRESS_PERIOD).await;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
         let counts = emulator.counts();
         println!(
             "{} runs so far, {:.1} % of context recomputed",
@@ -115,27 +117,27 @@
     }
 }
 
-async fn until_ready(node: &Node) -> Result<()> {
+async fn wait_until_ready(node: &Node) -> Result<()> {
     let ready = async {
         while !node.is_ready() {
-            tokio::time::sleep(START_CHECK).await;
+            tokio::time::sleep(READY_CHECK_INTERVAL).await;
         }
-        // One more poll, so that every engine's load is known.
+        // At least one more poll, so that the load of every engine is known.
         tokio::time::sleep(node.settings.timing.load_poll * 2).await;
     };
-    tokio::time::timeout(START_TIMEOUT, ready)
-        .await
-        .map_err(|_| Error::start("demo", "the node did not get ready", "free some cores"))
+    tokio::time::timeout(READY_TIMEOUT, ready).await.map_err(|_| {
+        Error::start("demo", "the node is not ready in time", "reduce the load of this machine")
+    })
 }
 
 fn node_settings(
-    folder: &Folder,
+    folder: &TempFolder,
     platform: SocketAddr,
     deployment: &EmulatedDeployment,
 ) -> Result<Settings> {
     let key_file = folder.path.join("key");
     super::key_new::run(&key_file)?;
-    // Nobody else has to find the only node.
+    // Any port: no other node connects to this one.
     let peer = "127.0.0.1:0";
     let value = json!({
         "environment": "test", "node_id": 1, "region": "demo", "failure_domain": "here",
@@ -150,22 +152,22 @@
     Settings::from_value(&value, "demo")
 }
 
-/// A folder of its own that is removed at the end.
-struct Folder {
+/// A temporary folder that is removed on drop.
+struct TempFolder {
     path: PathBuf,
 }
 
-impl Folder {
-    fn new() -> Result<Folder> {
+impl TempFolder {
+    fn new() -> Result<TempFolder> {
         let path = std::env::temp_dir().join(format!("kumquatpost-demo-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(|source| {
-            Error::start("demo", source, "free the folder for temporary files")
+            Error::start("demo", source, "make the folder for temporary files writable")
         })?;
-        Ok(Folder { path })
+        Ok(TempFolder { path })
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         drop(std::fs::remove_dir_all(&self.path));
     }
--- a/src/commands/load.rs
+++ b/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `load`: sends a workload to nodes and checks the answers.
+//! `load`: sends a workload to nodes and checks the responses.
 
 use std::path::PathBuf;
 
@@ -10,31 +10,31 @@
 use crate::load::{
     EmulatedDeployment, Endpoints, RunSummary, Workload, WorkloadParameters, send_all,
 };
-use crate::queries::node;
+use crate::queries::operator_client;
 
-/// What to send.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// Callers' addresses of nodes.
+    /// Base URLs of the nodes' callers' interfaces.
     pub nodes: Vec<String>,
-    /// The emulator's address.
+    /// Base URL of the emulated platform, to compare the results with the requests that really ran.
     pub platform: Option<String>,
-    /// The workload.
+    /// The workload to send.
     pub plan: WorkloadParameters,
-    /// Where to write the summary.
+    /// File to write the figures to, as JSON.
     pub json: Option<PathBuf>,
-    /// Policy in the printed configuration.
+    /// Routing policy in the printed configuration.
     pub policy: String,
-    /// Only print settings of the emulator.
+    /// Whether to only print settings of the emulator for the workload.
     pub print_emulator: bool,
-    /// Only print a configuration.
+    /// Whether to only print a configuration for the workload.
     pub print_config: bool,
 }
 
-/// Sends a workload and prints its summary.
+/// Sends a workload and prints its figures.
 ///
 /// # Errors
-/// If it can't be sent, or if an answer was wrong, lost or doubled.
+/// If the workload can't be sent, or if a response was wrong, lost or doubled.
 pub fn run(options: &Options) -> Result<()> {
     let deployment = EmulatedDeployment::new(options.plan.profile, &options.policy);
     if options.print_emulator || options.print_config {
@@ -45,10 +45,10 @@
     super::block_on(async {
         let workload = Workload::generate(&options.plan);
         let bound = LowerBound::of(&workload);
-        let before = counts(options).await?;
+        let before = fetch_counts(options).await?;
         let endpoints = Endpoints { node_urls: options.nodes.clone() };
         let results = send_all(endpoints, workload.arrivals).await?;
-        let after = counts(options).await?;
+        let after = fetch_counts(options).await?;
         let summary = RunSummary::of(&results, &before, &after);
         println!("{}", summary.table());
         println!(
@@ -69,14 +69,14 @@
         if summary.is_correct() {
             return Ok(());
         }
-        Err(Error::Failed { message: "answers were wrong, lost or doubled; see above".into() })
+        Err(Error::Failed { message: "responses were wrong, lost or doubled; see above".into() })
     })
 }
 
-async fn counts(options: &Options) -> Result<Counts> {
+async fn fetch_counts(options: &Options) -> Result<Counts> {
     let Some(platform) = &options.platform else { return Ok(Counts::default()) };
-    let request = node::client()?.get(format!("{platform}/ledger"));
-    let text = node::answer(platform, request).await?;
+    let request = operator_client::http_client()?.get(format!("{platform}/ledger"));
+    let text = operator_client::send(platform, request).await?;
     serde_json::from_str(&text)
-        .map_err(|source| Error::ask(platform, source, "check that it is an emulator"))
+        .map_err(|source| Error::request(platform, source, "check that it is an emulator"))
 }
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,22 +1,22 @@
-//! Operators' verbs that change or run something.
+//! Commands that run a process or change state.
 
 pub mod config_patch;
 pub mod demo;
+pub mod deployment_role;
 pub mod emulate;
 pub mod key_new;
 pub mod load;
 pub mod replicas;
-pub mod roles;
 pub mod serve;
 
 use std::future::Future;
 
 use crate::error::{Error, Result};
 
-/// Runs a future on a new runtime with all cores.
+/// Runs a future on a new multi-threaded runtime.
 ///
 /// # Errors
-/// `Error::Start` if there is no runtime, else what the future returns.
+/// `Error::Start` if the runtime can't be created, otherwise the error of the future.
 pub fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
@@ -27,17 +27,17 @@
     result
 }
 
-/// Waits until the process is asked to end.
+/// Waits for SIGTERM or SIGINT.
 ///
 /// # Errors
-/// `Error::Start` if signals can't be taken.
-pub async fn until_asked_to_end() -> Result<()> {
+/// `Error::Start` if the signal handlers can't be installed.
+pub async fn wait_for_shutdown_signal() -> Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
-    let take = |kind| {
+    let listen = |kind| {
         signal(kind).map_err(|source| Error::start("signals", source, "report this as a defect"))
     };
-    let mut terminate = take(SignalKind::terminate())?;
-    let mut interrupt = take(SignalKind::interrupt())?;
+    let mut terminate = listen(SignalKind::terminate())?;
+    let mut interrupt = listen(SignalKind::interrupt())?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/src/commands/replicas.rs
+++ b/src/commands/replicas.rs
@@ -1,24 +1,24 @@
-//! `replicas`: changes the replicas of the log, one at a time.
+//! `replicas`: changes the replicas of the log, one per call.
 
 use serde_json::json;
 
 use crate::error::Result;
 use crate::log::raft::Change;
-use crate::queries::node;
+use crate::queries::operator_client;
 
-/// What to change.
+/// Options of the command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
     /// Operators' address of any node.
     pub node: String,
-    /// The change.
+    /// The membership change.
     pub change: Change,
 }
 
-/// Changes the replicas.
+/// Submits the change and prints the response.
 ///
 /// # Errors
-/// Why the change was not accepted.
+/// If the change is refused or the node can't be reached.
 pub fn run(options: &Options) -> Result<()> {
     let body = match options.change {
         Change::AddLearner(id) => json!({"add_learner": id}),
@@ -26,9 +26,9 @@
         Change::Remove(id) => json!({"remove": id}),
     };
     super::block_on(async {
-        let client = node::client()?;
+        let client = operator_client::http_client()?;
         let request = client.post(format!("{}/v1/replicas", options.node)).json(&body);
-        println!("{}", node::answer(&options.node, request).await?);
+        println!("{}", operator_client::send(&options.node, request).await?);
         Ok(())
     })
 }
--- a/src/control/run.rs
+++ b/src/control/run.rs
@@ -32,7 +32,7 @@
 use super::state::ControlState;
 use crate::clock::boot_now;
 use crate::error::{Error, Result};
-use crate::essential::essentials;
+use crate::essential_tasks::essential_tasks;
 use crate::host::HostSettings;
 use crate::log::disk::Disk;
 use crate::log::driver::Driver;
@@ -40,7 +40,7 @@
 use crate::log::{Index, Members};
 use crate::net::text_server;
 use crate::reload;
-use crate::telemetry::roles::ReplicaMetrics;
+use crate::telemetry::deployment_metrics::ReplicaMetrics;
 
 /// Followers time out after 0.3 s without a heartbeat, and a new leader is elected within another
 /// 0.6 s. The round trip between replicas takes about 1 ms, a slow disk sync tens of milliseconds.
@@ -102,7 +102,7 @@
     });
     let (inputs, receiver) = mpsc::channel(QUEUE_LEN);
     let peers = listen(SocketAddr::new(host.ip, host.peer_port)).await?;
-    let (tasks, mut first_end) = essentials();
+    let (tasks, mut first_exit) = essential_tasks();
     let scheduling = Rc::new(SchedulerService::new(shared.clone(), host.periods.old_weights));
     tasks.spawn("scheduling", scheduling.clone().run());
     tasks.spawn("dispatching", scheduling.clone().keep_dispatching());
@@ -143,14 +143,14 @@
         unanswered: RefCell::default(),
     });
     tasks.spawn("ordering", rollout.run());
-    let reloaded = reload::keep_reading(host.clone(), |host| {
+    let reloaded = reload::watch_settings(host.clone(), |host| {
         shared.seeds.borrow_mut().extend(host.seeds.iter().map(|seed| seed.ip()));
     });
     tokio::select! {
         ended = run_replica(&host, &folder, &identity, shared.clone(), receiver) => ended,
-        asked = crate::commands::until_asked_to_end() => asked,
+        asked = crate::commands::wait_for_shutdown_signal() => asked,
         failed = reloaded => failed,
-        error = first_end.wait() => Err(error),
+        error = first_exit.wait() => Err(error),
     }?;
     log::info!("event=stop role=replica host={}", host.name);
     Ok(())
@@ -164,16 +164,16 @@
 ) -> String {
     let view = shared.view.borrow();
     metrics.term.record(view.term, &[]);
-    metrics.leads.record(view.leads.into(), &[]);
+    metrics.is_leader.record(view.leads.into(), &[]);
     let version = view.state.published.as_ref().map_or(0, |published| published.version());
     metrics.deployment_version.record(version, &[]);
     if let Some(entries) = shared.entry_count.get() {
-        metrics.entries.record(entries.into(), &[]);
+        metrics.connected_entries.record(entries.into(), &[]);
     }
-    metrics.requests_held.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
+    metrics.held_requests.record(shared.quarantine.borrow().held_count(boot_now()) as u64, &[]);
     let age = boot_now().saturating_sub(shared.reader_election.get().read_at());
     metrics.target_list_age_s.record(age.as_secs_f64(), &[]);
-    metrics.waiting.record(scheduling.waiting_count() as u64, &[]);
+    metrics.queued_prompts.record(scheduling.waiting_count() as u64, &[]);
     metrics.text()
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -42,8 +42,8 @@
 use crate::replica::{self, Replica, ReplicaStatus};
 use crate::route::Router;
 use crate::settings::Settings;
-use crate::telemetry::burn::Burn;
-use crate::telemetry::metrics::Metrics;
+use crate::telemetry::burn::BurnCounter;
+use crate::telemetry::metrics::NodeMetrics;
 use freshness::Fresh;
 use places::Places;
 use quarantining::Quarantining;
@@ -59,7 +59,7 @@
     /// Its settings.
     pub settings: Settings,
     /// Its metrics.
-    pub metrics: Arc<Metrics>,
+    pub metrics: Arc<NodeMetrics>,
     /// Its client of targets and the platform.
     pub client: TargetClient,
     /// Its connections to other nodes.
@@ -71,7 +71,7 @@
     /// Requests that run and wait.
     pub places: Places,
     /// Counts against the service levels.
-    pub burn: Mutex<Burn>,
+    pub burn: Mutex<BurnCounter>,
     sharing: Mutex<Sharing>,
     quarantining: Mutex<Quarantining>,
     fresh: Mutex<Fresh>,
@@ -116,7 +116,7 @@
         let addresses: HashMap<NodeId, SocketAddr> =
             settings.nodes.iter().map(|node| (node.node_id, node.peer_address)).collect();
         let links = Links::new(settings.node_id, key.clone(), addresses);
-        let metrics = Arc::new(Metrics::new()?);
+        let metrics = Arc::new(NodeMetrics::new()?);
         let known = Arc::new(Mutex::new(MembershipView::default()));
         let membership = start_membership(&settings, key, boot, &links, &known).await?;
         let replica = start_replica(&settings, &links, &metrics)?;
@@ -126,7 +126,7 @@
             router: Mutex::new(Router::new(settings.node_id, settings.bounds.watched_engines)),
             catalog: Mutex::new(Catalog::new(settings.bounds.context_entries, boot)),
             places: Places::new(settings.bounds.queue_len),
-            burn: Mutex::new(Burn::default()),
+            burn: Mutex::new(BurnCounter::default()),
             sharing: Mutex::new(Sharing::new(settings.timing.lease)),
             quarantining: Mutex::new(Quarantining::new(boot)),
             fresh: Mutex::new(Fresh::new(settings.timing.lease, now)),
@@ -301,7 +301,7 @@
 fn start_replica(
     settings: &Settings,
     links: &Arc<Links>,
-    metrics: &Arc<Metrics>,
+    metrics: &Arc<NodeMetrics>,
 ) -> Result<Option<ReplicaHandle>> {
     let Some(folder) = &settings.data_folder else { return Ok(None) };
     let (disk, recovered) = Disk::open(folder)?;
--- a/src/queries/mod.rs
+++ b/src/queries/mod.rs
@@ -1,7 +1,7 @@
-//! Operators' verbs that only show something.
+//! Read-only commands for operators.
 
 pub mod burn;
 pub mod capacity;
 pub mod check_settings;
-pub mod node;
+pub mod operator_client;
 pub mod request;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `serve`: read from JSON and checked whole before anything starts.
+//! Settings of `serve`. They are read from JSON and validated completely before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,113 +13,113 @@
 use crate::ids::{DomainId, NodeId};
 use crate::telemetry::logs::LogSettings;
 
-const MAX_MS: u64 = 86_400_000;
+const MAX_PERIOD_MS: u64 = 86_400_000;
 const MAX_BODY_BYTES: u64 = 64 << 20;
-/// A renewal must be able to fail this often before a lease ends.
-const RENEWALS_PER_LEASE: u32 = 2;
+/// Minimum number of renewal intervals in a lease, so that a failed renewal can be retried before the lease ends.
+const MIN_RENEWALS_PER_LEASE: u32 = 2;
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// This node; unique, and never given to another host later.
+    /// Id of this node; unique, and never reused for another host.
     pub node_id: NodeId,
-    /// The region that this node is in.
+    /// Region of this node.
     pub region: String,
-    /// The failure domain that this node is in.
+    /// Failure domain of this node.
     pub failure_domain: DomainId,
-    /// Where callers' HTTP is served.
+    /// Address of the HTTP server for callers.
     pub callers_address: SocketAddr,
-    /// Where operators' HTTP is served.
+    /// Address of the HTTP server for operators.
     pub operators_address: SocketAddr,
-    /// Where other nodes reach this one, over TCP and UDP.
+    /// TCP and UDP address for other nodes.
     pub peer_address: SocketAddr,
-    /// File with the key that authenticates nodes to each other.
+    /// File with the key with which nodes authenticate each other.
     pub key_file: PathBuf,
-    /// Folder for durable state; needed by replicas only.
+    /// Folder for durable state; required on replicas only.
     pub data_folder: Option<PathBuf>,
     /// Base URL of the platform's list of targets.
     pub platform_url: String,
-    /// All nodes known at the start, this one among them. At least one is a replica.
+    /// All nodes known at the start, including this one. At least one is a replica.
     pub nodes: Vec<NodeSettings>,
-    /// Proposed as the first configuration while the number is still 0.
+    /// Configuration to propose while there is none, that is, while the configuration number is 0.
     pub first_config: Option<Value>,
-    /// Logging.
+    /// Level and destination of logs.
     pub log: LogSettings,
-    /// Periods and timeouts.
+    /// Intervals, timeouts and retention times.
     pub timing: Timing,
-    /// Bounds on what this node holds.
+    /// Limits on the resources of this node.
     pub bounds: Bounds,
-    /// Lets `POST /v1/faults` cut this node off from others; only where `environment` is `test`.
+    /// Whether `POST /v1/faults` may cut this node off from others; allowed only if `environment` is `test`.
     pub fault_knobs: bool,
 }
 
-/// Another node as the settings name it.
+/// A node in the list of known nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// The node.
+    /// Id of the node.
     pub node_id: NodeId,
-    /// Where it is reached over TCP and UDP.
+    /// TCP and UDP address of the node.
     pub peer_address: SocketAddr,
-    /// Its failure domain.
+    /// Failure domain of the node.
     pub failure_domain: DomainId,
-    /// Whether it votes in the replicated log.
+    /// Whether the node is a voter of the replicated log.
     pub replica: bool,
 }
 
-/// Periods and timeouts.
+/// Intervals, timeouts and retention times.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long a freshness lease lasts. At least twice `renew`.
+    /// Duration of a freshness lease; at least twice `renew`.
     pub lease: Duration,
-    /// How often a node renews its freshness lease.
+    /// Time between two renewals of the freshness lease of a node.
     pub renew: Duration,
-    /// How often a leader sends heartbeats.
+    /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// How long a replica waits for a leader before it stands for election; at least 3 heartbeats.
+    /// Time without a leader after which a replica starts an election; at least three times `heartbeat`.
     pub election: Duration,
-    /// How often a node probes another one.
+    /// Time between two membership probes of a node.
     pub probe: Duration,
-    /// How often an engine's load and cache events are read.
+    /// Time between two reads of an engine's load report and cache events.
     pub load_poll: Duration,
-    /// How often the platform's list is read.
+    /// Time between two reads of the platform's target list.
     pub platform_poll: Duration,
-    /// How long connecting to a target may take.
+    /// Timeout of connecting to a target.
     pub connect: Duration,
-    /// How long a graceful shutdown waits for running requests.
+    /// Maximum time that a graceful shutdown waits for requests to finish.
     pub shutdown: Duration,
-    /// How long the claim and outcome of a request marked not repeatable are kept.
+    /// Retention time of the claim and outcome of a request that is marked not repeatable.
     pub claim_retention: Duration,
 }
 
-/// Bounds on what this node holds.
+/// Limits on the resources of this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests that may wait for an engine; one more is refused at once.
+    /// Maximum number of requests queued for an engine; further ones are refused at once.
     pub queue_len: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Entries of kept contexts that this node owns.
+    /// Maximum number of contexts in this node's prefix catalog.
     pub context_entries: usize,
-    /// Engines of one model that this node watches.
+    /// Maximum number of engines of one model that this node watches.
     pub watched_engines: usize,
 }
 
 impl Settings {
-    /// Reads and checks the settings in a file.
+    /// Reads and validates the settings in a file.
     ///
     /// # Errors
-    /// `Error::Start` if the file can't be read, `Error::Invalid` with everything that is wrong.
+    /// `Error::Start` if the file can't be read, `Error::Invalid` with all problems found.
     pub fn read(path: &Path) -> Result<Settings> {
         Settings::from_value(&read_json(path)?, &path.display().to_string())
     }
 
-    /// Checks settings that were already parsed; `file` names them in errors.
+    /// Validates settings from parsed JSON. `file` is the name to use in errors.
     ///
     /// # Errors
-    /// `Error::Invalid` with everything that is wrong.
+    /// `Error::Invalid` with all problems found.
     pub fn from_value(value: &Value, file: &str) -> Result<Settings> {
         let mut problems = Vec::new();
-        let settings = settings(value, &mut problems);
+        let settings = parse_settings(value, &mut problems);
         settings.check(&mut problems);
         if problems.is_empty() {
             return Ok(settings);
@@ -127,7 +127,7 @@
         Err(Error::Invalid { file: file.to_string(), problems })
     }
 
-    /// The replicas that the settings name.
+    /// The nodes that are marked as replicas.
     pub fn replicas(&self) -> Vec<NodeId> {
         self.nodes.iter().filter(|node| node.replica).map(|node| node.node_id).collect()
     }
@@ -141,13 +141,17 @@
         let mut report = |path: &str, message: String, remedy: &str| {
             problems.push(Problem { path: path.into(), message, remedy: remedy.into() });
         };
-        if self.timing.lease < self.timing.renew * RENEWALS_PER_LEASE {
+        if self.timing.lease < self.timing.renew * MIN_RENEWALS_PER_LEASE {
             let message = format!("{} is shorter than two renewals", self.timing.lease.as_millis());
             report("timing.lease_ms", message, "raise it to at least twice timing.renew_ms");
         }
         if self.timing.election < self.timing.heartbeat * 3 {
             let message = format!("{} is too short", self.timing.election.as_millis());
-            report("timing.election_ms", message, "raise it to three times timing.heartbeat_ms");
+            report(
+                "timing.election_ms",
+                message,
+                "raise it to at least three times timing.heartbeat_ms",
+            );
         }
         if !self.nodes.iter().any(|node| node.node_id == self.node_id) {
             report("nodes", format!("node {} is missing", self.node_id), "list this node as well");
@@ -155,7 +159,7 @@
         let mut ids: Vec<NodeId> = self.nodes.iter().map(|node| node.node_id).collect();
         ids.sort_unstable();
         if ids.windows(2).any(|pair| pair[0] == pair[1]) {
-            report("nodes", "a node_id stands twice".into(), "give each node its own id");
+            report("nodes", "a node_id is listed twice".into(), "give each node its own id");
         }
         if self.replicas().is_empty() {
             report("nodes", "no node is a replica".into(), "mark one, three or five as replica");
@@ -174,7 +178,7 @@
 /// Reads a JSON file.
 ///
 /// # Errors
-/// `Error::Start` if the file can't be read or is not JSON.
+/// `Error::Start` if the file can't be read, `Error::Invalid` if it is not JSON.
 pub fn read_json(path: &Path) -> Result<Value> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -183,13 +187,13 @@
         let problem = Problem {
             path: format!("line {}", source.line()),
             message: source.to_string(),
-            remedy: "mend the JSON there".into(),
+            remedy: "correct the JSON there".into(),
         };
         Error::Invalid { file, problems: vec![problem] }
     })
 }
 
-fn settings(value: &Value, problems: &mut Vec<Problem>) -> Settings {
+fn parse_settings(value: &Value, problems: &mut Vec<Problem>) -> Settings {
     let mut fields = Fields::new(value, "", problems);
     let environment = fields.optional_text("environment").unwrap_or_else(|| "production".into());
     if !["production", "test"].contains(&environment.as_str()) {
@@ -214,18 +218,18 @@
         key_file: fields.text("key_file", "name the file with the nodes' shared key").into(),
         data_folder: fields.optional_text("data_folder").map(PathBuf::from),
         platform_url: fields.text("platform_url", "give the URL of the platform's list"),
-        nodes: fields.list("nodes", node_settings),
+        nodes: fields.list("nodes", parse_node_settings),
         first_config: fields.raw("first_config"),
-        log: fields.object("log", log_settings),
-        timing: fields.object("timing", timing),
-        bounds: fields.object("bounds", bounds),
+        log: fields.object("log", parse_log_settings),
+        timing: fields.object("timing", parse_timing),
+        bounds: fields.object("bounds", parse_bounds),
         fault_knobs,
     };
     fields.finish();
     settings
 }
 
-fn node_settings(mut fields: Fields<'_>) -> NodeSettings {
+fn parse_node_settings(mut fields: Fields<'_>) -> NodeSettings {
     let node = NodeSettings {
         node_id: fields.number("node_id", 0, 1, u32::MAX.into()),
         peer_address: fields.address("peer_address"),
@@ -236,8 +240,8 @@
     node
 }
 
-/// Reads the `log` object, which `serve` and `emulate` share.
-pub fn log_settings(mut fields: Fields<'_>) -> LogSettings {
+/// Parses the `log` object, which is the same in the settings of `serve` and `emulate`.
+pub fn parse_log_settings(mut fields: Fields<'_>) -> LogSettings {
     let text = fields.optional_text("level").unwrap_or_else(|| "info".into());
     let level = LevelFilter::from_str(&text).unwrap_or_else(|_| {
         let remedy = "give off, error, warn, info, debug or trace";
@@ -249,8 +253,9 @@
     settings
 }
 
-fn timing(mut fields: Fields<'_>) -> Timing {
-    let mut period = |name, default| Duration::from_millis(fields.number(name, default, 1, MAX_MS));
+fn parse_timing(mut fields: Fields<'_>) -> Timing {
+    let mut period =
+        |name, default| Duration::from_millis(fields.number(name, default, 1, MAX_PERIOD_MS));
     let timing = Timing {
         lease: period("lease_ms", 3_000),
         renew: period("renew_ms", 1_000),
@@ -267,7 +272,7 @@
     timing
 }
 
-fn bounds(mut fields: Fields<'_>) -> Bounds {
+fn parse_bounds(mut fields: Fields<'_>) -> Bounds {
     let bounds = Bounds {
         queue_len: fields.number("queue_len", 256, 1, 1_000_000) as usize,
         body_bytes: fields.number("body_bytes", 4 << 20, 1, MAX_BODY_BYTES) as usize,
--- /dev/null
+++ b/src/telemetry/deployment_metrics.rs
@@ -0,0 +1,124 @@
+//! Metrics of entries and replicas.
+
+use opentelemetry::metrics::{Counter, Gauge, Histogram};
+
+use super::metric_registry::MetricRegistry;
+use super::metrics::label;
+use crate::error::Result;
+
+/// Histogram boundaries, which cover the objectives of deployments, 0.1 to 0.8 s, and the maximum wait of callers, 15 s.
+const FIRST_CHUNK_BOUNDARIES_S: [f64; 14] =
+    [0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 2.5, 5.0, 15.0];
+
+/// Metric instruments of an entry.
+pub struct EntryMetrics {
+    registry: MetricRegistry,
+    /// Finished requests, by route, ending and reason.
+    pub requests: Counter<u64>,
+    /// Time to the first chunk of a relayed response, by route.
+    pub first_chunk_s: Histogram<f64>,
+    /// Failed attempts at targets, by reason.
+    pub failed_attempts: Counter<u64>,
+    /// Requests in progress.
+    pub active_requests: Gauge<u64>,
+    /// Maximum age of the deployment state that this entry has.
+    pub state_age_s: Gauge<f64>,
+    /// Version of the deployment in force on this entry.
+    pub deployment_version: Gauge<u64>,
+    /// Prompts that this entry placed itself, without the scheduler.
+    pub fallback_placements: Counter<u64>,
+    /// Targets that ended while running requests of this entry, by evidence.
+    pub target_ends: Counter<u64>,
+    /// Requests held in quarantine because targets have ended while running them.
+    pub held_requests: Gauge<u64>,
+}
+
+/// Metric instruments of a replica.
+pub struct ReplicaMetrics {
+    registry: MetricRegistry,
+    /// Current term of the replicated log.
+    pub term: Gauge<u64>,
+    /// 1 if this replica is the leader, otherwise 0.
+    pub is_leader: Gauge<u64>,
+    /// Version of the newest deployment applied on this replica.
+    pub deployment_version: Gauge<u64>,
+    /// Entries connected to any replica.
+    pub connected_entries: Gauge<u64>,
+    /// Age of the platform's target list.
+    pub target_list_age_s: Gauge<f64>,
+    /// Prompts queued for an engine.
+    pub queued_prompts: Gauge<u64>,
+    /// Requests of operators, by status.
+    pub operator_requests: Counter<u64>,
+    /// Malformed entries, summed over all reads of the platform's target list by this replica.
+    pub malformed_entries: Counter<u64>,
+    /// Requests held in quarantine because targets have ended while running them.
+    pub held_requests: Gauge<u64>,
+}
+
+impl EntryMetrics {
+    /// Creates the instruments.
+    ///
+    /// # Errors
+    /// `Error::Start` if the exporter can't be built.
+    pub fn new() -> Result<EntryMetrics> {
+        let (registry, meter) = MetricRegistry::new()?;
+        Ok(EntryMetrics {
+            requests: meter.u64_counter("kumquatpost_requests").build(),
+            first_chunk_s: meter
+                .f64_histogram("kumquatpost_first_part")
+                .with_unit("s")
+                .with_boundaries(FIRST_CHUNK_BOUNDARIES_S.to_vec())
+                .build(),
+            failed_attempts: meter.u64_counter("kumquatpost_attempts_missed").build(),
+            active_requests: meter.u64_gauge("kumquatpost_answering").build(),
+            state_age_s: meter.f64_gauge("kumquatpost_belief_age").with_unit("s").build(),
+            deployment_version: meter.u64_gauge("kumquatpost_deployment_version").build(),
+            fallback_placements: meter.u64_counter("kumquatpost_placed_alone").build(),
+            target_ends: meter.u64_counter("kumquatpost_targets_ended").build(),
+            held_requests: meter.u64_gauge("kumquatpost_requests_held").build(),
+            registry,
+        })
+    }
+
+    /// Counts a finished request.
+    pub fn record_request(&self, route: &str, ending: &str, reason: &str) {
+        let labels = [label("route", route), label("ending", ending), label("reason", reason)];
+        self.requests.add(1, &labels);
+    }
+
+    /// All metrics as Prometheus text.
+    pub fn text(&self) -> String {
+        self.registry.text()
+    }
+}
+
+impl ReplicaMetrics {
+    /// Creates the instruments.
+    ///
+    /// # Errors
+    /// `Error::Start` if the exporter can't be built.
+    pub fn new() -> Result<ReplicaMetrics> {
+        let (registry, meter) = MetricRegistry::new()?;
+        Ok(ReplicaMetrics {
+            term: meter.u64_gauge("kumquatpost_term").build(),
+            is_leader: meter.u64_gauge("kumquatpost_leads").build(),
+            deployment_version: meter.u64_gauge("kumquatpost_deployment_version").build(),
+            connected_entries: meter.u64_gauge("kumquatpost_entries").build(),
+            target_list_age_s: meter
+                .f64_gauge("kumquatpost_target_list_age")
+                .with_unit("s")
+                .build(),
+            queued_prompts: meter.u64_gauge("kumquatpost_prompts_waiting").build(),
+            operator_requests: meter.u64_counter("kumquatpost_operator_calls").build(),
+            malformed_entries: meter.u64_counter("kumquatpost_target_entries_unreadable").build(),
+            held_requests: meter.u64_gauge("kumquatpost_requests_held").build(),
+            registry,
+        })
+    }
+
+    /// All metrics as Prometheus text.
+    pub fn text(&self) -> String {
+        self.registry.text()
+    }
+}
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event, through log4rs.
+//! Log setup: each event is one line of key=value pairs.
 
 use std::path::PathBuf;
 
@@ -9,55 +9,63 @@
 use log4rs::config::{Appender, Config, Logger, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-use super::bounded::BoundedAppender;
+use super::non_blocking_appender::NonBlockingAppender;
 use crate::error::{Error, Result};
 
 const PATTERN: &str = "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
-/// Lines of libraries, which are no pairs by themselves.
+/// Wraps the free text that libraries log in key=value pairs.
 const LIBRARY_PATTERN: &str =
     "ts={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} event=library source={t} message=<{m}>{n}";
 
-/// Where log lines go and which.
+/// Level and destination of logs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least severe level that is written.
+    /// Least severe level to log.
     pub level: LevelFilter,
-    /// The file to append to; standard error if `None`.
+    /// File to append to; standard error if `None`.
     pub file: Option<PathBuf>,
 }
 
-/// Starts logging to standard output without ever waiting for its reader.
+/// Starts logging to standard output. Loggers never block on a slow reader.
 ///
 /// # Errors
-/// `Error::Start` if logging was started before.
-pub fn start_bounded(level: LevelFilter) -> Result<()> {
-    let appender = |pattern| Box::new(BoundedAppender::new(pattern, std::io::stdout()));
-    install(level, appender(PATTERN), appender(LIBRARY_PATTERN))
+/// `Error::Start` if logging is already started.
+pub fn start_non_blocking(level: LevelFilter) -> Result<()> {
+    let build_appender = |pattern| Box::new(NonBlockingAppender::new(pattern, std::io::stdout()));
+    install(level, build_appender(PATTERN), build_appender(LIBRARY_PATTERN))
 }
 
-/// Starts logging for this process.
+/// Starts logging to the destination in the settings.
 ///
 /// # Errors
-/// `Error::Start` if the file can't be opened or logging was started before.
+/// `Error::Start` if the file can't be opened or logging is already started.
 pub fn start(settings: &LogSettings) -> Result<()> {
-    install(settings.level, appender(settings, PATTERN)?, appender(settings, LIBRARY_PATTERN)?)
+    install(
+        settings.level,
+        build_appender(settings, PATTERN)?,
+        build_appender(settings, LIBRARY_PATTERN)?,
+    )
 }
 
-fn install(level: LevelFilter, ours: Box<dyn Append>, libraries: Box<dyn Append>) -> Result<()> {
+fn install(
+    level: LevelFilter,
+    own_appender: Box<dyn Append>,
+    library_appender: Box<dyn Append>,
+) -> Result<()> {
     let logger = Logger::builder().appender("ours").additive(false);
     let root = Root::builder().appender("libraries");
     let config = Config::builder()
-        .appender(Appender::builder().build("ours", ours))
-        .appender(Appender::builder().build("libraries", libraries))
+        .appender(Appender::builder().build("ours", own_appender))
+        .appender(Appender::builder().build("libraries", library_appender))
         .logger(logger.build("kumquatpost", level))
         .build(root.build(level.min(LevelFilter::Warn)))
         .map_err(|source| Error::start("log", source, "check the log settings"))?;
     log4rs::init_config(config)
-        .map_err(|source| Error::start("log", source, "start logging once a process"))?;
+        .map_err(|source| Error::start("log", source, "start logging only once per process"))?;
     Ok(())
 }
 
-fn appender(settings: &LogSettings, pattern: &str) -> Result<Box<dyn Append>> {
+fn build_appender(settings: &LogSettings, pattern: &str) -> Result<Box<dyn Append>> {
     let encoder = Box::new(PatternEncoder::new(pattern));
     match &settings.file {
         Some(path) => match FileAppender::builder().encoder(encoder).build(path) {
@@ -72,9 +80,9 @@
     }
 }
 
-/// Quotes a value for a log line if it holds spaces, quotes or line breaks.
+/// Formats a value for a log line: quoted if it is empty or contains whitespace, quotes, `=` or control characters.
 pub fn quoted(value: &str) -> String {
-    let plain = !value.is_empty()
+    let is_bare = !value.is_empty()
         && !value.contains(|c: char| c.is_whitespace() || c == '"' || c == '=' || c.is_control());
-    if plain { value.to_string() } else { format!("{value:?}") }
+    if is_bare { value.to_string() } else { format!("{value:?}") }
 }
--- a/src/telemetry/registered.rs
+++ b/src/telemetry/metric_registry.rs
@@ -1,4 +1,4 @@
-//! Where a process's instruments are registered, and how they are shown.
+//! The registry of a process's metric instruments, with export as Prometheus text.
 
 use opentelemetry::metrics::{Meter, MeterProvider};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
@@ -6,19 +6,19 @@
 
 use crate::error::{Error, Result};
 
-/// A registry of instruments.
-pub struct Registered {
+/// A registry of metric instruments.
+pub struct MetricRegistry {
     registry: Registry,
-    // Kept so that the instruments stay connected to the registry.
+    // The instruments report to the registry only while their provider exists.
     _provider: SdkMeterProvider,
 }
 
-impl Registered {
-    /// An empty registry, and what builds instruments for it.
+impl MetricRegistry {
+    /// Creates an empty registry and a meter that builds instruments in it.
     ///
     /// # Errors
     /// `Error::Start` if the exporter can't be built.
-    pub fn new() -> Result<(Registered, Meter)> {
+    pub fn new() -> Result<(MetricRegistry, Meter)> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
@@ -26,7 +26,7 @@
             .map_err(|source| Error::start("metrics", source, "report this as a defect"))?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("kumquatpost");
-        Ok((Registered { registry, _provider: provider }, meter))
+        Ok((MetricRegistry { registry, _provider: provider }, meter))
     }
 
     /// All metrics as Prometheus text.
