--- a/tests/logic/leading.rs
+++ b/tests/logic/leader_commit.rs
@@ -5,7 +5,7 @@
 use kumquatpost::log::raft::Raft;
 use kumquatpost::log::{Message, RoundAck};
 
-use crate::log_world::replica_in_term_5;
+use crate::log_cluster::replica_in_term_5;
 
 const START: Duration = Duration::from_secs(100);
 const LATER: Duration = Duration::from_secs(200);
--- a/tests/logic/log_world.rs
+++ b/tests/logic/log_cluster.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::log_disk::Disk;
+use crate::simulated_disk::Disk;
 
 pub const TIMING: RaftTiming = RaftTiming {
     heartbeat_interval: Duration::from_millis(50),
--- a/tests/logic/replicas.rs
+++ b/tests/logic/log_scenarios.rs
@@ -4,7 +4,7 @@
 
 use kumquatpost::log::raft::{Change, ChangeError};
 
-use crate::log_world::{TIMING, World};
+use crate::log_cluster::{TIMING, World};
 
 fn with_leader(voters: u64, seed: u64) -> (World, u64) {
     let mut world = World::new(voters, seed);
--- a/tests/logic/log_schedules.rs
+++ b/tests/logic/log_schedules.rs
@@ -7,7 +7,7 @@
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
 
-use crate::log_world::{Faults, NO_FAULTS, World};
+use crate::log_cluster::{Faults, NO_FAULTS, World};
 
 /// The same schedules on every run.
 fn schedules(cases: u32) -> ProptestConfig {
--- a/tests/logic/replacing.rs
+++ b/tests/logic/replica_replacement.rs
@@ -12,7 +12,7 @@
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
 
-use crate::log_world::{Faults, NO_FAULTS, World};
+use crate::log_cluster::{Faults, NO_FAULTS, World};
 
 /// Voters: as many as two lost disks need.
 const WANTED: usize = 5;
--- a/tests/logic/restarting.rs
+++ b/tests/logic/replica_restart.rs
@@ -5,7 +5,7 @@
 use kumquatpost::log::raft::{Raft, Recovered};
 use kumquatpost::log::{Entry, Members, Message, Payload, Vote};
 
-use crate::log_world::{TIMING, World};
+use crate::log_cluster::{TIMING, World};
 
 const START: Duration = Duration::from_secs(100);
 
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -4,7 +4,7 @@
 
 use kumquatpost::ids::NodeId;
 
-use crate::log_world::{TIMING, World};
+use crate::log_cluster::{TIMING, World};
 
 /// How long saves take, up to a disk that is shared with heavy writers.
 const SAVES_TAKE_MS: [u64; 5] = [50, 100, 200, 400, 800];
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -5,7 +5,7 @@
 use kumquatpost::log::raft::{Raft, Recovered};
 use kumquatpost::log::{Entry, Members, Message, Payload, Vote};
 
-use crate::log_world::{TIMING, replica_in_term_5};
+use crate::log_cluster::{TIMING, replica_in_term_5};
 
 const START: Duration = Duration::from_secs(100);
 /// Long after any leader was heard.
