--- a/tests/logic/leader_commit.rs
+++ b/tests/logic/leader_commit.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_leader_commits_what_a_quorum_has_durable_of_its_own_term() {
+fn a_leader_commits_only_entries_of_its_term_that_a_quorum_has_persisted() {
     type Step = fn(&mut Raft);
     let cases: [(&str, &[Step], u64); 6] = [
         ("nothing acknowledged", &[|raft| raft.saved(LATER)], 0),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_leader_of_a_higher_term_deposes_it() {
+fn a_reply_with_a_higher_term_deposes_the_leader() {
     let mut raft = leader();
     raft.receive(
         2,
--- a/tests/logic/log_cluster.rs
+++ b/tests/logic/log_cluster.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::simulated_disk::Disk;
+use crate::simulated_disk::SimulatedDisk;
 
 pub const TIMING: RaftTiming = RaftTiming {
     heartbeat_interval: Duration::from_millis(50),
@@ -19,10 +19,10 @@
 };
 const STEP: Duration = Duration::from_millis(5);
 /// Clocks run at most this much faster or slower: well within what leases allow for.
-const DRIFT: f64 = 0.02;
+const MAX_CLOCK_DRIFT: f64 = 0.02;
 
 /// Rounding of times that are told by two clocks.
-const CLOCK_GRAIN: Duration = Duration::from_micros(1);
+const CLOCK_ROUNDING: Duration = Duration::from_micros(1);
 
 /// Replica 1 of three in term 5, with entries 1 to 4 of term 5.
 pub fn replica_in_term_5(now: Duration) -> Raft {
@@ -35,28 +35,28 @@
 /// One replica: its disk always, its process only while it runs.
 pub struct Replica {
     pub raft: Option<Raft>,
-    disk: Disk,
+    disk: SimulatedDisk,
     /// The members that it assumes before its log tells.
-    first_members: Members,
+    initial_members: Members,
     /// How fast its clock runs.
-    rate: f64,
+    clock_rate: f64,
     /// Frozen until then: it takes no step, but its clock runs on.
     frozen_until: Duration,
     /// A save that is under way.
-    save: Option<Save>,
+    pending_save: Option<Save>,
     applied: Vec<Entry>,
     snapshot_applied: Index,
 }
 
 /// What a disk is writing, and the messages that wait for it.
 struct Save {
-    ends_at: Duration,
+    completes_at: Duration,
     persist: Persist,
-    late: Vec<(NodeId, Message)>,
+    messages_after_persist: Vec<(NodeId, Message)>,
 }
 
 struct Packet {
-    at: Duration,
+    deliver_at: Duration,
     from: NodeId,
     to: NodeId,
     message: Message,
@@ -65,77 +65,77 @@
 /// What the network and the hosts do wrong.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    pub loss: f64,
-    pub duplicates: f64,
-    pub longest_delay: Duration,
-    pub crash_while_syncing: f64,
+    pub loss_probability: f64,
+    pub duplicate_probability: f64,
+    pub max_delay: Duration,
+    pub crash_during_save_probability: f64,
     /// How long each save takes.
-    pub save_takes: Duration,
+    pub save_duration: Duration,
 }
 
 pub const NO_FAULTS: Faults = Faults {
-    loss: 0.0,
-    duplicates: 0.0,
-    longest_delay: Duration::from_millis(4),
-    crash_while_syncing: 0.0,
-    save_takes: Duration::ZERO,
+    loss_probability: 0.0,
+    duplicate_probability: 0.0,
+    max_delay: Duration::from_millis(4),
+    crash_during_save_probability: 0.0,
+    save_duration: Duration::ZERO,
 };
 
-pub struct World {
+pub struct Cluster {
     pub now: Duration,
     pub faults: Faults,
     pub replicas: BTreeMap<NodeId, Replica>,
     pub random: SmallRng,
     packets: Vec<Packet>,
     /// Nodes that can't reach the others: the two sides of a cut.
-    cut: BTreeSet<NodeId>,
+    isolated: BTreeSet<NodeId>,
     /// Everything ever applied anywhere, by index. Nothing in it may ever change.
     pub committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, NodeId>,
-    proposals: u64,
+    proposal_count: u64,
     /// Proposals that were answered, with the index at which each must stay.
     pub acknowledged: Vec<(Index, Vec<u8>)>,
     /// When each of them was answered.
     acknowledged_at: Vec<Duration>,
-    waiting: BTreeMap<(NodeId, Index), (Term, Vec<u8>)>,
+    pending_proposals: BTreeMap<(NodeId, Index), (Term, Vec<u8>)>,
     /// Reads that wait: replica, read, and the commit that the read must not miss.
-    reads: Vec<(NodeId, u64, usize)>,
+    pending_reads: Vec<(NodeId, u64, usize)>,
     pub reads_answered: usize,
 }
 
-impl World {
-    pub fn new(voters: u64, seed: u64) -> World {
-        let mut world = World {
+impl Cluster {
+    pub fn new(voters: u64, seed: u64) -> Cluster {
+        let mut cluster = Cluster {
             now: Duration::from_secs(1),
             faults: NO_FAULTS,
             replicas: BTreeMap::new(),
             random: SmallRng::seed_from_u64(seed),
             packets: Vec::new(),
-            cut: BTreeSet::new(),
+            isolated: BTreeSet::new(),
             committed: BTreeMap::new(),
             leaders: BTreeMap::new(),
-            proposals: 0,
+            proposal_count: 0,
             acknowledged: Vec::new(),
             acknowledged_at: Vec::new(),
-            waiting: BTreeMap::new(),
-            reads: Vec::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: Vec::new(),
             reads_answered: 0,
         };
         for id in 1..=voters {
-            world.add_with(id, Members::from_voters(1..=voters));
+            cluster.add_with_members(id, Members::from_voters(1..=voters));
         }
-        world
+        cluster
     }
 
     /// Adds a replica with an empty disk that knows the first members.
     pub fn add(&mut self, id: NodeId) {
-        let members = self.replicas.values().next().map(|replica| replica.first_members.clone());
-        self.add_with(id, members.expect("there are replicas"));
+        let members = self.replicas.values().next().map(|replica| replica.initial_members.clone());
+        self.add_with_members(id, members.expect("there are replicas"));
     }
 
     /// Adds a replica with an empty disk that knows nobody.
     pub fn join(&mut self, id: NodeId) {
-        self.add_with(id, Members::from_voters([]));
+        self.add_with_members(id, Members::from_voters([]));
     }
 
     /// Takes a replica away together with its disk.
@@ -145,25 +145,25 @@
     }
 
     /// Whether a replica runs and is not frozen.
-    pub fn is_awake(&self, id: NodeId) -> bool {
+    pub fn is_responsive(&self, id: NodeId) -> bool {
         let replica = &self.replicas[&id];
         replica.raft.is_some() && replica.frozen_until <= self.now
     }
 
     /// Whether what one replica sends reaches another.
-    pub fn reaches(&self, from: NodeId, to: NodeId) -> bool {
-        self.cut.contains(&from) == self.cut.contains(&to)
+    pub fn is_connected(&self, from: NodeId, to: NodeId) -> bool {
+        self.isolated.contains(&from) == self.isolated.contains(&to)
     }
 
-    fn add_with(&mut self, id: NodeId, first_members: Members) {
-        let rate = 1.0 + self.random.random_range(-DRIFT..DRIFT);
+    fn add_with_members(&mut self, id: NodeId, initial_members: Members) {
+        let clock_rate = 1.0 + self.random.random_range(-MAX_CLOCK_DRIFT..MAX_CLOCK_DRIFT);
         let replica = Replica {
             raft: None,
-            disk: Disk::default(),
-            first_members,
-            rate,
+            disk: SimulatedDisk::default(),
+            initial_members,
+            clock_rate,
             frozen_until: Duration::ZERO,
-            save: None,
+            pending_save: None,
             applied: Vec::new(),
             snapshot_applied: 0,
         };
@@ -176,8 +176,8 @@
     }
 
     /// The replica's own clock.
-    pub fn clock(&self, id: NodeId) -> Duration {
-        self.now.mul_f64(self.replicas[&id].rate)
+    pub fn local_time(&self, id: NodeId) -> Duration {
+        self.now.mul_f64(self.replicas[&id].clock_rate)
     }
 
     pub fn raft(&self, id: NodeId) -> Option<&Raft> {
@@ -185,24 +185,24 @@
     }
 
     pub fn start(&mut self, id: NodeId) {
-        let (seed, now) = (self.random.random(), self.clock(id));
+        let (seed, now) = (self.random.random(), self.local_time(id));
         let replica = self.replicas.get_mut(&id).expect("a replica");
-        let members = replica.first_members.clone();
+        let members = replica.initial_members.clone();
         if replica.raft.is_none() {
             let recovered = replica.disk.recovered.clone();
             replica.applied.clear();
             replica.snapshot_applied = 0;
             replica.raft = Some(Raft::new(id, members, TIMING, recovered, seed, now));
-            self.settle(id);
+            self.process_effects(id);
         }
     }
 
     pub fn crash(&mut self, id: NodeId) {
         let replica = self.replicas.get_mut(&id).expect("a replica");
         replica.raft = None;
-        replica.save = None;
-        self.waiting.retain(|(replica, _), _| *replica != id);
-        self.reads.retain(|(replica, ..)| *replica != id);
+        replica.pending_save = None;
+        self.pending_proposals.retain(|(replica, _), _| *replica != id);
+        self.pending_reads.retain(|(replica, ..)| *replica != id);
     }
 
     pub fn freeze(&mut self, id: NodeId, time: Duration) {
@@ -211,7 +211,7 @@
     }
 
     /// Crashes a replica and takes synced entries off the end of its log.
-    pub fn lose_tail(&mut self, id: NodeId, entries: usize) {
+    pub fn lose_log_tail(&mut self, id: NodeId, entries: usize) {
         self.crash(id);
         let recovered = &mut self.replicas.get_mut(&id).expect("a replica").disk.recovered;
         let kept = recovered.entries.len().saturating_sub(entries);
@@ -219,12 +219,12 @@
         recovered.entries.truncate(kept);
     }
 
-    pub fn cut_off(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
-        self.cut = nodes.into_iter().collect();
+    pub fn isolate(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
+        self.isolated = nodes.into_iter().collect();
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.isolated.clear();
     }
 
     /// A replica that says it leads, the one with the highest term.
@@ -236,22 +236,22 @@
 
     /// Proposes something at a replica.
     pub fn propose(&mut self, id: NodeId) {
-        self.proposals += 1;
-        let command = self.proposals.to_le_bytes().to_vec();
+        self.proposal_count += 1;
+        let command = self.proposal_count.to_le_bytes().to_vec();
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else { return };
         if let Ok((term, index)) = raft.propose(command.clone()) {
-            self.waiting.insert((id, index), (term, command));
+            self.pending_proposals.insert((id, index), (term, command));
         }
-        self.settle(id);
+        self.process_effects(id);
     }
 
     pub fn read(&mut self, id: NodeId) {
         let seen = self.acknowledged.len();
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else { return };
         if let Ok(read) = raft.read() {
-            self.reads.push((id, read, seen));
+            self.pending_reads.push((id, read, seen));
         }
-        self.settle(id);
+        self.process_effects(id);
     }
 
     pub fn change(&mut self, id: NodeId, change: Change) -> bool {
@@ -259,7 +259,7 @@
             return false;
         };
         let accepted = raft.propose_change(change).is_ok();
-        self.settle(id);
+        self.process_effects(id);
         accepted
     }
 
@@ -270,10 +270,10 @@
         // The state is the list of all entries up to the index.
         let all: Vec<Entry> = self.committed.range(..=index).map(|(_, e)| e.clone()).collect();
         raft.compact(index, postcard::to_stdvec(&all).expect("entries are written"));
-        self.settle(id);
+        self.process_effects(id);
     }
 
-    pub fn run(&mut self, time: Duration) {
+    pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.step();
@@ -281,10 +281,14 @@
     }
 
     /// Runs until something is so, for ten seconds at the most.
-    pub fn run_until(&mut self, what: &str, mut is_so: impl FnMut(&mut World) -> bool) {
+    pub fn run_until(
+        &mut self,
+        condition_name: &str,
+        mut condition: impl FnMut(&mut Cluster) -> bool,
+    ) {
         let end = self.now + Duration::from_secs(10);
-        while !is_so(self) {
-            assert!(self.now < end, "waited in vain: {what}");
+        while !condition(self) {
+            assert!(self.now < end, "waited in vain: {condition_name}");
             self.step();
         }
     }
@@ -294,7 +298,7 @@
         let due: Vec<Packet> = {
             let now = self.now;
             let (due, later) =
-                std::mem::take(&mut self.packets).into_iter().partition(|p| p.at <= now);
+                std::mem::take(&mut self.packets).into_iter().partition(|p| p.deliver_at <= now);
             self.packets = later;
             due
         };
@@ -302,59 +306,60 @@
             self.deliver(packet);
         }
         for id in self.ids() {
-            let now = self.clock(id);
+            let now = self.local_time(id);
             let replica = self.replicas.get_mut(&id).expect("a replica");
             if replica.frozen_until > self.now {
                 continue;
             }
-            self.end_save(id);
+            self.complete_due_save(id);
             let replica = self.replicas.get_mut(&id).expect("a replica");
             if let Some(raft) = &mut replica.raft {
                 raft.tick(now);
-                self.settle(id);
+                self.process_effects(id);
             }
         }
-        self.check();
+        self.check_invariants();
     }
 
     fn deliver(&mut self, packet: Packet) {
-        let Packet { at: _, from, to, message } = packet;
-        if self.cut.contains(&from) != self.cut.contains(&to) {
+        let Packet { deliver_at: _, from, to, message } = packet;
+        if self.isolated.contains(&from) != self.isolated.contains(&to) {
             return;
         }
         let Some(replica) = self.replicas.get(&to) else { return };
         if replica.frozen_until > self.now {
             // It waits in the host's buffers.
-            let at = replica.frozen_until + STEP;
-            self.packets.push(Packet { at, from, to, message });
+            let deliver_at = replica.frozen_until + STEP;
+            self.packets.push(Packet { deliver_at, from, to, message });
             return;
         }
-        let now = self.clock(to);
+        let now = self.local_time(to);
         let replica = self.replicas.get_mut(&to).expect("a replica");
         if let Some(raft) = &mut replica.raft {
             raft.receive(from, message, now);
-            self.settle(to);
+            self.process_effects(to);
         }
     }
 
     fn send(&mut self, from: NodeId, messages: Vec<(NodeId, Message)>) {
         for (to, message) in messages {
-            let copies = 1 + usize::from(self.random.random_bool(self.faults.duplicates));
+            let copies =
+                1 + usize::from(self.random.random_bool(self.faults.duplicate_probability));
             for _ in 0..copies {
-                if self.random.random_bool(self.faults.loss) {
+                if self.random.random_bool(self.faults.loss_probability) {
                     continue;
                 }
-                let delay = self.random.random_range(Duration::ZERO..self.faults.longest_delay);
-                let at = self.now + delay;
-                self.packets.push(Packet { at, from, to, message: message.clone() });
+                let delay = self.random.random_range(Duration::ZERO..self.faults.max_delay);
+                let deliver_at = self.now + delay;
+                self.packets.push(Packet { deliver_at, from, to, message: message.clone() });
             }
         }
     }
 
     /// Does what a replica asks for, as the actor around it does.
-    fn settle(&mut self, id: NodeId) {
+    fn process_effects(&mut self, id: NodeId) {
         loop {
-            let now = self.clock(id);
+            let now = self.local_time(id);
             let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else {
                 return;
             };
@@ -363,37 +368,47 @@
                 return;
             }
             self.send(id, std::mem::take(&mut effects.immediate_messages));
-            let late = std::mem::take(&mut effects.messages_after_persist);
+            let messages_after_persist = std::mem::take(&mut effects.messages_after_persist);
             if effects.persist.is_empty() {
-                self.send(id, late);
-            } else if !self.save(id, std::mem::take(&mut effects.persist), late) {
+                self.send(id, messages_after_persist);
+            } else if !self.begin_save(
+                id,
+                std::mem::take(&mut effects.persist),
+                messages_after_persist,
+            ) {
                 return;
             }
             self.apply(id, effects);
-            self.end_save(id);
+            self.complete_due_save(id);
         }
     }
 
     /// Begins a save. Returns whether the replica still runs.
-    fn save(&mut self, id: NodeId, persist: Persist, late: Vec<(NodeId, Message)>) -> bool {
+    fn begin_save(
+        &mut self,
+        id: NodeId,
+        persist: Persist,
+        messages_after_persist: Vec<(NodeId, Message)>,
+    ) -> bool {
         let replica = self.replicas.get_mut(&id).expect("a replica");
-        assert!(replica.save.is_none(), "one save at a time");
-        if self.random.random_bool(self.faults.crash_while_syncing) {
+        assert!(replica.pending_save.is_none(), "one save at a time");
+        if self.random.random_bool(self.faults.crash_during_save_probability) {
             let written = self.random.random_range(0..=3 + persist.append.len());
             replica.disk.write(&persist, written);
             self.crash(id);
             return false;
         }
-        let ends_at = self.now + self.faults.save_takes;
-        replica.save = Some(Save { ends_at, persist, late });
+        let completes_at = self.now + self.faults.save_duration;
+        replica.pending_save = Some(Save { completes_at, persist, messages_after_persist });
         true
     }
 
     /// Ends a save if it is time.
-    fn end_save(&mut self, id: NodeId) {
-        let (now, clock) = (self.now, self.clock(id));
+    fn complete_due_save(&mut self, id: NodeId) {
+        let (now, clock) = (self.now, self.local_time(id));
         let replica = self.replicas.get_mut(&id).expect("a replica");
-        let Some(Save { persist, late, .. }) = replica.save.take_if(|save| save.ends_at <= now)
+        let Some(Save { persist, messages_after_persist, .. }) =
+            replica.pending_save.take_if(|save| save.completes_at <= now)
         else {
             return;
         };
@@ -402,7 +417,7 @@
             raft.saved(clock);
             replica.disk.recovered.has_lost_data &= raft.status().recovering;
         }
-        self.send(id, late);
+        self.send(id, messages_after_persist);
     }
 
     fn apply(&mut self, id: NodeId, effects: Effects) {
@@ -417,7 +432,7 @@
             replica.applied.push(entry.clone());
             let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
             assert_eq!(*known, entry, "a committed entry is never lost or replaced");
-            if let Some((term, command)) = self.waiting.remove(&(id, entry.index))
+            if let Some((term, command)) = self.pending_proposals.remove(&(id, entry.index))
                 && term == entry.term
             {
                 assert_eq!(entry.payload, Payload::Command(command.clone().into()));
@@ -427,11 +442,12 @@
         }
         let applied = replica.applied.len();
         for (read, index) in effects.reads {
-            let Some(position) = self.reads.iter().position(|(r, n, _)| *r == id && *n == read)
+            let Some(position) =
+                self.pending_reads.iter().position(|(r, n, _)| *r == id && *n == read)
             else {
                 continue;
             };
-            let (_, _, seen) = self.reads.remove(position);
+            let (_, _, seen) = self.pending_reads.remove(position);
             let newest = self.acknowledged[..seen].iter().map(|(index, _)| *index).max();
             assert!(index >= newest.unwrap_or(0), "a read misses nothing acknowledged before it");
             assert!(applied as Index >= newest.unwrap_or(0), "the state is as new as the read");
@@ -440,17 +456,17 @@
     }
 
     /// What must always hold.
-    fn check(&mut self) {
-        let mut sure_leaders = Vec::new();
+    fn check_invariants(&mut self) {
+        let mut lease_holders = Vec::new();
         for id in self.ids() {
             let Some(raft) = self.raft(id) else { continue };
             let status = raft.status();
-            let now = self.clock(id);
+            let now = self.local_time(id);
             if raft.holds_leader_lease(now) {
-                sure_leaders.push(id);
+                lease_holders.push(id);
             }
             if let Some(at) = raft.caught_up_at(now) {
-                let at = at.div_f64(self.replicas[&id].rate).saturating_sub(CLOCK_GRAIN);
+                let at = at.div_f64(self.replicas[&id].clock_rate).saturating_sub(CLOCK_ROUNDING);
                 let before = self.acknowledged_at.partition_point(|answered| *answered < at);
                 let newest = self.acknowledged[..before].iter().map(|(index, _)| *index).max();
                 let commit = status.commit;
@@ -461,7 +477,7 @@
                 assert_eq!(other, id, "at most one leader in term {}", status.term);
             }
         }
-        assert!(sure_leaders.len() <= 1, "two replicas are sure to lead: {sure_leaders:?}");
+        assert!(lease_holders.len() <= 1, "two replicas are sure to lead: {lease_holders:?}");
         for (index, command) in &self.acknowledged {
             let entry = self.committed.get(index).expect("acknowledged is committed");
             assert_eq!(entry.payload, Payload::Command(command.clone().into()));
@@ -476,19 +492,19 @@
             self.start(id);
         }
         let acknowledged = self.acknowledged.len();
-        self.run_until("the log goes on", |world| {
-            if let Some(leader) = world.leader() {
-                world.propose(leader);
+        self.run_until("the log goes on", |cluster| {
+            if let Some(leader) = cluster.leader() {
+                cluster.propose(leader);
             }
-            world.acknowledged.len() > acknowledged
+            cluster.acknowledged.len() > acknowledged
         });
         let newest = self.acknowledged.last().expect("something is acknowledged").0;
-        self.run_until("all members catch up", |world| {
-            let Some(leader) = world.leader() else { return false };
-            let Some(members) = world.raft(leader).map(|raft| raft.status().members) else {
+        self.run_until("all members catch up", |cluster| {
+            let Some(leader) = cluster.leader() else { return false };
+            let Some(members) = cluster.raft(leader).map(|raft| raft.status().members) else {
                 return false;
             };
-            members.all().all(|id| world.raft(id).is_some_and(|raft| raft.applied() >= newest))
+            members.all().all(|id| cluster.raft(id).is_some_and(|raft| raft.applied() >= newest))
         });
     }
 }
--- a/tests/logic/replica_replacement.rs
+++ b/tests/logic/replica_replacement.rs
@@ -12,150 +12,155 @@
 use proptest::test_runner::RngSeed;
 use rand::RngExt;
 
-use crate::log_cluster::{Faults, NO_FAULTS, World};
+use crate::log_cluster::{Cluster, Faults, NO_FAULTS};
 
 /// Voters: as many as two lost disks need.
-const WANTED: usize = 5;
+const DESIRED_VOTERS: usize = 5;
 /// How often replicas hear of each other, and the leader takes a step.
-const TELL: Duration = Duration::from_millis(100);
+const CONTACT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Hosts whose replicas replace each other.
-struct Core {
-    world: World,
+struct ReplacementTest {
+    cluster: Cluster,
     /// The replica on each host.
     hosts: BTreeMap<IpAddr, NodeId>,
-    presences: BTreeMap<NodeId, PeerActivity>,
-    places: BTreeMap<NodeId, IpAddr>,
-    led: BTreeMap<NodeId, bool>,
+    activities: BTreeMap<NodeId, PeerActivity>,
+    addresses: BTreeMap<NodeId, IpAddr>,
+    was_leader: BTreeMap<NodeId, bool>,
     next_id: NodeId,
 }
 
-impl Core {
-    fn new(seed: u64) -> Core {
-        let world = World::new(WANTED as u64, seed);
+impl ReplacementTest {
+    fn new(seed: u64) -> ReplacementTest {
+        let cluster = Cluster::new(DESIRED_VOTERS as u64, seed);
         let ip = |id: NodeId| IpAddr::from(Ipv4Addr::new(10, 0, 0, id as u8));
-        let ids = world.ids();
-        Core {
-            world,
+        let ids = cluster.ids();
+        ReplacementTest {
+            cluster,
             hosts: ids.iter().map(|id| (ip(*id), *id)).collect(),
-            presences: BTreeMap::new(),
-            places: ids.iter().map(|id| (*id, ip(*id))).collect(),
-            led: BTreeMap::new(),
+            activities: BTreeMap::new(),
+            addresses: ids.iter().map(|id| (*id, ip(*id))).collect(),
+            was_leader: BTreeMap::new(),
             next_id: 100,
         }
     }
 
-    fn run(&mut self, time: Duration) {
-        let end = self.world.now + time;
-        while self.world.now < end {
-            self.world.run(TELL.min(end - self.world.now));
-            self.tell();
+    fn run_for(&mut self, time: Duration) {
+        let end = self.cluster.now + time;
+        while self.cluster.now < end {
+            self.cluster.run_for(CONTACT_INTERVAL.min(end - self.cluster.now));
+            self.exchange_contacts();
         }
     }
 
     /// Replicas introduce themselves to each other; the leader takes a step.
-    fn tell(&mut self) {
+    fn exchange_contacts(&mut self) {
         let hosts: Vec<(IpAddr, NodeId)> = self.hosts.iter().map(|(ip, id)| (*ip, *id)).collect();
         for (_, to) in &hosts {
-            if !self.world.is_awake(*to) {
+            if !self.cluster.is_responsive(*to) {
                 continue;
             }
-            let now = self.world.clock(*to);
-            let status = self.world.raft(*to).expect("it is awake").status();
-            let activity = self.presences.entry(*to).or_default();
-            if status.is_leader && !self.led.get(to).copied().unwrap_or(false) {
+            let now = self.cluster.local_time(*to);
+            let status = self.cluster.raft(*to).expect("it is awake").status();
+            let activity = self.activities.entry(*to).or_default();
+            if status.is_leader && !self.was_leader.get(to).copied().unwrap_or(false) {
                 activity.reset(now);
             }
-            self.led.insert(*to, status.is_leader);
+            self.was_leader.insert(*to, status.is_leader);
             for (ip, from) in &hosts {
-                if from == to || !self.world.is_awake(*from) || !self.world.reaches(*from, *to) {
+                if from == to
+                    || !self.cluster.is_responsive(*from)
+                    || !self.cluster.is_connected(*from, *to)
+                {
                     continue;
                 }
                 activity.record_contact(*from, now);
-                let raft = self.world.raft(*from).expect("it is awake").status();
+                let raft = self.cluster.raft(*from).expect("it is awake").status();
                 let is_member = raft.members.all().any(|id| id == *from);
                 if raft.leader.is_none() || !is_member {
                     activity.record_join_request(*from, *ip, now);
                 }
             }
             if status.is_leader {
-                let step = activity.next_step(*to, &status.members, &self.places, WANTED, now);
-                self.take(*to, step);
+                let step =
+                    activity.next_step(*to, &status.members, &self.addresses, DESIRED_VOTERS, now);
+                self.apply_step(*to, step);
             }
         }
     }
 
-    fn take(&mut self, leader: NodeId, step: Option<MembershipStep>) {
+    fn apply_step(&mut self, leader: NodeId, step: Option<MembershipStep>) {
         let change = match step {
             None => return,
             Some(MembershipStep::SetAddress(node, ip)) => {
-                self.places.insert(node, ip);
+                self.addresses.insert(node, ip);
                 return;
             }
             Some(MembershipStep::AddLearner(node)) => Change::AddLearner(node),
             Some(MembershipStep::Promote(node)) => Change::Promote(node),
             Some(MembershipStep::Remove(node)) => Change::Remove(node),
         };
-        self.world.change(leader, change);
+        self.cluster.change(leader, change);
     }
 
     /// Voters of the newest members that any replica knows whose disks are gone.
-    fn lost(&self) -> usize {
-        let rafts = self.world.ids().into_iter().filter_map(|id| self.world.raft(id));
-        let Some(newest) = rafts.max_by_key(|raft| raft.applied()) else { return WANTED };
+    fn lost_voters(&self) -> usize {
+        let rafts = self.cluster.ids().into_iter().filter_map(|id| self.cluster.raft(id));
+        let Some(newest) = rafts.max_by_key(|raft| raft.applied()) else { return DESIRED_VOTERS };
         let members = newest.status().members;
-        let gone = members.voters.iter().filter(|id| !self.world.replicas.contains_key(id));
-        gone.count() + WANTED.saturating_sub(members.voters.len())
+        let gone = members.voters.iter().filter(|id| !self.cluster.replicas.contains_key(id));
+        gone.count() + DESIRED_VOTERS.saturating_sub(members.voters.len())
     }
 
     /// A host loses its disk; a new replica starts there.
-    fn wipe(&mut self, host: IpAddr) {
+    fn lose_disk(&mut self, host: IpAddr) {
         let lost = self.hosts[&host];
-        self.world.remove(lost);
-        self.presences.remove(&lost);
+        self.cluster.remove(lost);
+        self.activities.remove(&lost);
         self.next_id += 1;
         self.hosts.insert(host, self.next_id);
-        self.world.join(self.next_id);
+        self.cluster.join(self.next_id);
     }
 
-    fn disturb(&mut self) {
-        let ids = self.world.ids();
-        let one = ids[self.world.random.random_range(0..ids.len())];
-        match self.world.random.random_range(0..12) {
-            0 => self.world.crash(one),
+    fn random_action(&mut self) {
+        let ids = self.cluster.ids();
+        let node = ids[self.cluster.random.random_range(0..ids.len())];
+        match self.cluster.random.random_range(0..12) {
+            0 => self.cluster.crash(node),
             1 => {
-                let time = Duration::from_millis(self.world.random.random_range(50..2_500));
-                self.world.freeze(one, time);
+                let freeze_duration =
+                    Duration::from_millis(self.cluster.random.random_range(50..2_500));
+                self.cluster.freeze(node, freeze_duration);
             }
-            2 => self.world.cut_off([one]),
-            3 => self.world.cut_off(ids.iter().copied().filter(|id| id % 2 == one % 2)),
-            4 | 5 => self.world.heal(),
-            6 => self.world.compact(one),
+            2 => self.cluster.isolate([node]),
+            3 => self.cluster.isolate(ids.iter().copied().filter(|id| id % 2 == node % 2)),
+            4 | 5 => self.cluster.heal(),
+            6 => self.cluster.compact(node),
             // Two at most are lost at a time.
-            7 if self.lost() < 2 => {
+            7 if self.lost_voters() < 2 => {
                 let hosts: Vec<IpAddr> = self.hosts.keys().copied().collect();
-                let drawn = self.world.random.random_range(0..hosts.len());
-                self.wipe(hosts[drawn]);
+                let index = self.cluster.random.random_range(0..hosts.len());
+                self.lose_disk(hosts[index]);
             }
-            8 | 9 => ids.iter().for_each(|id| self.world.start(*id)),
-            _ => ids.iter().for_each(|id| self.world.propose(*id)),
+            8 | 9 => ids.iter().for_each(|id| self.cluster.start(*id)),
+            _ => ids.iter().for_each(|id| self.cluster.propose(*id)),
         }
-        let pause = Duration::from_millis(self.world.random.random_range(20..900));
-        self.run(pause);
+        let duration = Duration::from_millis(self.cluster.random.random_range(20..900));
+        self.run_for(duration);
     }
 
     /// Ends all faults: all hosts vote again, and the log goes on.
     fn recover(&mut self) {
-        self.world.faults = NO_FAULTS;
-        self.world.heal();
-        self.world.ids().into_iter().for_each(|id| self.world.start(id));
+        self.cluster.faults = NO_FAULTS;
+        self.cluster.heal();
+        self.cluster.ids().into_iter().for_each(|id| self.cluster.start(id));
         for _ in 0..300 {
-            self.run(TELL);
-            let Some(leader) = self.world.leader() else { continue };
-            let members = self.world.raft(leader).expect("it runs").status().members;
+            self.run_for(CONTACT_INTERVAL);
+            let Some(leader) = self.cluster.leader() else { continue };
+            let members = self.cluster.raft(leader).expect("it runs").status().members;
             let is_on_a_host = |id: &NodeId| self.hosts.values().any(|host| host == id);
-            if members.voters.len() == WANTED && members.all().all(|id| is_on_a_host(&id)) {
-                return self.world.recover();
+            if members.voters.len() == DESIRED_VOTERS && members.all().all(|id| is_on_a_host(&id)) {
+                return self.cluster.recover();
             }
         }
         panic!("the replicas on all hosts never came to vote");
@@ -173,20 +178,20 @@
     #[test]
     fn replicas_that_lose_their_disks_are_replaced_and_nothing_acknowledged_is_lost(
         seed in any::<u64>(),
-        loss in 0.0..0.1,
-        crashes in 0.0..0.02,
+        loss_probability in 0.0..0.1,
+        crash_probability in 0.0..0.02,
     ) {
-        let mut core = Core::new(seed);
-        core.world.faults = Faults {
-            loss,
-            duplicates: 0.05,
-            longest_delay: Duration::from_millis(40),
-            crash_while_syncing: crashes,
-            save_takes: Duration::ZERO,
+        let mut test = ReplacementTest::new(seed);
+        test.cluster.faults = Faults {
+            loss_probability,
+            duplicate_probability: 0.05,
+            max_delay: Duration::from_millis(40),
+            crash_during_save_probability: crash_probability,
+            save_duration: Duration::ZERO,
         };
         for _ in 0..80 {
-            core.disturb();
+            test.random_action();
         }
-        core.recover();
+        test.recover();
     }
 }
--- a/tests/logic/replica_restart.rs
+++ b/tests/logic/replica_restart.rs
@@ -5,110 +5,110 @@
 use kumquatpost::log::raft::{Raft, Recovered};
 use kumquatpost::log::{Entry, Members, Message, Payload, Vote};
 
-use crate::log_cluster::{TIMING, World};
+use crate::log_cluster::{Cluster, TIMING};
 
 const START: Duration = Duration::from_secs(100);
 
 /// Replica 1 of three, which acknowledged replica 2 as the leader of term 5.
-fn after_2() -> Raft {
+fn restarted_follower() -> Raft {
     let entries = vec![Entry { index: 1, term: 5, payload: Payload::Noop }];
     let vote = Vote { term: 5, acknowledged_leader: Some(2), ..Vote::default() };
     let recovered = Recovered { vote, entries, ..Recovered::default() };
     Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, START)
 }
 
-fn sent(raft: &mut Raft, now: Duration) -> Vec<(u64, Message)> {
+fn sent_messages(raft: &mut Raft, now: Duration) -> Vec<(u64, Message)> {
     let effects = raft.take_effects(now);
     effects.immediate_messages.into_iter().chain(effects.messages_after_persist).collect()
 }
 
 /// The number that it draws at its start, which it asks replica 2 with.
-fn nonce(raft: &mut Raft, now: Duration) -> u64 {
+fn lease_query_nonce(raft: &mut Raft, now: Duration) -> u64 {
     raft.tick(now);
-    let asked = sent(raft, now).into_iter().find_map(|(to, message)| match message {
+    let query = sent_messages(raft, now).into_iter().find_map(|(to, message)| match message {
         Message::LeaseQuery { nonce } => Some((to, nonce)),
         _ => None,
     });
-    let (to, nonce) = asked.expect("it asks");
+    let (to, nonce) = query.expect("it asks");
     assert_eq!(to, 2, "only the last leader may count on it");
     nonce
 }
 
-fn votes(raft: &mut Raft, now: Duration) -> bool {
+fn grants_vote(raft: &mut Raft, now: Duration) -> bool {
     raft.receive(3, Message::RequestVote { term: 6, last_index: 1, last_term: 5 }, now);
     let is_granted =
         |(_, message): &(u64, Message)| matches!(message, Message::VoteReply { granted: true, .. });
-    sent(raft, now).iter().any(is_granted)
+    sent_messages(raft, now).iter().any(is_granted)
 }
 
 #[test]
-fn it_votes_at_once_after_the_leader_has_said_that_it_started_again() {
-    let mut raft = after_2();
-    let nonce = nonce(&mut raft, START);
+fn a_restarted_replica_votes_at_once_if_the_leader_holds_no_lease() {
+    let mut raft = restarted_follower();
+    let nonce = lease_query_nonce(&mut raft, START);
     raft.receive(2, Message::NoLease { nonce }, START + Duration::from_millis(5));
-    assert!(votes(&mut raft, START + Duration::from_millis(6)));
+    assert!(grants_vote(&mut raft, START + Duration::from_millis(6)));
 }
 
 #[test]
-fn without_that_word_it_keeps_from_voting_for_as_long_as_a_leader_may_count_on_it() {
-    let mut raft = after_2();
-    assert!(!votes(&mut raft, START + TIMING.election_timeout - Duration::from_millis(1)));
-    assert!(votes(&mut raft, START + TIMING.election_timeout));
+fn a_restarted_replica_without_a_reply_does_not_vote_before_the_election_timeout() {
+    let mut raft = restarted_follower();
+    assert!(!grants_vote(&mut raft, START + TIMING.election_timeout - Duration::from_millis(1)));
+    assert!(grants_vote(&mut raft, START + TIMING.election_timeout));
 }
 
 #[test]
-fn words_of_others_and_answers_to_earlier_starts_do_not_count() {
-    let mut raft = after_2();
-    let nonce = nonce(&mut raft, START);
+fn replies_from_other_replicas_or_to_earlier_starts_are_ignored() {
+    let mut raft = restarted_follower();
+    let nonce = lease_query_nonce(&mut raft, START);
     raft.receive(3, Message::NoLease { nonce }, START);
     raft.receive(2, Message::NoLease { nonce: nonce ^ 1 }, START);
-    assert!(!votes(&mut raft, START + Duration::from_millis(10)));
+    assert!(!grants_vote(&mut raft, START + Duration::from_millis(10)));
 }
 
 #[test]
-fn who_has_led_since_its_start_does_not_say_that_it_has_not() {
+fn a_replica_that_has_led_since_its_start_does_not_deny_its_lease() {
     let mut raft = Raft::new(1, Members::from_voters([1]), TIMING, Recovered::default(), 1, START);
-    let is_denied = |raft: &mut Raft, now| {
+    let withholds_denial = |raft: &mut Raft, now| {
         raft.receive(2, Message::LeaseQuery { nonce: 7 }, now);
-        !sent(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
+        !sent_messages(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
     };
-    assert!(!is_denied(&mut raft, START));
+    assert!(!withholds_denial(&mut raft, START));
     let later = START + TIMING.election_timeout * 3;
     raft.tick(later);
     assert!(raft.status().is_leader);
-    assert!(is_denied(&mut raft, later));
+    assert!(withholds_denial(&mut raft, later));
 }
 
 /// A power cut of all hosts: the leader stands at once, and the others need not wait.
 #[test]
-fn replicas_that_all_start_again_have_a_leader_within_a_tenth_of_a_second() {
+fn replicas_that_all_restart_elect_a_leader_within_100_ms() {
     for seed in 0..50 {
-        let mut world = World::new(5, seed);
-        world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election_timeout);
-        world.ids().into_iter().for_each(|id| world.crash(id));
+        let mut cluster = Cluster::new(5, seed);
+        cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
+        cluster.run_for(TIMING.election_timeout);
+        cluster.ids().into_iter().for_each(|id| cluster.crash(id));
         // What is still under way arrives nowhere.
-        world.run(Duration::from_millis(10));
-        world.ids().into_iter().for_each(|id| world.start(id));
-        world.run(Duration::from_millis(100));
-        let leader = world.leader().expect("there is a leader");
-        let now = world.clock(leader);
-        assert!(world.raft(leader).expect("it runs").holds_leader_lease(now), "seed {seed}");
+        cluster.run_for(Duration::from_millis(10));
+        cluster.ids().into_iter().for_each(|id| cluster.start(id));
+        cluster.run_for(Duration::from_millis(100));
+        let leader = cluster.leader().expect("there is a leader");
+        let now = cluster.local_time(leader);
+        assert!(cluster.raft(leader).expect("it runs").holds_leader_lease(now), "seed {seed}");
     }
 }
 
 /// The leader is lost for good, or is the last to start: the others go on after the regular time.
 #[test]
-fn a_leader_that_does_not_start_again_is_replaced_in_the_regular_time() {
+fn a_leader_that_does_not_restart_is_replaced_within_four_election_timeouts() {
     for seed in 0..20 {
-        let mut world = World::new(5, seed);
-        world.run_until("there is a leader", |world| world.leader().is_some());
-        world.run(TIMING.election_timeout);
-        let lost = world.leader().expect("a leader");
-        world.ids().into_iter().for_each(|id| world.crash(id));
-        world.ids().into_iter().filter(|id| *id != lost).for_each(|id| world.start(id));
-        world.run(TIMING.election_timeout * 4);
-        assert!(world.leader().is_some_and(|leader| leader != lost), "seed {seed}");
+        let mut cluster = Cluster::new(5, seed);
+        cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
+        cluster.run_for(TIMING.election_timeout);
+        let crashed = cluster.leader().expect("a leader");
+        cluster.ids().into_iter().for_each(|id| cluster.crash(id));
+        cluster.ids().into_iter().filter(|id| *id != crashed).for_each(|id| cluster.start(id));
+        cluster.run_for(TIMING.election_timeout * 4);
+        assert!(cluster.leader().is_some_and(|leader| leader != crashed), "seed {seed}");
     }
 }
 
@@ -117,8 +117,8 @@
 /// What caused it: commit indices are not on disk. A leader that has just been elected knows none, and
 /// followers that knew none either held themselves for caught up, with the state of the last snapshot.
 #[test]
-fn a_follower_has_caught_up_only_once_its_leader_has_committed_in_its_term() {
-    let mut raft = after_2();
+fn a_follower_has_caught_up_only_after_its_leader_has_committed_in_its_term() {
+    let mut raft = restarted_follower();
     let append = |entries: Vec<Entry>, commit, round_ack| Message::Append {
         term: 6,
         prev_index: 1,
@@ -132,7 +132,7 @@
     let noop = Entry { index: 2, term: 6, payload: Payload::Noop };
     let now = START + TIMING.election_timeout * 2;
     raft.receive(2, append(vec![noop], 0, None), now);
-    let answers = sent(&mut raft, now).into_iter().map(|(_, message)| message);
+    let answers = sent_messages(&mut raft, now).into_iter().map(|(_, message)| message);
     let round_ack = answers
         .filter_map(|message| match message {
             Message::AppendReply { round_ack, .. } => Some(round_ack),
@@ -149,7 +149,7 @@
         None,
         "it has entry 2 without knowing that it is the leader's"
     );
-    let ends_with = Message::Append {
+    let last_entry_append = Message::Append {
         term: 6,
         prev_index: 2,
         prev_term: 6,
@@ -159,6 +159,6 @@
         round: 2,
         round_ack,
     };
-    raft.receive(2, ends_with, now);
+    raft.receive(2, last_entry_append, now);
     assert_eq!(raft.caught_up_at(now), Some(now));
 }
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -4,66 +4,69 @@
 
 use kumquatpost::ids::NodeId;
 
-use crate::log_cluster::{TIMING, World};
+use crate::log_cluster::{Cluster, TIMING};
 
 /// How long saves take, up to a disk that is shared with heavy writers.
-const SAVES_TAKE_MS: [u64; 5] = [50, 100, 200, 400, 800];
+const SAVE_DURATIONS_MS: [u64; 5] = [50, 100, 200, 400, 800];
 /// A leader must be there again within this time: for so long a deployment may be in force later while the
 /// replicas are disturbed.
-const LED_WITHIN: Duration = Duration::from_secs(5);
+const MAX_TIME_WITHOUT_LEADER: Duration = Duration::from_secs(5);
 /// For so long a replica that has not had all from its leader still publishes to entries.
-const CURRENT_WITHIN: Duration = Duration::from_millis(500);
+const MAX_STALENESS: Duration = Duration::from_millis(500);
 
-fn with_leader(seed: u64) -> (World, NodeId) {
-    let mut world = World::new(5, seed);
-    world.run_until("there is a leader", |world| world.leader().is_some());
-    world.run(TIMING.election_timeout * 2);
-    let leader = world.leader().expect("a leader");
-    (world, leader)
+fn cluster_with_leader(seed: u64) -> (Cluster, NodeId) {
+    let mut cluster = Cluster::new(5, seed);
+    cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
+    cluster.run_for(TIMING.election_timeout * 2);
+    let leader = cluster.leader().expect("a leader");
+    (cluster, leader)
 }
 
-fn sure_leader(world: &World) -> Option<NodeId> {
-    let is_sure =
-        |id: &NodeId| world.raft(*id).is_some_and(|raft| raft.holds_leader_lease(world.clock(*id)));
-    world.ids().into_iter().find(is_sure)
+fn lease_holder(cluster: &Cluster) -> Option<NodeId> {
+    let holds_lease = |id: &NodeId| {
+        cluster.raft(*id).is_some_and(|raft| raft.holds_leader_lease(cluster.local_time(*id)))
+    };
+    cluster.ids().into_iter().find(holds_lease)
 }
 
 /// Guards against elections that never end while saves take longer than a candidate waits for votes.
 #[test]
 fn a_lost_leader_is_replaced_while_all_disks_are_slow() {
-    for (seed, save_ms) in (0..20).flat_map(|seed| SAVES_TAKE_MS.map(|save_ms| (seed, save_ms))) {
-        let (mut world, lost) = with_leader(seed);
-        world.faults.save_takes = Duration::from_millis(save_ms);
-        world.crash(lost);
-        let end = world.now + LED_WITHIN;
-        while sure_leader(&world).is_none() {
-            assert!(world.now < end, "seed {seed}: no leader, saves take {save_ms} ms");
-            world.step();
+    for (seed, save_ms) in (0..20).flat_map(|seed| SAVE_DURATIONS_MS.map(|save_ms| (seed, save_ms)))
+    {
+        let (mut cluster, crashed) = cluster_with_leader(seed);
+        cluster.faults.save_duration = Duration::from_millis(save_ms);
+        cluster.crash(crashed);
+        let end = cluster.now + MAX_TIME_WITHOUT_LEADER;
+        while lease_holder(&cluster).is_none() {
+            assert!(cluster.now < end, "seed {seed}: no leader, saves take {save_ms} ms");
+            cluster.step();
         }
     }
 }
 
 /// Guards against replicas that fall silent while their disks write: entries hear of changes from nobody then.
 #[test]
-fn a_leader_and_who_follows_it_stay_current_while_all_disks_are_slow() {
-    for (seed, save_ms) in (0..10).flat_map(|seed| SAVES_TAKE_MS.map(|save_ms| (seed, save_ms))) {
-        let (mut world, leader) = with_leader(seed);
-        world.faults.save_takes = Duration::from_millis(save_ms);
-        let end = world.now + Duration::from_secs(10);
-        let mut change_at = world.now;
-        while world.now < end {
-            if world.now >= change_at {
-                change_at += Duration::from_millis(700);
-                world.propose(leader);
+fn a_leader_and_its_followers_stay_current_while_all_disks_are_slow() {
+    for (seed, save_ms) in (0..10).flat_map(|seed| SAVE_DURATIONS_MS.map(|save_ms| (seed, save_ms)))
+    {
+        let (mut cluster, leader) = cluster_with_leader(seed);
+        cluster.faults.save_duration = Duration::from_millis(save_ms);
+        let end = cluster.now + Duration::from_secs(10);
+        let mut next_proposal_at = cluster.now;
+        while cluster.now < end {
+            if cluster.now >= next_proposal_at {
+                next_proposal_at += Duration::from_millis(700);
+                cluster.propose(leader);
             }
-            world.step();
-            for id in world.ids() {
-                let now = world.clock(id);
-                let at = world.raft(id).and_then(|raft| raft.caught_up_at(now));
-                let is_current = at.is_some_and(|at| now.saturating_sub(at) <= CURRENT_WITHIN);
+            cluster.step();
+            for id in cluster.ids() {
+                let now = cluster.local_time(id);
+                let at = cluster.raft(id).and_then(|raft| raft.caught_up_at(now));
+                let is_current = at.is_some_and(|at| now.saturating_sub(at) <= MAX_STALENESS);
                 assert!(is_current, "seed {seed}: {id} is silent, saves take {save_ms} ms");
             }
         }
-        assert!(world.acknowledged.len() >= 8, "changes are still taken");
+        assert!(cluster.acknowledged.len() >= 8, "changes are still taken");
     }
 }
