--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -5,7 +5,7 @@
 use kumquatpost::log::state::{Command, Patch, PatchAnswer, Reply, State};
 use serde_json::{Value, json};
 
-fn patch(state: &mut State, id: &str, base: u64, change: &Value) -> PatchAnswer {
+fn apply_patch(state: &mut State, id: &str, base: u64, change: &Value) -> PatchAnswer {
     let patch = Patch { patch_id: id.into(), base, text: change.to_string() };
     match state.apply(&Command::Patch(patch)) {
         Reply::Patch(answer) => answer,
@@ -13,45 +13,45 @@
     }
 }
 
-fn kind(priority: u64) -> Value {
+fn kind_patch(priority: u64) -> Value {
     json!({"kinds": {"k": {"priority": priority}}})
 }
 
 #[test]
-fn of_two_racing_operators_exactly_one_wins() {
+fn of_two_patches_with_the_same_base_only_the_first_is_accepted() {
     let mut state = State::new(1_000);
-    assert_eq!(patch(&mut state, "a", 0, &kind(1)), PatchAnswer::Accepted(1));
-    assert_eq!(patch(&mut state, "b", 0, &kind(2)), PatchAnswer::BaseMismatch(1));
+    assert_eq!(apply_patch(&mut state, "a", 0, &kind_patch(1)), PatchAnswer::Accepted(1));
+    assert_eq!(apply_patch(&mut state, "b", 0, &kind_patch(2)), PatchAnswer::BaseMismatch(1));
     assert_eq!(state.config().config.kinds["k"].priority, 1);
 }
 
 #[test]
-fn a_resend_gets_the_first_answer_also_hundreds_later_and_after_a_snapshot() {
+fn a_resent_patch_gets_its_first_answer_even_after_hundreds_more_and_a_snapshot() {
     let mut state = State::new(1_000);
-    patch(&mut state, "first", 0, &kind(1));
-    let raced = patch(&mut state, "raced", 0, &kind(2));
-    let invalid = patch(&mut state, "invalid", 1, &kind(99));
+    apply_patch(&mut state, "first", 0, &kind_patch(1));
+    let conflicting = apply_patch(&mut state, "raced", 0, &kind_patch(2));
+    let invalid = apply_patch(&mut state, "invalid", 1, &kind_patch(99));
     for number in 1..600 {
-        patch(&mut state, &format!("p{number}"), number, &kind(number % 8));
+        apply_patch(&mut state, &format!("p{number}"), number, &kind_patch(number % 8));
     }
     let mut restored = State::new(1_000);
     restored.restore(&state.snapshot()).expect("a snapshot");
     for state in [&mut state, &mut restored] {
-        assert_eq!(patch(state, "first", 0, &kind(1)), PatchAnswer::Accepted(1));
-        assert_eq!(patch(state, "raced", 0, &kind(2)), raced);
-        assert_eq!(patch(state, "invalid", 1, &kind(99)), invalid);
-        assert_eq!(patch(state, "first", 0, &kind(3)), PatchAnswer::IdReused);
-        assert_eq!(patch(state, "first", 600, &kind(1)), PatchAnswer::IdReused);
+        assert_eq!(apply_patch(state, "first", 0, &kind_patch(1)), PatchAnswer::Accepted(1));
+        assert_eq!(apply_patch(state, "raced", 0, &kind_patch(2)), conflicting);
+        assert_eq!(apply_patch(state, "invalid", 1, &kind_patch(99)), invalid);
+        assert_eq!(apply_patch(state, "first", 0, &kind_patch(3)), PatchAnswer::IdReused);
+        assert_eq!(apply_patch(state, "first", 600, &kind_patch(1)), PatchAnswer::IdReused);
         assert_eq!(state.config().number, 600);
     }
     assert_eq!(state.config(), restored.config());
 }
 
 #[test]
-fn an_invalid_result_is_refused_with_field_and_remedy_and_takes_no_number() {
+fn an_invalid_patch_is_rejected_with_field_and_remedy_and_uses_no_number() {
     let account = |key: &str| json!({"key_blake3": key.repeat(64)});
     let cases = [
-        (kind(8), "kinds.k.priority"),
+        (kind_patch(8), "kinds.k.priority"),
         (json!({"models": {"m": {"weight_version": ""}}}), "models.m.weight_version"),
         (json!({"accounts": {"a": account("1"), "b": account("1")}}), "accounts.b.key_blake3"),
         (json!({"accounts": {"a": {"key_blake3": "12"}}}), "accounts.a.key_blake3"),
@@ -62,7 +62,7 @@
     ];
     let mut state = State::new(1_000);
     for (number, (change, field)) in cases.iter().enumerate() {
-        let answer = patch(&mut state, &number.to_string(), 0, change);
+        let answer = apply_patch(&mut state, &number.to_string(), 0, change);
         let PatchAnswer::Invalid(problems) = answer else { panic!("{field}: {answer:?}") };
         assert!(problems[0].contains(field) && problems[0].contains("; "), "{problems:?}");
     }
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn news_lead_from_any_number_to_the_newest_and_never_back() {
+fn updates_lead_from_any_number_to_the_newest_and_never_back() {
     let mut state = State::new(1_000);
     let mut copies = vec![Book::default()];
     for number in 0..400 {
-        patch(&mut state, &number.to_string(), number, &kind(number % 8));
+        apply_patch(&mut state, &number.to_string(), number, &kind_patch(number % 8));
         let mut copy = copies[copies.len() - 1].clone();
         copy.take(&state.book().update_since(number)).expect("one patch");
         copies.push(copy);
@@ -104,15 +104,15 @@
     assert_eq!(copies[0].take(&old), Err(Unusable::Older));
     let gap = Update::Patches(vec![(402, "{}".into())]);
     assert_eq!(copies[0].take(&gap), Err(Unusable::Broken));
-    let seen = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
-    assert_eq!(copies[0].take(&seen), Ok(()), "what is known already is passed over");
+    let known = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
+    assert_eq!(copies[0].take(&known), Ok(()), "what is known already is passed over");
     assert_eq!(copies[0].newest(), state.config());
 }
 
 #[test]
-fn a_damaged_snapshot_is_refused() {
+fn a_truncated_snapshot_is_rejected() {
     let mut state = State::new(1_000);
-    patch(&mut state, "a", 0, &kind(1));
+    apply_patch(&mut state, "a", 0, &kind_patch(1));
     let bytes = state.snapshot();
     for length in 0..bytes.len() {
         assert!(State::new(1_000).restore(&bytes[..length]).is_err(), "cut to {length}");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn fencing_numbers_grow_also_over_a_snapshot() {
+fn fencing_numbers_increase_across_a_snapshot() {
     let mut state = State::new(1_000);
     assert_eq!(state.apply(&Command::Fence), Reply::Fence(1));
     let mut restored = State::new(1_000);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_kind_that_is_not_configured_is_unknown_but_for_the_default() {
+fn no_kind_but_the_default_exists_without_configuration() {
     let config = Config::default();
     assert!(config.kind("default").is_some_and(|kind| kind.repeatable));
     assert!(config.kind("other").is_none());
--- a/tests/logic/disk.rs
+++ b/tests/logic/disk.rs
@@ -18,7 +18,7 @@
 const VOTE: Vote = Vote { term: 3, voted_for: Some(2), acknowledged_leader: Some(4) };
 
 /// Opens a folder, writes a vote and entries 1 to `count`, and closes it.
-fn written(folder: &Path, count: u64) {
+fn write_log(folder: &Path, count: u64) {
     let (mut disk, _) = Disk::open(folder).expect("it opens");
     disk.save(&Persist { vote: Some(VOTE), ..Persist::default() }, &[]).expect("saved");
     for index in 1..=count {
@@ -27,16 +27,16 @@
     disk.close();
 }
 
-fn found(folder: &Path) -> Recovered {
+fn recover(folder: &Path) -> Recovered {
     let (disk, recovered) = Disk::open(folder).expect("it opens");
     disk.close();
     recovered
 }
 
 #[test]
-fn what_was_saved_is_found() {
+fn saved_state_is_recovered() {
     let folder = TempDir::new().expect("a folder");
-    written(folder.path(), 5);
+    write_log(folder.path(), 5);
     let (mut disk, recovered) = Disk::open(folder.path()).expect("it opens");
     assert_eq!(recovered.vote, VOTE);
     assert_eq!(recovered.entries, (1..=5).map(|i| entry(i, 3)).collect::<Vec<_>>());
@@ -45,32 +45,32 @@
         Persist { truncate_from: Some(4), append: vec![entry(4, 9)], ..Persist::default() };
     disk.save(&change, &[]).expect("saved");
     disk.close();
-    let entries = found(folder.path()).entries;
+    let entries = recover(folder.path()).entries;
     assert_eq!(entries.last(), Some(&entry(4, 9)));
     assert_eq!(entries.len(), 4);
 }
 
 #[test]
-fn a_log_cut_at_any_byte_is_noticed_and_its_valid_part_is_kept() {
-    let whole = TempDir::new().expect("a folder");
-    written(whole.path(), 4);
-    let bytes = std::fs::read(whole.path().join("log")).expect("the log");
+fn a_log_truncated_at_any_byte_is_detected_and_its_valid_prefix_is_kept() {
+    let original = TempDir::new().expect("a folder");
+    write_log(original.path(), 4);
+    let bytes = std::fs::read(original.path().join("log")).expect("the log");
     for length in 0..bytes.len() {
         let folder = TempDir::new().expect("a folder");
-        written(folder.path(), 4);
+        write_log(folder.path(), 4);
         std::fs::write(folder.path().join("log"), &bytes[..length]).expect("cut");
-        let recovered = found(folder.path());
+        let recovered = recover(folder.path());
         assert!(recovered.has_lost_data, "cut to {length} of {}", bytes.len());
         let kept = recovered.entries.len();
         assert_eq!(recovered.entries, (1..=kept as u64).map(|i| entry(i, 3)).collect::<Vec<_>>());
-        assert!(found(folder.path()).has_lost_data, "still so after another start");
+        assert!(recover(folder.path()).has_lost_data, "still so after another start");
     }
 }
 
 #[test]
-fn a_loss_is_forgotten_only_when_the_replica_has_caught_up() {
+fn lost_data_stays_recorded_until_the_replica_has_caught_up() {
     let folder = TempDir::new().expect("a folder");
-    written(folder.path(), 4);
+    write_log(folder.path(), 4);
     let log = folder.path().join("log");
     let length = std::fs::metadata(&log).expect("the log").len();
     std::fs::OpenOptions::new()
@@ -87,41 +87,41 @@
     assert!(recovered.has_lost_data, "more was written, but it has not caught up");
     disk.clear_lost_data().expect("recorded");
     disk.close();
-    assert!(!found(folder.path()).has_lost_data);
+    assert!(!recover(folder.path()).has_lost_data);
 }
 
 #[test]
-fn bytes_after_the_last_sync_are_no_loss() {
+fn a_torn_write_after_the_last_sync_is_not_lost_data() {
     let folder = TempDir::new().expect("a folder");
-    written(folder.path(), 2);
+    write_log(folder.path(), 2);
     let log = folder.path().join("log");
     let mut bytes = std::fs::read(&log).expect("the log");
     bytes.extend_from_slice(&[40, 0, 0, 0, 1, 2, 3]);
     std::fs::write(&log, bytes).expect("torn");
-    let recovered = found(folder.path());
+    let recovered = recover(folder.path());
     assert!(!recovered.has_lost_data);
     assert_eq!(recovered.entries.len(), 2);
 }
 
 #[test]
-fn a_flipped_bit_ends_the_valid_part() {
+fn a_flipped_bit_ends_the_valid_prefix() {
     let folder = TempDir::new().expect("a folder");
-    written(folder.path(), 3);
+    write_log(folder.path(), 3);
     let log = folder.path().join("log");
     let mut bytes = std::fs::read(&log).expect("the log");
     let middle = bytes.len() / 2;
     bytes[middle] ^= 1;
     std::fs::write(&log, bytes).expect("damaged");
-    let recovered = found(folder.path());
+    let recovered = recover(folder.path());
     assert!(recovered.has_lost_data);
     assert!(recovered.entries.len() < 3);
 }
 
 #[test]
-fn a_log_without_its_vote_is_refused_with_the_remedy() {
+fn a_log_without_its_vote_is_refused_and_the_error_names_the_remedy() {
     for damage in ["removed", "emptied", "log emptied too"] {
         let folder = TempDir::new().expect("a folder");
-        written(folder.path(), 3);
+        write_log(folder.path(), 3);
         let vote = folder.path().join("vote");
         match damage {
             "removed" => std::fs::remove_file(&vote).expect("removed"),
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_folder_is_used_by_one_process_at_a_time() {
+fn a_folder_is_locked_against_a_second_process() {
     let folder = TempDir::new().expect("a folder");
     let (_disk, _) = Disk::open(folder.path()).expect("it opens");
     assert!(Disk::open(folder.path()).is_err());
@@ -146,7 +146,7 @@
 #[test]
 fn a_snapshot_replaces_the_entries_that_it_contains() {
     let folder = TempDir::new().expect("a folder");
-    written(folder.path(), 6);
+    write_log(folder.path(), 6);
     let (mut disk, _) = Disk::open(folder.path()).expect("it opens");
     let snapshot =
         Snapshot { index: 4, term: 3, members: Members::from_voters([1]), data: vec![7].into() };
@@ -154,7 +154,7 @@
     disk.save(&change, &[entry(5, 3), entry(6, 3)]).expect("saved");
     disk.save(&persist(vec![entry(7, 3)]), &[]).expect("saved");
     disk.close();
-    let recovered = found(folder.path());
+    let recovered = recover(folder.path());
     assert_eq!(recovered.snapshot, Some(snapshot));
     assert_eq!(recovered.entries, vec![entry(5, 3), entry(6, 3), entry(7, 3)]);
     assert!(!recovered.has_lost_data);
