--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -18,12 +18,12 @@
 
 const START: Duration = Duration::from_secs(100);
 
-fn fills(fill: f64) -> BTreeMap<String, f64> {
+fn store_fills(fill: f64) -> BTreeMap<String, f64> {
     BTreeMap::from([("store-0".to_string(), fill)])
 }
 
 /// Positions of a chain that shares its first `shared` blocks with others of the same root.
-fn seen(root: u128, shared: u32, blocks: u32, branch: u128) -> AnsweredPrompt {
+fn answered_prompt(root: u128, shared: u32, blocks: u32, branch: u128) -> AnsweredPrompt {
     let key = |n: u32| {
         let own = if n > shared { branch << 32 } else { 0 };
         (root << 64) | own | u128::from(n)
@@ -32,7 +32,7 @@
     AnsweredPrompt { root: (root << 64) | 1, positions }
 }
 
-fn done(plan: &ExportPlan) -> ExportOutcome {
+fn completed_export(plan: &ExportPlan) -> ExportOutcome {
     let object = KeptObject {
         root: plan.root,
         key: plan.position.key,
@@ -46,45 +46,45 @@
 }
 
 /// A catalog in which one context of 10 blocks is kept.
-fn with_one() -> (Catalog, AnsweredPrompt, ExportPlan) {
+fn catalog_with_one_copy() -> (Catalog, AnsweredPrompt, ExportPlan) {
     let mut catalog = Catalog::new(100, 1);
-    let seen = seen(5, 0, 10, 1);
-    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.record_export(&done(&plan), START);
-    (catalog, seen, plan)
+    let prompt = answered_prompt(5, 0, 10, 1);
+    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    catalog.record_export(&completed_export(&plan), START);
+    (catalog, prompt, plan)
 }
 
 #[test]
-fn a_copy_is_handed_out_only_while_it_is_committed() {
+fn a_copy_is_returned_only_while_it_is_committed() {
     let mut catalog = Catalog::new(100, 1);
-    let seen = seen(5, 0, 10, 1);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "unknown");
-    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
-    assert!(catalog.lookup(seen.root, START).is_empty(), "being written");
-    let other = ExportOutcome { generation: plan.generation + 1, ..done(&plan) };
+    let prompt = answered_prompt(5, 0, 10, 1);
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "unknown");
+    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "being written");
+    let other = ExportOutcome { generation: plan.generation + 1, ..completed_export(&plan) };
     catalog.record_export(&other, START);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "another generation");
-    catalog.record_export(&done(&plan), START);
-    assert_eq!(catalog.lookup(seen.root, START).len(), 1, "committed");
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "another generation");
+    catalog.record_export(&completed_export(&plan), START);
+    assert_eq!(catalog.lookup(prompt.root, START).len(), 1, "committed");
 
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.record_export(&ExportOutcome { kept: None, ..done(&plan) }, START);
-    catalog.record_export(&done(&plan), START);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "failed, whatever comes late");
+    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    catalog.record_export(&ExportOutcome { kept: None, ..completed_export(&plan) }, START);
+    catalog.record_export(&completed_export(&plan), START);
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "failed, whatever comes late");
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.record_answer(&seen, &fills(0.1), START).expect("worth an export");
-    catalog.free_orders(&fills(0.1), |_| true, START + WRITE_TIMEOUT);
-    catalog.record_export(&done(&plan), START + WRITE_TIMEOUT);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "given up, whatever comes late");
+    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    catalog.free_orders(&store_fills(0.1), |_| true, START + WRITE_TIMEOUT);
+    catalog.record_export(&completed_export(&plan), START + WRITE_TIMEOUT);
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "given up, whatever comes late");
 }
 
 #[test]
-fn a_copy_is_freed_only_when_its_pins_have_run_out() {
-    let (mut catalog, seen, _) = with_one();
+fn a_copy_is_freed_only_after_its_pins_have_expired() {
+    let (mut catalog, prompt, _) = catalog_with_one_copy();
     let read_at = START + Duration::from_secs(50);
-    assert_eq!(catalog.lookup(seen.root, read_at).len(), 1);
-    let full = fills(0.95);
+    assert_eq!(catalog.lookup(prompt.root, read_at).len(), 1);
+    let full = store_fills(0.95);
     assert!(
         catalog
             .free_orders(&full, |_| true, read_at + PIN_DURATION - Duration::from_millis(1))
@@ -93,7 +93,7 @@
     );
     let orders = catalog.free_orders(&full, |_| true, read_at + PIN_DURATION);
     assert_eq!(orders.len(), 1);
-    assert!(catalog.lookup(seen.root, read_at + PIN_DURATION).is_empty(), "freeing");
+    assert!(catalog.lookup(prompt.root, read_at + PIN_DURATION).is_empty(), "freeing");
     assert_eq!(
         catalog.free_orders(&full, |_| true, read_at + PIN_DURATION * 2),
         orders,
@@ -104,101 +104,117 @@
 }
 
 #[test]
-fn a_new_owner_frees_nothing_while_pins_of_an_earlier_one_may_last() {
+fn a_new_owner_frees_nothing_while_pins_of_an_earlier_one_may_be_valid() {
     let mut catalog = Catalog::new(100, 1);
-    let object = done(&with_one().2).kept.expect("kept").object;
+    let object = completed_export(&catalog_with_one_copy().2).kept.expect("kept").object;
     catalog.apply_inventory(&"store-0".into(), std::slice::from_ref(&object), |_| true, START);
     // On a copy, since a lookup pins.
     assert_eq!(catalog.clone().lookup(object.root, START).len(), 1, "found in the inventory");
     for second in 0..PIN_DURATION.as_secs() {
         let at = START + Duration::from_secs(second);
-        assert!(catalog.free_orders(&fills(0.99), |_| true, at).is_empty(), "after {second} s");
+        assert!(
+            catalog.free_orders(&store_fills(0.99), |_| true, at).is_empty(),
+            "after {second} s"
+        );
     }
-    assert_eq!(catalog.free_orders(&fills(0.99), |_| true, START + PIN_DURATION).len(), 1);
+    assert_eq!(catalog.free_orders(&store_fills(0.99), |_| true, START + PIN_DURATION).len(), 1);
 }
 
 #[test]
-fn an_inventory_tells_what_is_gone_and_what_belongs_to_others() {
-    let (mut catalog, seen, plan) = with_one();
-    let object = done(&plan).kept.expect("kept").object;
+fn copies_that_are_gone_or_owned_by_other_nodes_are_dropped() {
+    let (mut catalog, prompt, plan) = catalog_with_one_copy();
+    let object = completed_export(&plan).kept.expect("kept").object;
     let foreign = KeptObject { root: 77, ..object.clone() };
     catalog.apply_inventory(&"store-0".into(), &[object, foreign], |root| root != 77, START);
     assert_eq!(catalog.len(), 1);
     catalog.apply_inventory(&"store-0".into(), &[], |_| true, START);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "the store started again, empty");
-    let (mut catalog, seen, _) = with_one();
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store started again, empty");
+    let (mut catalog, prompt, _) = catalog_with_one_copy();
     catalog.drop_store(&"store-0".into());
-    assert!(catalog.lookup(seen.root, START).is_empty(), "the store died");
-    let (mut catalog, seen, _) = with_one();
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store died");
+    let (mut catalog, prompt, _) = catalog_with_one_copy();
     catalog.remove_unowned(|_| false);
-    assert!(catalog.lookup(seen.root, START).is_empty(), "another node owns it");
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "another node owns it");
 }
 
 #[test]
-fn what_is_worth_an_export() {
+fn an_export_needs_enough_new_blocks_and_a_store_with_room() {
     let mut catalog = Catalog::new(100, 1);
-    let empty = fills(0.1);
-    assert!(catalog.record_answer(&seen(1, 0, 3, 1), &empty, START).is_none(), "too short");
+    let empty = store_fills(0.1);
     assert!(
-        catalog.record_answer(&seen(2, 0, 10, 1), &BTreeMap::new(), START).is_none(),
+        catalog.record_answer(&answered_prompt(1, 0, 3, 1), &empty, START).is_none(),
+        "too short"
+    );
+    assert!(
+        catalog.record_answer(&answered_prompt(2, 0, 10, 1), &BTreeMap::new(), START).is_none(),
         "no store"
     );
     assert!(
-        catalog.record_answer(&seen(3, 0, 10, 1), &fills(0.99), START).is_none(),
+        catalog.record_answer(&answered_prompt(3, 0, 10, 1), &store_fills(0.99), START).is_none(),
         "the store is full"
     );
-    let first = catalog.record_answer(&seen(4, 0, 20, 1), &empty, START).expect("all of it");
+    let first =
+        catalog.record_answer(&answered_prompt(4, 0, 20, 1), &empty, START).expect("all of it");
     assert_eq!(first.position.blocks, 20);
     assert!(
-        catalog.record_answer(&seen(4, 0, 20, 1), &empty, START).is_none(),
+        catalog.record_answer(&answered_prompt(4, 0, 20, 1), &empty, START).is_none(),
         "being written already"
     );
-    catalog.record_export(&done(&first), START);
+    catalog.record_export(&completed_export(&first), START);
     assert!(
-        catalog.record_answer(&seen(4, 0, 24, 1), &empty, START).is_none(),
+        catalog.record_answer(&answered_prompt(4, 0, 24, 1), &empty, START).is_none(),
         "most of it is kept"
     );
-    let longer = catalog.record_answer(&seen(4, 0, 40, 1), &empty, START).expect("it has grown");
-    catalog.record_export(&done(&longer), START);
+    let longer =
+        catalog.record_answer(&answered_prompt(4, 0, 40, 1), &empty, START).expect("it has grown");
+    catalog.record_export(&completed_export(&longer), START);
     let kept = catalog.lookup(longer.root, START);
     assert_eq!(kept.len(), 1, "the shorter one is freed");
     assert_eq!(kept[0].object.blocks, 40);
     // Two continuations of one guideline set: what they share is kept.
-    let first = catalog.record_answer(&seen(9, 16, 18, 1), &empty, START).expect("all of it");
-    catalog.record_export(&done(&first), START);
-    let second =
-        catalog.record_answer(&seen(9, 16, 18, 2), &empty, START).expect("the shared beginning");
+    let first =
+        catalog.record_answer(&answered_prompt(9, 16, 18, 1), &empty, START).expect("all of it");
+    catalog.record_export(&completed_export(&first), START);
+    let second = catalog
+        .record_answer(&answered_prompt(9, 16, 18, 2), &empty, START)
+        .expect("the shared beginning");
     assert_eq!(second.position.blocks, 16);
-    catalog.record_export(&done(&second), START);
-    assert!(catalog.record_answer(&seen(9, 16, 18, 3), &empty, START).is_none(), "covered for all");
+    catalog.record_export(&completed_export(&second), START);
+    assert!(
+        catalog.record_answer(&answered_prompt(9, 16, 18, 3), &empty, START).is_none(),
+        "covered for all"
+    );
 }
 
 #[test]
-fn the_number_of_contexts_is_bounded_and_what_is_forgotten_is_freed() {
+fn the_number_of_contexts_is_bounded_and_evicted_copies_are_freed() {
     let mut catalog = Catalog::new(10, 1);
     for root in 1..=30 {
         let now = START + Duration::from_secs(root as u64);
-        if let Some(plan) = catalog.record_answer(&seen(root, 0, 8, 1), &fills(0.1), now) {
-            catalog.record_export(&done(&plan), now);
+        if let Some(plan) =
+            catalog.record_answer(&answered_prompt(root, 0, 8, 1), &store_fills(0.1), now)
+        {
+            catalog.record_export(&completed_export(&plan), now);
         }
     }
     assert_eq!(catalog.len(), 10);
-    let orders = catalog.free_orders(&fills(0.1), |_| true, START + PIN_DURATION * 3);
+    let orders = catalog.free_orders(&store_fills(0.1), |_| true, START + PIN_DURATION * 3);
     assert_eq!(orders.len(), 20, "no room is lost in the store");
 }
 
 #[test]
-fn owners_are_two_in_different_domains_and_move_little() {
-    let places: Vec<NodeLocation> = (1..=9)
+fn a_root_has_two_owners_in_different_domains_and_few_roots_move() {
+    let locations: Vec<NodeLocation> = (1..=9)
         .map(|node| NodeLocation { node, failure_domain: format!("d{}", node % 3) })
         .collect();
     let mut moved = 0;
     for root in 0..1_000_u128 {
-        let root = BlockKey::from_le_bytes(*blake3_16(root));
-        let before = owners(root, &places);
+        let root = BlockKey::from_le_bytes(*root_bytes(root));
+        let before = owners(root, &locations);
         assert_eq!(before.len(), 2);
         assert_ne!(before[0] % 3, before[1] % 3);
-        let without: Vec<NodeLocation> = places.iter().filter(|p| p.node != 4).cloned().collect();
+        let without: Vec<NodeLocation> =
+            locations.iter().filter(|p| p.node != 4).cloned().collect();
         let after = owners(root, &without);
         if before[0] == 4 {
             moved += 1;
@@ -207,11 +223,11 @@
         }
     }
     assert!((60..180).contains(&moved), "about a ninth: {moved}");
-    assert_eq!(owners(1, &places[..1]).len(), 1);
+    assert_eq!(owners(1, &locations[..1]).len(), 1);
     assert!(owners(1, &[]).is_empty());
 }
 
-fn blake3_16(number: u128) -> Box<[u8; 16]> {
+fn root_bytes(number: u128) -> Box<[u8; 16]> {
     let owner = Owner {
         account: number.to_string(),
         model: "m".into(),
@@ -222,7 +238,7 @@
 }
 
 #[test]
-fn a_key_names_one_account_model_version_and_prefix() {
+fn a_key_depends_on_account_model_version_and_prefix() {
     let owner = |account: &str, model: &str, version: &str| Owner {
         account: account.into(),
         model: model.into(),
@@ -251,12 +267,12 @@
 
     /// Random schedules of answers, reads, writes that end late or never, and full stores.
     #[test]
-    fn no_schedule_frees_under_a_reader_or_hands_out_what_is_not_whole(seed in any::<u64>()) {
+    fn no_schedule_frees_a_pinned_copy_or_returns_an_incomplete_one(seed in any::<u64>()) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut catalog = Catalog::new(6, 1);
         let mut now = START;
-        let mut writing: Vec<ExportPlan> = Vec::new();
-        let mut whole: BTreeSet<(BlockKey, u64)> = BTreeSet::new();
+        let mut pending_exports: Vec<ExportPlan> = Vec::new();
+        let mut complete: BTreeSet<(BlockKey, u64)> = BTreeSet::new();
         let mut readers: Vec<(BlockKey, u64, Duration)> = Vec::new();
         for _ in 0..300 {
             now += Duration::from_millis(random.random_range(1..8_000));
@@ -264,35 +280,35 @@
             match random.random_range(0..5) {
                 0 | 1 => {
                     let blocks = random.random_range(4..30);
-                    let seen = seen(root, 8, blocks, random.random_range(1..3));
-                    writing.extend(catalog.record_answer(&seen, &fills(0.2), now));
+                    let prompt = answered_prompt(root, 8, blocks, random.random_range(1..3));
+                    pending_exports.extend(catalog.record_answer(&prompt, &store_fills(0.2), now));
                 }
-                2 if !writing.is_empty() => {
-                    let plan = writing.remove(random.random_range(0..writing.len()));
-                    let mut written = done(&plan);
+                2 if !pending_exports.is_empty() => {
+                    let plan = pending_exports.remove(random.random_range(0..pending_exports.len()));
+                    let mut outcome = completed_export(&plan);
                     if random.random_bool(0.3) {
-                        written.kept = None;
+                        outcome.kept = None;
                     } else {
-                        whole.insert((plan.position.key, plan.generation));
+                        complete.insert((plan.position.key, plan.generation));
                     }
-                    catalog.record_export(&written, now);
+                    catalog.record_export(&outcome, now);
                 }
                 3 => {
                     for kept in catalog.lookup((root << 64) | 1, now) {
-                        let name = (kept.object.key, kept.object.generation);
-                        prop_assert!(whole.contains(&name), "handed out what is not whole");
-                        readers.push((name.0, name.1, now + PIN_DURATION));
+                        let copy_id = (kept.object.key, kept.object.generation);
+                        prop_assert!(complete.contains(&copy_id), "handed out what is not whole");
+                        readers.push((copy_id.0, copy_id.1, now + PIN_DURATION));
                     }
                 }
                 _ => {
                     let fill = if random.random_bool(0.5) { 0.95 } else { 0.2 };
-                    for order in catalog.free_orders(&fills(fill), |_| true, now) {
-                        let read = readers.iter().any(|(key, generation, until)| {
+                    for order in catalog.free_orders(&store_fills(fill), |_| true, now) {
+                        let is_pinned = readers.iter().any(|(key, generation, until)| {
                             *key == order.key && *generation == order.generation && *until > now
                         });
-                        prop_assert!(!read, "freed under a reader");
+                        prop_assert!(!is_pinned, "freed under a reader");
                         if random.random_bool(0.7) {
-                            whole.remove(&(order.key, order.generation));
+                            complete.remove(&(order.key, order.generation));
                             catalog.record_freed(&order);
                         }
                     }
@@ -304,8 +320,8 @@
 
 #[test]
 fn a_second_owner_frees_nothing() {
-    let (mut catalog, seen, _) = with_one();
-    let late = START + PIN_DURATION * 2;
-    assert!(catalog.free_orders(&fills(0.99), |_| false, late).is_empty());
-    assert_eq!(catalog.lookup(seen.root, late).len(), 1);
+    let (mut catalog, prompt, _) = catalog_with_one_copy();
+    let after_pins = START + PIN_DURATION * 2;
+    assert!(catalog.free_orders(&store_fills(0.99), |_| false, after_pins).is_empty());
+    assert_eq!(catalog.lookup(prompt.root, after_pins).len(), 1);
 }
