--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -50,7 +50,7 @@
     View { engines, stores: [("s".to_string(), store(0))].into(), live_nodes: 1 }
 }
 
-fn kept(chain: &Chain, blocks: usize) -> (String, KeptObject) {
+fn stored_prefix(chain: &Chain, blocks: usize) -> (String, KeptObject) {
     let object = KeptObject {
         root: chain.keys[0],
         key: chain.keys[blocks - 1],
@@ -77,13 +77,13 @@
     }
 }
 
-fn cost(view: &View, kept: &[(String, KeptObject)]) -> Option<Decision> {
+fn decide_by_cost(view: &View, stored_prefixes: &[(String, KeptObject)]) -> Option<Decision> {
     let (chain, version) = (chain(), "v1".to_string());
-    decide(Policy::Cost, &Prices::default(), view, &request(&chain, &version, kept), NOW)
+    decide(Policy::Cost, &Prices::default(), view, &request(&chain, &version, stored_prefixes), NOW)
 }
 
 #[test]
-fn only_engines_that_may_take_the_request_are_chosen() {
+fn only_eligible_engines_are_chosen() {
     type Change = fn(&mut EngineView);
     let cases: [(&str, Change); 7] = [
         ("leaving", |e| e.takes_work = false),
@@ -100,9 +100,9 @@
     let policies = [Policy::RoundRobin, Policy::LeastLoad, Policy::PrefixSticky, Policy::Cost];
     for policy in policies {
         for (what, change) in &cases {
-            let mut bad = engine(0);
-            change(&mut bad);
-            let view = view(vec![("bad", bad), ("good", engine(90_000))]);
+            let mut ineligible = engine(0);
+            change(&mut ineligible);
+            let view = view(vec![("bad", ineligible), ("good", engine(90_000))]);
             let (chain, version) = (chain(), "v1".to_string());
             for request_number in 0..4 {
                 let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn cost_weighs_waiting_against_what_is_resident() {
+fn cost_weighs_queueing_against_resident_blocks() {
     let chain = chain();
     let cases = [
         ("resident and idle", 0, 0, "resident"),
@@ -133,42 +133,67 @@
         let mut resident = engine(queued_resident);
         resident.residency.expect_resident(&chain.keys);
         let view = view(vec![("idle", engine(queued_idle)), ("resident", resident)]);
-        assert_eq!(cost(&view, &[]).expect("one").engine, expected, "{what}");
+        assert_eq!(decide_by_cost(&view, &[]).expect("one").engine, expected, "{what}");
     }
 }
 
 #[test]
-fn an_import_is_chosen_where_it_is_cheapest_and_only_of_this_very_prompt() {
+fn an_import_is_chosen_only_if_it_is_cheapest_and_of_the_same_prefix() {
     let chain = chain();
-    let all = kept(&chain, BLOCKS);
+    let all = stored_prefix(&chain, BLOCKS);
     let idle = || view(vec![("a", engine(0))]);
-    assert!(cost(&idle(), std::slice::from_ref(&all)).expect("one").import.is_some(), "quick link");
+    assert!(
+        decide_by_cost(&idle(), std::slice::from_ref(&all)).expect("one").import.is_some(),
+        "quick link"
+    );
     let mut slow = idle();
     slow.stores.insert("s".into(), store(10_000));
-    assert_eq!(cost(&slow, std::slice::from_ref(&all)).expect("one").import, None, "long backlog");
-    let mut silent = idle();
-    silent.stores.get_mut("s").expect("a store").report = None;
     assert_eq!(
-        cost(&silent, std::slice::from_ref(&all)).expect("one").import,
+        decide_by_cost(&slow, std::slice::from_ref(&all)).expect("one").import,
+        None,
+        "long backlog"
+    );
+    let mut without_report = idle();
+    without_report.stores.get_mut("s").expect("a store").report = None;
+    assert_eq!(
+        decide_by_cost(&without_report, std::slice::from_ref(&all)).expect("one").import,
         None,
         "unknown link"
     );
     let mut resident = engine(0);
     resident.residency.expect_resident(&chain.keys);
-    let there = view(vec![("a", resident)]);
-    assert_eq!(cost(&there, std::slice::from_ref(&all)).expect("one").import, None, "resident");
+    let already_resident = view(vec![("a", resident)]);
+    assert_eq!(
+        decide_by_cost(&already_resident, std::slice::from_ref(&all)).expect("one").import,
+        None,
+        "resident"
+    );
     let foreign = ("s".to_string(), KeptObject { key: 1, ..all.1.clone() });
-    assert_eq!(cost(&idle(), &[foreign]).expect("one").import, None, "another prompt's key");
-    let moved = ("s".to_string(), KeptObject { blocks: 3, ..all.1.clone() });
-    assert_eq!(cost(&idle(), &[moved]).expect("one").import, None, "another place of the chain");
-    let pricey = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
-    let (version, kept) = ("v1".to_string(), [all]);
-    let decision = decide(Policy::Cost, &pricey, &idle(), &request(&chain, &version, &kept), NOW);
+    assert_eq!(
+        decide_by_cost(&idle(), &[foreign]).expect("one").import,
+        None,
+        "another prompt's key"
+    );
+    let misplaced = ("s".to_string(), KeptObject { blocks: 3, ..all.1.clone() });
+    assert_eq!(
+        decide_by_cost(&idle(), &[misplaced]).expect("one").import,
+        None,
+        "another place of the chain"
+    );
+    let high_link_price = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
+    let (version, stored_prefixes) = ("v1".to_string(), [all]);
+    let decision = decide(
+        Policy::Cost,
+        &high_link_price,
+        &idle(),
+        &request(&chain, &version, &stored_prefixes),
+        NOW,
+    );
     assert_eq!(decision.expect("one").import, None, "the link is too dear");
 }
 
 #[test]
-fn own_dispatches_count_until_a_report_can_know_of_them() {
+fn own_dispatches_count_until_a_later_report_includes_them() {
     // The engine prefills 10 tokens a millisecond meanwhile.
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut engine = engine(1_000);
@@ -182,7 +207,7 @@
 }
 
 #[test]
-fn a_link_works_off_what_waits_for_it() {
+fn the_backlog_of_a_link_drains_over_time() {
     let at = |ms| NOW + Duration::from_millis(ms);
     // 1 MB a millisecond, 50 ms behind.
     let mut store = store(50);
@@ -196,11 +221,11 @@
 }
 
 #[test]
-fn equals_share_the_load_and_sticky_keeps_to_one() {
+fn equal_engines_share_the_load_except_under_the_sticky_policy() {
     let names: Vec<String> = (0..6).map(|n| format!("e{n}")).collect();
     let view = view(names.iter().map(|name| (name.as_str(), engine(0))).collect());
     let (chain, version) = (chain(), "v1".to_string());
-    for (policy, different) in [
+    for (policy, expected_engines) in [
         (Policy::RoundRobin, 6),
         (Policy::LeastLoad, 6),
         (Policy::Cost, 6),
@@ -212,12 +237,12 @@
                 decide(policy, &Prices::default(), &view, &request, NOW).expect("one").engine
             })
             .collect();
-        assert_eq!(chosen.len(), different, "{policy:?}");
+        assert_eq!(chosen.len(), expected_engines, "{policy:?}");
     }
 }
 
 #[test]
-fn news_of_another_nodes_dispatch_count_for_this_start_of_the_engine_only() {
+fn a_dispatch_by_a_peer_counts_only_for_the_current_incarnation_of_its_engine() {
     let target = Target {
         id: "e".into(),
         incarnation: 2,
@@ -230,7 +255,7 @@
     let mut router = Router::new(1, 64);
     router.apply_list(TargetList { targets: vec![target] });
     let queued = |router: &Router| router.view().engines["e"].queued_tokens(NOW);
-    let mut tell = |engine: &str, incarnation| {
+    let mut record_dispatch = |engine: &str, incarnation| {
         let engine = engine.to_string();
         router.record_peer_dispatch(
             &Dispatched { engine, incarnation, prefill_tokens: 700, import: None },
@@ -238,14 +263,14 @@
         );
         queued(&router)
     };
-    assert_eq!(tell("e", 1), 0, "an earlier start");
-    assert_eq!(tell("x", 2), 0, "an engine that is not known");
-    assert_eq!(tell("e", 2), 700);
+    assert_eq!(record_dispatch("e", 1), 0, "an earlier start");
+    assert_eq!(record_dispatch("x", 2), 0, "an engine that is not known");
+    assert_eq!(record_dispatch("e", 2), 700);
     for second in 0..10_000 {
         let now = NOW + Duration::from_secs(second);
-        let news =
+        let dispatch =
             Dispatched { engine: "e".into(), incarnation: 2, prefill_tokens: 1, import: None };
-        router.record_peer_dispatch(&news, now);
+        router.record_peer_dispatch(&dispatch, now);
     }
     assert!(router.view().engines["e"].unreported.len() < 10, "bounded without reports");
 }
--- a/tests/logic/orders.rs
+++ b/tests/logic/orders.rs
@@ -7,7 +7,7 @@
 use kumquatpost::orders::{EngineState, ORDER_TIMEOUT, Planner};
 
 const START: Duration = Duration::from_secs(100);
-const LEASE: Duration = Duration::from_secs(1);
+const LEASE_DURATION: Duration = Duration::from_secs(1);
 
 fn engine(id: &str, domain: &str, version: Option<&str>) -> EngineState {
     EngineState {
@@ -31,31 +31,31 @@
     BTreeMap::from([("m".to_string(), model)])
 }
 
-fn ids(
+fn planned_engines(
     planner: &mut Planner,
     models: &BTreeMap<String, Model>,
     engines: &[EngineState],
 ) -> Vec<String> {
-    let late = START + LEASE + ORDER_TIMEOUT;
-    planner.plan(models, engines, late).into_iter().map(|planned| planned.engine).collect()
+    let after_wait = START + LEASE_DURATION + ORDER_TIMEOUT;
+    planner.plan(models, engines, after_wait).into_iter().map(|planned| planned.engine).collect()
 }
 
 #[test]
-fn a_roll_out_keeps_the_floor_and_ends() {
+fn a_rollout_keeps_the_floor_and_completes() {
     for (floor, loads) in [(1, 2), (2, 4), (1, 1)] {
         let models = models(floor, loads);
         let mut engines: Vec<EngineState> =
             (0..9).map(|n| engine(&format!("e{n}"), &format!("d{}", n % 3), Some("v1"))).collect();
-        let mut planner = Planner::new(LEASE, START);
+        let mut planner = Planner::new(LEASE_DURATION, START);
         for round in 0.. {
-            for id in ids(&mut planner, &models, &engines) {
+            for id in planned_engines(&mut planner, &models, &engines) {
                 engines.iter_mut().filter(|e| e.id == id).for_each(|e| e.version = None);
             }
             let loading = engines.iter().filter(|e| e.version.is_none()).count();
             assert!(loading <= loads as usize);
             for domain in ["d0", "d1", "d2"] {
-                let here = engines.iter().filter(|e| e.failure_domain == domain);
-                let serving = here.filter(|e| e.version.is_some()).count();
+                let in_domain = engines.iter().filter(|e| e.failure_domain == domain);
+                let serving = in_domain.filter(|e| e.version.is_some()).count();
                 assert!(serving >= floor as usize, "floor {floor} in {domain}");
             }
             // One load ends.
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_not_ordered() {
+fn engines_that_are_loading_or_up_to_date_or_needed_get_no_order() {
     let models = models(1, 4);
     let pair = |change: fn(&mut EngineState)| {
         let mut engines = vec![engine("a", "d", Some("v1")), engine("b", "d", Some("v2"))];
@@ -86,31 +86,38 @@
         ("one with an unknown version", |e| e.version = Some("v0".into()), 1),
     ];
     for (what, change, count) in cases {
-        let mut planner = Planner::new(LEASE, START);
-        assert_eq!(ids(&mut planner, &models, &pair(change)).len(), count, "{what}");
+        let mut planner = Planner::new(LEASE_DURATION, START);
+        assert_eq!(planned_engines(&mut planner, &models, &pair(change)).len(), count, "{what}");
     }
-    let mut planner = Planner::new(LEASE, START);
-    let lone = [engine("a", "d", Some("v1"))];
-    assert!(ids(&mut planner, &models, &lone).is_empty(), "the only one of its domain");
+    let mut planner = Planner::new(LEASE_DURATION, START);
+    let only_engine = [engine("a", "d", Some("v1"))];
+    assert!(
+        planned_engines(&mut planner, &models, &only_engine).is_empty(),
+        "the only one of its domain"
+    );
     let engines = pair(|_| ());
-    assert_eq!(ids(&mut planner, &models, &engines), ["a"]);
-    assert!(ids(&mut planner, &models, &engines).is_empty(), "ordered already");
+    assert_eq!(planned_engines(&mut planner, &models, &engines), ["a"]);
+    assert!(planned_engines(&mut planner, &models, &engines).is_empty(), "ordered already");
     planner.order_refused(&"a".to_string());
-    assert_eq!(ids(&mut planner, &models, &engines), ["a"], "it did not take the order");
+    assert_eq!(
+        planned_engines(&mut planner, &models, &engines),
+        ["a"],
+        "it did not take the order"
+    );
 }
 
 #[test]
 fn a_new_leader_waits_before_it_orders_an_engine_that_ignores_fencing() {
     let models = models(0, 4);
-    let mut ignoring = engine("a", "d", Some("v1"));
-    ignoring.checks_fencing = false;
-    let engines = [ignoring, engine("b", "d", Some("v1"))];
-    let mut planner = Planner::new(LEASE, START);
-    let early = START + LEASE + ORDER_TIMEOUT - Duration::from_millis(1);
-    let planned = planner.plan(&models, &engines, early);
+    let mut without_fencing = engine("a", "d", Some("v1"));
+    without_fencing.checks_fencing = false;
+    let engines = [without_fencing, engine("b", "d", Some("v1"))];
+    let mut planner = Planner::new(LEASE_DURATION, START);
+    let before_wait = START + LEASE_DURATION + ORDER_TIMEOUT - Duration::from_millis(1);
+    let planned = planner.plan(&models, &engines, before_wait);
     assert_eq!(planned.len(), 1);
     assert_eq!(planned[0].engine, "b");
-    let planned = planner.plan(&models, &engines, START + LEASE + ORDER_TIMEOUT);
+    let planned = planner.plan(&models, &engines, START + LEASE_DURATION + ORDER_TIMEOUT);
     assert_eq!(planned.len(), 1);
     assert_eq!(planned[0].engine, "a");
 }
--- a/tests/logic/targets.rs
+++ b/tests/logic/targets.rs
@@ -26,22 +26,22 @@
 }
 
 #[test]
-fn a_leaving_target_gets_no_work_whatever_a_late_list_says() {
+fn a_leaving_target_gets_no_work_even_after_an_outdated_list() {
     let live = |incarnation| target("a", incarnation, Presence::Live);
     let leaving = |incarnation| target("a", incarnation, Presence::Leaving);
-    let gossip = LeavingTarget { target: "a".into(), incarnation: 1 };
+    let announcement = LeavingTarget { target: "a".into(), incarnation: 1 };
     enum Step {
         List(Target),
-        Gossip,
+        Announcement,
     }
     let cases: Vec<(&str, Vec<Step>, usize)> = vec![
         ("live", vec![Step::List(live(1))], 1),
         ("leaving", vec![Step::List(live(1)), Step::List(leaving(1))], 0),
         ("a late list", vec![Step::List(leaving(1)), Step::List(live(1))], 0),
-        ("gossip first", vec![Step::Gossip, Step::List(live(1))], 0),
-        ("gossip later", vec![Step::List(live(1)), Step::Gossip], 0),
+        ("gossip first", vec![Step::Announcement, Step::List(live(1))], 0),
+        ("gossip later", vec![Step::List(live(1)), Step::Announcement], 0),
         ("started again", vec![Step::List(leaving(1)), Step::List(live(2))], 1),
-        ("an older start", vec![Step::List(live(2)), Step::List(live(1)), Step::Gossip], 1),
+        ("an older start", vec![Step::List(live(2)), Step::List(live(1)), Step::Announcement], 1),
     ];
     for (what, steps, instances) in cases {
         let mut targets = Targets::default();
@@ -50,8 +50,8 @@
                 Step::List(target) => {
                     targets.apply_list(list(&[target]));
                 }
-                Step::Gossip => {
-                    targets.mark_leaving(&gossip);
+                Step::Announcement => {
+                    targets.mark_leaving(&announcement);
                 }
             }
         }
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn each_news_of_leaving_is_told_once() {
+fn each_departure_is_announced_once() {
     let mut targets = Targets::default();
     let leaving = target("a", 1, Presence::Leaving);
     assert_eq!(targets.apply_list(list(std::slice::from_ref(&leaving))).len(), 1);
@@ -70,31 +70,31 @@
 }
 
 #[test]
-fn failures_eject_and_successes_bring_back_in_steps() {
-    let second = Duration::from_secs;
+fn failures_eject_a_target_and_successes_readmit_it_gradually() {
+    let secs = Duration::from_secs;
     let mut health = Health::default();
-    health.record_failure(FailureCause::Other, second(1));
-    health.record_failure(FailureCause::Target, second(1));
-    health.record_failure(FailureCause::Target, second(1));
+    health.record_failure(FailureCause::Other, secs(1));
+    health.record_failure(FailureCause::Target, secs(1));
+    health.record_failure(FailureCause::Target, secs(1));
     health.record_success();
-    health.record_failure(FailureCause::Target, second(1));
-    health.record_failure(FailureCause::Target, second(1));
-    assert!(health.admits(9, second(1)), "not three in a row");
-    health.record_failure(FailureCause::Target, second(1));
-    assert!(!health.admits(0, second(1)), "ejected");
-    assert!(health.admits(0, second(2)), "one on trial");
-    assert!(!health.admits(1, second(2)), "only one");
-    health.record_failure(FailureCause::Target, second(2));
-    assert!(!health.admits(0, second(2) + Duration::from_millis(700)), "longer the second time");
+    health.record_failure(FailureCause::Target, secs(1));
+    health.record_failure(FailureCause::Target, secs(1));
+    assert!(health.admits(9, secs(1)), "not three in a row");
+    health.record_failure(FailureCause::Target, secs(1));
+    assert!(!health.admits(0, secs(1)), "ejected");
+    assert!(health.admits(0, secs(2)), "one on trial");
+    assert!(!health.admits(1, secs(2)), "only one");
+    health.record_failure(FailureCause::Target, secs(2));
+    assert!(!health.admits(0, secs(2) + Duration::from_millis(700)), "longer the second time");
     for _ in 0..3 {
-        assert!(!health.admits(1, second(10)));
+        assert!(!health.admits(1, secs(10)));
         health.record_success();
     }
-    assert!(health.admits(50, second(10)), "back");
+    assert!(health.admits(50, secs(10)), "back");
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries() {
+fn retries_are_limited_to_a_share_of_first_attempts() {
     let mut budget = RetryBudget::default();
     while budget.try_spend() {}
     let mut retries = 0;
@@ -110,27 +110,27 @@
 }
 
 #[test]
-fn cache_events_late_gapped_and_from_an_earlier_start() {
+fn duplicate_or_missing_cache_events_and_restarts_are_handled() {
     use CacheChange::{Evicted, Stored};
-    let read = |incarnation, events: Vec<CacheEvent>| CacheEvents { incarnation, events };
+    let batch = |incarnation, events: Vec<CacheEvent>| CacheEvents { incarnation, events };
     let mut residency = Residency::default();
-    residency.apply_events(&read(1, vec![event(1, Stored, 10), event(2, Stored, 11)]));
+    residency.apply_events(&batch(1, vec![event(1, Stored, 10), event(2, Stored, 11)]));
     assert_eq!(residency.resident_blocks(&[10, 11, 12]), 2);
     assert!((residency.confidence() - 1.0).abs() < 1e-9);
-    residency.apply_events(&read(1, vec![event(1, Evicted, 10), event(2, Stored, 11)]));
+    residency.apply_events(&batch(1, vec![event(1, Evicted, 10), event(2, Stored, 11)]));
     assert_eq!(residency.resident_blocks(&[10, 11]), 2, "what was taken is not taken again");
-    residency.apply_events(&read(1, vec![event(90, Evicted, 11)]));
+    residency.apply_events(&batch(1, vec![event(90, Evicted, 11)]));
     assert_eq!(residency.resident_blocks(&[10, 11]), 1);
     assert!(residency.confidence() < 0.9, "a gap lowers the confidence");
     let before = residency.confidence();
     residency.record_result(&[10], 1, 0);
     assert!(residency.confidence() < before, "a false hit lowers it more");
-    residency.apply_events(&read(2, vec![]));
+    residency.apply_events(&batch(2, vec![]));
     assert_eq!(residency.resident_blocks(&[10]), 0, "it started again with an empty cache");
 }
 
 #[test]
-fn what_is_remembered_of_a_cache_is_bounded() {
+fn residency_records_are_bounded() {
     let mut residency = Residency::default();
     for key in 0..100_000 {
         residency.expect_resident(&[key]);
