--- a/tests/logic/shares.rs
+++ b/tests/logic/shares.rs
@@ -9,10 +9,10 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-const LEASE: Duration = Duration::from_secs(3);
+const LEASE_DURATION: Duration = Duration::from_secs(3);
 const NOW: Duration = Duration::from_secs(100);
 
-fn demand(demand: u32, limit: u32) -> ShareRequest {
+fn share_request(demand: u32, limit: u32) -> ShareRequest {
     ShareRequest { account: "anna".into(), demand, limit, nodes: 8 }
 }
 
@@ -24,20 +24,26 @@
         ("no demand", vec![(1, 0)], vec![2]),
         ("two alike, the first asked first", vec![(1, 20), (2, 20)], vec![20, 20]),
     ];
-    for (what, asks, expected) in cases {
-        let mut shares = ShareAllocator::new(LEASE);
-        let got: Vec<u32> =
-            asks.iter().map(|(node, d)| shares.grant(*node, &demand(*d, 64), NOW).share).collect();
-        assert_eq!(got, expected, "{what}");
+    for (what, requests, expected) in cases {
+        let mut shares = ShareAllocator::new(LEASE_DURATION);
+        let shares_granted: Vec<u32> = requests
+            .iter()
+            .map(|(node, d)| shares.grant(*node, &share_request(*d, 64), NOW).share)
+            .collect();
+        assert_eq!(shares_granted, expected, "{what}");
     }
     // A node that took all gives up its part by and by.
-    let mut shares = ShareAllocator::new(LEASE);
-    assert_eq!(shares.grant(1, &demand(100, 64), NOW).share, 50);
-    assert_eq!(shares.grant(2, &demand(100, 64), NOW).share, 2, "nothing is left yet");
-    assert_eq!(shares.grant(1, &demand(100, 64), NOW).share, 26, "half of what two may share");
-    let later = NOW + LEASE;
-    shares.grant(1, &demand(100, 64), later - Duration::from_millis(1));
-    assert_eq!(shares.grant(2, &demand(100, 64), later).share, 26);
+    let mut shares = ShareAllocator::new(LEASE_DURATION);
+    assert_eq!(shares.grant(1, &share_request(100, 64), NOW).share, 50);
+    assert_eq!(shares.grant(2, &share_request(100, 64), NOW).share, 2, "nothing is left yet");
+    assert_eq!(
+        shares.grant(1, &share_request(100, 64), NOW).share,
+        26,
+        "half of what two may share"
+    );
+    let later = NOW + LEASE_DURATION;
+    shares.grant(1, &share_request(100, 64), later - Duration::from_millis(1));
+    assert_eq!(shares.grant(2, &share_request(100, 64), later).share, 26);
 }
 
 proptest! {
@@ -48,23 +54,23 @@
 
     /// Answers are lost, nodes come and go; what all nodes use never passes the limit.
     #[test]
-    fn all_nodes_together_never_pass_the_limit(seed in any::<u64>(), limit in 8_u32..100) {
+    fn shares_of_all_nodes_never_exceed_the_limit(seed in any::<u64>(), limit in 8_u32..100) {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut shares = ShareAllocator::new(LEASE);
+        let mut shares = ShareAllocator::new(LEASE_DURATION);
         let mut now = NOW;
         // What each node uses: its last received share, until it ends.
-        let mut used: BTreeMap<u64, (u32, Duration)> = BTreeMap::new();
+        let mut usage: BTreeMap<u64, (u32, Duration)> = BTreeMap::new();
         for _ in 0..200 {
             now += Duration::from_millis(random.random_range(0..1_500));
             let node = random.random_range(1..=8);
-            let asked = ShareRequest { demand: random.random_range(0..120), ..demand(0, limit) };
-            let got = shares.grant(node, &asked, now);
+            let request = ShareRequest { demand: random.random_range(0..120), ..share_request(0, limit) };
+            let grant = shares.grant(node, &request, now);
             if random.random_bool(0.7) {
-                used.insert(node, (got.share, now + got.lasts));
+                usage.insert(node, (grant.share, now + grant.lasts));
             }
             let total: u32 = (1..=8)
-                .map(|node| match used.get(&node) {
-                    Some((share, ends)) if *ends > now => *share,
+                .map(|node| match usage.get(&node) {
+                    Some((share, expires_at)) if *expires_at > now => *share,
                     _ => base_share(limit, 8),
                 })
                 .sum();
