--- a/tests/logic/burn.rs
+++ b/tests/logic/burn.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn counts_leave_each_window_when_it_has_passed() {
+fn counts_expire_from_each_window_when_it_has_passed() {
     let mut burn = Burn::default();
     for number in 0..100 {
         burn.record(served("diagnosis", number >= 10), START);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn alarms_need_a_short_and_a_long_window() {
+fn a_verdict_needs_a_short_and_a_long_window() {
     let count = |rate: f64| Count { total: 1_000, bad: (rate * 50.0) as u64, allowed: 50.0 };
     let cases = [
         ([0.0, 0.0, 0.0, 0.0], "fine"),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_report_adds_nodes_and_names_those_it_could_not_ask() {
+fn a_report_sums_nodes_and_lists_those_it_could_not_ask() {
     let mut burn = Burn::default();
     burn.record(served("diagnosis", false), START);
     burn.record(served("counter", true), START);
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -3,16 +3,16 @@
 use kumquatpost::edge::chat::{Chunk, Shape, Usage};
 use kumquatpost::entry::relay::{Fault, Relay};
 
-fn text(id: &str, text: &str) -> String {
+fn text_event(id: &str, text: &str) -> String {
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
 }
 
-fn last(id: &str, text: &str) -> String {
+fn last_event(id: &str, text: &str) -> String {
     let finish = Some("stop".into());
     Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(Shape::Chat, "m", 0)
 }
 
-fn usage(id: &str) -> String {
+fn usage_event(id: &str) -> String {
     let usage = Some(Usage::default());
     Chunk { id: id.into(), usage, ..Chunk::default() }.write(Shape::Chat, "m", 0)
 }
@@ -32,50 +32,50 @@
 }
 
 #[test]
-fn streams_are_whole_or_given_up() {
-    let crossed = |id: &str| Some(Fault::Crossed { id: id.into() });
+fn incomplete_or_interleaved_streams_are_detected() {
+    let wrong_id = |id: &str| Some(Fault::Crossed { id: id.into() });
     type Case = (&'static str, Vec<String>, &'static str, Option<Fault>, bool);
     let cases: Vec<Case> = vec![
         (
             "whole",
-            vec![text("r.1", "a "), last("r.1", "b"), usage("r.1"), DONE.into()],
+            vec![text_event("r.1", "a "), last_event("r.1", "b"), usage_event("r.1"), DONE.into()],
             "a b",
             None,
             true,
         ),
-        ("broken off", vec![text("r.1", "a ")], "a ", None, false),
+        ("broken off", vec![text_event("r.1", "a ")], "a ", None, false),
         (
             "no end mark",
-            vec![text("r.1", "a "), last("r.1", "b"), usage("r.1")],
+            vec![text_event("r.1", "a "), last_event("r.1", "b"), usage_event("r.1")],
             "a b",
             None,
             false,
         ),
         (
             "end mark too early",
-            vec![text("r.1", "a "), DONE.into()],
+            vec![text_event("r.1", "a "), DONE.into()],
             "a ",
             Some(Fault::OutOfOrder),
             false,
         ),
         (
             "another request's",
-            vec![text("r.1", "a "), text("s.1", "x")],
+            vec![text_event("r.1", "a "), text_event("s.1", "x")],
             "a ",
-            crossed("s.1"),
+            wrong_id("s.1"),
             false,
         ),
-        ("an earlier attempt's", vec![text("r.0", "a ")], "", crossed("r.0"), false),
+        ("an earlier attempt's", vec![text_event("r.0", "a ")], "", wrong_id("r.0"), false),
         (
             "more after its end",
-            vec![last("r.1", "a"), text("r.1", "b")],
+            vec![last_event("r.1", "a"), text_event("r.1", "b")],
             "a",
             Some(Fault::OutOfOrder),
             false,
         ),
         (
             "more after the end mark",
-            vec![last("r.1", "a"), DONE.into(), text("r.1", "b")],
+            vec![last_event("r.1", "a"), DONE.into(), text_event("r.1", "b")],
             "a",
             Some(Fault::OutOfOrder),
             true,
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_restarted_answer_goes_on_only_where_it_repeats_what_was_sent() {
+fn a_restarted_answer_continues_only_if_it_repeats_what_was_sent() {
     let cases: [(&str, &[&str], &str, bool); 5] = [
         ("equal pieces", &["one ", "two ", "three"], "three", true),
         ("other pieces", &["o", "ne two th", "ree"], "three", true),
@@ -102,13 +102,13 @@
         ("another text", &["one ", "TWO ", "three"], "", false),
         ("another text at its end", &["one two"], "", true),
     ];
-    for (what, pieces, expected, repeats) in cases {
+    for (what, chunks, expected, repeats) in cases {
         let mut relay = Relay::default();
         relay.restart("r.1".into());
-        feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
+        feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
         assert_eq!(relay.chunks(), 2);
         relay.restart("r.2".into());
-        let events: Vec<String> = pieces.iter().map(|piece| text("r.2", piece)).collect();
+        let events: Vec<String> = chunks.iter().map(|chunk| text_event("r.2", chunk)).collect();
         let (sent, fault) = feed(&mut relay, &events);
         assert_eq!(sent, expected, "{what}");
         assert_eq!(fault.is_none(), repeats, "{what}");
@@ -117,22 +117,22 @@
 }
 
 #[test]
-fn a_restarted_answer_that_ends_before_what_was_sent_is_not_whole() {
+fn a_restarted_answer_that_is_shorter_than_what_was_sent_is_not_whole() {
     let mut relay = Relay::default();
     relay.restart("r.1".into());
-    feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
+    feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
     relay.restart("r.2".into());
-    let (sent, fault) = feed(&mut relay, &[last("r.2", "one "), DONE.into()]);
+    let (sent, fault) = feed(&mut relay, &[last_event("r.2", "one "), DONE.into()]);
     assert_eq!((sent.as_str(), fault), ("", Some(Fault::OutOfOrder)));
     assert!(!relay.is_whole());
 }
 
 #[test]
-fn a_resumed_stream_goes_on_where_it_broke() {
+fn a_resumed_stream_continues_where_it_broke_off() {
     let mut relay = Relay::default();
     relay.restart("r.1".into());
-    feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
-    let rest = [last("r.1", "three"), usage("r.1"), DONE.into()];
+    feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
+    let rest = [last_event("r.1", "three"), usage_event("r.1"), DONE.into()];
     assert_eq!(feed(&mut relay, &rest), ("three".into(), None));
     assert!(relay.is_whole());
     assert_eq!(relay.text(), "one two three");
