--- a/tests/logic/auth.rs
+++ b/tests/logic/auth.rs
@@ -8,26 +8,26 @@
 }
 
 #[test]
-fn frames_are_taken_only_in_their_place() {
+fn frames_are_accepted_only_in_order() {
     let nonces = ([1; 16], [2; 16]);
-    let streams = |material: &str| key(material).session(&nonces.0, &nonces.1, (1, 2));
-    let (mut sender, _) = streams("k");
+    let session = |material: &str| key(material).session(&nonces.0, &nonces.1, (1, 2));
+    let (mut sender, _) = session("k");
     let codes: Vec<[u8; CODE_BYTES]> = (0..3).map(|n: u8| sender.seal(&[n; 5])).collect();
     type Case = (&'static str, fn(&[[u8; CODE_BYTES]]) -> ([u8; 5], [u8; CODE_BYTES]));
-    let second_place: [Case; 4] = [
+    let second_frame_cases: [Case; 4] = [
         ("replayed", |codes| ([0; 5], codes[0])),
         ("skipped", |codes| ([2; 5], codes[2])),
         ("changed", |codes| ([9; 5], codes[1])),
         ("wrong code", |_| ([1; 5], [0; CODE_BYTES])),
     ];
-    for (what, case) in second_place {
-        let (mut receiver, _) = streams("k");
+    for (what, case) in second_frame_cases {
+        let (mut receiver, _) = session("k");
         assert_eq!(receiver.open(&[0; 5], &codes[0]), Ok(()));
         let (body, code) = case(&codes);
         assert_eq!(receiver.open(&body, &code), Err(NotAuthentic), "{what}");
         assert_eq!(receiver.open(&[1; 5], &codes[1]), Ok(()), "{what}: the right one still comes");
     }
-    let (mut other_key, mut other_direction) = (streams("x").0, streams("k").1);
+    let (mut other_key, mut other_direction) = (session("x").0, session("k").1);
     assert_eq!(other_key.open(&[0; 5], &codes[0]), Err(NotAuthentic));
     assert_eq!(other_direction.open(&[0; 5], &codes[0]), Err(NotAuthentic));
     let mut other_session = key("k").session(&nonces.0, &[3; 16], (1, 2)).0;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_datagram_is_taken_once_by_its_receiver() {
+fn a_datagram_is_accepted_once_and_only_by_its_receiver() {
     let mut sealer = DatagramSealer::new(key("k"), 1, 100);
     let datagrams: Vec<Vec<u8>> = (0..100).map(|n: u8| sealer.seal(2, &[n])).collect();
     let mut opener = DatagramOpener::new(key("k"), 2);
--- a/tests/logic/links.rs
+++ b/tests/logic/links.rs
@@ -19,12 +19,12 @@
 use tokio::net::TcpListener;
 
 /// Longer than any test takes: no outcome depends on how busy the machine is.
-const LONG: Duration = Duration::from_secs(60);
+const ASK_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Answers nothing, ever.
-struct Mute;
+struct SilentHandler;
 
-impl PeerHandler for Mute {
+impl PeerHandler for SilentHandler {
     fn log(&self, _from: NodeId, _message: Message) {}
 
     fn dispatched(&self, _dispatched: &Dispatched) {}
@@ -40,7 +40,7 @@
 
 fn links(to: SocketAddr) -> Arc<Links> {
     let links = Links::new(1, key(), [(2, to)].into());
-    links.set_handler(Arc::new(Mute));
+    links.set_handler(Arc::new(SilentHandler));
     links
 }
 
@@ -49,31 +49,32 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let begun = Instant::now();
-    let answer = links(address).ask(2, Ask::Status, LONG).await;
+    let started_at = Instant::now();
+    let answer = links(address).ask(2, Ask::Status, ASK_TIMEOUT).await;
     assert_eq!(answer, Err(AskError::Unreachable));
-    assert!(begun.elapsed() < LONG / 4, "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ASK_TIMEOUT / 4, "{:?}", started_at.elapsed());
 }
 
 #[tokio::test]
-async fn a_question_that_waits_for_an_answer_fails_when_its_node_ends() {
+async fn a_pending_question_fails_when_its_node_terminates() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let other = Links::new(2, key(), [].into());
-    other.set_handler(Arc::new(Mute));
+    let server_links = Links::new(2, key(), [].into());
+    server_links.set_handler(Arc::new(SilentHandler));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.expect("a runtime");
     let std_listener = listener.into_std().expect("a socket");
     let guard = runtime.enter();
     let listener = TcpListener::from_std(std_listener).expect("a socket");
     drop(guard);
-    runtime.spawn(other.accept(listener));
-    let asking = links(address);
-    let begun = Instant::now();
-    let asked = tokio::spawn(async move { asking.ask(2, Ask::Status, LONG).await });
+    runtime.spawn(server_links.accept(listener));
+    let client_links = links(address);
+    let started_at = Instant::now();
+    let pending_ask =
+        tokio::spawn(async move { client_links.ask(2, Ask::Status, ASK_TIMEOUT).await });
     // It has been sent by then, or fails for the other reason.
     tokio::time::sleep(Duration::from_millis(300)).await;
     runtime.shutdown_background();
-    assert_eq!(asked.await.expect("no panic"), Err(AskError::Unreachable));
-    assert!(begun.elapsed() < LONG / 4, "{:?}", begun.elapsed());
+    assert_eq!(pending_ask.await.expect("no panic"), Err(AskError::Unreachable));
+    assert!(started_at.elapsed() < ASK_TIMEOUT / 4, "{:?}", started_at.elapsed());
 }
