--- a/tests/logic/log_cluster.rs
+++ b/tests/logic/log_cluster.rs
@@ -1,6 +1,6 @@
-//! A few replicas of the log on a virtual clock, with a network and disks that fail.
+//! A simulated cluster of log replicas on a virtual clock, with faults of network, hosts and disks.
 //!
-//! After every step the world checks what must always hold.
+//! The invariants are checked after every step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,10 +18,10 @@
     election_timeout: Duration::from_millis(300),
 };
 const STEP: Duration = Duration::from_millis(5);
-/// Clocks run at most this much faster or slower: well within what leases allow for.
+/// Largest deviation of a replica's clock rate from 1; leader leases tolerate more.
 const MAX_CLOCK_DRIFT: f64 = 0.02;
 
-/// Rounding of times that are told by two clocks.
+/// Tolerance for rounding when a time is converted between clocks.
 const CLOCK_ROUNDING: Duration = Duration::from_micros(1);
 
 /// Replica 1 of three in term 5, with entries 1 to 4 of term 5.
@@ -32,23 +32,23 @@
     Raft::new(1, Members::from_voters([1, 2, 3]), TIMING, recovered, 1, now)
 }
 
-/// One replica: its disk always, its process only while it runs.
+/// A replica. Its disk outlives crashes of its process.
 pub struct Replica {
+    /// `None` while the process is down.
     pub raft: Option<Raft>,
     disk: SimulatedDisk,
-    /// The members that it assumes before its log tells.
+    /// The members assumed until the log contains a membership.
     initial_members: Members,
-    /// How fast its clock runs.
+    /// Rate of the local clock relative to `Cluster::now`.
     clock_rate: f64,
-    /// Frozen until then: it takes no step, but its clock runs on.
+    /// The process is suspended until this time.
     frozen_until: Duration,
-    /// A save that is under way.
     pending_save: Option<Save>,
     applied: Vec<Entry>,
     snapshot_applied: Index,
 }
 
-/// What a disk is writing, and the messages that wait for it.
+/// A running save, and the messages to send when it completes.
 struct Save {
     completes_at: Duration,
     persist: Persist,
@@ -62,14 +62,13 @@
     message: Message,
 }
 
-/// What the network and the hosts do wrong.
+/// Faults of the network, hosts and disks.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss_probability: f64,
     pub duplicate_probability: f64,
     pub max_delay: Duration,
     pub crash_during_save_probability: f64,
-    /// How long each save takes.
     pub save_duration: Duration,
 }
 
@@ -87,18 +86,18 @@
     pub replicas: BTreeMap<NodeId, Replica>,
     pub random: SmallRng,
     packets: Vec<Packet>,
-    /// Nodes that can't reach the others: the two sides of a cut.
+    /// One side of a network partition; all other nodes are on the other side.
     isolated: BTreeSet<NodeId>,
-    /// Everything ever applied anywhere, by index. Nothing in it may ever change.
+    /// All entries that any replica has applied, by index. An entry must never change.
     pub committed: BTreeMap<Index, Entry>,
     leaders: BTreeMap<Term, NodeId>,
     proposal_count: u64,
-    /// Proposals that were answered, with the index at which each must stay.
+    /// Acknowledged commands with their log indices.
     pub acknowledged: Vec<(Index, Vec<u8>)>,
-    /// When each of them was answered.
+    /// When each entry of `acknowledged` was acknowledged, in `Cluster::now` time.
     acknowledged_at: Vec<Duration>,
     pending_proposals: BTreeMap<(NodeId, Index), (Term, Vec<u8>)>,
-    /// Reads that wait: replica, read, and the commit that the read must not miss.
+    /// Unconfirmed reads: the replica, the read, and the length of `acknowledged` when it was requested.
     pending_reads: Vec<(NodeId, u64, usize)>,
     pub reads_answered: usize,
 }
@@ -127,30 +126,30 @@
         cluster
     }
 
-    /// Adds a replica with an empty disk that knows the first members.
+    /// Adds a replica with an empty disk and the initial members of the cluster.
     pub fn add(&mut self, id: NodeId) {
         let members = self.replicas.values().next().map(|replica| replica.initial_members.clone());
-        self.add_with_members(id, members.expect("there are replicas"));
+        self.add_with_members(id, members.expect("the cluster is empty"));
     }
 
-    /// Adds a replica with an empty disk that knows nobody.
+    /// Adds a replica with an empty disk and no known members.
     pub fn join(&mut self, id: NodeId) {
         self.add_with_members(id, Members::from_voters([]));
     }
 
-    /// Takes a replica away together with its disk.
+    /// Removes a replica and its disk.
     pub fn remove(&mut self, id: NodeId) {
         self.crash(id);
         self.replicas.remove(&id);
     }
 
-    /// Whether a replica runs and is not frozen.
+    /// Whether a replica is running and not frozen.
     pub fn is_responsive(&self, id: NodeId) -> bool {
         let replica = &self.replicas[&id];
         replica.raft.is_some() && replica.frozen_until <= self.now
     }
 
-    /// Whether what one replica sends reaches another.
+    /// Whether messages from one replica can reach another.
     pub fn is_connected(&self, from: NodeId, to: NodeId) -> bool {
         self.isolated.contains(&from) == self.isolated.contains(&to)
     }
@@ -175,7 +174,7 @@
         self.replicas.keys().copied().collect()
     }
 
-    /// The replica's own clock.
+    /// The time on the replica's clock.
     pub fn local_time(&self, id: NodeId) -> Duration {
         self.now.mul_f64(self.replicas[&id].clock_rate)
     }
@@ -186,7 +185,7 @@
 
     pub fn start(&mut self, id: NodeId) {
         let (seed, now) = (self.random.random(), self.local_time(id));
-        let replica = self.replicas.get_mut(&id).expect("a replica");
+        let replica = self.replicas.get_mut(&id).expect("unknown replica");
         let members = replica.initial_members.clone();
         if replica.raft.is_none() {
             let recovered = replica.disk.recovered.clone();
@@ -198,27 +197,29 @@
     }
 
     pub fn crash(&mut self, id: NodeId) {
-        let replica = self.replicas.get_mut(&id).expect("a replica");
+        let replica = self.replicas.get_mut(&id).expect("unknown replica");
         replica.raft = None;
         replica.pending_save = None;
         self.pending_proposals.retain(|(replica, _), _| *replica != id);
         self.pending_reads.retain(|(replica, ..)| *replica != id);
     }
 
+    /// Suspends the process of a replica; its clock continues.
     pub fn freeze(&mut self, id: NodeId, time: Duration) {
         let until = self.now + time;
-        self.replicas.get_mut(&id).expect("a replica").frozen_until = until;
+        self.replicas.get_mut(&id).expect("unknown replica").frozen_until = until;
     }
 
-    /// Crashes a replica and takes synced entries off the end of its log.
+    /// Crashes a replica and removes the last `entries` synced entries from its disk.
     pub fn lose_log_tail(&mut self, id: NodeId, entries: usize) {
         self.crash(id);
-        let recovered = &mut self.replicas.get_mut(&id).expect("a replica").disk.recovered;
+        let recovered = &mut self.replicas.get_mut(&id).expect("unknown replica").disk.recovered;
         let kept = recovered.entries.len().saturating_sub(entries);
         recovered.has_lost_data |= kept < recovered.entries.len();
         recovered.entries.truncate(kept);
     }
 
+    /// Partitions the network into `nodes` and all others.
     pub fn isolate(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         self.isolated = nodes.into_iter().collect();
     }
@@ -227,14 +228,14 @@
         self.isolated.clear();
     }
 
-    /// A replica that says it leads, the one with the highest term.
+    /// The leader with the highest term. It may have been deposed without knowing.
     pub fn leader(&self) -> Option<NodeId> {
         let rafts = self.replicas.iter().filter_map(|(id, r)| Some((*id, r.raft.as_ref()?)));
         let leaders = rafts.filter(|(_, raft)| raft.status().is_leader);
         leaders.max_by_key(|(_, raft)| raft.term()).map(|(id, _)| id)
     }
 
-    /// Proposes something at a replica.
+    /// Proposes a unique command on a replica.
     pub fn propose(&mut self, id: NodeId) {
         self.proposal_count += 1;
         let command = self.proposal_count.to_le_bytes().to_vec();
@@ -245,6 +246,7 @@
         self.process_effects(id);
     }
 
+    /// Requests a linearizable read on a replica.
     pub fn read(&mut self, id: NodeId) {
         let seen = self.acknowledged.len();
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else { return };
@@ -254,6 +256,7 @@
         self.process_effects(id);
     }
 
+    /// Proposes a membership change. Returns whether the replica accepted it.
     pub fn change(&mut self, id: NodeId, change: Change) -> bool {
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else {
             return false;
@@ -263,13 +266,14 @@
         accepted
     }
 
+    /// Replaces the applied entries of a replica's log with a snapshot.
     pub fn compact(&mut self, id: NodeId) {
         let Some(replica) = self.replicas.get_mut(&id) else { return };
         let Some(raft) = replica.raft.as_mut() else { return };
         let index = raft.applied();
-        // The state is the list of all entries up to the index.
+        // The replicated state is the list of all applied entries.
         let all: Vec<Entry> = self.committed.range(..=index).map(|(_, e)| e.clone()).collect();
-        raft.compact(index, postcard::to_stdvec(&all).expect("entries are written"));
+        raft.compact(index, postcard::to_stdvec(&all).expect("cannot serialize the entries"));
         self.process_effects(id);
     }
 
@@ -280,7 +284,7 @@
         }
     }
 
-    /// Runs until something is so, for ten seconds at the most.
+    /// Runs until the condition holds. Panics after ten seconds.
     pub fn run_until(
         &mut self,
         condition_name: &str,
@@ -288,11 +292,12 @@
     ) {
         let end = self.now + Duration::from_secs(10);
         while !condition(self) {
-            assert!(self.now < end, "waited in vain: {condition_name}");
+            assert!(self.now < end, "timed out waiting for: {condition_name}");
             self.step();
         }
     }
 
+    /// Advances the time by one step, delivers the messages that are due, and ticks all replicas.
     pub fn step(&mut self) {
         self.now += STEP;
         let due: Vec<Packet> = {
@@ -307,12 +312,12 @@
         }
         for id in self.ids() {
             let now = self.local_time(id);
-            let replica = self.replicas.get_mut(&id).expect("a replica");
+            let replica = self.replicas.get_mut(&id).expect("unknown replica");
             if replica.frozen_until > self.now {
                 continue;
             }
             self.complete_due_save(id);
-            let replica = self.replicas.get_mut(&id).expect("a replica");
+            let replica = self.replicas.get_mut(&id).expect("unknown replica");
             if let Some(raft) = &mut replica.raft {
                 raft.tick(now);
                 self.process_effects(id);
@@ -328,13 +333,13 @@
         }
         let Some(replica) = self.replicas.get(&to) else { return };
         if replica.frozen_until > self.now {
-            // It waits in the host's buffers.
+            // The host buffers the message until the process resumes.
             let deliver_at = replica.frozen_until + STEP;
             self.packets.push(Packet { deliver_at, from, to, message });
             return;
         }
         let now = self.local_time(to);
-        let replica = self.replicas.get_mut(&to).expect("a replica");
+        let replica = self.replicas.get_mut(&to).expect("unknown replica");
         if let Some(raft) = &mut replica.raft {
             raft.receive(from, message, now);
             self.process_effects(to);
@@ -356,7 +361,7 @@
         }
     }
 
-    /// Does what a replica asks for, as the actor around it does.
+    /// Processes the effects of a replica in the order that `Effects` requires.
     fn process_effects(&mut self, id: NodeId) {
         loop {
             let now = self.local_time(id);
@@ -383,15 +388,15 @@
         }
     }
 
-    /// Begins a save. Returns whether the replica still runs.
+    /// Begins a save. Returns `false` if the replica crashed during it.
     fn begin_save(
         &mut self,
         id: NodeId,
         persist: Persist,
         messages_after_persist: Vec<(NodeId, Message)>,
     ) -> bool {
-        let replica = self.replicas.get_mut(&id).expect("a replica");
-        assert!(replica.pending_save.is_none(), "one save at a time");
+        let replica = self.replicas.get_mut(&id).expect("unknown replica");
+        assert!(replica.pending_save.is_none(), "only one save may be pending");
         if self.random.random_bool(self.faults.crash_during_save_probability) {
             let written = self.random.random_range(0..=3 + persist.append.len());
             replica.disk.write(&persist, written);
@@ -403,10 +408,10 @@
         true
     }
 
-    /// Ends a save if it is time.
+    /// Completes the pending save if it is due.
     fn complete_due_save(&mut self, id: NodeId) {
         let (now, clock) = (self.now, self.local_time(id));
-        let replica = self.replicas.get_mut(&id).expect("a replica");
+        let replica = self.replicas.get_mut(&id).expect("unknown replica");
         let Some(Save { persist, messages_after_persist, .. }) =
             replica.pending_save.take_if(|save| save.completes_at <= now)
         else {
@@ -421,17 +426,18 @@
     }
 
     fn apply(&mut self, id: NodeId, effects: Effects) {
-        let replica = self.replicas.get_mut(&id).expect("a replica");
+        let replica = self.replicas.get_mut(&id).expect("unknown replica");
         if let Some(snapshot) = effects.restore {
-            replica.applied = postcard::from_bytes(&snapshot.data).expect("a snapshot");
+            replica.applied =
+                postcard::from_bytes(&snapshot.data).expect("cannot deserialize the snapshot");
             replica.snapshot_applied = snapshot.index;
         }
         for entry in effects.committed {
             let next = replica.applied.last().map_or(1, |last| last.index + 1);
-            assert_eq!(entry.index, next, "replica {id} applies without gaps");
+            assert_eq!(entry.index, next, "replica {id} must apply entries without gaps");
             replica.applied.push(entry.clone());
             let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
-            assert_eq!(*known, entry, "a committed entry is never lost or replaced");
+            assert_eq!(*known, entry, "a committed entry must not be lost or replaced");
             if let Some((term, command)) = self.pending_proposals.remove(&(id, entry.index))
                 && term == entry.term
             {
@@ -449,13 +455,19 @@
             };
             let (_, _, seen) = self.pending_reads.remove(position);
             let newest = self.acknowledged[..seen].iter().map(|(index, _)| *index).max();
-            assert!(index >= newest.unwrap_or(0), "a read misses nothing acknowledged before it");
-            assert!(applied as Index >= newest.unwrap_or(0), "the state is as new as the read");
+            assert!(
+                index >= newest.unwrap_or(0),
+                "a read must include everything acknowledged before it"
+            );
+            assert!(
+                applied as Index >= newest.unwrap_or(0),
+                "the read must not be answered before its index is applied"
+            );
             self.reads_answered += 1;
         }
     }
 
-    /// What must always hold.
+    /// Checks the invariants that hold after every step.
     fn check_invariants(&mut self) {
         let mut lease_holders = Vec::new();
         for id in self.ids() {
@@ -470,21 +482,27 @@
                 let before = self.acknowledged_at.partition_point(|answered| *answered < at);
                 let newest = self.acknowledged[..before].iter().map(|(index, _)| *index).max();
                 let commit = status.commit;
-                assert!(newest <= Some(commit), "{id} had all at {at:?}, but {newest:?}: {commit}");
+                assert!(
+                    newest <= Some(commit),
+                    "{id} counts as caught up at {at:?}: commit {commit}, acknowledged {newest:?}"
+                );
             }
             if status.is_leader {
                 let other = *self.leaders.entry(status.term).or_insert(id);
-                assert_eq!(other, id, "at most one leader in term {}", status.term);
+                assert_eq!(other, id, "more than one leader in term {}", status.term);
             }
         }
-        assert!(lease_holders.len() <= 1, "two replicas are sure to lead: {lease_holders:?}");
+        assert!(
+            lease_holders.len() <= 1,
+            "several replicas hold a leader lease: {lease_holders:?}"
+        );
         for (index, command) in &self.acknowledged {
-            let entry = self.committed.get(index).expect("acknowledged is committed");
+            let entry = self.committed.get(index).expect("an acknowledged entry is not committed");
             assert_eq!(entry.payload, Payload::Command(command.clone().into()));
         }
     }
 
-    /// Stops all faults, starts everything, and checks that the log goes on and all agree.
+    /// Ends all faults, starts all replicas, and checks that proposals commit and all members catch up.
     pub fn recover(&mut self) {
         self.faults = NO_FAULTS;
         self.heal();
@@ -492,14 +510,14 @@
             self.start(id);
         }
         let acknowledged = self.acknowledged.len();
-        self.run_until("the log goes on", |cluster| {
+        self.run_until("a new proposal is acknowledged", |cluster| {
             if let Some(leader) = cluster.leader() {
                 cluster.propose(leader);
             }
             cluster.acknowledged.len() > acknowledged
         });
-        let newest = self.acknowledged.last().expect("something is acknowledged").0;
-        self.run_until("all members catch up", |cluster| {
+        let newest = self.acknowledged.last().expect("no proposal was acknowledged").0;
+        self.run_until("all members have caught up", |cluster| {
             let Some(leader) = cluster.leader() else { return false };
             let Some(members) = cluster.raft(leader).map(|raft| raft.status().members) else {
                 return false;
--- a/tests/logic/simulated_disk.rs
+++ b/tests/logic/simulated_disk.rs
@@ -1,16 +1,17 @@
-//! The disk of a replica in the log's world.
+//! The disk of a replica in the simulated cluster.
 
 use kumquatpost::log::Persist;
 use kumquatpost::log::raft::Recovered;
 
 #[derive(Clone, Default)]
 pub struct SimulatedDisk {
-    /// What a replica that starts finds.
+    /// The state that a replica recovers when it starts.
     pub recovered: Recovered,
 }
 
 impl SimulatedDisk {
-    /// Writes the changes, or only a part of them if `parts` ends early.
+    /// Writes the vote, snapshot, truncation and appended entries in this order, up to `max_parts` of
+    /// them: the write is torn if the process crashes.
     pub fn write(&mut self, persist: &Persist, max_parts: usize) {
         let recovered = &mut self.recovered;
         if let Some(vote) = persist.vote.filter(|_| max_parts > 0) {
