--- a/tests/logic/log_schedules.rs
+++ b/tests/logic/log_schedules.rs
@@ -1,4 +1,4 @@
-//! The log under seeded random schedules of faults.
+//! The replicated log under seeded random schedules of faults.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::log_cluster::{Cluster, Faults, NO_FAULTS};
 
-/// The same schedules on every run.
+/// Uses a fixed seed, so that every run tests the same schedules.
 fn fixed_seed_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -42,7 +42,7 @@
         4 | 5 => cluster.heal(),
         6 => cluster.compact(node),
         7 if allow_data_loss => {
-            // One disk at a time: with two lost, no majority need hold what was acknowledged.
+            // Only one replica at a time: if two lose data, an acknowledged entry may survive on no majority.
             let recovering =
                 ids.iter().any(|id| cluster.raft(*id).is_none_or(|raft| raft.status().recovering));
             if !recovering {
@@ -96,7 +96,8 @@
         cluster.recover();
     }
 
-    /// Guards against a replica that takes a leader's message for news as of when it reads it.
+    /// Guards against a replica that counts as caught up as of the receipt of a leader's message, which
+    /// may have been delayed.
     #[test]
     fn a_replica_does_not_overstate_when_it_was_last_caught_up(
         seed in any::<u64>(),
@@ -136,7 +137,7 @@
     }
 }
 
-/// Guards against entries that are written again after the snapshot that holds them.
+/// Guards against writing entries to disk again after the snapshot that contains them.
 #[test]
 fn a_pending_snapshot_drops_the_pending_entries_that_it_contains() {
     let mut cluster = Cluster::new(3, 6_452_546_465_470_752_069);
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -1,4 +1,4 @@
-//! Replicas whose disks are slow, all at once: several processes of one machine share a disk.
+//! Replicas whose disks are all slow at once, as when several processes share one disk.
 
 use std::time::Duration;
 
@@ -6,19 +6,18 @@
 
 use crate::log_cluster::{Cluster, TIMING};
 
-/// How long saves take, up to a disk that is shared with heavy writers.
+/// Durations of a save. The longest is that of a disk shared with heavy writers.
 const SAVE_DURATIONS_MS: [u64; 5] = [50, 100, 200, 400, 800];
-/// A leader must be there again within this time: for so long a deployment may be in force later while the
-/// replicas are disturbed.
+/// A new leader must be elected within this time, which bounds the delay of a deployment.
 const MAX_TIME_WITHOUT_LEADER: Duration = Duration::from_secs(5);
-/// For so long a replica that has not had all from its leader still publishes to entries.
+/// A replica stops publishing to entries when it has not been caught up for longer than this.
 const MAX_STALENESS: Duration = Duration::from_millis(500);
 
 fn cluster_with_leader(seed: u64) -> (Cluster, NodeId) {
     let mut cluster = Cluster::new(5, seed);
     cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
     cluster.run_for(TIMING.election_timeout * 2);
-    let leader = cluster.leader().expect("a leader");
+    let leader = cluster.leader().expect("no leader");
     (cluster, leader)
 }
 
@@ -29,7 +28,7 @@
     cluster.ids().into_iter().find(holds_lease)
 }
 
-/// Guards against elections that never end while saves take longer than a candidate waits for votes.
+/// Guards against elections without a winner while saves take longer than a candidate waits for votes.
 #[test]
 fn a_lost_leader_is_replaced_while_all_disks_are_slow() {
     for (seed, save_ms) in (0..20).flat_map(|seed| SAVE_DURATIONS_MS.map(|save_ms| (seed, save_ms)))
@@ -39,13 +38,13 @@
         cluster.crash(crashed);
         let end = cluster.now + MAX_TIME_WITHOUT_LEADER;
         while lease_holder(&cluster).is_none() {
-            assert!(cluster.now < end, "seed {seed}: no leader, saves take {save_ms} ms");
+            assert!(cluster.now < end, "seed {seed}: no leader elected, saves take {save_ms} ms");
             cluster.step();
         }
     }
 }
 
-/// Guards against replicas that fall silent while their disks write: entries hear of changes from nobody then.
+/// Guards against replicas that stop counting as caught up during a save, so that none publishes changes.
 #[test]
 fn a_leader_and_its_followers_stay_current_while_all_disks_are_slow() {
     for (seed, save_ms) in (0..10).flat_map(|seed| SAVE_DURATIONS_MS.map(|save_ms| (seed, save_ms)))
@@ -64,9 +63,9 @@
                 let now = cluster.local_time(id);
                 let at = cluster.raft(id).and_then(|raft| raft.caught_up_at(now));
                 let is_current = at.is_some_and(|at| now.saturating_sub(at) <= MAX_STALENESS);
-                assert!(is_current, "seed {seed}: {id} is silent, saves take {save_ms} ms");
+                assert!(is_current, "seed {seed}: {id} is not caught up, saves take {save_ms} ms");
             }
         }
-        assert!(cluster.acknowledged.len() >= 8, "changes are still taken");
+        assert!(cluster.acknowledged.len() >= 8, "proposals must still be acknowledged");
     }
 }
