--- a/tests/logic/replica_replacement.rs
+++ b/tests/logic/replica_replacement.rs
@@ -1,5 +1,5 @@
-//! Replicas whose disks are lost, one after another and two at once, while others crash, freeze and
-//! are cut off: the rules that replace them must never let go of what was acknowledged.
+//! Replacement of replicas whose disks are lost, up to two at once, while others crash, freeze and are
+//! partitioned. No acknowledged entry may be lost.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr};
@@ -14,15 +14,15 @@
 
 use crate::log_cluster::{Cluster, Faults, NO_FAULTS};
 
-/// Voters: as many as two lost disks need.
+/// The smallest number of voters that tolerates two lost disks.
 const DESIRED_VOTERS: usize = 5;
-/// How often replicas hear of each other, and the leader takes a step.
+/// Interval at which replicas contact each other and the leader takes a membership step.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Hosts whose replicas replace each other.
+/// A simulated cluster whose leader replaces lost replicas.
 struct ReplacementTest {
     cluster: Cluster,
-    /// The replica on each host.
+    /// The current replica on each host.
     hosts: BTreeMap<IpAddr, NodeId>,
     activities: BTreeMap<NodeId, PeerActivity>,
     addresses: BTreeMap<NodeId, IpAddr>,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Replicas introduce themselves to each other; the leader takes a step.
+    /// Replicas contact each other, those without a leader ask to join, and the leader takes a membership step.
     fn exchange_contacts(&mut self) {
         let hosts: Vec<(IpAddr, NodeId)> = self.hosts.iter().map(|(ip, id)| (*ip, *id)).collect();
         for (_, to) in &hosts {
@@ -61,7 +61,7 @@
                 continue;
             }
             let now = self.cluster.local_time(*to);
-            let status = self.cluster.raft(*to).expect("it is awake").status();
+            let status = self.cluster.raft(*to).expect("the replica is not running").status();
             let activity = self.activities.entry(*to).or_default();
             if status.is_leader && !self.was_leader.get(to).copied().unwrap_or(false) {
                 activity.reset(now);
@@ -75,7 +75,7 @@
                     continue;
                 }
                 activity.record_contact(*from, now);
-                let raft = self.cluster.raft(*from).expect("it is awake").status();
+                let raft = self.cluster.raft(*from).expect("the replica is not running").status();
                 let is_member = raft.members.all().any(|id| id == *from);
                 if raft.leader.is_none() || !is_member {
                     activity.record_join_request(*from, *ip, now);
@@ -103,7 +103,7 @@
         self.cluster.change(leader, change);
     }
 
-    /// Voters of the newest members that any replica knows whose disks are gone.
+    /// Number of voters missing from the newest known membership or whose disks are lost.
     fn lost_voters(&self) -> usize {
         let rafts = self.cluster.ids().into_iter().filter_map(|id| self.cluster.raft(id));
         let Some(newest) = rafts.max_by_key(|raft| raft.applied()) else { return DESIRED_VOTERS };
@@ -112,7 +112,7 @@
         gone.count() + DESIRED_VOTERS.saturating_sub(members.voters.len())
     }
 
-    /// A host loses its disk; a new replica starts there.
+    /// Replaces the replica on a host with a new one that has an empty disk.
     fn lose_disk(&mut self, host: IpAddr) {
         let lost = self.hosts[&host];
         self.cluster.remove(lost);
@@ -136,7 +136,7 @@
             3 => self.cluster.isolate(ids.iter().copied().filter(|id| id % 2 == node % 2)),
             4 | 5 => self.cluster.heal(),
             6 => self.cluster.compact(node),
-            // Two at most are lost at a time.
+            // At most two disks are lost at a time.
             7 if self.lost_voters() < 2 => {
                 let hosts: Vec<IpAddr> = self.hosts.keys().copied().collect();
                 let index = self.cluster.random.random_range(0..hosts.len());
@@ -149,7 +149,7 @@
         self.run_for(duration);
     }
 
-    /// Ends all faults: all hosts vote again, and the log goes on.
+    /// Ends all faults and checks that the replicas on all hosts become voters and proposals commit.
     fn recover(&mut self) {
         self.cluster.faults = NO_FAULTS;
         self.cluster.heal();
@@ -157,13 +157,14 @@
         for _ in 0..300 {
             self.run_for(CONTACT_INTERVAL);
             let Some(leader) = self.cluster.leader() else { continue };
-            let members = self.cluster.raft(leader).expect("it runs").status().members;
+            let members =
+                self.cluster.raft(leader).expect("the replica is not running").status().members;
             let is_on_a_host = |id: &NodeId| self.hosts.values().any(|host| host == id);
             if members.voters.len() == DESIRED_VOTERS && members.all().all(|id| is_on_a_host(&id)) {
                 return self.cluster.recover();
             }
         }
-        panic!("the replicas on all hosts never came to vote");
+        panic!("the replicas on all hosts did not become the voters");
     }
 }
 
--- a/tests/logic/replica_restart.rs
+++ b/tests/logic/replica_restart.rs
@@ -1,4 +1,4 @@
-//! Replicas that start again within the time for which a leader may count on them, on a virtual clock.
+//! Replicas that restart while a leader lease that rests on them may still be valid.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// Replica 1 of three, which acknowledged replica 2 as the leader of term 5.
+/// Replica 1 of three, restarted after it acknowledged replica 2 as the leader of term 5.
 fn restarted_follower() -> Raft {
     let entries = vec![Entry { index: 1, term: 5, payload: Payload::Noop }];
     let vote = Vote { term: 5, acknowledged_leader: Some(2), ..Vote::default() };
@@ -22,15 +22,15 @@
     effects.immediate_messages.into_iter().chain(effects.messages_after_persist).collect()
 }
 
-/// The number that it draws at its start, which it asks replica 2 with.
+/// The random nonce of the lease query that the replica sends to replica 2 after its start.
 fn lease_query_nonce(raft: &mut Raft, now: Duration) -> u64 {
     raft.tick(now);
     let query = sent_messages(raft, now).into_iter().find_map(|(to, message)| match message {
         Message::LeaseQuery { nonce } => Some((to, nonce)),
         _ => None,
     });
-    let (to, nonce) = query.expect("it asks");
-    assert_eq!(to, 2, "only the last leader may count on it");
+    let (to, nonce) = query.expect("no lease query was sent");
+    assert_eq!(to, 2, "only the last acknowledged leader may hold a lease");
     nonce
 }
 
@@ -79,7 +79,7 @@
     assert!(withholds_denial(&mut raft, later));
 }
 
-/// A power cut of all hosts: the leader stands at once, and the others need not wait.
+/// Guards against waiting for the election timeout after a power failure of all hosts.
 #[test]
 fn replicas_that_all_restart_elect_a_leader_within_100_ms() {
     for seed in 0..50 {
@@ -87,24 +87,27 @@
         cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
         cluster.run_for(TIMING.election_timeout);
         cluster.ids().into_iter().for_each(|id| cluster.crash(id));
-        // What is still under way arrives nowhere.
+        // Messages still in flight are lost.
         cluster.run_for(Duration::from_millis(10));
         cluster.ids().into_iter().for_each(|id| cluster.start(id));
         cluster.run_for(Duration::from_millis(100));
-        let leader = cluster.leader().expect("there is a leader");
+        let leader = cluster.leader().expect("no leader");
         let now = cluster.local_time(leader);
-        assert!(cluster.raft(leader).expect("it runs").holds_leader_lease(now), "seed {seed}");
+        assert!(
+            cluster.raft(leader).expect("the replica is not running").holds_leader_lease(now),
+            "seed {seed}"
+        );
     }
 }
 
-/// The leader is lost for good, or is the last to start: the others go on after the regular time.
+/// Guards against replicas that wait for the last leader indefinitely.
 #[test]
 fn a_leader_that_does_not_restart_is_replaced_within_four_election_timeouts() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(5, seed);
         cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
         cluster.run_for(TIMING.election_timeout);
-        let crashed = cluster.leader().expect("a leader");
+        let crashed = cluster.leader().expect("no leader");
         cluster.ids().into_iter().for_each(|id| cluster.crash(id));
         cluster.ids().into_iter().filter(|id| *id != crashed).for_each(|id| cluster.start(id));
         cluster.run_for(TIMING.election_timeout * 4);
@@ -112,10 +115,8 @@
     }
 }
 
-/// What was seen: entries that had started with all replicas were told the replicas of the first start, and
-/// so took the list of targets from afar.
-/// What caused it: commit indices are not on disk. A leader that has just been elected knows none, and
-/// followers that knew none either held themselves for caught up, with the state of the last snapshot.
+/// Guards against a restart of all replicas after which a follower publishes the outdated state of its
+/// snapshot: commit indices are not on disk, so a new leader does not know yet what was committed.
 #[test]
 fn a_follower_has_caught_up_only_after_its_leader_has_committed_in_its_term() {
     let mut raft = restarted_follower();
@@ -140,14 +141,18 @@
         })
         .next_back();
     assert!(round_ack.is_some());
-    assert_eq!(raft.caught_up_at(now), None, "entry 1 may have been committed long ago");
+    assert_eq!(raft.caught_up_at(now), None, "entry 1 may have been committed in an earlier term");
     raft.receive(2, append(Vec::new(), 1, round_ack), now);
-    assert_eq!(raft.caught_up_at(now), None, "and so may others that this leader has");
+    assert_eq!(
+        raft.caught_up_at(now),
+        None,
+        "later entries of the leader may have been committed as well"
+    );
     raft.receive(2, append(Vec::new(), 2, round_ack), now);
     assert_eq!(
         raft.caught_up_at(now),
         None,
-        "it has entry 2 without knowing that it is the leader's"
+        "entry 2 has not been matched with the leader's log yet"
     );
     let last_entry_append = Message::Append {
         term: 6,
