--- a/tests/logic/leader_commit.rs
+++ b/tests/logic/leader_commit.rs
@@ -1,4 +1,4 @@
-//! What a leader commits, message by message.
+//! The commit index of a leader in response to single messages.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 const START: Duration = Duration::from_secs(100);
 const LATER: Duration = Duration::from_secs(200);
 
-/// Replica 1 of three, just elected in term 6, with entries 1 to 4 of term 5 that nobody is known
-/// to have, and entry 5 of its own that is not durable yet.
+/// Replica 1 of three, just elected in term 6. Entries 1 to 4 are of term 5 and not known to be on any
+/// other replica; entry 5 is of its own term and not durable yet.
 fn leader() -> Raft {
     let mut raft = replica_in_term_5(START);
     raft.tick(LATER);
@@ -53,7 +53,11 @@
             ],
             0,
         ),
-        ("one that is no replica", &[|raft| raft.saved(LATER), |raft| acknowledge(raft, 9, 5)], 0),
+        (
+            "a node that is not a member",
+            &[|raft| raft.saved(LATER), |raft| acknowledge(raft, 9, 5)],
+            0,
+        ),
     ];
     for (what, steps, commit) in cases {
         let mut raft = leader();
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -1,4 +1,4 @@
-//! Votes of one replica, message by message.
+//! Votes of a single replica in response to single messages.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::log_cluster::{TIMING, replica_in_term_5};
 
 const START: Duration = Duration::from_secs(100);
-/// Long after any leader was heard.
+/// Long after the last contact with a leader.
 const LATER: Duration = Duration::from_secs(200);
 
 fn replica() -> Raft {
@@ -19,23 +19,23 @@
     Message::RequestVote { term, last_index, last_term }
 }
 
-/// The answer to a request by replica 2, and the term after it. All that came before is durable.
+/// Whether replica 2's request is granted, and the term afterwards. Earlier changes are persisted first.
 fn vote_reply(raft: &mut Raft, message: Message, now: Duration) -> (Option<bool>, u64) {
     raft.take_effects(now);
     raft.saved(now);
     raft.receive(2, message, now);
     let effects = raft.take_effects(now);
-    // Nothing is promised by the answer to a pre-vote.
+    // A pre-vote reply promises nothing, so it need not wait for a save.
     let pre_vote = effects.immediate_messages.first().map(|(_, message)| match message {
         Message::PreVoteReply { granted, .. } => *granted,
-        message => panic!("{message:?} leaves before anything is durable"),
+        message => panic!("{message:?} must not be sent before the save"),
     });
     let vote = effects.messages_after_persist.iter().find_map(|(_, message)| match message {
         Message::VoteReply { granted, .. } => Some(*granted),
         _ => None,
     });
     if vote == Some(true) {
-        let saved = effects.persist.vote.expect("a vote is made durable");
+        let saved = effects.persist.vote.expect("a granted vote must be persisted");
         assert_eq!(saved.voted_for, Some(2));
     }
     raft.saved(now);
@@ -65,7 +65,7 @@
     assert_eq!(
         vote_reply(&mut raft, request_vote(6, 5, 4), LATER).0,
         Some(true),
-        "resent by the same"
+        "the same request again"
     );
     raft.receive(3, request_vote(6, 5, 9), LATER);
     let effects = raft.take_effects(LATER);
@@ -93,19 +93,19 @@
     assert_eq!(
         vote_reply(&mut raft, request_vote(9, 9, 9), before_timeout),
         (None, 5),
-        "not even its term is taken"
+        "the term must not change either"
     );
     let pre_vote = Message::PreVote { term: 6, last_index: 9, last_term: 9 };
     assert_eq!(vote_reply(&mut raft, pre_vote, before_timeout).0, Some(false));
     let after_timeout = LATER + TIMING.election_timeout;
     assert_eq!(vote_reply(&mut raft, request_vote(9, 9, 9), after_timeout), (Some(true), 9));
-    // After a start it may have forgotten a leader that it heard.
+    // After a restart, the last contact with a leader is unknown.
     let before_timeout = START + TIMING.election_timeout - Duration::from_millis(1);
     assert_eq!(vote_reply(&mut replica(), request_vote(9, 9, 9), before_timeout), (None, 5));
 }
 
-/// Guards against a lease that rests on an answer to nothing: who led in an earlier term and leads again counts its
-/// rounds anew, and took the number of the earlier one for an answer to later ones.
+/// Guards against a lease without a quorum: a re-elected leader numbers its rounds anew, so an
+/// acknowledgement of a round of its earlier term would count for a later one.
 #[test]
 fn an_append_of_an_earlier_term_is_rejected_without_acknowledging_its_round() {
     let mut raft = replica();
@@ -121,7 +121,7 @@
     };
     raft.receive(3, earlier, LATER);
     let effects = raft.take_effects(LATER);
-    let (to, reply) = effects.messages_after_persist.first().expect("it is told of the later term");
+    let (to, reply) = effects.messages_after_persist.first().expect("no reply with the later term");
     let Message::AppendReply { term, round_ack, .. } = reply else { panic!("{reply:?}") };
     assert_eq!((*to, *term, round_ack.round), (3, 5, 0));
 }
@@ -156,7 +156,7 @@
     for (prev_index, count, recovering) in [(0, 3, true), (3, 1, false)] {
         raft.receive(3, append(prev_index, count), LATER);
         raft.take_effects(LATER);
-        assert!(raft.status().recovering, "not before it is durable");
+        assert!(raft.status().recovering, "must not change before the save");
         raft.saved(LATER);
         assert_eq!(raft.status().recovering, recovering);
     }
@@ -164,7 +164,7 @@
     assert_eq!(vote_reply(&mut raft, request_vote(7, 6, 4), after_timeout).0, Some(true));
 }
 
-/// Guards against elections that are torn down while voters still write their votes.
+/// Guards against a new candidate that ends an election while voters are still saving their votes.
 #[test]
 fn no_pre_vote_is_granted_while_an_earlier_candidate_may_still_win() {
     let mut raft = replica();
@@ -178,17 +178,20 @@
             Message::PreVoteReply { granted, .. } => Some(*granted),
             _ => None,
         };
-        before_timeout.iter().find_map(reply).expect("it answers at once")
+        before_timeout.iter().find_map(reply).expect("no immediate reply")
     };
     let saved_at = LATER + Duration::from_secs(2);
-    assert!(!is_granted(&mut raft, saved_at), "its vote is still being written");
+    assert!(!is_granted(&mut raft, saved_at), "the vote is still being saved");
     raft.saved(saved_at);
-    assert!(!is_granted(&mut raft, saved_at + Duration::from_secs(4)), "others write as long");
+    assert!(
+        !is_granted(&mut raft, saved_at + Duration::from_secs(4)),
+        "saves of other voters may take as long"
+    );
     let candidate_timed_out_at = saved_at + Duration::from_secs(4) + TIMING.election_timeout * 2;
-    assert!(is_granted(&mut raft, candidate_timed_out_at), "the candidate has had its time");
+    assert!(is_granted(&mut raft, candidate_timed_out_at), "the candidate can no longer win");
 }
 
-/// Guards against entries that became void while they were being written, and count as durable.
+/// Guards against counting entries as durable that were truncated during their save.
 #[test]
 fn a_recovering_replica_ignores_entries_that_were_truncated_while_they_were_saved() {
     let vote = Vote { term: 5, ..Vote::default() };
@@ -208,8 +211,8 @@
     raft.take_effects(LATER);
     raft.receive(3, append(7, 2), LATER);
     raft.saved(LATER);
-    assert!(raft.status().recovering, "what was written is void");
+    assert!(raft.status().recovering, "the saved entries have been truncated");
     raft.take_effects(LATER);
     raft.saved(LATER);
-    assert!(raft.status().recovering, "it has two entries of four");
+    assert!(raft.status().recovering, "only two of four entries are durable");
 }
