--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -1,4 +1,4 @@
-//! The numbered configuration: races, resends, news, and what is invalid.
+//! Patches and updates of the numbered configuration: conflicts, resends, gaps and invalid results.
 
 use kumquatpost::config::book::Unusable;
 use kumquatpost::config::{Book, Config, Update};
@@ -35,7 +35,7 @@
         apply_patch(&mut state, &format!("p{number}"), number, &kind_patch(number % 8));
     }
     let mut restored = State::new(1_000);
-    restored.restore(&state.snapshot()).expect("a snapshot");
+    restored.restore(&state.snapshot()).expect("cannot restore the snapshot");
     for state in [&mut state, &mut restored] {
         assert_eq!(apply_patch(state, "first", 0, &kind_patch(1)), PatchAnswer::Accepted(1));
         assert_eq!(apply_patch(state, "raced", 0, &kind_patch(2)), conflicting);
@@ -90,14 +90,14 @@
     for number in 0..400 {
         apply_patch(&mut state, &number.to_string(), number, &kind_patch(number % 8));
         let mut copy = copies[copies.len() - 1].clone();
-        copy.take(&state.book().update_since(number)).expect("one patch");
+        copy.take(&state.book().update_since(number)).expect("cannot apply one patch");
         copies.push(copy);
     }
     for copy in &mut copies {
         let update = state.book().update_since(copy.number());
         let far_behind = copy.number() < 400 - 256;
         assert_eq!(matches!(update, Update::Whole(..)), far_behind, "from {}", copy.number());
-        copy.take(&update).expect("an update");
+        copy.take(&update).expect("cannot apply the update");
         assert_eq!(copy.newest(), state.config());
     }
     let old = Update::Whole(3, "{}".into());
@@ -105,7 +105,7 @@
     let gap = Update::Patches(vec![(402, "{}".into())]);
     assert_eq!(copies[0].take(&gap), Err(Unusable::Broken));
     let known = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
-    assert_eq!(copies[0].take(&known), Ok(()), "what is known already is passed over");
+    assert_eq!(copies[0].take(&known), Ok(()), "known patches are skipped");
     assert_eq!(copies[0].newest(), state.config());
 }
 
@@ -124,7 +124,7 @@
     let mut state = State::new(1_000);
     assert_eq!(state.apply(&Command::Fence), Reply::Fence(1));
     let mut restored = State::new(1_000);
-    restored.restore(&state.snapshot()).expect("a snapshot");
+    restored.restore(&state.snapshot()).expect("cannot restore the snapshot");
     assert_eq!(restored.apply(&Command::Fence), Reply::Fence(2));
 }
 
