--- a/tests/logic/broken_runs.rs
+++ b/tests/logic/broken_runs.rs
@@ -1,4 +1,4 @@
-//! What tells a target that has ended from one that only broke off some answers.
+//! Distinguishes targets that have ended from those that only broke off some answers.
 
 use kumquatpost::clock::BootTime;
 use kumquatpost::ids::TargetStart;
@@ -36,7 +36,7 @@
         TargetCheck::StartCheck
     );
     assert_eq!(broken_runs.mark_ended(&target("a"), secs(1)), [run("one", 1), run("two", 1)]);
-    assert_eq!(broken_runs.mark_ended(&target("a"), secs(1)), [], "that is no news");
+    assert_eq!(broken_runs.mark_ended(&target("a"), secs(1)), [], "the end is already recorded");
     assert_eq!(
         broken_runs.record_broken_run(&target("a"), run("late", 2)),
         TargetCheck::TargetEnded
@@ -50,7 +50,7 @@
     broken_runs.record_broken_run(&target("a"), run("one", 1));
     broken_runs.mark_listening(&target("a"));
     assert_eq!(broken_runs.record_broken_run(&target("a"), run("two", 2)), TargetCheck::StartCheck);
-    // The first broke off shortly before, while the target was going down.
+    // The first run broke off shortly before the second, while the target was terminating.
     assert_eq!(broken_runs.mark_ended(&target("a"), secs(2)), [run("one", 1), run("two", 2)]);
 }
 
@@ -60,7 +60,7 @@
     broken_runs.record_broken_run(&target("a"), run("one", 1));
     broken_runs.mark_listening(&target("a"));
     assert_eq!(broken_runs.mark_ended(&target("a"), secs(60)), []);
-    assert_eq!(broken_runs.mark_ended(&target("nobody asked"), secs(60)), []);
+    assert_eq!(broken_runs.mark_ended(&target("unknown"), secs(60)), []);
 }
 
 #[test]
--- a/tests/logic/quarantine.rs
+++ b/tests/logic/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held after targets have ended under them, and what it costs those that only ran there.
+//! Which requests are held after targets ended during their runs, and that other requests are not.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     Fingerprint::of(Some(account), "POST", "shop.example", "/stream/", &number.to_le_bytes())
 }
 
-/// A run of 50 ms that broke off now.
+/// A run of 50 ms that broke off at `now`.
 fn run(fingerprint: Fingerprint, now: BootTime) -> BrokenRun {
     BrokenRun { fingerprint, sent_at: now - ms(50), broke_at: now }
 }
@@ -55,7 +55,7 @@
     assert_eq!(quarantine.held_for(fingerprint, now + ms(600)), Some(10 * MINUTE));
     assert_eq!(quarantine.held_for(request("beta", 1), now + ms(600)), None, "another account's");
     assert_eq!(quarantine.held_for(request("alpha", 2), now + ms(600)), None, "another request");
-    assert_eq!(quarantine.held_for(fingerprint, now + 11 * MINUTE), None, "its hold is over");
+    assert_eq!(quarantine.held_for(fingerprint, now + 11 * MINUTE), None, "the hold has expired");
 }
 
 #[test]
@@ -71,13 +71,13 @@
 #[test]
 fn targets_that_end_together_count_once_but_not_those_that_end_in_turn() {
     let (now, request_fingerprint) = (100 * MINUTE, request("alpha", 1));
-    // A power failure takes four targets along, each of which runs the same frequent request.
+    // A power failure ends four targets, all running the same frequent request.
     let mut quarantine = Quarantine::default();
     for number in 0..4 {
         record_end(&mut quarantine, request_fingerprint, number, now + ms(10 * number));
     }
     assert_eq!(quarantine.held_for(request_fingerprint, now + ms(40)), None);
-    // Each run is sent once the one before has broken off: no common cause.
+    // Each run was sent after the previous one broke off, so the ends have no common cause.
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let at = now + ms(10 * number);
@@ -96,7 +96,10 @@
     }
     let _ = process_b.merge_reports(all_reports(&process_a, now), now);
     assert!(process_b.record_completion(fingerprint, now + ms(700)));
-    assert!(!process_b.record_completion(fingerprint, now + ms(701)), "that is no news");
+    assert!(
+        !process_b.record_completion(fingerprint, now + ms(701)),
+        "the answer is already recorded"
+    );
     let _ = process_a.merge_reports(all_reports(&process_b, now + ms(800)), now + ms(800));
     record_end(&mut process_a, fingerprint, 7, now + ms(900));
     record_end(&mut process_a, fingerprint, 8, now + ms(1_200));
@@ -105,8 +108,8 @@
     assert!(process_a.held_for(fingerprint, now + ms(1_500)).is_some(), "three since");
 }
 
-/// Seen in a soak: three engines ended within three seconds, the list named them no more two seconds later, and
-/// each request that had been there was held, though it had been answered whole elsewhere meanwhile.
+/// Guards against holding a request because of ends that are detected late, after it has got a complete
+/// answer elsewhere.
 #[test]
 fn an_end_detected_after_a_complete_answer_does_not_count_against_the_request() {
     let (now, fingerprint) = (100 * MINUTE, request("alpha", 1));
@@ -117,14 +120,18 @@
     }
     assert!(
         process_a.held_for(fingerprint, now + ms(4_000)).is_some(),
-        "nothing speaks for it here"
+        "process A knows of no complete answer"
     );
     process_b.record_completion(fingerprint, now + ms(2_500));
     let _ = process_b.merge_reports(all_reports(&process_a, now + ms(4_000)), now + ms(4_000));
     assert_eq!(process_b.held_for(fingerprint, now + ms(4_000)), None);
     let _ = process_a.merge_reports(all_reports(&process_b, now + ms(4_001)), now + ms(4_001));
-    assert_eq!(process_a.held_for(fingerprint, now + ms(4_001)), None, "it is told");
-    // The other way round: the ends are told to whom it has been answered by.
+    assert_eq!(
+        process_a.held_for(fingerprint, now + ms(4_001)),
+        None,
+        "process B has reported the answer"
+    );
+    // An end that occurred before the complete answer but was detected after it.
     process_b.record_completion(fingerprint, now + ms(5_000));
     let _ = process_b.record_target_end(
         &[run(fingerprint, now + ms(4_900))],
@@ -138,7 +145,7 @@
     );
 }
 
-/// A run that was sent once the end before had been seen, and lasted so long.
+/// Records a target end at `at`, during a run that lasted `run_duration`.
 fn record_end_after(
     quarantine: &mut Quarantine,
     request_fingerprint: Fingerprint,
@@ -151,8 +158,7 @@
     let _ = quarantine.record_target_end(&[run], &target(target_number), at);
 }
 
-/// Seen in a soak: each frequent request had run at four engines that ended within a second under another one,
-/// and was held with it for ten minutes.
+/// Guards against holding frequent requests that ran on the same targets as the culprit.
 #[test]
 fn a_request_that_ran_beside_the_culprit_is_not_held_with_it() {
     let now = 100 * MINUTE;
@@ -160,7 +166,7 @@
     let held = |quarantine: &Quarantine, at| {
         [culprit, bystander].map(|request| quarantine.held_for(request, at).is_some())
     };
-    // The runs of one that ends each target are the shortest.
+    // The request with the shortest runs is taken for the culprit.
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let at = now + ms(300 * number);
@@ -168,7 +174,7 @@
         record_end_after(&mut quarantine, culprit, number, at, ms(50));
     }
     assert_eq!(held(&quarantine, now + ms(600)), [true, false]);
-    // The other one is taken for it at first, until the next end.
+    // With longer runs the culprit is recognized only at its next end.
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
         let at = now + ms(300 * number);
@@ -180,7 +186,8 @@
     assert_eq!(held(&quarantine, now + ms(900)), [true, false]);
 }
 
-/// The frequent one had run for a while at each target, and had just been sent there once more.
+/// Guards against blaming a frequent request for a run that had just begun when a target ended, though
+/// an earlier run of it lasted longer on the same target.
 #[test]
 fn a_new_short_run_does_not_implicate_a_request_that_had_run_longer_there() {
     let now = 100 * MINUTE;
@@ -197,8 +204,8 @@
     assert_eq!(quarantine.held_for(bystander, now + ms(600)), None);
 }
 
-/// Seen in a soak: all three instances of a plain service ended under one request, which was not sent again. A
-/// frequent one that had run at all of them was held for ten minutes, since nothing told the two apart.
+/// Guards against a long hold of a frequent request that cannot be distinguished from the culprit until
+/// either is sent again.
 #[test]
 fn of_two_indistinguishable_requests_one_is_held_briefly() {
     let now = 100 * MINUTE;
@@ -212,14 +219,14 @@
     let at = now + ms(600);
     assert!(quarantine.held_for(frequent, at).is_some_and(|left| left <= ms(2_000)));
     assert_eq!(quarantine.held_for(culprit, at), None);
-    // The frequent one is answered, and the other one is to blame.
+    // A complete answer to the frequent request shows that the other one is the culprit.
     quarantine.record_completion(frequent, at + ms(2_100));
     assert_eq!(quarantine.held_for(frequent, at + ms(2_100)), None);
     assert!(quarantine.held_for(culprit, at + ms(2_100)).is_some_and(|left| left > 9 * MINUTE));
 }
 
-/// Seen in a soak: one more target had ended for a reason of its own, so that a frequent request had one end
-/// more than the one under which all others ended, and was held for longer than an hour.
+/// Guards against a long hold of a frequent request that has one more end than the culprit, from a target
+/// that ended for an unrelated reason.
 #[test]
 fn one_unrelated_end_does_not_make_a_frequent_request_the_culprit() {
     let now = 100 * MINUTE;
@@ -238,9 +245,7 @@
     assert!(quarantine.held_for(culprit, at + ms(2_100)).is_some_and(|left| left > 9 * MINUTE));
 }
 
-/// Seen in a soak: a frequent request had been answered all the while, then ran wherever the targets of one
-/// service ended; two of its six ends were not known to be those of the request that caused them, and it was held
-/// for more than an hour.
+/// Guards against a long hold of a frequent request when some ends are not attributed to the culprit.
 #[test]
 fn a_request_that_was_answered_just_before_is_not_held_for_long_though_it_has_more_ends() {
     let now = 100 * MINUTE;
@@ -258,7 +263,7 @@
     assert!(left.is_none_or(|left| left <= ms(2_000)), "{left:?}");
 }
 
-/// Two ends more than any other request that ran there: it is to blame whatever else is known.
+/// A request with two more ends than any other that ran there is certainly the culprit.
 #[test]
 fn a_request_with_clearly_more_ends_than_others_is_held() {
     let now = 100 * MINUTE;
@@ -297,14 +302,14 @@
         record_end(&mut quarantine, fingerprint, number, now);
     }
     for (number, minutes) in [(3, 20), (4, 40), (5, 80)] {
-        now += quarantine.held_for(fingerprint, now).expect("it is held") + ms(1);
-        assert_eq!(quarantine.held_for(fingerprint, now), None, "it may try again");
+        now += quarantine.held_for(fingerprint, now).expect("the request is not held") + ms(1);
+        assert_eq!(quarantine.held_for(fingerprint, now), None, "the hold has expired");
         record_end(&mut quarantine, fingerprint, number, now);
         assert_eq!(quarantine.held_for(fingerprint, now), Some(minutes * MINUTE));
     }
     now += 161 * MINUTE;
     record_end(&mut quarantine, request("alpha", 2), 77, now);
-    assert_eq!(all_reports(&quarantine, now).len(), 1, "the first is forgotten");
+    assert_eq!(all_reports(&quarantine, now).len(), 1, "the first record has expired");
 }
 
 #[test]
@@ -333,8 +338,11 @@
     }
     let mut booted = Quarantine::default();
     let _ = booted.merge_reports(all_reports(&quarantine, now + MINUTE), ms(900));
-    let left = booted.held_for(fingerprint, ms(900)).expect("it is held");
-    assert_eq!(left, quarantine.held_for(fingerprint, now + MINUTE).expect("it is held"));
+    let left = booted.held_for(fingerprint, ms(900)).expect("the request is not held");
+    assert_eq!(
+        left,
+        quarantine.held_for(fingerprint, now + MINUTE).expect("the request is not held")
+    );
 }
 
 #[test]
@@ -353,7 +361,7 @@
     );
 }
 
-/// One thing that a process sees: an end under a request, or a whole answer to it.
+/// An observation of one process: a target ended during a request, or the request got a complete answer.
 #[derive(Clone, Debug)]
 enum Event {
     End { request: u64, target: u64 },
@@ -371,8 +379,8 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(2026), ..ProptestConfig::default() })]
 
-    /// Three processes see things and tell each other in any order, some of it twice. In the end all know
-    /// the same, and hold the same.
+    /// Guards against processes that hold different requests after they have exchanged all reports, in any
+    /// order and some of them twice.
     #[test]
     fn all_processes_converge_whatever_the_order_of_reports(
         steps in prop::collection::vec((0..3_usize, event(), prop::option::of((0..3_usize, 0..3_usize))), 1..60),
@@ -413,11 +421,11 @@
     }
 }
 
-/// Engines end for reasons of their own, at random, and prompts that run there come again.
+/// Engines that end at random, independent of the requests; broken-off requests are retried.
 struct UnreliableFleet {
     random: SmallRng,
     quarantine: Quarantine,
-    /// When each engine ends next, and how often it has.
+    /// When each engine ends next, and how often it has ended.
     engines: Vec<(BootTime, u64)>,
     mean_uptime: Duration,
     held: u64,
@@ -439,7 +447,7 @@
         }
     }
 
-    /// Runs a request at any engine. Returns when it has ended, and whether with a whole answer.
+    /// Runs a request on a random engine. Returns when it ended, and whether it completed.
     fn run(
         &mut self,
         request_fingerprint: Fingerprint,
@@ -449,7 +457,7 @@
         let engine = self.random.random_range(0..self.engines.len());
         while self.engines[engine].0 < now {
             let (ended, count) = self.engines[engine];
-            // An exponential distribution: engines end independently of each other.
+            // Exponentially distributed, so that ends are independent.
             let next = -(1.0 - self.random.random::<f64>()).ln();
             self.engines[engine] = (ended + self.mean_uptime.mul_f64(next), count + 1);
         }
@@ -464,7 +472,7 @@
         (ends_at, false)
     }
 
-    /// A caller and the entries together send a request up to four times.
+    /// Sends a request up to four times, as the caller and the entries together do.
     fn ask(&mut self, fingerprint: Fingerprint, mut now: BootTime, duration: Duration) {
         for _ in 0..4 {
             if self.quarantine.held_for(fingerprint, now).is_some() {
@@ -483,15 +491,15 @@
 
 #[test]
 fn prompts_are_rarely_held_when_engines_end_for_unrelated_reasons() {
-    // Each of twelve engines ends every four seconds, far oftener than any fleet's; a prompt runs for 1.5 s.
+    // Each of twelve engines ends every four seconds on average; a prompt runs for 1.5 s.
     let mut fleet = UnreliableFleet::new(7, 12, ms(4_000));
     for number in 0..20_000 {
         fleet.ask(request("alpha", number), 100 * MINUTE + ms(10 * number), ms(1_500));
     }
-    // Who has lost three runs is refused the fourth: fewer than one prompt in a hundred.
+    // Only prompts whose first three runs broke off are held: fewer than one in a hundred.
     println!("held {} of 20,000 prompts, {} runs", fleet.held, fleet.runs);
     assert!(fleet.held < 200, "{} of 20,000 prompts", fleet.held);
-    // Engines that end every ten minutes each: more than an ordinary day's failures.
+    // Each engine ends every ten minutes on average.
     let mut fleet = UnreliableFleet::new(8, 12, 10 * MINUTE);
     for number in 0..200_000 {
         fleet.ask(request("alpha", number), 100 * MINUTE + ms(10 * number), ms(1_500));
@@ -501,7 +509,7 @@
 
 #[test]
 fn a_frequent_request_is_never_held_when_targets_end_for_unrelated_reasons() {
-    // A status that one account asks for twenty times a second; each of three targets ends every two seconds.
+    // Twenty requests per second; each of three targets ends every two seconds on average.
     let mut fleet = UnreliableFleet::new(9, 3, ms(2_000));
     let fingerprint = request("alpha", 1);
     for number in 0..50_000 {
