--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -1,4 +1,4 @@
-//! Kept copies: only committed ones are handed out, and none is freed under a reader.
+//! Stored copies of prefixes: only committed copies are returned, and no pinned copy is freed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,7 +22,7 @@
     BTreeMap::from([("store-0".to_string(), fill)])
 }
 
-/// Positions of a chain that shares its first `shared` blocks with others of the same root.
+/// An answered prompt that shares its first `shared` blocks with other prompts of the same root.
 fn answered_prompt(root: u128, shared: u32, blocks: u32, branch: u128) -> AnsweredPrompt {
     let key = |n: u32| {
         let own = if n > shared { branch << 32 } else { 0 };
@@ -45,11 +45,12 @@
     ExportOutcome { root: plan.root, key: plan.position.key, generation: plan.generation, kept }
 }
 
-/// A catalog in which one context of 10 blocks is kept.
+/// A catalog with one committed copy of 10 blocks.
 fn catalog_with_one_copy() -> (Catalog, AnsweredPrompt, ExportPlan) {
     let mut catalog = Catalog::new(100, 1);
     let prompt = answered_prompt(5, 0, 10, 1);
-    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    let plan =
+        catalog.record_answer(&prompt, &store_fills(0.1), START).expect("no export was planned");
     catalog.record_export(&completed_export(&plan), START);
     (catalog, prompt, plan)
 }
@@ -59,7 +60,8 @@
     let mut catalog = Catalog::new(100, 1);
     let prompt = answered_prompt(5, 0, 10, 1);
     assert!(catalog.lookup(prompt.root, START).is_empty(), "unknown");
-    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    let plan =
+        catalog.record_answer(&prompt, &store_fills(0.1), START).expect("no export was planned");
     assert!(catalog.lookup(prompt.root, START).is_empty(), "being written");
     let other = ExportOutcome { generation: plan.generation + 1, ..completed_export(&plan) };
     catalog.record_export(&other, START);
@@ -68,15 +70,23 @@
     assert_eq!(catalog.lookup(prompt.root, START).len(), 1, "committed");
 
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    let plan =
+        catalog.record_answer(&prompt, &store_fills(0.1), START).expect("no export was planned");
     catalog.record_export(&ExportOutcome { kept: None, ..completed_export(&plan) }, START);
     catalog.record_export(&completed_export(&plan), START);
-    assert!(catalog.lookup(prompt.root, START).is_empty(), "failed, whatever comes late");
+    assert!(
+        catalog.lookup(prompt.root, START).is_empty(),
+        "the export failed before the late success"
+    );
     let mut catalog = Catalog::new(100, 1);
-    let plan = catalog.record_answer(&prompt, &store_fills(0.1), START).expect("worth an export");
+    let plan =
+        catalog.record_answer(&prompt, &store_fills(0.1), START).expect("no export was planned");
     catalog.free_orders(&store_fills(0.1), |_| true, START + WRITE_TIMEOUT);
     catalog.record_export(&completed_export(&plan), START + WRITE_TIMEOUT);
-    assert!(catalog.lookup(prompt.root, START).is_empty(), "given up, whatever comes late");
+    assert!(
+        catalog.lookup(prompt.root, START).is_empty(),
+        "the export timed out before the late success"
+    );
 }
 
 #[test]
@@ -97,7 +107,7 @@
     assert_eq!(
         catalog.free_orders(&full, |_| true, read_at + PIN_DURATION * 2),
         orders,
-        "again until it is freed"
+        "repeated until it is freed"
     );
     catalog.record_freed(&orders[0]);
     assert!(catalog.free_orders(&full, |_| true, read_at + PIN_DURATION * 3).is_empty());
@@ -106,9 +116,10 @@
 #[test]
 fn a_new_owner_frees_nothing_while_pins_of_an_earlier_one_may_be_valid() {
     let mut catalog = Catalog::new(100, 1);
-    let object = completed_export(&catalog_with_one_copy().2).kept.expect("kept").object;
+    let object =
+        completed_export(&catalog_with_one_copy().2).kept.expect("the export failed").object;
     catalog.apply_inventory(&"store-0".into(), std::slice::from_ref(&object), |_| true, START);
-    // On a copy, since a lookup pins.
+    // Looked up on a clone, as a lookup pins the copy.
     assert_eq!(catalog.clone().lookup(object.root, START).len(), 1, "found in the inventory");
     for second in 0..PIN_DURATION.as_secs() {
         let at = START + Duration::from_secs(second);
@@ -123,15 +134,15 @@
 #[test]
 fn copies_that_are_gone_or_owned_by_other_nodes_are_dropped() {
     let (mut catalog, prompt, plan) = catalog_with_one_copy();
-    let object = completed_export(&plan).kept.expect("kept").object;
+    let object = completed_export(&plan).kept.expect("the export failed").object;
     let foreign = KeptObject { root: 77, ..object.clone() };
     catalog.apply_inventory(&"store-0".into(), &[object, foreign], |root| root != 77, START);
     assert_eq!(catalog.len(), 1);
     catalog.apply_inventory(&"store-0".into(), &[], |_| true, START);
-    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store started again, empty");
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store restarted and is empty");
     let (mut catalog, prompt, _) = catalog_with_one_copy();
     catalog.drop_store(&"store-0".into());
-    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store died");
+    assert!(catalog.lookup(prompt.root, START).is_empty(), "the store was dropped");
     let (mut catalog, prompt, _) = catalog_with_one_copy();
     catalog.remove_unowned(|_| false);
     assert!(catalog.lookup(prompt.root, START).is_empty(), "another node owns it");
@@ -153,8 +164,9 @@
         catalog.record_answer(&answered_prompt(3, 0, 10, 1), &store_fills(0.99), START).is_none(),
         "the store is full"
     );
-    let first =
-        catalog.record_answer(&answered_prompt(4, 0, 20, 1), &empty, START).expect("all of it");
+    let first = catalog
+        .record_answer(&answered_prompt(4, 0, 20, 1), &empty, START)
+        .expect("no export of the whole prompt");
     assert_eq!(first.position.blocks, 20);
     assert!(
         catalog.record_answer(&answered_prompt(4, 0, 20, 1), &empty, START).is_none(),
@@ -163,26 +175,28 @@
     catalog.record_export(&completed_export(&first), START);
     assert!(
         catalog.record_answer(&answered_prompt(4, 0, 24, 1), &empty, START).is_none(),
-        "most of it is kept"
+        "most of it is stored"
     );
-    let longer =
-        catalog.record_answer(&answered_prompt(4, 0, 40, 1), &empty, START).expect("it has grown");
+    let longer = catalog
+        .record_answer(&answered_prompt(4, 0, 40, 1), &empty, START)
+        .expect("no export of the longer prompt");
     catalog.record_export(&completed_export(&longer), START);
     let kept = catalog.lookup(longer.root, START);
-    assert_eq!(kept.len(), 1, "the shorter one is freed");
+    assert_eq!(kept.len(), 1, "the shorter copy must be freed");
     assert_eq!(kept[0].object.blocks, 40);
-    // Two continuations of one guideline set: what they share is kept.
-    let first =
-        catalog.record_answer(&answered_prompt(9, 16, 18, 1), &empty, START).expect("all of it");
+    // Two prompts with a common prefix: the prefix is exported.
+    let first = catalog
+        .record_answer(&answered_prompt(9, 16, 18, 1), &empty, START)
+        .expect("no export of the whole prompt");
     catalog.record_export(&completed_export(&first), START);
     let second = catalog
         .record_answer(&answered_prompt(9, 16, 18, 2), &empty, START)
-        .expect("the shared beginning");
+        .expect("no export of the shared prefix");
     assert_eq!(second.position.blocks, 16);
     catalog.record_export(&completed_export(&second), START);
     assert!(
         catalog.record_answer(&answered_prompt(9, 16, 18, 3), &empty, START).is_none(),
-        "covered for all"
+        "the common prefix is stored already"
     );
 }
 
@@ -199,7 +213,7 @@
     }
     assert_eq!(catalog.len(), 10);
     let orders = catalog.free_orders(&store_fills(0.1), |_| true, START + PIN_DURATION * 3);
-    assert_eq!(orders.len(), 20, "no room is lost in the store");
+    assert_eq!(orders.len(), 20, "evicted copies must be freed in the store");
 }
 
 #[test]
@@ -219,7 +233,7 @@
         if before[0] == 4 {
             moved += 1;
         } else {
-            assert_eq!(before[0], after[0], "only the lost node's contexts move");
+            assert_eq!(before[0], after[0], "only roots of the lost node may move");
         }
     }
     assert!((60..180).contains(&moved), "about a ninth: {moved}");
@@ -256,7 +270,10 @@
     }
     let changed = long.replacen("word", "wird", 1);
     let chains = [&long, &changed].map(|text| Chain::new(&owner("a", "m", "v1"), text).keys);
-    assert_ne!(chains[0][1], chains[1][1], "a later block's key depends on all before it");
+    assert_ne!(
+        chains[0][1], chains[1][1],
+        "the key of a block must depend on all blocks before it"
+    );
 }
 
 proptest! {
@@ -265,7 +282,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Random schedules of answers, reads, writes that end late or never, and full stores.
+    /// Random schedules of answers, lookups, exports that complete late or never, and full stores.
     #[test]
     fn no_schedule_frees_a_pinned_copy_or_returns_an_incomplete_one(seed in any::<u64>()) {
         let mut random = SmallRng::seed_from_u64(seed);
@@ -296,7 +313,7 @@
                 3 => {
                     for kept in catalog.lookup((root << 64) | 1, now) {
                         let copy_id = (kept.object.key, kept.object.generation);
-                        prop_assert!(complete.contains(&copy_id), "handed out what is not whole");
+                        prop_assert!(complete.contains(&copy_id), "returned an incomplete copy");
                         readers.push((copy_id.0, copy_id.1, now + PIN_DURATION));
                     }
                 }
@@ -306,7 +323,7 @@
                         let is_pinned = readers.iter().any(|(key, generation, until)| {
                             *key == order.key && *generation == order.generation && *until > now
                         });
-                        prop_assert!(!is_pinned, "freed under a reader");
+                        prop_assert!(!is_pinned, "freed a pinned copy");
                         if random.random_bool(0.7) {
                             complete.remove(&(order.key, order.generation));
                             catalog.record_freed(&order);
