--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -1,4 +1,4 @@
-//! The decision, by tables.
+//! The routing decision: eligibility, cost, imports, and the estimates of queues and links.
 
 use std::time::Duration;
 
@@ -89,13 +89,15 @@
         ("leaving", |e| e.takes_work = false),
         ("another model", |e| e.model = "counter".into()),
         ("another version", |e| {
-            let (_, report) = e.report.as_mut().expect("a report");
+            let (_, report) = e.report.as_mut().expect("no report");
             report.weight_version = Some("v2".into());
         }),
-        ("loading weights", |e| e.report.as_mut().expect("a report").1.weight_version = None),
-        ("an old report", |e| e.report.as_mut().expect("a report").0 = Duration::from_secs(90)),
+        ("loading weights", |e| e.report.as_mut().expect("no report").1.weight_version = None),
+        ("an outdated report", |e| {
+            e.report.as_mut().expect("no report").0 = Duration::from_secs(90)
+        }),
         ("no report", |e| e.report = None),
-        ("a report of an earlier start", |e| e.incarnation = 2),
+        ("a report of an earlier incarnation", |e| e.incarnation = 2),
     ];
     let policies = [Policy::RoundRobin, Policy::LeastLoad, Policy::PrefixSticky, Policy::Cost];
     for policy in policies {
@@ -106,7 +108,8 @@
             let (chain, version) = (chain(), "v1".to_string());
             for request_number in 0..4 {
                 let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
-                let chosen = decide(policy, &Prices::default(), &view, &request, NOW).expect("one");
+                let chosen = decide(policy, &Prices::default(), &view, &request, NOW)
+                    .expect("no engine was chosen");
                 assert_eq!(chosen.engine, "good", "{policy:?}: {what}");
                 let excluded_engines = ["good".to_string()];
                 let request = RouteRequest { excluded_engines: &excluded_engines, ..request };
@@ -133,7 +136,11 @@
         let mut resident = engine(queued_resident);
         resident.residency.expect_resident(&chain.keys);
         let view = view(vec![("idle", engine(queued_idle)), ("resident", resident)]);
-        assert_eq!(decide_by_cost(&view, &[]).expect("one").engine, expected, "{what}");
+        assert_eq!(
+            decide_by_cost(&view, &[]).expect("no engine was chosen").engine,
+            expected,
+            "{what}"
+        );
     }
 }
 
@@ -143,20 +150,25 @@
     let all = stored_prefix(&chain, BLOCKS);
     let idle = || view(vec![("a", engine(0))]);
     assert!(
-        decide_by_cost(&idle(), std::slice::from_ref(&all)).expect("one").import.is_some(),
-        "quick link"
+        decide_by_cost(&idle(), std::slice::from_ref(&all))
+            .expect("no engine was chosen")
+            .import
+            .is_some(),
+        "fast link"
     );
     let mut slow = idle();
     slow.stores.insert("s".into(), store(10_000));
     assert_eq!(
-        decide_by_cost(&slow, std::slice::from_ref(&all)).expect("one").import,
+        decide_by_cost(&slow, std::slice::from_ref(&all)).expect("no engine was chosen").import,
         None,
         "long backlog"
     );
     let mut without_report = idle();
-    without_report.stores.get_mut("s").expect("a store").report = None;
+    without_report.stores.get_mut("s").expect("unknown store").report = None;
     assert_eq!(
-        decide_by_cost(&without_report, std::slice::from_ref(&all)).expect("one").import,
+        decide_by_cost(&without_report, std::slice::from_ref(&all))
+            .expect("no engine was chosen")
+            .import,
         None,
         "unknown link"
     );
@@ -164,21 +176,23 @@
     resident.residency.expect_resident(&chain.keys);
     let already_resident = view(vec![("a", resident)]);
     assert_eq!(
-        decide_by_cost(&already_resident, std::slice::from_ref(&all)).expect("one").import,
+        decide_by_cost(&already_resident, std::slice::from_ref(&all))
+            .expect("no engine was chosen")
+            .import,
         None,
         "resident"
     );
     let foreign = ("s".to_string(), KeptObject { key: 1, ..all.1.clone() });
     assert_eq!(
-        decide_by_cost(&idle(), &[foreign]).expect("one").import,
+        decide_by_cost(&idle(), &[foreign]).expect("no engine was chosen").import,
         None,
         "another prompt's key"
     );
     let misplaced = ("s".to_string(), KeptObject { blocks: 3, ..all.1.clone() });
     assert_eq!(
-        decide_by_cost(&idle(), &[misplaced]).expect("one").import,
+        decide_by_cost(&idle(), &[misplaced]).expect("no engine was chosen").import,
         None,
-        "another place of the chain"
+        "another position in the chain"
     );
     let high_link_price = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
     let (version, stored_prefixes) = ("v1".to_string(), [all]);
@@ -189,35 +203,35 @@
         &request(&chain, &version, &stored_prefixes),
         NOW,
     );
-    assert_eq!(decision.expect("one").import, None, "the link is too dear");
+    assert_eq!(decision.expect("no engine was chosen").import, None, "the link is too expensive");
 }
 
 #[test]
 fn own_dispatches_count_until_a_later_report_includes_them() {
-    // The engine prefills 10 tokens a millisecond meanwhile.
+    // The engine prefills 10 tokens per millisecond.
     let at = |ms| NOW + Duration::from_millis(ms);
     let mut engine = engine(1_000);
     engine.unreported.push_back((at(10), 5_000));
     engine.unreported.push_back((at(20), 700));
     assert_eq!(engine.queued_tokens(at(50)), 1_000 + 5_000 + 700 - 500);
-    let (_, report) = engine.report.clone().expect("a report");
+    let (_, report) = engine.report.clone().expect("no report");
     engine.apply_report(report, at(15));
     assert_eq!(engine.queued_tokens(at(50)), 1_000 + 700 - 350);
-    assert_eq!(engine.queued_tokens(at(1_000)), 0, "all of it is done by then");
+    assert_eq!(engine.queued_tokens(at(1_000)), 0, "the queue is empty");
 }
 
 #[test]
 fn the_backlog_of_a_link_drains_over_time() {
     let at = |ms| NOW + Duration::from_millis(ms);
-    // 1 MB a millisecond, 50 ms behind.
+    // The link transfers 1 MB per millisecond and has a backlog of 50 ms.
     let mut store = store(50);
     let time = |store: &StoreView, ms| store.transfer_time(20_000_000, at(ms));
     assert_eq!(time(&store, 0), Some(Duration::from_millis(70)));
     store.record_transfer(100_000_000, at(30));
     assert_eq!(time(&store, 30), Some(Duration::from_millis(140)));
     assert_eq!(time(&store, 140), Some(Duration::from_millis(30)));
-    assert_eq!(time(&store, 400), Some(Duration::from_millis(20)), "all of it is done");
-    assert_eq!(time(&store, 3_000), None, "an old report says nothing");
+    assert_eq!(time(&store, 400), Some(Duration::from_millis(20)), "the backlog is empty");
+    assert_eq!(time(&store, 3_000), None, "the report is outdated");
 }
 
 #[test]
@@ -234,7 +248,9 @@
         let chosen: std::collections::BTreeSet<String> = (0..60)
             .map(|request_number| {
                 let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
-                decide(policy, &Prices::default(), &view, &request, NOW).expect("one").engine
+                decide(policy, &Prices::default(), &view, &request, NOW)
+                    .expect("no engine was chosen")
+                    .engine
             })
             .collect();
         assert_eq!(chosen.len(), expected_engines, "{policy:?}");
@@ -263,8 +279,8 @@
         );
         queued(&router)
     };
-    assert_eq!(record_dispatch("e", 1), 0, "an earlier start");
-    assert_eq!(record_dispatch("x", 2), 0, "an engine that is not known");
+    assert_eq!(record_dispatch("e", 1), 0, "an earlier incarnation");
+    assert_eq!(record_dispatch("x", 2), 0, "an unknown engine");
     assert_eq!(record_dispatch("e", 2), 700);
     for second in 0..10_000 {
         let now = NOW + Duration::from_secs(second);
@@ -272,5 +288,5 @@
             Dispatched { engine: "e".into(), incarnation: 2, prefill_tokens: 1, import: None };
         router.record_peer_dispatch(&dispatch, now);
     }
-    assert!(router.view().engines["e"].unreported.len() < 10, "bounded without reports");
+    assert!(router.view().engines["e"].unreported.len() < 10, "must be bounded without reports");
 }
--- a/tests/logic/orders.rs
+++ b/tests/logic/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: a few loads at a time, never below the floor, never mixed between leaders.
+//! Load orders to engines: limited concurrency, never below the floor, safe across changes of leader.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -58,12 +58,12 @@
                 let serving = in_domain.filter(|e| e.version.is_some()).count();
                 assert!(serving >= floor as usize, "floor {floor} in {domain}");
             }
-            // One load ends.
+            // One load completes.
             match engines.iter_mut().find(|e| e.version.is_none()) {
                 Some(engine) => engine.version = Some("v2".into()),
                 None => break,
             }
-            assert!(round < 50, "it goes on");
+            assert!(round < 50, "the rollout does not complete");
         }
         assert!(engines.iter().all(|e| e.version.as_deref() == Some("v2")));
     }
@@ -79,11 +79,11 @@
     };
     type Case = (&'static str, fn(&mut EngineState), usize);
     let cases: [Case; 5] = [
-        ("one that has the old version", |_| (), 1),
-        ("one that loads already", |e| e.version = None, 0),
-        ("one that has it", |e| e.version = Some("v2".into()), 0),
-        ("one of a model that is not configured", |e| e.model = "x".into(), 0),
-        ("one with an unknown version", |e| e.version = Some("v0".into()), 1),
+        ("the old version", |_| (), 1),
+        ("already loading", |e| e.version = None, 0),
+        ("the next version", |e| e.version = Some("v2".into()), 0),
+        ("a model that is not configured", |e| e.model = "x".into(), 0),
+        ("an unknown version", |e| e.version = Some("v0".into()), 1),
     ];
     for (what, change, count) in cases {
         let mut planner = Planner::new(LEASE_DURATION, START);
@@ -93,17 +93,13 @@
     let only_engine = [engine("a", "d", Some("v1"))];
     assert!(
         planned_engines(&mut planner, &models, &only_engine).is_empty(),
-        "the only one of its domain"
+        "the only engine of its failure domain"
     );
     let engines = pair(|_| ());
     assert_eq!(planned_engines(&mut planner, &models, &engines), ["a"]);
-    assert!(planned_engines(&mut planner, &models, &engines).is_empty(), "ordered already");
+    assert!(planned_engines(&mut planner, &models, &engines).is_empty(), "already ordered");
     planner.order_refused(&"a".to_string());
-    assert_eq!(
-        planned_engines(&mut planner, &models, &engines),
-        ["a"],
-        "it did not take the order"
-    );
+    assert_eq!(planned_engines(&mut planner, &models, &engines), ["a"], "the order was refused");
 }
 
 #[test]
--- a/tests/logic/targets.rs
+++ b/tests/logic/targets.rs
@@ -1,4 +1,4 @@
-//! Targets: leaving is for good, reports are bounded in time, failures eject and return in steps.
+//! Target lists, health, retry budgets and residency.
 
 use std::time::Duration;
 
@@ -37,11 +37,15 @@
     let cases: Vec<(&str, Vec<Step>, usize)> = vec![
         ("live", vec![Step::List(live(1))], 1),
         ("leaving", vec![Step::List(live(1)), Step::List(leaving(1))], 0),
-        ("a late list", vec![Step::List(leaving(1)), Step::List(live(1))], 0),
-        ("gossip first", vec![Step::Announcement, Step::List(live(1))], 0),
-        ("gossip later", vec![Step::List(live(1)), Step::Announcement], 0),
-        ("started again", vec![Step::List(leaving(1)), Step::List(live(2))], 1),
-        ("an older start", vec![Step::List(live(2)), Step::List(live(1)), Step::Announcement], 1),
+        ("an outdated list", vec![Step::List(leaving(1)), Step::List(live(1))], 0),
+        ("announcement first", vec![Step::Announcement, Step::List(live(1))], 0),
+        ("announcement later", vec![Step::List(live(1)), Step::Announcement], 0),
+        ("restarted", vec![Step::List(leaving(1)), Step::List(live(2))], 1),
+        (
+            "an older incarnation",
+            vec![Step::List(live(2)), Step::List(live(1)), Step::Announcement],
+            1,
+        ),
     ];
     for (what, steps, instances) in cases {
         let mut targets = Targets::default();
@@ -82,15 +86,18 @@
     assert!(health.admits(9, secs(1)), "not three in a row");
     health.record_failure(FailureCause::Target, secs(1));
     assert!(!health.admits(0, secs(1)), "ejected");
-    assert!(health.admits(0, secs(2)), "one on trial");
-    assert!(!health.admits(1, secs(2)), "only one");
+    assert!(health.admits(0, secs(2)), "one trial request is admitted");
+    assert!(!health.admits(1, secs(2)), "only one trial request");
     health.record_failure(FailureCause::Target, secs(2));
-    assert!(!health.admits(0, secs(2) + Duration::from_millis(700)), "longer the second time");
+    assert!(
+        !health.admits(0, secs(2) + Duration::from_millis(700)),
+        "the second ejection lasts longer"
+    );
     for _ in 0..3 {
         assert!(!health.admits(1, secs(10)));
         health.record_success();
     }
-    assert!(health.admits(50, secs(10)), "back");
+    assert!(health.admits(50, secs(10)), "fully readmitted");
 }
 
 #[test]
@@ -118,15 +125,15 @@
     assert_eq!(residency.resident_blocks(&[10, 11, 12]), 2);
     assert!((residency.confidence() - 1.0).abs() < 1e-9);
     residency.apply_events(&batch(1, vec![event(1, Evicted, 10), event(2, Stored, 11)]));
-    assert_eq!(residency.resident_blocks(&[10, 11]), 2, "what was taken is not taken again");
+    assert_eq!(residency.resident_blocks(&[10, 11]), 2, "known events must be skipped");
     residency.apply_events(&batch(1, vec![event(90, Evicted, 11)]));
     assert_eq!(residency.resident_blocks(&[10, 11]), 1);
-    assert!(residency.confidence() < 0.9, "a gap lowers the confidence");
+    assert!(residency.confidence() < 0.9, "a gap must lower the confidence");
     let before = residency.confidence();
     residency.record_result(&[10], 1, 0);
-    assert!(residency.confidence() < before, "a false hit lowers it more");
+    assert!(residency.confidence() < before, "a false hit must lower the confidence further");
     residency.apply_events(&batch(2, vec![]));
-    assert_eq!(residency.resident_blocks(&[10]), 0, "it started again with an empty cache");
+    assert_eq!(residency.resident_blocks(&[10]), 0, "the cache is empty after a restart");
 }
 
 #[test]
