--- a/tests/logic/admission.rs
+++ b/tests/logic/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: bounds, priority, fairness, deadlines.
+//! Admission: queue bounds, priorities, fairness and deadlines.
 
 use std::time::Duration;
 
@@ -24,14 +24,14 @@
     }
 }
 
-/// A node with one place, which is taken.
+/// An admission with a single place, taken by a request of the account `other`.
 fn busy_admission(queue_len: usize) -> Admission {
     let mut admission = Admission::new(1, queue_len);
     assert_eq!(admission.admit(request("other", 3), NOW), AdmissionResult::Run);
     admission
 }
 
-/// Ends the running request of an account and starts the next one.
+/// Finishes a running request of an account and starts the next request.
 fn finish_and_start_next(admission: &mut Admission, finished: &str) -> Option<Ticket> {
     admission.finish(finished, NOW);
     admission.start_next()
@@ -43,7 +43,7 @@
     expect_ticket(admission.admit(request("a", 3), NOW));
     expect_ticket(admission.admit(request("a", 3), NOW));
     let AdmissionResult::Refused(refused) = admission.admit(request("a", 0), NOW) else {
-        panic!("refused")
+        panic!("expected a refusal")
     };
     assert_eq!(refused.reason, RefusalReason::QueueFull);
     assert!(refused.retry_after >= Duration::from_secs(1));
@@ -96,7 +96,7 @@
             return;
         }
         finished = "b";
-        assert!(turn < 50, "it never ran");
+        assert!(turn < 50, "the request of low priority did not run");
     }
 }
 
@@ -123,12 +123,12 @@
     assert!(
         matches!(result, AdmissionResult::Refused(refused) if refused.reason == RefusalReason::Deadline)
     );
-    // Nothing of its priority waits ahead of a more urgent one.
+    // With a higher priority, no request waits ahead of it.
     let urgent = AdmissionRequest { priority: 0, ..soon };
     let waiting = expect_ticket(admission.admit(urgent, NOW));
     assert_eq!(admission.expire(NOW + Duration::from_millis(99)), Vec::<Ticket>::new());
     assert_eq!(admission.expire(NOW + Duration::from_millis(100)), vec![waiting]);
-    assert!(!admission.cancel(waiting), "it is gone");
+    assert!(!admission.cancel(waiting), "an expired request cannot be cancelled");
     assert_eq!(admission.waiting(), 100);
 }
 
--- a/tests/logic/lease.rs
+++ b/tests/logic/lease.rs
@@ -1,4 +1,4 @@
-//! Freshness leases: whoever is fresh has a number that is in force.
+//! Freshness leases: a fresh node has applied the number in force.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 fn a_lease_counts_from_when_the_renewal_was_sent() {
     let mut holder = HeldLease::default();
     assert!(!holder.is_fresh(ms(0)));
-    // Sent at 1 s, answered at 2.5 s: it still ends before 4 s.
+    // Sent at 1 s and granted for 3 s, so it expires before 4 s whenever the answer arrives.
     holder.extend(ms(1_000), LEASE_DURATION);
     assert!(holder.is_fresh(ms(2_500)));
-    assert!(!holder.is_fresh(ms(4_000)), "also after a freeze, since the clock ran on");
-    // An older answer that comes late takes nothing back.
+    assert!(!holder.is_fresh(ms(4_000)), "expired");
+    // A delayed answer to an earlier renewal must not shorten the lease.
     holder.extend(ms(500), LEASE_DURATION);
     assert!(holder.is_fresh(ms(3_900)));
 }
@@ -44,19 +44,23 @@
     assert_eq!(grantor.min_acked(8, ms(11_001)), 8, "acknowledged");
     grantor.grant(3, 5, LEASE_DURATION, ms(12_000));
     assert_eq!(grantor.min_acked(8, ms(14_999)), 5);
-    assert_eq!(grantor.min_acked(8, ms(15_000)), 8, "ended");
+    assert_eq!(grantor.min_acked(8, ms(15_000)), 8, "expired");
 }
 
 #[test]
 fn a_grantor_without_a_lease_grants_none() {
     let mut grantor = LeaseGrantor::new(LEASE_DURATION, ms(0));
     assert_eq!(grantor.grant(1, 7, Duration::ZERO, ms(10_000)), Duration::ZERO);
-    assert_eq!(grantor.grant(1, 7, ms(400), ms(10_000)), ms(400), "never longer than its own");
+    assert_eq!(
+        grantor.grant(1, 7, ms(400), ms(10_000)),
+        ms(400),
+        "never longer than the grantor's own lease"
+    );
     assert_eq!(grantor.children(ms(10_399)).count(), 1);
     assert_eq!(grantor.children(ms(10_400)).count(), 0);
 }
 
-/// A node below a relay below the leader, each with its own clock.
+/// A node in a tree of leases, with its own clock.
 struct Node {
     holder: HeldLease,
     grantor: LeaseGrantor,
@@ -79,7 +83,7 @@
     }
 }
 
-/// A renewal on its way: when it was sent by the child's clock, what it acknowledges.
+/// A renewal in flight. `sent_at` is on the child's clock, `arrives_at` on the global clock.
 struct Renewal {
     child: usize,
     parent: usize,
@@ -88,6 +92,7 @@
     arrives_at: Duration,
 }
 
+/// A granted lease in flight; `sent_at` is that of its renewal.
 struct Grant {
     child: usize,
     sent_at: Duration,
@@ -96,7 +101,7 @@
     arrives_at: Duration,
 }
 
-/// Node 0 leads, 1 and 2 are relays, the rest are below one of them or the leader at a time.
+/// Runs a random schedule. Node 0 is the leader, 1 and 2 are relays; the others renew at any of these.
 fn run_lease_tree(seed: u64, steps: usize) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut now = ms(100_000);
@@ -145,7 +150,7 @@
         grants = later;
         for Grant { child, sent_at, lease_duration, number, .. } in due {
             let node = &mut nodes[child];
-            // As a node does: never an older number, and the number before the lease.
+            // Like a node: ignores an older number, and applies the number before the lease.
             if number >= node.number {
                 node.number = number;
                 node.holder.extend(sent_at, lease_duration);
--- a/tests/logic/shares.rs
+++ b/tests/logic/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of an account's limit: in proportion to demand, never more than the limit.
+//! Shares of an account's limit: they follow the demand, and their sum never exceeds the limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -32,14 +32,18 @@
             .collect();
         assert_eq!(shares_granted, expected, "{what}");
     }
-    // A node that took all gives up its part by and by.
+    // A node that was granted all that was available returns part of it when it renews.
     let mut shares = ShareAllocator::new(LEASE_DURATION);
     assert_eq!(shares.grant(1, &share_request(100, 64), NOW).share, 50);
-    assert_eq!(shares.grant(2, &share_request(100, 64), NOW).share, 2, "nothing is left yet");
+    assert_eq!(
+        shares.grant(2, &share_request(100, 64), NOW).share,
+        2,
+        "only the base share until node 1 renews"
+    );
     assert_eq!(
         shares.grant(1, &share_request(100, 64), NOW).share,
         26,
-        "half of what two may share"
+        "half of the limit without the base shares of the other nodes"
     );
     let later = NOW + LEASE_DURATION;
     shares.grant(1, &share_request(100, 64), later - Duration::from_millis(1));
@@ -52,18 +56,19 @@
         ..ProptestConfig::default()
     })]
 
-    /// Answers are lost, nodes come and go; what all nodes use never passes the limit.
+    /// Guards against nodes that together use more than the limit while grants are lost or expire.
     #[test]
     fn shares_of_all_nodes_never_exceed_the_limit(seed in any::<u64>(), limit in 8_u32..100) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut shares = ShareAllocator::new(LEASE_DURATION);
         let mut now = NOW;
-        // What each node uses: its last received share, until it ends.
+        // The last share that each node received, and when it expires.
         let mut usage: BTreeMap<u64, (u32, Duration)> = BTreeMap::new();
         for _ in 0..200 {
             now += Duration::from_millis(random.random_range(0..1_500));
             let node = random.random_range(1..=8);
-            let request = ShareRequest { demand: random.random_range(0..120), ..share_request(0, limit) };
+            let request =
+                ShareRequest { demand: random.random_range(0..120), ..share_request(0, limit) };
             let grant = shares.grant(node, &request, now);
             if random.random_bool(0.7) {
                 usage.insert(node, (grant.share, now + grant.lasts));
