--- a/tests/logic/burn.rs
+++ b/tests/logic/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: windows, budgets, verdicts.
+//! Burn rates of service-level objectives: windows, budgets and verdicts.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
         assert_eq!(windows.map(|count| count.bad), bad, "after {after_s} s");
     }
     let rate = burn.counts(START).kinds["diagnosis"][0].burn_rate();
-    assert!((rate - 2.0).abs() < 1e-9, "10 of 100 bad where 5 may be: {rate}");
+    assert!((rate - 2.0).abs() < 1e-9, "10 of 100 requests are bad, 5 are allowed: {rate}");
 }
 
 #[test]
--- a/tests/logic/claims.rs
+++ b/tests/logic/claims.rs
@@ -1,4 +1,4 @@
-//! Claims: a request marked not repeatable runs at most once.
+//! Claims: a request that is not repeatable runs at most once.
 
 use kumquatpost::claims::{ClaimKey, ClaimResult, ClaimToken, Claims, Outcome};
 
@@ -16,7 +16,7 @@
     Outcome { status: 200, content_type: "text/plain".into(), body: Some(b"done".to_vec()) }
 }
 
-/// What happens to a claim, in order.
+/// An operation on a claim by a node; `Claim` also has the digest and the time in milliseconds.
 #[derive(Clone, Copy)]
 enum Step {
     Claim(u64, [u8; 16], u64),
@@ -51,7 +51,7 @@
             Granted,
         ),
         (
-            "a release by somebody else",
+            "a release by another node",
             vec![Step::Claim(1, DIGEST_A, 0), Step::Release(3), Step::Claim(2, DIGEST_A, 1)],
             held(1),
         ),
@@ -130,5 +130,5 @@
     for number in 0..100 {
         claims.claim(key("anna", &number.to_string()), DIGEST_A, token(1, number), number * 100);
     }
-    assert_eq!(claims.len(), 11, "those of the last second");
+    assert_eq!(claims.len(), 11, "only those within the retention time");
 }
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,4 +1,4 @@
-//! Relaying an answer: only its own chunks, in order, to the end mark, never two mixed.
+//! Relaying an answer: only chunks of the current attempt, in order, up to the end mark.
 
 use kumquatpost::edge::chat::{Chunk, Shape, Usage};
 use kumquatpost::entry::relay::{Fault, Relay};
@@ -19,7 +19,7 @@
 
 const DONE: &str = "[DONE]";
 
-/// Feeds events; returns the text that went to the caller, and the first fault.
+/// Feeds events until the first fault; returns the text sent to the caller, and the fault.
 fn feed(relay: &mut Relay, events: &[String]) -> (String, Option<Fault>) {
     let mut sent = String::new();
     for event in events {
