--- a/tests/logic/auth.rs
+++ b/tests/logic/auth.rs
@@ -1,4 +1,4 @@
-//! Authentication between nodes: nothing forged, moved or replayed is taken.
+//! Authentication between nodes: forged, reordered and replayed messages are rejected.
 
 use kumquatpost::peer::PeerKey;
 use kumquatpost::peer::auth::{CODE_BYTES, DatagramOpener, DatagramSealer, NotAuthentic};
@@ -25,7 +25,11 @@
         assert_eq!(receiver.open(&[0; 5], &codes[0]), Ok(()));
         let (body, code) = case(&codes);
         assert_eq!(receiver.open(&body, &code), Err(NotAuthentic), "{what}");
-        assert_eq!(receiver.open(&[1; 5], &codes[1]), Ok(()), "{what}: the right one still comes");
+        assert_eq!(
+            receiver.open(&[1; 5], &codes[1]),
+            Ok(()),
+            "{what}: the expected frame must still be accepted"
+        );
     }
     let (mut other_key, mut other_direction) = (session("x").0, session("k").1);
     assert_eq!(other_key.open(&[0; 5], &codes[0]), Err(NotAuthentic));
@@ -41,7 +45,7 @@
     let mut sealer = DatagramSealer::new(key("k"), 1, 100);
     let datagrams: Vec<Vec<u8>> = (0..100).map(|n: u8| sealer.seal(2, &[n])).collect();
     let mut opener = DatagramOpener::new(key("k"), 2);
-    // Overtaking within the window is fine; each is taken once.
+    // Datagrams may be reordered within the window; each is accepted once.
     for number in [0, 3, 1, 2, 99, 98] {
         assert_eq!(opener.open(&datagrams[number]), Ok((1, &[number as u8][..])));
     }
@@ -55,7 +59,7 @@
     assert_eq!(opener.open(&datagrams[97][..20]), Err(NotAuthentic));
     assert!(DatagramOpener::new(key("k"), 3).open(&datagrams[0]).is_err(), "for another node");
     assert!(DatagramOpener::new(key("x"), 2).open(&datagrams[0]).is_err(), "another key");
-    // After the sender's next start, nothing of the earlier one counts.
+    // After a restart of the sender, datagrams from before it are rejected.
     let mut restarted = DatagramSealer::new(key("k"), 1, 101);
     assert!(opener.open(&restarted.seal(2, b"new")).is_ok());
     assert_eq!(opener.open(&datagrams[97]), Err(NotAuthentic));
--- a/tests/logic/links.rs
+++ b/tests/logic/links.rs
@@ -1,10 +1,5 @@
-//! Questions to nodes that have ended.
-//!
-//! Seen: beside load, a node was not ready for a moment after the relay of its failure domain had been killed,
-//! and callers were told that it can't know its configuration. How it came about: its renewals went to the dead
-//! relay first, then to a dead node among those that may lead, and each waited for its whole timeout although the
-//! address refused connections at once. What caused it: a question that can't be sent was dropped without a word
-//! to whoever asked. Proof: the tests here, in which a question to a dead node took its whole timeout.
+//! Guards against questions to terminated nodes that wait for their whole timeout: a node would miss the
+//! renewal of its lease after its relay has terminated.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +13,10 @@
 use kumquatpost::peer::{AskError, Links, PeerHandler, PeerKey};
 use tokio::net::TcpListener;
 
-/// Longer than any test takes: no outcome depends on how busy the machine is.
+/// Far longer than a failure takes, also on a busy machine.
 const ASK_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Answers nothing, ever.
+/// Never answers a question.
 struct SilentHandler;
 
 impl PeerHandler for SilentHandler {
@@ -46,8 +41,8 @@
 
 #[tokio::test]
 async fn a_question_to_a_node_that_refuses_connections_fails_at_once() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a port");
+    let address = listener.local_addr().expect("no local address");
     drop(listener);
     let started_at = Instant::now();
     let answer = links(address).ask(2, Ask::Status, ASK_TIMEOUT).await;
@@ -57,24 +52,24 @@
 
 #[tokio::test]
 async fn a_pending_question_fails_when_its_node_terminates() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a port");
+    let address = listener.local_addr().expect("no local address");
     let server_links = Links::new(2, key(), [].into());
     server_links.set_handler(Arc::new(SilentHandler));
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime");
-    let std_listener = listener.into_std().expect("a socket");
+    let runtime = runtime.expect("cannot create a runtime");
+    let std_listener = listener.into_std().expect("cannot convert the socket");
     let guard = runtime.enter();
-    let listener = TcpListener::from_std(std_listener).expect("a socket");
+    let listener = TcpListener::from_std(std_listener).expect("cannot convert the socket");
     drop(guard);
     runtime.spawn(server_links.accept(listener));
     let client_links = links(address);
     let started_at = Instant::now();
     let pending_ask =
         tokio::spawn(async move { client_links.ask(2, Ask::Status, ASK_TIMEOUT).await });
-    // It has been sent by then, or fails for the other reason.
+    // Gives the question time to be sent.
     tokio::time::sleep(Duration::from_millis(300)).await;
     runtime.shutdown_background();
-    assert_eq!(pending_ask.await.expect("no panic"), Err(AskError::Unreachable));
+    assert_eq!(pending_ask.await.expect("the task panicked"), Err(AskError::Unreachable));
     assert!(started_at.elapsed() < ASK_TIMEOUT / 4, "{:?}", started_at.elapsed());
 }
--- a/tests/logic/main.rs
+++ b/tests/logic/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the decisions on a virtual clock: tables of faults and seeded random schedules.
+//! Tests of the logic without a network, mostly on a virtual clock: tables of cases and seeded random
+//! fault schedules.
 
 mod admission;
 mod auth;
--- a/tests/logic/swim.rs
+++ b/tests/logic/swim.rs
@@ -1,4 +1,4 @@
-//! Membership on a virtual network.
+//! The membership protocol on a virtual clock and network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,7 +15,7 @@
     now: Duration,
     nodes: BTreeMap<NodeId, Swim>,
     dead: BTreeSet<NodeId>,
-    /// Pairs that can't hear each other.
+    /// Pairs of nodes between which no packets are delivered, in either direction.
     blocked_pairs: BTreeSet<(NodeId, NodeId)>,
     packets: Vec<(NodeId, NodeId, Packet)>,
 }
@@ -95,7 +95,10 @@
     let mut network = Network::new(8);
     network.blocked_pairs.insert((1, 2));
     network.run_for(Duration::from_secs(60));
-    assert!(network.nodes.values().all(|node| node.live().len() == 8), "others probe it instead");
+    assert!(
+        network.nodes.values().all(|node| node.live().len() == 8),
+        "other nodes must probe it indirectly"
+    );
 }
 
 #[test]
@@ -104,7 +107,7 @@
     network.isolate(3);
     network.run_for(Duration::from_secs(60));
     assert_eq!(network.status_at(1, 3), Some(Status::Dead));
-    assert_eq!(network.nodes[&3].live().len(), 1, "it sees nobody");
+    assert_eq!(network.nodes[&3].live().len(), 1, "only itself is live");
     network.blocked_pairs.clear();
     network.run_for(Duration::from_secs(40));
     assert!(network.nodes.values().all(|node| node.live().len() == 6));
@@ -129,15 +132,15 @@
     network.run_for(Duration::from_secs(5));
     let leaving = LeavingTarget { target: "engine-1".into(), incarnation: 1 };
     let mut informed_nodes = BTreeSet::from([4]);
-    network.nodes.get_mut(&4).expect("a node").announce_leaving(leaving.clone());
+    network.nodes.get_mut(&4).expect("unknown node").announce_leaving(leaving.clone());
     for _ in 0..60 {
         network.run_for(STEP);
         for (id, node) in &mut network.nodes {
-            // As the node around it does: what is news goes on.
+            // A node announces what it learned for the first time.
             if node.take_leaving_targets().contains(&leaving) && informed_nodes.insert(*id) {
                 node.announce_leaving(leaving.clone());
             }
         }
     }
-    assert_eq!(informed_nodes.len(), 8, "after three seconds");
+    assert_eq!(informed_nodes.len(), 8, "nodes informed after three seconds");
 }
