--- a/tests/logic/log_cluster.rs
+++ b/tests/logic/log_cluster.rs
@@ -205,8 +205,8 @@
     }
 
     /// Suspends the process of a replica; its clock continues.
-    pub fn freeze(&mut self, id: NodeId, time: Duration) {
-        let until = self.now + time;
+    pub fn freeze(&mut self, id: NodeId, duration: Duration) {
+        let until = self.now + duration;
         self.replicas.get_mut(&id).expect("unknown replica").frozen_until = until;
     }
 
@@ -248,16 +248,16 @@
 
     /// Requests a linearizable read on a replica.
     pub fn read(&mut self, id: NodeId) {
-        let seen = self.acknowledged.len();
+        let acknowledged_before = self.acknowledged.len();
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else { return };
         if let Ok(read) = raft.read() {
-            self.pending_reads.push((id, read, seen));
+            self.pending_reads.push((id, read, acknowledged_before));
         }
         self.process_effects(id);
     }
 
     /// Proposes a membership change. Returns whether the replica accepted it.
-    pub fn change(&mut self, id: NodeId, change: Change) -> bool {
+    pub fn propose_change(&mut self, id: NodeId, change: Change) -> bool {
         let Some(raft) = self.replicas.get_mut(&id).and_then(|r| r.raft.as_mut()) else {
             return false;
         };
@@ -272,13 +272,13 @@
         let Some(raft) = replica.raft.as_mut() else { return };
         let index = raft.applied();
         // The replicated state is the list of all applied entries.
-        let all: Vec<Entry> = self.committed.range(..=index).map(|(_, e)| e.clone()).collect();
-        raft.compact(index, postcard::to_stdvec(&all).expect("cannot serialize the entries"));
+        let entries: Vec<Entry> = self.committed.range(..=index).map(|(_, e)| e.clone()).collect();
+        raft.compact(index, postcard::to_stdvec(&entries).expect("cannot serialize the entries"));
         self.process_effects(id);
     }
 
-    pub fn run_for(&mut self, time: Duration) {
-        let end = self.now + time;
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.step();
         }
@@ -410,7 +410,7 @@
 
     /// Completes the pending save if it is due.
     fn complete_due_save(&mut self, id: NodeId) {
-        let (now, clock) = (self.now, self.local_time(id));
+        let (now, local_now) = (self.now, self.local_time(id));
         let replica = self.replicas.get_mut(&id).expect("unknown replica");
         let Some(Save { persist, messages_after_persist, .. }) =
             replica.pending_save.take_if(|save| save.completes_at <= now)
@@ -419,7 +419,7 @@
         };
         replica.disk.write(&persist, usize::MAX);
         if let Some(raft) = &mut replica.raft {
-            raft.saved(clock);
+            raft.saved(local_now);
             replica.disk.recovered.has_lost_data &= raft.status().recovering;
         }
         self.send(id, messages_after_persist);
@@ -436,8 +436,8 @@
             let next = replica.applied.last().map_or(1, |last| last.index + 1);
             assert_eq!(entry.index, next, "replica {id} must apply entries without gaps");
             replica.applied.push(entry.clone());
-            let known = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
-            assert_eq!(*known, entry, "a committed entry must not be lost or replaced");
+            let committed = self.committed.entry(entry.index).or_insert_with(|| entry.clone());
+            assert_eq!(*committed, entry, "a committed entry must not be lost or replaced");
             if let Some((term, command)) = self.pending_proposals.remove(&(id, entry.index))
                 && term == entry.term
             {
@@ -453,8 +453,9 @@
             else {
                 continue;
             };
-            let (_, _, seen) = self.pending_reads.remove(position);
-            let newest = self.acknowledged[..seen].iter().map(|(index, _)| *index).max();
+            let (_, _, acknowledged_before) = self.pending_reads.remove(position);
+            let newest =
+                self.acknowledged[..acknowledged_before].iter().map(|(index, _)| *index).max();
             assert!(
                 index >= newest.unwrap_or(0),
                 "a read must include everything acknowledged before it"
@@ -477,14 +478,17 @@
             if raft.holds_leader_lease(now) {
                 lease_holders.push(id);
             }
-            if let Some(at) = raft.caught_up_at(now) {
-                let at = at.div_f64(self.replicas[&id].clock_rate).saturating_sub(CLOCK_ROUNDING);
-                let before = self.acknowledged_at.partition_point(|answered| *answered < at);
+            if let Some(caught_up_at) = raft.caught_up_at(now) {
+                let caught_up_at = caught_up_at
+                    .div_f64(self.replicas[&id].clock_rate)
+                    .saturating_sub(CLOCK_ROUNDING);
+                let before =
+                    self.acknowledged_at.partition_point(|answered| *answered < caught_up_at);
                 let newest = self.acknowledged[..before].iter().map(|(index, _)| *index).max();
                 let commit = status.commit;
                 assert!(
                     newest <= Some(commit),
-                    "{id} counts as caught up at {at:?}: commit {commit}, acknowledged {newest:?}"
+                    "{id} counts as caught up at {caught_up_at:?}: commit {commit}, acknowledged {newest:?}"
                 );
             }
             if status.is_leader {
--- a/tests/logic/log_scenarios.rs
+++ b/tests/logic/log_scenarios.rs
@@ -51,7 +51,7 @@
 fn a_leader_that_restarts_before_its_removal_is_replicated_is_still_elected() {
     let (mut cluster, old) = cluster_with_leader(2, 6);
     cluster.isolate([old]);
-    assert!(cluster.change(old, Change::Remove(old)));
+    assert!(cluster.propose_change(old, Change::Remove(old)));
     cluster.crash(old);
     // Messages still in flight are dropped by the partition.
     cluster.run_for(Duration::from_millis(10));
@@ -93,15 +93,17 @@
     cluster.crash(lost);
     // An empty host with a new id joins as a learner and replaces the lost one.
     cluster.add(9);
-    cluster
-        .run_until("a learner is added", |cluster| cluster.change(leader, Change::AddLearner(9)));
-    cluster
-        .run_until("the learner is promoted", |cluster| cluster.change(leader, Change::Promote(9)));
+    cluster.run_until("a learner is added", |cluster| {
+        cluster.propose_change(leader, Change::AddLearner(9))
+    });
+    cluster.run_until("the learner is promoted", |cluster| {
+        cluster.propose_change(leader, Change::Promote(9))
+    });
     cluster.run_until("the promotion is applied", |cluster| {
         cluster.raft(leader).is_some_and(|raft| raft.applied() == raft.last_index())
     });
     cluster.run_until("the lost replica is removed", |cluster| {
-        cluster.change(leader, Change::Remove(lost))
+        cluster.propose_change(leader, Change::Remove(lost))
     });
     cluster.run_until("the removal is applied", |cluster| {
         cluster.raft(leader).is_some_and(|raft| raft.applied() == raft.last_index())
@@ -124,8 +126,9 @@
     cluster.run_for(Duration::from_millis(100));
     cluster.add(9);
     cluster.isolate([9]);
-    cluster
-        .run_until("a learner is added", |cluster| cluster.change(leader, Change::AddLearner(9)));
+    cluster.run_until("a learner is added", |cluster| {
+        cluster.propose_change(leader, Change::AddLearner(9))
+    });
     cluster.run_for(Duration::from_secs(1));
     let raft = cluster
         .replicas
--- a/tests/logic/log_schedules.rs
+++ b/tests/logic/log_schedules.rs
@@ -60,7 +60,7 @@
                 _ => Change::Remove(node),
             };
             ids.iter().for_each(|id| {
-                cluster.change(*id, change);
+                cluster.propose_change(*id, change);
             });
         }
         _ => ids.iter().for_each(|id| cluster.propose(*id)),
--- a/tests/logic/replica_replacement.rs
+++ b/tests/logic/replica_replacement.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    fn run_for(&mut self, time: Duration) {
-        let end = self.cluster.now + time;
+    fn run_for(&mut self, duration: Duration) {
+        let end = self.cluster.now + duration;
         while self.cluster.now < end {
             self.cluster.run_for(CONTACT_INTERVAL.min(end - self.cluster.now));
             self.exchange_contacts();
@@ -100,7 +100,7 @@
             Some(MembershipStep::Promote(node)) => Change::Promote(node),
             Some(MembershipStep::Remove(node)) => Change::Remove(node),
         };
-        self.cluster.change(leader, change);
+        self.cluster.propose_change(leader, change);
     }
 
     /// Number of voters missing from the newest known membership or whose disks are lost.
@@ -159,7 +159,7 @@
             let Some(leader) = self.cluster.leader() else { continue };
             let members =
                 self.cluster.raft(leader).expect("the replica is not running").status().members;
-            let is_on_a_host = |id: &NodeId| self.hosts.values().any(|host| host == id);
+            let is_on_a_host = |id: &NodeId| self.hosts.values().any(|replica| replica == id);
             if members.voters.len() == DESIRED_VOTERS && members.all().all(|id| is_on_a_host(&id)) {
                 return self.cluster.recover();
             }
--- a/tests/logic/replica_restart.rs
+++ b/tests/logic/replica_restart.rs
@@ -68,15 +68,15 @@
 #[test]
 fn a_replica_that_has_led_since_its_start_does_not_deny_its_lease() {
     let mut raft = Raft::new(1, Members::from_voters([1]), TIMING, Recovered::default(), 1, START);
-    let withholds_denial = |raft: &mut Raft, now| {
+    let may_hold_lease = |raft: &mut Raft, now| {
         raft.receive(2, Message::LeaseQuery { nonce: 7 }, now);
         !sent_messages(raft, now).contains(&(2, Message::NoLease { nonce: 7 }))
     };
-    assert!(!withholds_denial(&mut raft, START));
+    assert!(!may_hold_lease(&mut raft, START));
     let later = START + TIMING.election_timeout * 3;
     raft.tick(later);
     assert!(raft.status().is_leader);
-    assert!(withholds_denial(&mut raft, later));
+    assert!(may_hold_lease(&mut raft, later));
 }
 
 /// Guards against waiting for the election timeout after a power failure of all hosts.
@@ -107,11 +107,11 @@
         let mut cluster = Cluster::new(5, seed);
         cluster.run_until("there is a leader", |cluster| cluster.leader().is_some());
         cluster.run_for(TIMING.election_timeout);
-        let crashed = cluster.leader().expect("no leader");
+        let old_leader = cluster.leader().expect("no leader");
         cluster.ids().into_iter().for_each(|id| cluster.crash(id));
-        cluster.ids().into_iter().filter(|id| *id != crashed).for_each(|id| cluster.start(id));
+        cluster.ids().into_iter().filter(|id| *id != old_leader).for_each(|id| cluster.start(id));
         cluster.run_for(TIMING.election_timeout * 4);
-        assert!(cluster.leader().is_some_and(|leader| leader != crashed), "seed {seed}");
+        assert!(cluster.leader().is_some_and(|leader| leader != old_leader), "seed {seed}");
     }
 }
 
--- a/tests/logic/slow_disks.rs
+++ b/tests/logic/slow_disks.rs
@@ -33,9 +33,9 @@
 fn a_lost_leader_is_replaced_while_all_disks_are_slow() {
     for (seed, save_ms) in (0..20).flat_map(|seed| SAVE_DURATIONS_MS.map(|save_ms| (seed, save_ms)))
     {
-        let (mut cluster, crashed) = cluster_with_leader(seed);
+        let (mut cluster, leader) = cluster_with_leader(seed);
         cluster.faults.save_duration = Duration::from_millis(save_ms);
-        cluster.crash(crashed);
+        cluster.crash(leader);
         let end = cluster.now + MAX_TIME_WITHOUT_LEADER;
         while lease_holder(&cluster).is_none() {
             assert!(cluster.now < end, "seed {seed}: no leader elected, saves take {save_ms} ms");
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -173,12 +173,12 @@
     let pre_vote = || Message::PreVote { term: 7, last_index: 9, last_term: 6 };
     let is_granted = |raft: &mut Raft, now: Duration| {
         raft.receive(3, pre_vote(), now);
-        let before_timeout = raft.take_effects(now).immediate_messages;
+        let messages = raft.take_effects(now).immediate_messages;
         let reply = |(_, message): &(u64, Message)| match message {
             Message::PreVoteReply { granted, .. } => Some(*granted),
             _ => None,
         };
-        before_timeout.iter().find_map(reply).expect("no immediate reply")
+        messages.iter().find_map(reply).expect("no immediate reply")
     };
     let saved_at = LATER + Duration::from_secs(2);
     assert!(!is_granted(&mut raft, saved_at), "the vote is still being saved");
