--- a/tests/logic/quarantine.rs
+++ b/tests/logic/quarantine.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_is_held_once_three_targets_have_ended_under_it() {
+fn a_request_is_held_after_three_targets_have_ended_during_its_runs() {
     let (mut quarantine, now, fingerprint) =
         (Quarantine::default(), 100 * MINUTE, request("alpha", 1));
     for (number, held) in [(1, false), (2, false), (3, true)] {
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn two_requests_under_which_targets_end_are_both_held() {
+fn two_requests_that_both_end_targets_are_both_held() {
     let now = 100 * MINUTE;
     let mut quarantine = Quarantine::default();
     for number in 0..6 {
@@ -391,7 +391,12 @@
             now += ms(137);
             match event {
                 Event::End { request: number, target: target_number } => {
-                    record_end(&mut processes[process_index], request("alpha", number), target_number, now);
+                    record_end(
+                        &mut processes[process_index],
+                        request("alpha", number),
+                        target_number,
+                        now,
+                    );
                 }
                 Event::Completion { request: number } => {
                     processes[process_index].record_completion(request("alpha", number), now);
@@ -428,7 +433,7 @@
     /// When each engine ends next, and how often it has ended.
     engines: Vec<(BootTime, u64)>,
     mean_uptime: Duration,
-    held: u64,
+    held_requests: u64,
     runs: u64,
 }
 
@@ -442,13 +447,13 @@
             quarantine: Quarantine::default(),
             engines,
             mean_uptime,
-            held: 0,
+            held_requests: 0,
             runs: 0,
         }
     }
 
     /// Runs a request on a random engine. Returns when it ended, and whether it completed.
-    fn run(
+    fn run_once(
         &mut self,
         request_fingerprint: Fingerprint,
         now: BootTime,
@@ -473,14 +478,19 @@
     }
 
     /// Sends a request up to four times, as the caller and the entries together do.
-    fn ask(&mut self, fingerprint: Fingerprint, mut now: BootTime, duration: Duration) {
+    fn send_with_retries(
+        &mut self,
+        fingerprint: Fingerprint,
+        mut now: BootTime,
+        duration: Duration,
+    ) {
         for _ in 0..4 {
             if self.quarantine.held_for(fingerprint, now).is_some() {
-                self.held += 1;
+                self.held_requests += 1;
                 return;
             }
             self.runs += 1;
-            let (ended, completed) = self.run(fingerprint, now, duration);
+            let (ended, completed) = self.run_once(fingerprint, now, duration);
             if completed {
                 return;
             }
@@ -494,17 +504,25 @@
     // Each of twelve engines ends every four seconds on average; a prompt runs for 1.5 s.
     let mut fleet = UnreliableFleet::new(7, 12, ms(4_000));
     for number in 0..20_000 {
-        fleet.ask(request("alpha", number), 100 * MINUTE + ms(10 * number), ms(1_500));
+        fleet.send_with_retries(
+            request("alpha", number),
+            100 * MINUTE + ms(10 * number),
+            ms(1_500),
+        );
     }
     // Only prompts whose first three runs broke off are held: fewer than one in a hundred.
-    println!("held {} of 20,000 prompts, {} runs", fleet.held, fleet.runs);
-    assert!(fleet.held < 200, "{} of 20,000 prompts", fleet.held);
+    println!("held {} of 20,000 prompts, {} runs", fleet.held_requests, fleet.runs);
+    assert!(fleet.held_requests < 200, "{} of 20,000 prompts", fleet.held_requests);
     // Each engine ends every ten minutes on average.
     let mut fleet = UnreliableFleet::new(8, 12, 10 * MINUTE);
     for number in 0..200_000 {
-        fleet.ask(request("alpha", number), 100 * MINUTE + ms(10 * number), ms(1_500));
+        fleet.send_with_retries(
+            request("alpha", number),
+            100 * MINUTE + ms(10 * number),
+            ms(1_500),
+        );
     }
-    assert_eq!(fleet.held, 0, "of 200,000 prompts");
+    assert_eq!(fleet.held_requests, 0, "of 200,000 prompts");
 }
 
 #[test]
@@ -513,7 +531,7 @@
     let mut fleet = UnreliableFleet::new(9, 3, ms(2_000));
     let fingerprint = request("alpha", 1);
     for number in 0..50_000 {
-        fleet.ask(fingerprint, 100 * MINUTE + ms(50 * number), ms(15));
+        fleet.send_with_retries(fingerprint, 100 * MINUTE + ms(50 * number), ms(15));
     }
-    assert_eq!(fleet.held, 0, "of 50,000 requests");
+    assert_eq!(fleet.held_requests, 0, "of 50,000 requests");
 }
