--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -227,9 +227,9 @@
         let before = owners(root, &locations);
         assert_eq!(before.len(), 2);
         assert_ne!(before[0] % 3, before[1] % 3);
-        let without: Vec<NodeLocation> =
-            locations.iter().filter(|p| p.node != 4).cloned().collect();
-        let after = owners(root, &without);
+        let remaining_locations: Vec<NodeLocation> =
+            locations.iter().filter(|location| location.node != 4).cloned().collect();
+        let after = owners(root, &remaining_locations);
         if before[0] == 4 {
             moved += 1;
         } else {
@@ -289,7 +289,7 @@
         let mut catalog = Catalog::new(6, 1);
         let mut now = START;
         let mut pending_exports: Vec<ExportPlan> = Vec::new();
-        let mut complete: BTreeSet<(BlockKey, u64)> = BTreeSet::new();
+        let mut complete_copies: BTreeSet<(BlockKey, u64)> = BTreeSet::new();
         let mut readers: Vec<(BlockKey, u64, Duration)> = Vec::new();
         for _ in 0..300 {
             now += Duration::from_millis(random.random_range(1..8_000));
@@ -301,19 +301,23 @@
                     pending_exports.extend(catalog.record_answer(&prompt, &store_fills(0.2), now));
                 }
                 2 if !pending_exports.is_empty() => {
-                    let plan = pending_exports.remove(random.random_range(0..pending_exports.len()));
+                    let plan =
+                        pending_exports.remove(random.random_range(0..pending_exports.len()));
                     let mut outcome = completed_export(&plan);
                     if random.random_bool(0.3) {
                         outcome.kept = None;
                     } else {
-                        complete.insert((plan.position.key, plan.generation));
+                        complete_copies.insert((plan.position.key, plan.generation));
                     }
                     catalog.record_export(&outcome, now);
                 }
                 3 => {
                     for kept in catalog.lookup((root << 64) | 1, now) {
                         let copy_id = (kept.object.key, kept.object.generation);
-                        prop_assert!(complete.contains(&copy_id), "returned an incomplete copy");
+                        prop_assert!(
+                            complete_copies.contains(&copy_id),
+                            "returned an incomplete copy"
+                        );
                         readers.push((copy_id.0, copy_id.1, now + PIN_DURATION));
                     }
                 }
@@ -325,7 +329,7 @@
                         });
                         prop_assert!(!is_pinned, "freed a pinned copy");
                         if random.random_bool(0.7) {
-                            complete.remove(&(order.key, order.generation));
+                            complete_copies.remove(&(order.key, order.generation));
                             catalog.record_freed(&order);
                         }
                     }
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -147,10 +147,10 @@
 #[test]
 fn an_import_is_chosen_only_if_it_is_cheapest_and_of_the_same_prefix() {
     let chain = chain();
-    let all = stored_prefix(&chain, BLOCKS);
+    let whole_prefix = stored_prefix(&chain, BLOCKS);
     let idle = || view(vec![("a", engine(0))]);
     assert!(
-        decide_by_cost(&idle(), std::slice::from_ref(&all))
+        decide_by_cost(&idle(), std::slice::from_ref(&whole_prefix))
             .expect("no engine was chosen")
             .import
             .is_some(),
@@ -159,14 +159,16 @@
     let mut slow = idle();
     slow.stores.insert("s".into(), store(10_000));
     assert_eq!(
-        decide_by_cost(&slow, std::slice::from_ref(&all)).expect("no engine was chosen").import,
+        decide_by_cost(&slow, std::slice::from_ref(&whole_prefix))
+            .expect("no engine was chosen")
+            .import,
         None,
         "long backlog"
     );
     let mut without_report = idle();
     without_report.stores.get_mut("s").expect("unknown store").report = None;
     assert_eq!(
-        decide_by_cost(&without_report, std::slice::from_ref(&all))
+        decide_by_cost(&without_report, std::slice::from_ref(&whole_prefix))
             .expect("no engine was chosen")
             .import,
         None,
@@ -176,26 +178,26 @@
     resident.residency.expect_resident(&chain.keys);
     let already_resident = view(vec![("a", resident)]);
     assert_eq!(
-        decide_by_cost(&already_resident, std::slice::from_ref(&all))
+        decide_by_cost(&already_resident, std::slice::from_ref(&whole_prefix))
             .expect("no engine was chosen")
             .import,
         None,
         "resident"
     );
-    let foreign = ("s".to_string(), KeptObject { key: 1, ..all.1.clone() });
+    let foreign = ("s".to_string(), KeptObject { key: 1, ..whole_prefix.1.clone() });
     assert_eq!(
         decide_by_cost(&idle(), &[foreign]).expect("no engine was chosen").import,
         None,
         "another prompt's key"
     );
-    let misplaced = ("s".to_string(), KeptObject { blocks: 3, ..all.1.clone() });
+    let misplaced = ("s".to_string(), KeptObject { blocks: 3, ..whole_prefix.1.clone() });
     assert_eq!(
         decide_by_cost(&idle(), &[misplaced]).expect("no engine was chosen").import,
         None,
         "another position in the chain"
     );
     let high_link_price = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
-    let (version, stored_prefixes) = ("v1".to_string(), [all]);
+    let (version, stored_prefixes) = ("v1".to_string(), [whole_prefix]);
     let decision = decide(
         Policy::Cost,
         &high_link_price,
@@ -225,13 +227,13 @@
     let at = |ms| NOW + Duration::from_millis(ms);
     // The link transfers 1 MB per millisecond and has a backlog of 50 ms.
     let mut store = store(50);
-    let time = |store: &StoreView, ms| store.transfer_time(20_000_000, at(ms));
-    assert_eq!(time(&store, 0), Some(Duration::from_millis(70)));
+    let transfer_time = |store: &StoreView, ms| store.transfer_time(20_000_000, at(ms));
+    assert_eq!(transfer_time(&store, 0), Some(Duration::from_millis(70)));
     store.record_transfer(100_000_000, at(30));
-    assert_eq!(time(&store, 30), Some(Duration::from_millis(140)));
-    assert_eq!(time(&store, 140), Some(Duration::from_millis(30)));
-    assert_eq!(time(&store, 400), Some(Duration::from_millis(20)), "the backlog is empty");
-    assert_eq!(time(&store, 3_000), None, "the report is outdated");
+    assert_eq!(transfer_time(&store, 30), Some(Duration::from_millis(140)));
+    assert_eq!(transfer_time(&store, 140), Some(Duration::from_millis(30)));
+    assert_eq!(transfer_time(&store, 400), Some(Duration::from_millis(20)), "the backlog is empty");
+    assert_eq!(transfer_time(&store, 3_000), None, "the report is outdated");
 }
 
 #[test]
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -7,7 +7,7 @@
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
 }
 
-fn last_event(id: &str, text: &str) -> String {
+fn final_event(id: &str, text: &str) -> String {
     let finish = Some("stop".into());
     Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(Shape::Chat, "m", 0)
 }
@@ -38,7 +38,7 @@
     let cases: Vec<Case> = vec![
         (
             "whole",
-            vec![text_event("r.1", "a "), last_event("r.1", "b"), usage_event("r.1"), DONE.into()],
+            vec![text_event("r.1", "a "), final_event("r.1", "b"), usage_event("r.1"), DONE.into()],
             "a b",
             None,
             true,
@@ -46,7 +46,7 @@
         ("broken off", vec![text_event("r.1", "a ")], "a ", None, false),
         (
             "no end mark",
-            vec![text_event("r.1", "a "), last_event("r.1", "b"), usage_event("r.1")],
+            vec![text_event("r.1", "a "), final_event("r.1", "b"), usage_event("r.1")],
             "a b",
             None,
             false,
@@ -68,14 +68,14 @@
         ("an earlier attempt's", vec![text_event("r.0", "a ")], "", wrong_id("r.0"), false),
         (
             "more after its end",
-            vec![last_event("r.1", "a"), text_event("r.1", "b")],
+            vec![final_event("r.1", "a"), text_event("r.1", "b")],
             "a",
             Some(Fault::OutOfOrder),
             false,
         ),
         (
             "more after the end mark",
-            vec![last_event("r.1", "a"), DONE.into(), text_event("r.1", "b")],
+            vec![final_event("r.1", "a"), DONE.into(), text_event("r.1", "b")],
             "a",
             Some(Fault::OutOfOrder),
             true,
@@ -122,7 +122,7 @@
     relay.restart("r.1".into());
     feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
     relay.restart("r.2".into());
-    let (sent, fault) = feed(&mut relay, &[last_event("r.2", "one "), DONE.into()]);
+    let (sent, fault) = feed(&mut relay, &[final_event("r.2", "one "), DONE.into()]);
     assert_eq!((sent.as_str(), fault), ("", Some(Fault::OutOfOrder)));
     assert!(!relay.is_whole());
 }
@@ -132,7 +132,7 @@
     let mut relay = Relay::default();
     relay.restart("r.1".into());
     feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
-    let rest = [last_event("r.1", "three"), usage_event("r.1"), DONE.into()];
+    let rest = [final_event("r.1", "three"), usage_event("r.1"), DONE.into()];
     assert_eq!(feed(&mut relay, &rest), ("three".into(), None));
     assert!(relay.is_whole());
     assert_eq!(relay.text(), "one two three");
--- a/tests/logic/swim.rs
+++ b/tests/logic/swim.rs
@@ -48,8 +48,8 @@
         network
     }
 
-    fn run_for(&mut self, time: Duration) {
-        let end = self.now + time;
+    fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             for (from, to, packet) in std::mem::take(&mut self.packets) {
@@ -58,8 +58,9 @@
                 if is_blocked || self.dead.contains(&to) {
                     continue;
                 }
-                let out = self.nodes.get_mut(&to).map(|node| node.receive(from, packet, self.now));
-                self.packets.extend(out.into_iter().flatten().map(|(next, p)| (to, next, p)));
+                let replies =
+                    self.nodes.get_mut(&to).map(|node| node.receive(from, packet, self.now));
+                self.packets.extend(replies.into_iter().flatten().map(|(next, p)| (to, next, p)));
             }
             for (id, node) in self.nodes.iter_mut().filter(|(id, _)| !self.dead.contains(id)) {
                 self.packets.extend(node.tick(self.now).into_iter().map(|(to, p)| (*id, to, p)));
