--- a/tests/logic/replica_replacement.rs
+++ b/tests/logic/replica_replacement.rs
@@ -24,8 +24,10 @@
     cluster: Cluster,
     /// The current replica on each host.
     hosts: BTreeMap<IpAddr, NodeId>,
+    /// The contacts and join requests that each replica has recorded.
     activities: BTreeMap<NodeId, PeerActivity>,
     addresses: BTreeMap<NodeId, IpAddr>,
+    /// Whether each replica was the leader at its last contact with others.
     was_leader: BTreeMap<NodeId, bool>,
     next_id: NodeId,
 }
