--- a/tests/logic/auth.rs
+++ b/tests/logic/auth.rs
@@ -20,15 +20,15 @@
         ("changed", |codes| ([9; 5], codes[1])),
         ("wrong code", |_| ([1; 5], [0; CODE_BYTES])),
     ];
-    for (what, case) in second_frame_cases {
+    for (case_name, case) in second_frame_cases {
         let (mut receiver, _) = session("k");
         assert_eq!(receiver.open(&[0; 5], &codes[0]), Ok(()));
         let (body, code) = case(&codes);
-        assert_eq!(receiver.open(&body, &code), Err(NotAuthentic), "{what}");
+        assert_eq!(receiver.open(&body, &code), Err(NotAuthentic), "{case_name}");
         assert_eq!(
             receiver.open(&[1; 5], &codes[1]),
             Ok(()),
-            "{what}: the expected frame must still be accepted"
+            "{case_name}: the expected frame must still be accepted"
         );
     }
     let (mut other_key, mut other_direction) = (session("x").0, session("k").1);
--- a/tests/logic/claims.rs
+++ b/tests/logic/claims.rs
@@ -28,17 +28,21 @@
 const DIGEST_B: [u8; 16] = [2; 16];
 
 #[test]
-fn at_most_one_claimer_may_run_a_request() {
+fn at_most_one_claimant_may_run_a_request() {
     use ClaimResult::{Granted, Held, IdReused, Ran, Withdrawn};
     let held = |node| Held(token(node, 0));
     let cases: Vec<(&str, Vec<Step>, ClaimResult)> = vec![
-        ("the first", vec![Step::Claim(1, DIGEST_A, 0)], Granted),
+        ("the first claim", vec![Step::Claim(1, DIGEST_A, 0)], Granted),
         (
-            "resent by the same claimer",
+            "resent by the same claimant",
             vec![Step::Claim(1, DIGEST_A, 0), Step::Claim(1, DIGEST_A, 1)],
             Granted,
         ),
-        ("a second one", vec![Step::Claim(1, DIGEST_A, 0), Step::Claim(2, DIGEST_A, 1)], held(1)),
+        (
+            "a second claimant",
+            vec![Step::Claim(1, DIGEST_A, 0), Step::Claim(2, DIGEST_A, 1)],
+            held(1),
+        ),
         ("other content", vec![Step::Claim(1, DIGEST_A, 0), Step::Claim(2, DIGEST_B, 1)], IdReused),
         (
             "after a release",
@@ -96,7 +100,7 @@
             held(1),
         ),
     ];
-    for (what, steps, expected) in cases {
+    for (case_name, steps, expected) in cases {
         let mut claims = Claims::new(RETENTION_MS);
         let key = key("anna", "order-1");
         let mut last = None;
@@ -113,7 +117,7 @@
                 }
             }
         }
-        assert_eq!(last, Some(expected), "{what}");
+        assert_eq!(last, Some(expected), "{case_name}");
     }
 }
 
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -101,7 +101,7 @@
     ];
     let policies = [Policy::RoundRobin, Policy::LeastLoad, Policy::PrefixSticky, Policy::Cost];
     for policy in policies {
-        for (what, change) in &cases {
+        for (case_name, change) in &cases {
             let mut ineligible = engine(0);
             change(&mut ineligible);
             let view = view(vec![("bad", ineligible), ("good", engine(90_000))]);
@@ -110,13 +110,13 @@
                 let request = RouteRequest { request_number, ..request(&chain, &version, &[]) };
                 let chosen = decide(policy, &Prices::default(), &view, &request, NOW)
                     .expect("no engine was chosen");
-                assert_eq!(chosen.engine, "good", "{policy:?}: {what}");
+                assert_eq!(chosen.engine, "good", "{policy:?}: {case_name}");
                 let excluded_engines = ["good".to_string()];
                 let request = RouteRequest { excluded_engines: &excluded_engines, ..request };
                 assert_eq!(
                     decide(policy, &Prices::default(), &view, &request, NOW),
                     None,
-                    "{what}"
+                    "{case_name}"
                 );
             }
         }
@@ -132,14 +132,14 @@
         ("resident behind a long queue", 60_000, 0, "idle"),
         ("both queued", 60_000, 60_000, "resident"),
     ];
-    for (what, queued_resident, queued_idle, expected) in cases {
+    for (case_name, queued_resident, queued_idle, expected) in cases {
         let mut resident = engine(queued_resident);
         resident.residency.expect_resident(&chain.keys);
         let view = view(vec![("idle", engine(queued_idle)), ("resident", resident)]);
         assert_eq!(
             decide_by_cost(&view, &[]).expect("no engine was chosen").engine,
             expected,
-            "{what}"
+            "{case_name}"
         );
     }
 }
--- a/tests/logic/leader_commit.rs
+++ b/tests/logic/leader_commit.rs
@@ -59,13 +59,13 @@
             0,
         ),
     ];
-    for (what, steps, commit) in cases {
+    for (case_name, steps, commit) in cases {
         let mut raft = leader();
         for step in steps {
             step(&mut raft);
         }
-        assert_eq!(raft.status().commit, commit, "{what}");
-        assert_eq!(raft.take_effects(LATER).committed.len() as u64, commit, "{what}");
+        assert_eq!(raft.status().commit, commit, "{case_name}");
+        assert_eq!(raft.take_effects(LATER).committed.len() as u64, commit, "{case_name}");
     }
 }
 
--- a/tests/logic/orders.rs
+++ b/tests/logic/orders.rs
@@ -85,9 +85,13 @@
         ("a model that is not configured", |e| e.model = "x".into(), 0),
         ("an unknown version", |e| e.version = Some("v0".into()), 1),
     ];
-    for (what, change, count) in cases {
+    for (case_name, change, count) in cases {
         let mut planner = Planner::new(LEASE_DURATION, START);
-        assert_eq!(planned_engines(&mut planner, &models, &pair(change)).len(), count, "{what}");
+        assert_eq!(
+            planned_engines(&mut planner, &models, &pair(change)).len(),
+            count,
+            "{case_name}"
+        );
     }
     let mut planner = Planner::new(LEASE_DURATION, START);
     let only_engine = [engine("a", "d", Some("v1"))];
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -81,11 +81,11 @@
             true,
         ),
     ];
-    for (what, events, sent, fault, whole) in cases {
+    for (case_name, events, sent, fault, whole) in cases {
         let mut relay = Relay::default();
         relay.restart("r.1".into());
-        assert_eq!(feed(&mut relay, &events), (sent.to_string(), fault), "{what}");
-        assert_eq!(relay.is_whole(), whole, "{what}");
+        assert_eq!(feed(&mut relay, &events), (sent.to_string(), fault), "{case_name}");
+        assert_eq!(relay.is_whole(), whole, "{case_name}");
     }
     let mut relay = Relay::default();
     relay.restart("r.1".into());
@@ -102,7 +102,7 @@
         ("another text", &["one ", "TWO ", "three"], "", false),
         ("another text at its end", &["one two"], "", true),
     ];
-    for (what, chunks, expected, repeats) in cases {
+    for (case_name, chunks, expected, repeats) in cases {
         let mut relay = Relay::default();
         relay.restart("r.1".into());
         feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
@@ -110,9 +110,9 @@
         relay.restart("r.2".into());
         let events: Vec<String> = chunks.iter().map(|chunk| text_event("r.2", chunk)).collect();
         let (sent, fault) = feed(&mut relay, &events);
-        assert_eq!(sent, expected, "{what}");
-        assert_eq!(fault.is_none(), repeats, "{what}");
-        assert!(fault.is_none() || fault == Some(Fault::Diverged), "{what}");
+        assert_eq!(sent, expected, "{case_name}");
+        assert_eq!(fault.is_none(), repeats, "{case_name}");
+        assert!(fault.is_none() || fault == Some(Fault::Diverged), "{case_name}");
     }
 }
 
--- a/tests/logic/shares.rs
+++ b/tests/logic/shares.rs
@@ -19,18 +19,18 @@
 #[test]
 fn shares_follow_demand() {
     let cases = [
-        ("one node with all demand", vec![(1, 100)], vec![50]),
+        ("a single node with high demand", vec![(1, 100)], vec![50]),
         ("little demand", vec![(1, 5)], vec![5]),
         ("no demand", vec![(1, 0)], vec![2]),
-        ("two alike, the first asked first", vec![(1, 20), (2, 20)], vec![20, 20]),
+        ("two nodes with equal demand", vec![(1, 20), (2, 20)], vec![20, 20]),
     ];
-    for (what, requests, expected) in cases {
+    for (case_name, requests, expected) in cases {
         let mut shares = ShareAllocator::new(LEASE_DURATION);
         let shares_granted: Vec<u32> = requests
             .iter()
             .map(|(node, d)| shares.grant(*node, &share_request(*d, 64), NOW).share)
             .collect();
-        assert_eq!(shares_granted, expected, "{what}");
+        assert_eq!(shares_granted, expected, "{case_name}");
     }
     // A node that was granted all that was available returns part of it when it renews.
     let mut shares = ShareAllocator::new(LEASE_DURATION);
--- a/tests/logic/targets.rs
+++ b/tests/logic/targets.rs
@@ -47,7 +47,7 @@
             1,
         ),
     ];
-    for (what, steps, instances) in cases {
+    for (case_name, steps, instances) in cases {
         let mut targets = Targets::default();
         for step in steps {
             match step {
@@ -59,7 +59,7 @@
                 }
             }
         }
-        assert_eq!(targets.instances("orders").len(), instances, "{what}");
+        assert_eq!(targets.instances("orders").len(), instances, "{case_name}");
     }
 }
 
--- a/tests/logic/votes.rs
+++ b/tests/logic/votes.rs
@@ -53,8 +53,8 @@
         ("an old candidate", request_vote(4, 5, 9), Some(false)),
         ("of the same term", request_vote(5, 5, 4), Some(true)),
     ];
-    for (what, message, expected) in cases {
-        assert_eq!(vote_reply(&mut replica(), message, LATER).0, expected, "{what}");
+    for (case_name, message, expected) in cases {
+        assert_eq!(vote_reply(&mut replica(), message, LATER).0, expected, "{case_name}");
     }
 }
 
