--- a/tests/logic/burn.rs
+++ b/tests/logic/burn.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: windows, budgets, verdicts.
+//! Burn rates of service-level objectives: windows, budgets and verdicts.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn counts_leave_each_window_when_it_has_passed() {
+fn counts_expire_from_each_window_when_it_has_passed() {
     let mut burn = BurnCounter::default();
     for number in 0..100 {
         burn.record(served("diagnosis", number >= 10), START);
@@ -31,11 +31,11 @@
         assert_eq!(windows.map(|count| count.bad), bad, "after {after_s} s");
     }
     let rate = burn.counts(START).kinds["diagnosis"][0].burn_rate();
-    assert!((rate - 2.0).abs() < 1e-9, "10 of 100 bad where 5 may be: {rate}");
+    assert!((rate - 2.0).abs() < 1e-9, "10 of 100 requests are bad, 5 are allowed: {rate}");
 }
 
 #[test]
-fn alarms_need_a_short_and_a_long_window() {
+fn a_verdict_needs_a_short_and_a_long_window() {
     let count = |rate: f64| SloCount { total: 1_000, bad: (rate * 50.0) as u64, allowed: 50.0 };
     let cases = [
         ([0.0, 0.0, 0.0, 0.0], "fine"),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_report_adds_nodes_and_names_those_it_could_not_ask() {
+fn a_report_sums_nodes_and_lists_those_it_could_not_ask() {
     let mut burn = BurnCounter::default();
     burn.record(served("diagnosis", false), START);
     burn.record(served("counter", true), START);
--- a/tests/logic/leading.rs
+++ b/tests/logic/leader_commit.rs
@@ -1,17 +1,17 @@
-//! What a leader commits, message by message.
+//! The commit index of a leader in response to single messages.
 
 use std::time::Duration;
 
 use kumquatpost::log::raft::Raft;
 use kumquatpost::log::{Message, RoundAck};
 
-use crate::log_world::replica_in_term_5;
+use crate::log_cluster::replica_in_term_5;
 
 const START: Duration = Duration::from_secs(100);
 const LATER: Duration = Duration::from_secs(200);
 
-/// Replica 1 of three, just elected in term 6, with entries 1 to 4 of term 5 that nobody is known
-/// to have, and entry 5 of its own that is not durable yet.
+/// Replica 1 of three, just elected in term 6. Entries 1 to 4 are of term 5 and not known to be on any
+/// other replica; entry 5 is of its own term and not durable yet.
 fn leader() -> Raft {
     let mut raft = replica_in_term_5(START);
     raft.tick(LATER);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_leader_commits_what_a_quorum_has_durable_of_its_own_term() {
+fn a_leader_commits_only_entries_of_its_term_that_a_quorum_has_persisted() {
     type Step = fn(&mut Raft);
     let cases: [(&str, &[Step], u64); 6] = [
         ("nothing acknowledged", &[|raft| raft.saved(LATER)], 0),
@@ -53,20 +53,24 @@
             ],
             0,
         ),
-        ("one that is no replica", &[|raft| raft.saved(LATER), |raft| acknowledge(raft, 9, 5)], 0),
+        (
+            "a node that is not a member",
+            &[|raft| raft.saved(LATER), |raft| acknowledge(raft, 9, 5)],
+            0,
+        ),
     ];
-    for (what, steps, commit) in cases {
+    for (case_name, steps, commit) in cases {
         let mut raft = leader();
         for step in steps {
             step(&mut raft);
         }
-        assert_eq!(raft.status().commit, commit, "{what}");
-        assert_eq!(raft.take_effects(LATER).committed.len() as u64, commit, "{what}");
+        assert_eq!(raft.status().commit, commit, "{case_name}");
+        assert_eq!(raft.take_effects(LATER).committed.len() as u64, commit, "{case_name}");
     }
 }
 
 #[test]
-fn a_leader_of_a_higher_term_deposes_it() {
+fn a_reply_with_a_higher_term_deposes_the_leader() {
     let mut raft = leader();
     raft.receive(
         2,
--- a/tests/logic/main.rs
+++ b/tests/logic/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the decisions on a virtual clock: tables of faults and seeded random schedules.
+//! Tests of the logic without a network, mostly on a virtual clock: tables of cases and seeded random
+//! fault schedules.
 
 mod admission;
 mod auth;
@@ -9,19 +10,19 @@
 mod configuration;
 mod decide;
 mod disk;
-mod leading;
+mod leader_commit;
 mod lease;
 mod links;
-mod log_disk;
+mod log_cluster;
+mod log_scenarios;
 mod log_schedules;
-mod log_world;
 mod orders;
 mod quarantine;
 mod relay;
-mod replacing;
-mod replicas;
-mod restarting;
+mod replica_replacement;
+mod replica_restart;
 mod shares;
+mod simulated_disk;
 mod slow_disks;
 mod swim;
 mod targets;
