--- a/src/entry/callers.rs
+++ b/src/http_api/callers.rs
@@ -16,7 +16,7 @@
 use crate::limits::Wants;
 use crate::limits::admission::Reason;
 use crate::node::Node;
-use crate::node::places::Place;
+use crate::node::admission::Place;
 use crate::quarantine::Fingerprint;
 use crate::telemetry::burn::Served;
 use crate::telemetry::logs::quoted;
--- a/src/entry/mod.rs
+++ b/src/http_api/mod.rs
@@ -1,13 +1,13 @@
 //! Callers' and operators' HTTP.
 
-pub mod answers;
+pub mod at_most_once;
 pub mod callers;
-pub mod once;
 pub mod operators;
+pub mod prompt_run;
 pub mod prompts;
 pub mod refusal;
 pub mod relay;
-pub mod run;
+pub mod responses;
 pub mod services;
 
 pub use refusal::{Code, Execution, Refusal};
--- a/src/entry/operators.rs
+++ b/src/http_api/operators.rs
@@ -14,7 +14,7 @@
 use crate::log::raft::Change;
 use crate::log::state::{Command, Patch, PatchAnswer, Reply};
 use crate::node::Node;
-use crate::node::decisions::NoLeader;
+use crate::node::leader_client::NoLeader;
 
 const RETRY_AFTER_S: &str = "1";
 /// Numbers that the history goes back, at the most.
--- a/src/entry/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -5,10 +5,10 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-use super::answers::{self, Part, Wanted};
+use super::at_most_once::{self, Claimed, Held};
 use super::callers::{Call, End};
-use super::once::{self, Claimed, Held};
-use super::run::Run;
+use super::prompt_run::Run;
+use super::responses::{self, Part, Wanted};
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::config::Policy;
@@ -16,7 +16,7 @@
 use crate::http::{Request, Response};
 use crate::ids::WeightVersion;
 use crate::node::Node;
-use crate::node::places::Place;
+use crate::node::admission::Place;
 use crate::prompt::{Chain, Owner};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
@@ -80,8 +80,8 @@
     let (prompt, wanted) = read(node, call, request, shape)?;
     let mut held = None;
     if !prompt.call.repeatable {
-        let digest = once::digest(&[shape.path().as_bytes(), &request.bytes()]);
-        match once::claim(node, &prompt.call, digest).await? {
+        let digest = at_most_once::digest(&[shape.path().as_bytes(), &request.bytes()]);
+        match at_most_once::claim(node, &prompt.call, digest).await? {
             Claimed::Mine(claim) => held = Some(claim),
             Claimed::Ran(outcome) => return recorded(wanted, &outcome),
         }
@@ -92,7 +92,7 @@
     })?;
     let (sender, parts) = mpsc::channel(PARTS_WAITING);
     tokio::spawn(run(node.clone(), prompt, held, place, sender));
-    Ok(answers::respond(wanted, parts).await)
+    Ok(responses::respond(wanted, parts).await)
 }
 
 /// Runs a prompt to its end, whether or not the caller stays.
@@ -192,5 +192,5 @@
         let message = "it ran before, and its answer was too long to keep";
         return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
     };
-    Ok(answers::recorded(wanted, record.text, record.finish, record.usage))
+    Ok(responses::recorded(wanted, record.text, record.finish, record.usage))
 }
--- a/src/entry/services.rs
+++ b/src/http_api/services.rs
@@ -5,8 +5,8 @@
 
 use warp::http::StatusCode;
 
+use super::at_most_once::{self, Claimed, Held};
 use super::callers::{Call, End};
-use super::once::{self, Claimed, Held};
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
@@ -14,7 +14,7 @@
 use crate::edge::client::CallError;
 use crate::http::{self, Request, Response};
 use crate::node::Node;
-use crate::node::quarantining::BrokenAt;
+use crate::node::quarantine::BrokenAt;
 
 /// Instances tried for one call.
 const MAX_ATTEMPTS: usize = 3;
@@ -56,7 +56,7 @@
     }
     let method = request.method.as_str().as_bytes();
     let parts = [method, request.path.as_bytes(), request.query.as_bytes(), &request.bytes()];
-    let held = match once::claim(node, call, once::digest(&parts)).await? {
+    let held = match at_most_once::claim(node, call, at_most_once::digest(&parts)).await? {
         Claimed::Ran(outcome) if outcome.body.is_some() => return Ok(outcome),
         Claimed::Ran(_) => {
             let message = "it ran before, and its answer was too long to keep";
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,14 +1,14 @@
 //! One node: assembles the parts, and shuts them down gracefully.
 
-pub mod answering;
-pub mod decisions;
+pub mod account_shares;
+pub mod admission;
 pub mod freshness;
-pub mod keeping;
-pub mod ordering;
-pub mod places;
-pub mod quarantining;
-pub mod sharing;
-pub mod watching;
+pub mod leader_client;
+pub mod load_orders;
+pub mod peer_requests;
+pub mod quarantine;
+pub mod stored_prefixes;
+pub mod target_polling;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,9 +26,9 @@
 use crate::clock::{boot_now, unix_ms};
 use crate::config::Numbered;
 use crate::edge::client::TargetClient;
-use crate::entry;
 use crate::error::{Error, Result};
 use crate::http;
+use crate::http_api;
 use crate::ids::NodeId;
 use crate::log::Members;
 use crate::log::disk::Disk;
@@ -44,10 +44,10 @@
 use crate::telemetry::burn::Burn;
 use crate::telemetry::metrics::Metrics;
 use crate::whereabouts::{Catalog, NodePlace};
+use account_shares::Sharing;
+use admission::Places;
 use freshness::Fresh;
-use places::Places;
-use quarantining::Quarantining;
-use sharing::Sharing;
+use quarantine::Quarantining;
 
 /// How often timers of the log and of membership are looked at.
 const TICK: Duration = Duration::from_millis(10);
@@ -232,10 +232,10 @@
     fn serve_http(self: &Arc<Node>, callers: TcpListener, operators: TcpListener) {
         let body_bytes = self.settings.bounds.body_bytes;
         let node = self.clone();
-        let handler = move |request| entry::callers::handle(node.clone(), request);
+        let handler = move |request| http_api::callers::handle(node.clone(), request);
         tokio::spawn(http::serve(callers, body_bytes, handler, self.until_stopped()));
         let node = self.clone();
-        let handler = move |request| entry::operators::handle(node.clone(), request);
+        let handler = move |request| http_api::operators::handle(node.clone(), request);
         tokio::spawn(http::serve(operators, body_bytes, handler, self.until_stopped()));
     }
 
