--- a/src/entry/run.rs
+++ b/src/http_api/prompt_run.rs
@@ -7,10 +7,10 @@
 use rand::RngExt;
 use tokio::sync::mpsc;
 
-use super::answers::Part;
-use super::once::Held;
+use super::at_most_once::Held;
 use super::prompts::Prompt;
 use super::relay::{Fault, Relay};
+use super::responses::Part;
 use super::{Code, Execution, Refusal};
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{ImportOrder, KeptObject};
@@ -19,7 +19,8 @@
 use crate::edge::sse::{Events, Oversized};
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
-use crate::node::quarantining::BrokenAt;
+
+use crate::node::quarantine::BrokenAt;
 use crate::route::{Dispatch, DispatchOutcome, NoEngine, RouteRequest};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,7 +1,7 @@
 //! Relaying an answer: only chunks of the current attempt, in order, up to the end mark.
 
 use kumquatpost::edge::chat::{Chunk, Shape, Usage};
-use kumquatpost::entry::relay::{Fault, Relay};
+use kumquatpost::http_api::relay::{Fault, Relay};
 
 fn text_event(id: &str, text: &str) -> String {
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
