--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -10,7 +10,7 @@
 use super::at_most_once::Held;
 use super::prompts::Prompt;
 use super::relay::{Fault, Relay};
-use super::responses::Part;
+use super::responses::ResponseEvent;
 use super::{Code, Execution, Refusal};
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{ImportOrder, KeptObject};
@@ -38,7 +38,7 @@
     node: Arc<Node>,
     prompt: Prompt,
     held: Option<Held>,
-    sender: mpsc::Sender<Part>,
+    sender: mpsc::Sender<ResponseEvent>,
     relay: Relay,
     /// Names the run towards engines; drawn, so that no two requests can be taken for one.
     run_id: String,
@@ -85,7 +85,7 @@
         node: Arc<Node>,
         prompt: Prompt,
         held: Option<Held>,
-        sender: mpsc::Sender<Part>,
+        sender: mpsc::Sender<ResponseEvent>,
     ) -> Run {
         // The request id is the caller's and may come twice; the drawn part never does.
         let run_id = format!("{}~{:016x}", prompt.call.request_id, rand::rng().random::<u64>());
@@ -116,7 +116,7 @@
     }
 
     /// The claim and the way to the caller.
-    pub fn into_parts(self) -> (Option<Held>, mpsc::Sender<Part>) {
+    pub fn into_parts(self) -> (Option<Held>, mpsc::Sender<ResponseEvent>) {
         (self.held, self.sender)
     }
 
@@ -389,7 +389,7 @@
             let labels = [label("kind", &call.kind_id)];
             self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
         }
-        let sent = self.sender.send_timeout(Part::Text(text), CALLER_PATIENCE).await;
+        let sent = self.sender.send_timeout(ResponseEvent::Text(text), CALLER_PATIENCE).await;
         // A run that must not repeat goes on to its outcome even if nobody listens.
         if sent.is_err() && call.repeatable { Err(Stopped::CallerGone) } else { Ok(()) }
     }
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -8,7 +8,7 @@
 use super::at_most_once::{self, Claimed, Held};
 use super::callers::{Call, End};
 use super::prompt_run::Run;
-use super::responses::{self, Part, Wanted};
+use super::responses::{self, ResponseEvent, ResponseFormat};
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::config::Policy;
@@ -20,7 +20,7 @@
 use crate::prompt::{Chain, Owner};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
-const PARTS_WAITING: usize = 64;
+const RESPONSE_EVENT_BUFFER: usize = 64;
 
 /// A prompt that was read and checked.
 pub struct Prompt {
@@ -59,7 +59,7 @@
     Chain::new(&owner, text)
 }
 
-/// The answer of a prompt marked not repeatable, as it is recorded.
+/// The answer of a prompt marked not repeatable, as it is replay_outcome.
 #[derive(Serialize, Deserialize)]
 struct Record {
     text: String,
@@ -77,22 +77,22 @@
     request: &Request,
     shape: Shape,
 ) -> Result<Response, Refusal> {
-    let (prompt, wanted) = read(node, call, request, shape)?;
+    let (prompt, format) = read(node, call, request, shape)?;
     let mut held = None;
     if !prompt.call.repeatable {
         let digest = at_most_once::digest(&[shape.path().as_bytes(), &request.bytes()]);
         match at_most_once::claim(node, &prompt.call, digest).await? {
             Claimed::Mine(claim) => held = Some(claim),
-            Claimed::Ran(outcome) => return recorded(wanted, &outcome),
+            Claimed::Ran(outcome) => return replay_outcome(format, &outcome),
         }
     }
     let place = prompt.call.take_place(node).await.inspect_err(|refusal| {
         let end = End { result: Err(refusal), first_token: None, target: None };
         prompt.call.log_end(node, &prompt.model_id, end);
     })?;
-    let (sender, parts) = mpsc::channel(PARTS_WAITING);
+    let (sender, events) = mpsc::channel(RESPONSE_EVENT_BUFFER);
     tokio::spawn(run(node.clone(), prompt, held, place, sender));
-    Ok(responses::respond(wanted, parts).await)
+    Ok(responses::respond(format, events).await)
 }
 
 /// Runs a prompt to its end, whether or not the caller stays.
@@ -101,7 +101,7 @@
     prompt: Prompt,
     held: Option<Held>,
     place: Place,
-    sender: mpsc::Sender<Part>,
+    sender: mpsc::Sender<ResponseEvent>,
 ) {
     let call = prompt.call.clone();
     let model_id = prompt.model_id.clone();
@@ -116,16 +116,16 @@
     let (held, sender) = run.into_parts();
     match result {
         Ok(whole) => {
-            let (finish, usage) = (whole.finish.clone(), whole.usage);
+            let (finish_reason, usage) = (whole.finish.clone(), whole.usage);
             if let Some(held) = held {
                 let record = Record { text: whole.text, finish: whole.finish, usage };
                 held.record(outcome(&record)).await;
             }
             // The caller may have hung up; then nobody needs the end.
-            let _ = sender.send(Part::End { finish, usage }).await;
+            let _ = sender.send(ResponseEvent::Completed { finish_reason, usage }).await;
         }
         Err(refusal) => {
-            let _ = sender.send(Part::Failed(refusal)).await;
+            let _ = sender.send(ResponseEvent::Failed(refusal)).await;
         }
     }
     drop(place);
@@ -136,7 +136,7 @@
     call: Call,
     request: &Request,
     shape: Shape,
-) -> Result<(Prompt, Wanted), Refusal> {
+) -> Result<(Prompt, ResponseFormat), Refusal> {
     let bad = |message: String| Refusal::not_run(Code::BadRequest, message);
     let body: serde_json::Value =
         request.json().map_err(|reason| bad(format!("the body is not JSON: {reason}")))?;
@@ -164,18 +164,18 @@
         Shape::Chat => "chatcmpl",
         Shape::Text => "cmpl",
     };
-    let wanted = Wanted {
+    let format = ResponseFormat {
         shape,
         model: asked.model.clone(),
         id: format!("{prefix}-{}", call.request_id),
         stream: asked.stream,
-        usage: asked.wants_usage(),
+        include_usage: asked.wants_usage(),
     };
     let text = asked.prompt_text();
     let chain = chain(&call, &asked.model, &weight_version, &text);
     let model_id = asked.model;
     let policy = model.policy;
-    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, text }, wanted))
+    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, text }, format))
 }
 
 fn outcome(record: &Record) -> Outcome {
@@ -186,11 +186,11 @@
     }
 }
 
-fn recorded(wanted: Wanted, outcome: &Outcome) -> Result<Response, Refusal> {
+fn replay_outcome(format: ResponseFormat, outcome: &Outcome) -> Result<Response, Refusal> {
     let body = outcome.body.as_deref().unwrap_or_default();
     let Ok(record) = serde_json::from_slice::<Record>(body) else {
         let message = "it ran before, and its answer was too long to keep";
         return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
     };
-    Ok(responses::recorded(wanted, record.text, record.finish, record.usage))
+    Ok(responses::complete_response(format, record.text, record.finish, record.usage))
 }
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -1,4 +1,4 @@
-//! The answer of a prompt, as the caller wants it: whole, or in parts as they come.
+//! The answer of a prompt, as the caller wants it: whole, or in events as they come.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -10,15 +10,15 @@
 use crate::edge::sse;
 use crate::http::{self, Response};
 
-/// A part of an answer on its way to the caller.
+/// A event of an answer on its way to the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum ResponseEvent {
     /// New text.
     Text(String),
     /// The answer is whole.
-    End {
+    Completed {
         /// Why it ended.
-        finish: String,
+        finish_reason: String,
         /// Its tokens.
         usage: Usage,
     },
@@ -28,80 +28,106 @@
 
 /// How a caller wants an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct ResponseFormat {
     /// The interface.
     pub shape: Shape,
     /// The model, as the caller named it.
     pub model: String,
     /// The id that the caller sees.
     pub id: String,
-    /// Whether it comes in parts.
+    /// Whether it comes in events.
     pub stream: bool,
     /// Whether a last chunk carries the usage.
-    pub usage: bool,
+    pub include_usage: bool,
 }
 
-/// Turns the parts into a response. Refusals that come before any text keep their status.
-pub async fn respond(wanted: Wanted, mut parts: mpsc::Receiver<Part>) -> Response {
-    let first = parts.recv().await.unwrap_or_else(lost);
-    if let Part::Failed(refusal) = first {
+/// Turns the events into a response. Refusals that come before any text keep their status.
+pub async fn respond(
+    format: ResponseFormat,
+    mut events: mpsc::Receiver<ResponseEvent>,
+) -> Response {
+    let first = events.recv().await.unwrap_or_else(ended_early);
+    if let ResponseEvent::Failed(refusal) = first {
         return refusal.response();
     }
-    if wanted.stream { in_parts(wanted, first, parts) } else { whole(wanted, first, parts).await }
+    if format.stream {
+        streamed_response(format, first, events)
+    } else {
+        buffered_response(format, first, events).await
+    }
 }
 
 /// A whole answer that is known already.
-pub fn recorded(wanted: Wanted, text: String, finish: String, usage: Usage) -> Response {
-    let chunk = Chunk { id: wanted.id.clone(), text, finish: Some(finish), usage: Some(usage) };
-    let value = chat::whole(wanted.shape, &wanted.id, &wanted.model, unix_ms() / 1_000, &chunk);
+pub fn complete_response(
+    format: ResponseFormat,
+    text: String,
+    finish_reason: String,
+    usage: Usage,
+) -> Response {
+    let chunk =
+        Chunk { id: format.id.clone(), text, finish: Some(finish_reason), usage: Some(usage) };
+    let value = chat::whole(format.shape, &format.id, &format.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
 }
 
-async fn whole(wanted: Wanted, first: Part, mut parts: mpsc::Receiver<Part>) -> Response {
+async fn buffered_response(
+    format: ResponseFormat,
+    first: ResponseEvent,
+    mut events: mpsc::Receiver<ResponseEvent>,
+) -> Response {
     let mut text = String::new();
-    let mut part = first;
+    let mut event = first;
     loop {
-        match part {
-            Part::Text(more) => text.push_str(&more),
-            Part::End { finish, usage } => return recorded(wanted, text, finish, usage),
-            Part::Failed(refusal) => return refusal.response(),
+        match event {
+            ResponseEvent::Text(more) => text.push_str(&more),
+            ResponseEvent::Completed { finish_reason, usage } => {
+                return complete_response(format, text, finish_reason, usage);
+            }
+            ResponseEvent::Failed(refusal) => return refusal.response(),
         }
-        part = parts.recv().await.unwrap_or_else(lost);
+        event = events.recv().await.unwrap_or_else(ended_early);
     }
 }
 
-fn in_parts(wanted: Wanted, first: Part, parts: mpsc::Receiver<Part>) -> Response {
-    let state = (wanted, Some(first), parts, unix_ms() / 1_000);
-    let events =
-        futures::stream::unfold(state, |(wanted, first, mut parts, created_s)| async move {
-            let part = match first {
-                Some(part) => part,
-                None => parts.recv().await?,
+fn streamed_response(
+    format: ResponseFormat,
+    first: ResponseEvent,
+    events: mpsc::Receiver<ResponseEvent>,
+) -> Response {
+    let state = (format, Some(first), events, unix_ms() / 1_000);
+    let body =
+        futures::stream::unfold(state, |(format, first, mut events, created_s)| async move {
+            let event = match first {
+                Some(event) => event,
+                None => events.recv().await?,
             };
-            let text = events(&wanted, part, created_s);
-            Some((Ok(Bytes::from(text)), (wanted, None, parts, created_s)))
+            let text = encode_event(&format, event, created_s);
+            Some((Ok(Bytes::from(text)), (format, None, events, created_s)))
         });
-    http::stream("text/event-stream", events)
+    http::stream("text/event-stream", body)
 }
 
-fn events(wanted: &Wanted, part: Part, created_s: u64) -> String {
-    let write = |chunk: Chunk| sse::event(&chunk.write(wanted.shape, &wanted.model, created_s));
-    let empty = Chunk { id: wanted.id.clone(), ..Chunk::default() };
-    match part {
-        Part::Text(text) => write(Chunk { text, ..empty }),
-        Part::End { finish, usage } => {
-            let mut text = write(Chunk { finish: Some(finish), ..empty.clone() });
-            if wanted.usage {
+fn encode_event(format: &ResponseFormat, event: ResponseEvent, created_s: u64) -> String {
+    let write = |chunk: Chunk| sse::event(&chunk.write(format.shape, &format.model, created_s));
+    let empty = Chunk { id: format.id.clone(), ..Chunk::default() };
+    match event {
+        ResponseEvent::Text(text) => write(Chunk { text, ..empty }),
+        ResponseEvent::Completed { finish_reason, usage } => {
+            let mut text = write(Chunk { finish: Some(finish_reason), ..empty.clone() });
+            if format.include_usage {
                 text.push_str(&write(Chunk { usage: Some(usage), ..empty }));
             }
             text.push_str(&sse::event(sse::DONE));
             text
         }
         // No end mark follows, so the caller knows that the answer is not whole.
-        Part::Failed(refusal) => sse::event(&refusal.body().to_string()),
+        ResponseEvent::Failed(refusal) => sse::event(&refusal.body().to_string()),
     }
 }
 
-fn lost() -> Part {
-    Part::Failed(Refusal::may_have_run(Code::AnswerBroken, "the run ended without an answer"))
+fn ended_early() -> ResponseEvent {
+    ResponseEvent::Failed(Refusal::may_have_run(
+        Code::AnswerBroken,
+        "the run ended without an answer",
+    ))
 }
