--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::callers::Call;
+use super::callers::ApiCall;
 use super::{Code, Refusal};
 use crate::claims::{ClaimAnswer, ClaimKey, ClaimToken, Digest, OUTCOME_BODY_BYTES, Outcome};
 use crate::clock::{BootTime, boot_now};
@@ -60,7 +60,7 @@
 ///
 /// # Errors
 /// If it must not be run, or if that could not be found out.
-pub async fn claim(node: &Arc<Node>, call: &Call, digest: Digest) -> Result<Claimed, Refusal> {
+pub async fn claim(node: &Arc<Node>, call: &ApiCall, digest: Digest) -> Result<Claimed, Refusal> {
     let key = ClaimKey { account: call.account.clone(), request_id: call.request_id.clone() };
     let token = node.claim_token();
     let since = boot_now();
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -26,16 +26,16 @@
 const DEADLINE_HEADER: &str = "x-kumquatpost-deadline-ms";
 const REPEATABLE_HEADER: &str = "x-kumquatpost-repeatable";
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-const MAX_ID_BYTES: usize = 256;
+const MAX_REQUEST_ID_BYTES: usize = 256;
 const DEFAULT_KIND: &str = "default";
 /// Interfaces don't depend on the name that a caller has for this node.
-const NO_HOST: &str = "";
+const FINGERPRINT_HOST: &str = "";
 /// When to come back to a node that is not fresh: its lease may be renewed by then.
-const NOT_FRESH_RETRY: Duration = Duration::from_secs(1);
+const NOT_FRESH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A caller's request with everything that was found out about it.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ApiCall {
     /// The configuration that it runs under to its end.
     pub config: Arc<Numbered>,
     /// Whose it is.
@@ -49,7 +49,7 @@
     /// Whether it may run twice without harm.
     pub repeatable: bool,
     /// When it came.
-    pub came_at: BootTime,
+    pub received_at: BootTime,
     /// When its first token is due.
     pub deadline: BootTime,
     /// What it asks, whichever of its caller's tries it is.
@@ -58,11 +58,11 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug)]
-pub struct End<'a> {
+pub struct CallSummary<'a> {
     /// With an answer or a refusal.
     pub result: Result<(), &'a Refusal>,
     /// When its first token came, counted from its arrival; `None` if it has no tokens.
-    pub first_token: Option<Duration>,
+    pub first_token_latency: Option<Duration>,
     /// The target that answered or failed it last.
     pub target: Option<&'a str>,
 }
@@ -71,23 +71,23 @@
 pub async fn handle(node: Arc<Node>, request: Request) -> Response {
     match (&request.method, request.path.as_str()) {
         (&Method::GET, "/health/live") => http::text(StatusCode::OK, "live\n".into()),
-        (&Method::GET, "/health/ready") => ready(&node),
+        (&Method::GET, "/health/ready") => readiness(&node),
         (&Method::GET, "/metrics") => http::text(StatusCode::OK, node.metrics.text()),
-        _ => match served(&node, request).await {
+        _ => match handle_api_call(&node, request).await {
             Ok(response) => response,
             Err(refusal) => refusal.response(),
         },
     }
 }
 
-async fn served(node: &Arc<Node>, request: Request) -> Result<Response, Refusal> {
+async fn handle_api_call(node: &Arc<Node>, request: Request) -> Result<Response, Refusal> {
     let method = request.method.clone();
     let path = request.path.clone();
     if method == Method::GET && path == "/v1/models" {
-        return models(node, &request);
+        return list_models(node, &request);
     }
     if let Some(shape) = Shape::of_path(&path).filter(|_| method == Method::POST) {
-        let call = Call::read(node, &request)?;
+        let call = ApiCall::from_request(node, &request)?;
         return prompts::serve(node, call, &request, shape).await;
     }
     if let ["v1", "services", service, ..] = request.segments().as_slice() {
@@ -97,16 +97,16 @@
     Err(Refusal::not_run(Code::NotFound, format!("no interface {method} {path}")))
 }
 
-fn ready(node: &Node) -> Response {
+fn readiness(node: &Node) -> Response {
     if node.is_ready() {
         return http::text(StatusCode::OK, "ready\n".into());
     }
     http::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())
 }
 
-fn models(node: &Node, request: &Request) -> Result<Response, Refusal> {
-    let config = admitting(node)?;
-    identify(&config, request)?;
+fn list_models(node: &Node, request: &Request) -> Result<Response, Refusal> {
+    let config = admission_config(node)?;
+    authenticate(&config, request)?;
     let models: Vec<_> = config
         .config
         .models
@@ -117,18 +117,18 @@
 }
 
 /// The configuration in force, if the node admits requests.
-pub fn admitting(node: &Node) -> Result<Arc<Numbered>, Refusal> {
+pub fn admission_config(node: &Node) -> Result<Arc<Numbered>, Refusal> {
     if node.is_stopping() {
         let refusal = Refusal::not_run(Code::ShuttingDown, "this node is shutting down");
-        return Err(refusal.after(NOT_FRESH_RETRY));
+        return Err(refusal.after(NOT_FRESH_RETRY_AFTER));
     }
     node.in_force().filter(|config| config.number > 0).ok_or_else(|| {
         let message = "this node can't know whether its configuration is in force";
-        Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY)
+        Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY_AFTER)
     })
 }
 
-fn identify(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
+fn authenticate(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = bearer.and_then(|key| config.account_of_key(key.trim()));
     account
@@ -136,14 +136,14 @@
         .ok_or_else(|| Refusal::not_run(Code::WrongKey, "the bearer key is missing or unknown"))
 }
 
-impl Call {
+impl ApiCall {
     /// Finds out who asks and for what.
     ///
     /// # Errors
     /// What is wrong with the request, or that this node does not admit any.
-    pub fn read(node: &Node, request: &Request) -> Result<Call, Refusal> {
-        let config = admitting(node)?;
-        let account = identify(&config, request)?;
+    pub fn from_request(node: &Node, request: &Request) -> Result<ApiCall, Refusal> {
+        let config = admission_config(node)?;
+        let account = authenticate(&config, request)?;
         if let Err(error) = &request.body {
             return Err(body_refusal(*error));
         }
@@ -153,23 +153,23 @@
             let message = format!("no kind {kind_id:?}; there are: {known}");
             return Err(Refusal::not_run(Code::UnknownKind, message));
         };
-        let came_at = boot_now();
+        let received_at = boot_now();
         let deadline_ms = deadline_ms(request)?.unwrap_or(kind.deadline_ms);
         // A caller can tighten whether it repeats, never loosen it.
         let repeatable = kind.repeatable && request.header(REPEATABLE_HEADER) != Some("false");
         let (method, path) =
             (request.method.as_str(), format!("{}?{}", request.path, request.query));
         let body = request.bytes();
-        Ok(Call {
+        Ok(ApiCall {
             request_id: request_id(request)?,
-            fingerprint: Fingerprint::of(Some(&account), method, NO_HOST, &path, &body),
+            fingerprint: Fingerprint::of(Some(&account), method, FINGERPRINT_HOST, &path, &body),
             config,
             account,
             kind_id,
             kind,
             repeatable,
-            came_at,
-            deadline: came_at + Duration::from_millis(deadline_ms),
+            received_at,
+            deadline: received_at + Duration::from_millis(deadline_ms),
         })
     }
 
@@ -195,16 +195,16 @@
             Refusal::not_run(code, message).after(refused.retry_after)
         })?;
         // Time has passed in the queue.
-        self.still_admitted(node)?;
+        self.check_dispatch_in_time(node)?;
         Ok(place)
     }
 
     /// Checks again, right before a dispatch, that the request may still be sent.
     ///
     /// # Errors
-    /// As `may_be_sent`, and if the deadline has passed.
-    pub fn still_admitted(&self, node: &Node) -> Result<(), Refusal> {
-        self.may_be_sent(node)?;
+    /// As `check_dispatch`, and if the deadline has passed.
+    pub fn check_dispatch_in_time(&self, node: &Node) -> Result<(), Refusal> {
+        self.check_dispatch(node)?;
         if boot_now() >= self.deadline {
             let refusal = Refusal::not_run(Code::Deadline, "its deadline has passed");
             return Err(refusal.after(node.places.retry_after()));
@@ -216,7 +216,7 @@
     ///
     /// # Errors
     /// If the node's lease has ended, or targets have ended under the request.
-    pub fn may_be_sent(&self, node: &Node) -> Result<(), Refusal> {
+    pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
         if let Some(left) = node.held_for(self.fingerprint) {
             let message = "targets have ended under this request, one after the other";
             return Err(Refusal::not_run(Code::Held, message).after(left));
@@ -225,23 +225,23 @@
             return Ok(());
         }
         let message = "this node's freshness lease ended before the request was sent";
-        Err(Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY))
+        Err(Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY_AFTER))
     }
 
     /// Records how the request ended: in a log line, in the metrics, and against its service
     /// level. `what` is the model or service.
-    pub fn log_end(&self, node: &Node, what: &str, end: End<'_>) {
-        let End { result, first_token, target } = end;
+    pub fn record_end(&self, node: &Node, resource: &str, summary: CallSummary<'_>) {
+        let CallSummary { result, first_token_latency, target } = summary;
         let code = result.map_or_else(|refusal| refusal.code.parts().0, |()| "ok");
         let execution = result.map_or_else(|refusal| refusal.execution.as_str(), |()| "ran");
-        let took = boot_now().saturating_sub(self.came_at);
+        let took = boot_now().saturating_sub(self.received_at);
         log::info!(
             "event=request_ended request={} account={} kind={} what={} code={code} \
              execution={execution} took_ms={}",
             quoted(&self.request_id),
             quoted(&self.account),
             quoted(&self.kind_id),
-            quoted(what),
+            quoted(resource),
             took.as_millis(),
         );
         let labels =
@@ -256,7 +256,7 @@
             kind: &self.kind_id,
             account: &self.account,
             target,
-            good: result.is_ok() && first_token.unwrap_or(took) <= due,
+            good: result.is_ok() && first_token_latency.unwrap_or(took) <= due,
             objective_share: self.kind.objective.share,
         };
         node.burn.lock().record(served, boot_now());
@@ -287,12 +287,13 @@
     let Some(text) = request.header(IDEMPOTENCY_HEADER) else {
         return Ok(format!("r-{:032x}", rand::rng().random::<u128>()));
     };
-    let plain = !text.is_empty()
-        && text.len() <= MAX_ID_BYTES
+    let is_valid = !text.is_empty()
+        && text.len() <= MAX_REQUEST_ID_BYTES
         && text.bytes().all(|byte| byte.is_ascii_graphic());
-    if plain {
+    if is_valid {
         return Ok(text.to_string());
     }
-    let message = format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_ID_BYTES} visible ASCII characters");
+    let message =
+        format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters");
     Err(Refusal::not_run(Code::BadRequest, message))
 }
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -48,7 +48,7 @@
     /// Whether any byte of the request may have had an effect on a target.
     may_have_run: bool,
     /// When the first token came, counted from the request's arrival.
-    first_token: Option<Duration>,
+    first_token_latency: Option<Duration>,
     last_target: Option<TargetId>,
 }
 
@@ -100,14 +100,14 @@
             avoid: Vec::new(),
             kept: Vec::new(),
             may_have_run: false,
-            first_token: None,
+            first_token_latency: None,
             last_target: None,
         }
     }
 
     /// When the first token came, counted from the request's arrival.
-    pub fn first_token(&self) -> Option<Duration> {
-        self.first_token
+    pub fn first_token_latency(&self) -> Option<Duration> {
+        self.first_token_latency
     }
 
     /// The engine of the last dispatch.
@@ -213,9 +213,12 @@
 
     fn choose(&self) -> Result<Dispatch, NoDispatch> {
         let call = &self.prompt.call;
-        let has_begun = self.first_token.is_some();
-        let admitted =
-            if has_begun { call.may_be_sent(&self.node) } else { call.still_admitted(&self.node) };
+        let has_begun = self.first_token_latency.is_some();
+        let admitted = if has_begun {
+            call.check_dispatch(&self.node)
+        } else {
+            call.check_dispatch_in_time(&self.node)
+        };
         admitted.map_err(NoDispatch::Refused)?;
         // The deadline is for the first token: an answer that has begun runs to its end.
         let deadline = if has_begun { BootTime::MAX } else { call.deadline };
@@ -384,8 +387,8 @@
     async fn send_text(&mut self, text: String) -> Result<(), Stopped> {
         let call = &self.prompt.call;
         if self.relay.text().len() == text.len() {
-            let took = boot_now().saturating_sub(call.came_at);
-            self.first_token = Some(took);
+            let took = boot_now().saturating_sub(call.received_at);
+            self.first_token_latency = Some(took);
             let labels = [label("kind", &call.kind_id)];
             self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
         }
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 
 use super::at_most_once::{self, Claimed, Held};
-use super::callers::{Call, End};
+use super::callers::{ApiCall, CallSummary};
 use super::prompt_run::Run;
 use super::responses::{self, ResponseEvent, ResponseFormat};
 use super::{Code, Refusal};
@@ -25,7 +25,7 @@
 /// A prompt that was read and checked.
 pub struct Prompt {
     /// Who asks and for what kind.
-    pub call: Call,
+    pub call: ApiCall,
     /// The interface.
     pub shape: Shape,
     /// The body as it came.
@@ -49,7 +49,7 @@
     }
 }
 
-fn chain(call: &Call, model: &str, weight_version: &str, text: &str) -> Chain {
+fn chain(call: &ApiCall, model: &str, weight_version: &str, text: &str) -> Chain {
     let owner = Owner {
         account: call.account.clone(),
         model: model.to_string(),
@@ -73,7 +73,7 @@
 /// Why there is no answer.
 pub async fn serve(
     node: &Arc<Node>,
-    call: Call,
+    call: ApiCall,
     request: &Request,
     shape: Shape,
 ) -> Result<Response, Refusal> {
@@ -87,8 +87,8 @@
         }
     }
     let place = prompt.call.take_place(node).await.inspect_err(|refusal| {
-        let end = End { result: Err(refusal), first_token: None, target: None };
-        prompt.call.log_end(node, &prompt.model_id, end);
+        let summary = CallSummary { result: Err(refusal), first_token_latency: None, target: None };
+        prompt.call.record_end(node, &prompt.model_id, summary);
     })?;
     let (sender, events) = mpsc::channel(RESPONSE_EVENT_BUFFER);
     tokio::spawn(run(node.clone(), prompt, held, place, sender));
@@ -107,12 +107,12 @@
     let model_id = prompt.model_id.clone();
     let mut run = Run::new(node.clone(), prompt, held, sender);
     let result = run.to_end().await;
-    let end = End {
+    let summary = CallSummary {
         result: result.as_ref().map(|_| ()),
-        first_token: run.first_token(),
+        first_token_latency: run.first_token_latency(),
         target: run.last_target(),
     };
-    call.log_end(&node, &model_id, end);
+    call.record_end(&node, &model_id, summary);
     let (held, sender) = run.into_parts();
     match result {
         Ok(whole) => {
@@ -133,7 +133,7 @@
 
 fn read(
     node: &Node,
-    call: Call,
+    call: ApiCall,
     request: &Request,
     shape: Shape,
 ) -> Result<(Prompt, ResponseFormat), Refusal> {
@@ -158,7 +158,7 @@
     let weight_version = {
         let mut router = node.router.lock();
         let draw = router.draw();
-        router.version_for(&asked.model, &model, draw, call.came_at)
+        router.version_for(&asked.model, &model, draw, call.received_at)
     };
     let prefix = match shape {
         Shape::Chat => "chatcmpl",
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -6,7 +6,7 @@
 use warp::http::StatusCode;
 
 use super::at_most_once::{self, Claimed, Held};
-use super::callers::{Call, End};
+use super::callers::{ApiCall, CallSummary};
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
@@ -30,7 +30,7 @@
     request: &Request,
     service: &str,
 ) -> Result<Response, Refusal> {
-    let mut call = Call::read(node, request)?;
+    let mut call = ApiCall::from_request(node, request)?;
     let services = &call.config.config.services;
     let Some(configured) = services.get(service) else {
         let known = services.keys().cloned().collect::<Vec<_>>().join(", ");
@@ -39,14 +39,18 @@
     };
     call.repeatable &= configured.repeatable;
     let result = answer(node, &call, request, service).await;
-    let end = End { result: result.as_ref().map(|_| ()), first_token: None, target: None };
-    call.log_end(node, service, end);
+    let summary = CallSummary {
+        result: result.as_ref().map(|_| ()),
+        first_token_latency: None,
+        target: None,
+    };
+    call.record_end(node, service, summary);
     result.map(|outcome| response(&outcome))
 }
 
 async fn answer(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
@@ -79,14 +83,14 @@
 
 async fn repeat(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
     let mut may_have_run = false;
     let mut last = no_instance(service);
     for instance in instances(node, service) {
-        call.still_admitted(node)?;
+        call.check_dispatch_in_time(node)?;
         let sent_at = boot_now();
         match send(node, call, request, &instance, false).await {
             Ok(outcome) => {
@@ -110,14 +114,14 @@
 /// Makes the one dispatch; another instance is tried only if nothing was run.
 async fn run_once(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
     mut held: Held,
 ) -> Result<Outcome, Refusal> {
     let mut last = no_instance(service);
     for instance in instances(node, service) {
-        call.still_admitted(node)?;
+        call.check_dispatch_in_time(node)?;
         held.dispatch()?;
         let sent_at = boot_now();
         match send(node, call, request, &instance, true).await {
@@ -142,7 +146,7 @@
 /// An instance that broke off may have ended under a call, and others would.
 async fn examine(
     node: &Node,
-    call: &Call,
+    call: &ApiCall,
     instance: &Target,
     sent_at: BootTime,
     error: &CallError,
@@ -160,7 +164,7 @@
     node.examine(broken).await;
 }
 
-fn answered(node: &Node, call: &Call, outcome: &Outcome) {
+fn answered(node: &Node, call: &ApiCall, outcome: &Outcome) {
     if (200..300).contains(&outcome.status) {
         node.answered_whole(call.fingerprint);
     }
@@ -182,7 +186,7 @@
 
 async fn send(
     node: &Node,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     instance: &Target,
     once: bool,
