--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use tokio::sync::mpsc;
 
-use super::at_most_once::Held;
+use super::at_most_once::HeldClaim;
 use super::prompts::Prompt;
 use super::relay::{Fault, Relay};
 use super::responses::ResponseEvent;
@@ -37,7 +37,7 @@
 pub struct Run {
     node: Arc<Node>,
     prompt: Prompt,
-    held: Option<Held>,
+    held_claim: Option<HeldClaim>,
     sender: mpsc::Sender<ResponseEvent>,
     relay: Relay,
     /// Names the run towards engines; drawn, so that no two requests can be taken for one.
@@ -84,7 +84,7 @@
     pub fn new(
         node: Arc<Node>,
         prompt: Prompt,
-        held: Option<Held>,
+        held_claim: Option<HeldClaim>,
         sender: mpsc::Sender<ResponseEvent>,
     ) -> Run {
         // The request id is the caller's and may come twice; the drawn part never does.
@@ -92,7 +92,7 @@
         Run {
             node,
             prompt,
-            held,
+            held_claim,
             sender,
             relay: Relay::default(),
             run_id,
@@ -116,8 +116,8 @@
     }
 
     /// The claim and the way to the caller.
-    pub fn into_parts(self) -> (Option<Held>, mpsc::Sender<ResponseEvent>) {
-        (self.held, self.sender)
+    pub fn into_parts(self) -> (Option<HeldClaim>, mpsc::Sender<ResponseEvent>) {
+        (self.held_claim, self.sender)
     }
 
     /// Runs the prompt until its answer is whole.
@@ -259,8 +259,8 @@
 
     async fn dispatch(&mut self, dispatch: &Dispatch) -> Result<Whole, Broken> {
         let refused = |refusal| Broken::Final(Ended::Cancelled, refusal);
-        if let Some(held) = &mut self.held {
-            held.dispatch().map_err(refused)?;
+        if let Some(held_claim) = &mut self.held_claim {
+            held_claim.mark_dispatched().map_err(refused)?;
         }
         let run_id = self.run_id.clone();
         let stream = StreamRef { request_id: &run_id, attempt: self.attempt };
@@ -280,8 +280,8 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(CallError::NotRun(reason)) => {
-                if let Some(held) = &mut self.held {
-                    held.not_run();
+                if let Some(held_claim) = &mut self.held_claim {
+                    held_claim.mark_not_run();
                 }
                 let refusal = Refusal::not_run(Code::TargetFailed, reason).after(NO_TARGET_RETRY);
                 return Err(Broken::TryAnother(Ended::Refused, refusal));
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-use super::at_most_once::{self, Claimed, Held};
+use super::at_most_once::{self, ClaimOutcome, HeldClaim};
 use super::callers::{ApiCall, CallSummary};
 use super::prompt_run::Run;
 use super::responses::{self, ResponseEvent, ResponseFormat};
@@ -78,12 +78,12 @@
     shape: Shape,
 ) -> Result<Response, Refusal> {
     let (prompt, format) = read(node, call, request, shape)?;
-    let mut held = None;
+    let mut held_claim = None;
     if !prompt.call.repeatable {
-        let digest = at_most_once::digest(&[shape.path().as_bytes(), &request.bytes()]);
+        let digest = at_most_once::request_digest(&[shape.path().as_bytes(), &request.bytes()]);
         match at_most_once::claim(node, &prompt.call, digest).await? {
-            Claimed::Mine(claim) => held = Some(claim),
-            Claimed::Ran(outcome) => return replay_outcome(format, &outcome),
+            ClaimOutcome::Granted(claim) => held_claim = Some(claim),
+            ClaimOutcome::AlreadyRan(outcome) => return replay_outcome(format, &outcome),
         }
     }
     let place = prompt.call.take_place(node).await.inspect_err(|refusal| {
@@ -91,7 +91,7 @@
         prompt.call.record_end(node, &prompt.model_id, summary);
     })?;
     let (sender, events) = mpsc::channel(RESPONSE_EVENT_BUFFER);
-    tokio::spawn(run(node.clone(), prompt, held, place, sender));
+    tokio::spawn(run(node.clone(), prompt, held_claim, place, sender));
     Ok(responses::respond(format, events).await)
 }
 
@@ -99,13 +99,13 @@
 async fn run(
     node: Arc<Node>,
     prompt: Prompt,
-    held: Option<Held>,
+    held_claim: Option<HeldClaim>,
     place: Place,
     sender: mpsc::Sender<ResponseEvent>,
 ) {
     let call = prompt.call.clone();
     let model_id = prompt.model_id.clone();
-    let mut run = Run::new(node.clone(), prompt, held, sender);
+    let mut run = Run::new(node.clone(), prompt, held_claim, sender);
     let result = run.to_end().await;
     let summary = CallSummary {
         result: result.as_ref().map(|_| ()),
@@ -113,13 +113,13 @@
         target: run.last_target(),
     };
     call.record_end(&node, &model_id, summary);
-    let (held, sender) = run.into_parts();
+    let (held_claim, sender) = run.into_parts();
     match result {
         Ok(whole) => {
             let (finish_reason, usage) = (whole.finish.clone(), whole.usage);
-            if let Some(held) = held {
+            if let Some(held_claim) = held_claim {
                 let record = Record { text: whole.text, finish: whole.finish, usage };
-                held.record(outcome(&record)).await;
+                held_claim.record_outcome(outcome(&record)).await;
             }
             // The caller may have hung up; then nobody needs the end.
             let _ = sender.send(ResponseEvent::Completed { finish_reason, usage }).await;
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -5,7 +5,7 @@
 
 use warp::http::StatusCode;
 
-use super::at_most_once::{self, Claimed, Held};
+use super::at_most_once::{self, ClaimOutcome, HeldClaim};
 use super::callers::{ApiCall, CallSummary};
 use super::{Code, Refusal};
 use crate::claims::Outcome;
@@ -60,21 +60,22 @@
     }
     let method = request.method.as_str().as_bytes();
     let parts = [method, request.path.as_bytes(), request.query.as_bytes(), &request.bytes()];
-    let held = match at_most_once::claim(node, call, at_most_once::digest(&parts)).await? {
-        Claimed::Ran(outcome) if outcome.body.is_some() => return Ok(outcome),
-        Claimed::Ran(_) => {
-            let message = "it ran before, and its answer was too long to keep";
-            return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
-        }
-        Claimed::Mine(held) => held,
-    };
+    let held_claim =
+        match at_most_once::claim(node, call, at_most_once::request_digest(&parts)).await? {
+            ClaimOutcome::AlreadyRan(outcome) if outcome.body.is_some() => return Ok(outcome),
+            ClaimOutcome::AlreadyRan(_) => {
+                let message = "it ran before, and its answer was too long to keep";
+                return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
+            }
+            ClaimOutcome::Granted(held_claim) => held_claim,
+        };
     let place = call.take_place(node).await?;
     let (node, call) = (node.clone(), call.clone());
     let (request, service) = (request.clone(), service.to_string());
     // On its own task: it must come to its outcome even if the caller hangs up.
     let running = tokio::spawn(async move {
         let _place = place;
-        run_once(&node, &call, &request, &service, held).await
+        run_once(&node, &call, &request, &service, held_claim).await
     });
     running.await.unwrap_or_else(|_| {
         Err(Refusal::may_have_run(Code::TargetFailed, "the call ended without an outcome"))
@@ -117,21 +118,21 @@
     call: &ApiCall,
     request: &Request,
     service: &str,
-    mut held: Held,
+    mut held_claim: HeldClaim,
 ) -> Result<Outcome, Refusal> {
     let mut last = no_instance(service);
     for instance in instances(node, service) {
         call.check_dispatch_in_time(node)?;
-        held.dispatch()?;
+        held_claim.mark_dispatched()?;
         let sent_at = boot_now();
         match send(node, call, request, &instance, true).await {
             Ok(outcome) => {
                 answered(node, call, &outcome);
-                held.record(outcome.clone()).await;
+                held_claim.record_outcome(outcome.clone()).await;
                 return Ok(outcome);
             }
             Err(CallError::NotRun(reason)) => {
-                held.not_run();
+                held_claim.mark_not_run();
                 last = failed(&instance, &reason, false);
             }
             Err(error @ (CallError::Rejected(_) | CallError::MayHaveRun(_))) => {
