--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::callers::ApiCall;
-use super::{Code, Refusal};
+use super::{Refusal, RefusalCode};
 use crate::claims::{ClaimAnswer, ClaimKey, ClaimToken, Digest, OUTCOME_BODY_BYTES, Outcome};
 use crate::clock::{BootTime, boot_now};
 use crate::log::state::{Command, Reply};
@@ -80,8 +80,8 @@
         Ok(Reply::Claim(answer)) => answer,
         // It may be committed; dropping `held_claim` gives it back.
         _ => {
-            let refusal = Refusal::not_run(Code::NoLeader, "the claim could not be decided");
-            return Err(refusal.after(CLAIM_RETRY_AFTER));
+            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim could not be decided");
+            return Err(refusal.with_retry_after(CLAIM_RETRY_AFTER));
         }
     };
     match answer {
@@ -93,15 +93,19 @@
         ClaimAnswer::Held(_) => {
             held_claim.skip_release();
             let message = "a request with this id is running, or its outcome is unknown";
-            Err(Refusal::may_have_run(Code::AlreadyClaimed, message).after(CLAIM_RETRY_AFTER))
+            Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message)
+                .with_retry_after(CLAIM_RETRY_AFTER))
         }
         ClaimAnswer::IdReused => {
             held_claim.skip_release();
-            Err(Refusal::not_run(Code::IdReused, "this id belongs to a request with other content"))
+            Err(Refusal::not_run(
+                RefusalCode::IdReused,
+                "this id belongs to a request with other content",
+            ))
         }
         ClaimAnswer::Withdrawn => {
-            let refusal = Refusal::not_run(Code::NoLeader, "the claim came too late");
-            Err(refusal.after(CLAIM_RETRY_AFTER))
+            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim came too late");
+            Err(refusal.with_retry_after(CLAIM_RETRY_AFTER))
         }
     }
 }
@@ -116,7 +120,8 @@
         let usable = self.node.settings.timing.claim_retention / USABLE_RETENTION_DIVISOR;
         if boot_now() >= self.requested_at + usable {
             let message = "the claim is too old, since this node was frozen";
-            return Err(Refusal::not_run(Code::Deadline, message).after(CLAIM_RETRY_AFTER));
+            return Err(Refusal::not_run(RefusalCode::DeadlineExceeded, message)
+                .with_retry_after(CLAIM_RETRY_AFTER));
         }
         self.state = HeldClaimState::Dispatched;
         Ok(())
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use warp::http::{Method, StatusCode};
 
-use super::{Code, Refusal, prompts, services};
+use super::{Refusal, RefusalCode, prompts, services};
 use crate::clock::{BootTime, boot_now};
 use crate::config::{Kind, Numbered};
 use crate::edge::chat::Shape;
@@ -94,7 +94,7 @@
         let service = service.to_string();
         return services::serve(node, &request, &service).await;
     }
-    Err(Refusal::not_run(Code::NotFound, format!("no interface {method} {path}")))
+    Err(Refusal::not_run(RefusalCode::NotFound, format!("no interface {method} {path}")))
 }
 
 fn readiness(node: &Node) -> Response {
@@ -119,21 +119,21 @@
 /// The configuration in force, if the node admits requests.
 pub fn admission_config(node: &Node) -> Result<Arc<Numbered>, Refusal> {
     if node.is_stopping() {
-        let refusal = Refusal::not_run(Code::ShuttingDown, "this node is shutting down");
-        return Err(refusal.after(NOT_FRESH_RETRY_AFTER));
+        let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this node is shutting down");
+        return Err(refusal.with_retry_after(NOT_FRESH_RETRY_AFTER));
     }
     node.in_force().filter(|config| config.number > 0).ok_or_else(|| {
         let message = "this node can't know whether its configuration is in force";
-        Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY_AFTER)
+        Refusal::not_run(RefusalCode::NotFresh, message).with_retry_after(NOT_FRESH_RETRY_AFTER)
     })
 }
 
 fn authenticate(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = bearer.and_then(|key| config.account_of_key(key.trim()));
-    account
-        .cloned()
-        .ok_or_else(|| Refusal::not_run(Code::WrongKey, "the bearer key is missing or unknown"))
+    account.cloned().ok_or_else(|| {
+        Refusal::not_run(RefusalCode::InvalidKey, "the bearer key is missing or unknown")
+    })
 }
 
 impl ApiCall {
@@ -151,7 +151,7 @@
         let Some(kind) = config.config.kind(&kind_id) else {
             let known = config.config.kinds.keys().cloned().collect::<Vec<_>>().join(", ");
             let message = format!("no kind {kind_id:?}; there are: {known}");
-            return Err(Refusal::not_run(Code::UnknownKind, message));
+            return Err(Refusal::not_run(RefusalCode::UnknownKind, message));
         };
         let received_at = boot_now();
         let deadline_ms = deadline_ms(request)?.unwrap_or(kind.deadline_ms);
@@ -189,10 +189,12 @@
         };
         let place = node.places.take(wants).await.map_err(|refused| {
             let (code, message) = match refused.reason {
-                Reason::QueueFull => (Code::QueueFull, "too many requests wait already"),
-                Reason::Deadline => (Code::Deadline, "it would wait past its deadline"),
+                Reason::QueueFull => (RefusalCode::QueueFull, "too many requests wait already"),
+                Reason::Deadline => {
+                    (RefusalCode::DeadlineExceeded, "it would wait past its deadline")
+                }
             };
-            Refusal::not_run(code, message).after(refused.retry_after)
+            Refusal::not_run(code, message).with_retry_after(refused.retry_after)
         })?;
         // Time has passed in the queue.
         self.check_dispatch_in_time(node)?;
@@ -206,8 +208,9 @@
     pub fn check_dispatch_in_time(&self, node: &Node) -> Result<(), Refusal> {
         self.check_dispatch(node)?;
         if boot_now() >= self.deadline {
-            let refusal = Refusal::not_run(Code::Deadline, "its deadline has passed");
-            return Err(refusal.after(node.places.retry_after()));
+            let refusal =
+                Refusal::not_run(RefusalCode::DeadlineExceeded, "its deadline has passed");
+            return Err(refusal.with_retry_after(node.places.retry_after()));
         }
         Ok(())
     }
@@ -219,20 +222,21 @@
     pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
         if let Some(left) = node.held_for(self.fingerprint) {
             let message = "targets have ended under this request, one after the other";
-            return Err(Refusal::not_run(Code::Held, message).after(left));
+            return Err(Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(left));
         }
         if node.in_force().is_some() {
             return Ok(());
         }
         let message = "this node's freshness lease ended before the request was sent";
-        Err(Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY_AFTER))
+        Err(Refusal::not_run(RefusalCode::NotFresh, message)
+            .with_retry_after(NOT_FRESH_RETRY_AFTER))
     }
 
     /// Records how the request ended: in a log line, in the metrics, and against its service
     /// level. `what` is the model or service.
     pub fn record_end(&self, node: &Node, resource: &str, summary: CallSummary<'_>) {
         let CallSummary { result, first_token_latency, target } = summary;
-        let code = result.map_or_else(|refusal| refusal.code.parts().0, |()| "ok");
+        let code = result.map_or_else(|refusal| refusal.code.code_status_remedy().0, |()| "ok");
         let execution = result.map_or_else(|refusal| refusal.execution.as_str(), |()| "ran");
         let took = boot_now().saturating_sub(self.received_at);
         log::info!(
@@ -248,7 +252,7 @@
             [label("kind", &self.kind_id), label("account", &self.account), label("code", code)];
         node.metrics.requests.add(1, &labels);
         // What the caller did wrong is not held against the service level.
-        if result.is_err_and(|refusal| refusal.code.parts().1.is_client_error()) {
+        if result.is_err_and(|refusal| refusal.code.code_status_remedy().1.is_client_error()) {
             return;
         }
         let due = Duration::from_millis(self.kind.objective.first_token_ms);
@@ -265,10 +269,11 @@
 
 fn body_refusal(error: BodyError) -> Refusal {
     match error {
-        BodyError::TooLarge(limit) => {
-            Refusal::not_run(Code::TooLarge, format!("the body is longer than {limit} bytes"))
-        }
-        BodyError::Broken => Refusal::not_run(Code::BadRequest, "the body broke off"),
+        BodyError::TooLarge(limit) => Refusal::not_run(
+            RefusalCode::BodyTooLarge,
+            format!("the body is longer than {limit} bytes"),
+        ),
+        BodyError::Broken => Refusal::not_run(RefusalCode::BadRequest, "the body broke off"),
     }
 }
 
@@ -278,7 +283,7 @@
         Ok(ms) if ms > 0 => Ok(Some(ms.min(86_400_000))),
         _ => {
             let message = format!("{DEADLINE_HEADER}: {text:?} is not a number of milliseconds");
-            Err(Refusal::not_run(Code::BadRequest, message))
+            Err(Refusal::not_run(RefusalCode::BadRequest, message))
         }
     }
 }
@@ -295,5 +300,5 @@
     }
     let message =
         format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters");
-    Err(Refusal::not_run(Code::BadRequest, message))
+    Err(Refusal::not_run(RefusalCode::BadRequest, message))
 }
--- a/src/http_api/mod.rs
+++ b/src/http_api/mod.rs
@@ -10,4 +10,4 @@
 pub mod responses;
 pub mod services;
 
-pub use refusal::{Code, Execution, Refusal};
+pub use refusal::{Execution, Refusal, RefusalCode};
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -16,16 +16,16 @@
 use crate::node::Node;
 use crate::node::leader_client::NoLeader;
 
-const RETRY_AFTER_S: &str = "1";
+const NO_LEADER_RETRY_AFTER_S: &str = "1";
 /// Numbers that the history goes back, at the most.
-const HISTORY_LEN: u64 = 50;
+const MAX_HISTORY_LEN: u64 = 50;
 
 /// Answers one request.
 pub async fn handle(node: Arc<Node>, request: Request) -> Response {
     match (&request.method, request.segments().as_slice()) {
         (&Method::GET, ["v1", "config"]) => get_config(&node, &request).await,
         (&Method::PATCH, ["v1", "config"]) => patch_config(&node, &request).await,
-        (&Method::GET, ["v1", "config", "history"]) => history(&node).await,
+        (&Method::GET, ["v1", "config", "history"]) => get_history(&node).await,
         (&Method::GET, ["v1", "status"]) => http::json(StatusCode::OK, &node.status_json()),
         (&Method::GET, ["v1", "burn"]) => {
             http::json(StatusCode::OK, &node.burn.lock().counts(boot_now()))
@@ -37,7 +37,7 @@
         _ => {
             let message = "no such interface; there are GET and PATCH /v1/config, \
                            GET /v1/config/history, GET /v1/status, GET /v1/burn, POST /v1/replicas, GET /metrics";
-            error(StatusCode::NOT_FOUND, "not_found", message)
+            error_response(StatusCode::NOT_FOUND, "not_found", message)
         }
     }
 }
@@ -49,66 +49,70 @@
     // From number 0, since the reader has none of it.
     let mut book = Book::default();
     match node.read_config(0).await {
-        Ok(update) if book.take(&update).is_ok() => config(book.number(), &book.newest().document),
-        _ => no_leader(),
+        Ok(update) if book.take(&update).is_ok() => {
+            config_response(book.number(), &book.newest().document)
+        }
+        _ => no_leader_response(),
     }
 }
 
 /// What is in force at this node; it may be a lease behind the newest.
 fn local_config(node: &Node) -> Response {
     match node.in_force() {
-        Some(numbered) => config(numbered.number, &numbered.document),
-        None => no_leader(),
+        Some(numbered) => config_response(numbered.number, &numbered.document),
+        None => no_leader_response(),
     }
 }
 
-fn config(number: u64, document: &Value) -> Response {
+fn config_response(number: u64, document: &Value) -> Response {
     let mut response = http::json(StatusCode::OK, &json!({"number": number, "config": document}));
     http::set_header(&mut response, "etag", &format!("\"{number}\""));
     response
 }
 
 async fn patch_config(node: &Arc<Node>, request: &Request) -> Response {
-    let patch = match read_patch(request) {
+    let patch = match parse_patch(request) {
         Ok(patch) => patch,
-        Err(refused) => return error(refused.status, refused.code, &refused.message),
+        Err(patch_error) => {
+            return error_response(patch_error.status, patch_error.code, &patch_error.message);
+        }
     };
     match node.decide(Command::Patch(patch)).await {
-        Ok(Reply::Patch(answer)) => patch_answer(&answer),
-        _ => no_leader(),
+        Ok(Reply::Patch(answer)) => patch_response(&answer),
+        _ => no_leader_response(),
     }
 }
 
 /// A request of an operator that can't be understood.
-struct Refused {
+struct PatchError {
     status: StatusCode,
     code: &'static str,
     message: String,
 }
 
-fn read_patch(request: &Request) -> Result<Patch, Refused> {
-    let refused = |status, code, message: String| Refused { status, code, message };
+fn parse_patch(request: &Request) -> Result<Patch, PatchError> {
+    let patch_error = |status, code, message: String| PatchError { status, code, message };
     let required = StatusCode::PRECONDITION_REQUIRED;
     let Some(if_match) = request.header("if-match") else {
         let message = "send If-Match: \"N\" with the number that the patch was made against";
-        return Err(refused(required, "if_match_missing", message.into()));
+        return Err(patch_error(required, "if_match_missing", message.into()));
     };
     let Ok(base) = if_match.trim().trim_matches('"').parse() else {
         let message = format!("If-Match: {if_match:?} is not a number; send If-Match: \"N\"");
-        return Err(refused(StatusCode::BAD_REQUEST, "if_match_invalid", message));
+        return Err(patch_error(StatusCode::BAD_REQUEST, "if_match_invalid", message));
     };
     let Some(patch_id) = request.header("idempotency-key").filter(|id| !id.is_empty()) else {
         let message = "send an Idempotency-Key, so that a resend gets the first answer again";
-        return Err(refused(required, "idempotency_key_missing", message.into()));
+        return Err(patch_error(required, "idempotency_key_missing", message.into()));
     };
     let value: Value = request.json().map_err(|reason| {
         let message = format!("the body is not JSON: {reason}; send a JSON merge patch");
-        refused(StatusCode::BAD_REQUEST, "patch_invalid", message)
+        patch_error(StatusCode::BAD_REQUEST, "patch_invalid", message)
     })?;
     Ok(Patch { patch_id: patch_id.to_string(), base, text: value.to_string() })
 }
 
-fn patch_answer(answer: &PatchAnswer) -> Response {
+fn patch_response(answer: &PatchAnswer) -> Response {
     match answer {
         PatchAnswer::Accepted(number) => {
             let mut response = http::json(StatusCode::OK, &json!({"number": number}));
@@ -131,13 +135,13 @@
         }
         PatchAnswer::IdReused => {
             let message = "this Idempotency-Key belongs to another patch; use a new one";
-            error(StatusCode::UNPROCESSABLE_ENTITY, "id_reused", message)
+            error_response(StatusCode::UNPROCESSABLE_ENTITY, "id_reused", message)
         }
     }
 }
 
-async fn history(node: &Arc<Node>) -> Response {
-    let read = node.read_config(node.number().saturating_sub(HISTORY_LEN)).await;
+async fn get_history(node: &Arc<Node>) -> Response {
+    let read = node.read_config(node.number().saturating_sub(MAX_HISTORY_LEN)).await;
     let patches: Vec<Value> = match read {
         Ok(Update::Patches(patches)) => patches
             .iter()
@@ -152,7 +156,7 @@
             vec![json!({"number": number, "document": document})]
         }
         Ok(Update::None) => Vec::new(),
-        Err(NoLeader) => return no_leader(),
+        Err(NoLeader) => return no_leader_response(),
     };
     http::json(StatusCode::OK, &json!({"history": patches}))
 }
@@ -160,27 +164,27 @@
 async fn change_replicas(node: &Arc<Node>, request: &Request) -> Response {
     #[derive(Deserialize)]
     #[serde(rename_all = "snake_case", deny_unknown_fields)]
-    enum Wanted {
+    enum ReplicaChange {
         AddLearner(NodeId),
         Promote(NodeId),
         Remove(NodeId),
     }
-    let change = match request.json::<Wanted>() {
-        Ok(Wanted::AddLearner(node)) => Change::AddLearner(node),
-        Ok(Wanted::Promote(node)) => Change::Promote(node),
-        Ok(Wanted::Remove(node)) => Change::Remove(node),
+    let change = match request.json::<ReplicaChange>() {
+        Ok(ReplicaChange::AddLearner(node)) => Change::AddLearner(node),
+        Ok(ReplicaChange::Promote(node)) => Change::Promote(node),
+        Ok(ReplicaChange::Remove(node)) => Change::Remove(node),
         Err(reason) => {
             let message = format!(
                 "{reason}; send {{\"add_learner\": N}}, {{\"promote\": N}} or \
                          {{\"remove\": N}}"
             );
-            return error(StatusCode::BAD_REQUEST, "change_invalid", &message);
+            return error_response(StatusCode::BAD_REQUEST, "change_invalid", &message);
         }
     };
     match node.change_replicas(change).await {
         Ok(Ok(())) => http::json(StatusCode::OK, &json!({"changed": true})),
-        Ok(Err(reason)) => error(StatusCode::CONFLICT, "change_refused", &reason),
-        Err(NoLeader) => no_leader(),
+        Ok(Err(reason)) => error_response(StatusCode::CONFLICT, "change_refused", &reason),
+        Err(NoLeader) => no_leader_response(),
     }
 }
 
@@ -192,7 +196,7 @@
     }
     if !node.settings.fault_knobs {
         let message = "fault knobs are off; set fault_knobs and environment test";
-        return error(StatusCode::FORBIDDEN, "fault_knobs_off", message);
+        return error_response(StatusCode::FORBIDDEN, "fault_knobs_off", message);
     }
     match request.json::<Faults>() {
         Ok(faults) => {
@@ -200,7 +204,7 @@
             node.links.set_cut(faults.cut_off_from);
             http::json(StatusCode::OK, &json!({"set": true}))
         }
-        Err(reason) => error(StatusCode::BAD_REQUEST, "fault_invalid", &reason),
+        Err(reason) => error_response(StatusCode::BAD_REQUEST, "fault_invalid", &reason),
     }
 }
 
@@ -256,13 +260,13 @@
     }
 }
 
-fn no_leader() -> Response {
+fn no_leader_response() -> Response {
     let message = "no leader of the replicated log answered; see /v1/status, then try again";
-    let mut response = error(StatusCode::SERVICE_UNAVAILABLE, "no_leader", message);
-    http::set_header(&mut response, "retry-after", RETRY_AFTER_S);
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "no_leader", message);
+    http::set_header(&mut response, "retry-after", NO_LEADER_RETRY_AFTER_S);
     response
 }
 
-fn error(status: StatusCode, code: &str, message: &str) -> Response {
+fn error_response(status: StatusCode, code: &str, message: &str) -> Response {
     http::json(status, &json!({"error": {"code": code, "message": message}}))
 }
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -11,7 +11,7 @@
 use super::prompts::Prompt;
 use super::relay::{Fault, Relay};
 use super::responses::ResponseEvent;
-use super::{Code, Execution, Refusal};
+use super::{Execution, Refusal, RefusalCode};
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{ImportOrder, KeptObject};
 use crate::edge::chat::Usage;
@@ -247,11 +247,11 @@
             NoDispatch::NoEngine(NoEngine::NoneTakesWork) => {
                 let message =
                     format!("no engine of model {:?} takes work now", self.prompt.model_id);
-                Refusal::not_run(Code::NoTarget, message).after(NO_TARGET_RETRY)
+                Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY)
             }
             NoDispatch::NoEngine(NoEngine::TooLate(late)) => {
                 let message = "no engine would give the first token by the deadline";
-                Refusal::not_run(Code::Deadline, message).after(late)
+                Refusal::not_run(RefusalCode::DeadlineExceeded, message).with_retry_after(late)
             }
         };
         self.final_refusal(refusal)
@@ -283,17 +283,18 @@
                 if let Some(held_claim) = &mut self.held_claim {
                     held_claim.mark_not_run();
                 }
-                let refusal = Refusal::not_run(Code::TargetFailed, reason).after(NO_TARGET_RETRY);
+                let refusal = Refusal::not_run(RefusalCode::TargetFailed, reason)
+                    .with_retry_after(NO_TARGET_RETRY);
                 return Err(Broken::TryAnother(Ended::Refused, refusal));
             }
             Err(CallError::Rejected(reason)) => {
                 self.may_have_run = true;
-                let refusal = Refusal::may_have_run(Code::BadRequest, reason);
+                let refusal = Refusal::may_have_run(RefusalCode::BadRequest, reason);
                 return Err(Broken::Final(Ended::Cancelled, refusal));
             }
             Err(CallError::MayHaveRun(reason)) => {
                 self.may_have_run = true;
-                let refusal = Refusal::may_have_run(Code::TargetFailed, reason);
+                let refusal = Refusal::may_have_run(RefusalCode::TargetFailed, reason);
                 return Err(Broken::TryAnother(Ended::Failed, refusal));
             }
         };
@@ -327,12 +328,13 @@
         self.node.client.cancel(&dispatch.url, stream).await;
         match stopped {
             Stopped::CallerGone => {
-                let refusal = Refusal::may_have_run(Code::AnswerBroken, "the caller hung up");
+                let refusal =
+                    Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller hung up");
                 Err(Broken::Final(Ended::Cancelled, refusal))
             }
             Stopped::Fault(Fault::Diverged) => {
                 let message = "a restarted answer differs from what was sent already";
-                let refusal = Refusal::may_have_run(Code::AnswerBroken, message);
+                let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, message);
                 Err(Broken::Final(Ended::Failed, refusal))
             }
             Stopped::Fault(fault) => {
@@ -352,7 +354,7 @@
     /// What the caller has must be repeated by the next engine, so that is tried only where
     /// equal requests give equal answers.
     fn try_another(&self, dispatch: &Dispatch, reason: &str) -> Broken {
-        let refusal = Refusal::may_have_run(Code::AnswerBroken, reason);
+        let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, reason);
         if self.relay.text().is_empty() || dispatch.reproducible {
             Broken::TryAnother(Ended::Failed, refusal)
         } else {
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -9,7 +9,7 @@
 use super::callers::{ApiCall, CallSummary};
 use super::prompt_run::Run;
 use super::responses::{self, ResponseEvent, ResponseFormat};
-use super::{Code, Refusal};
+use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::config::Policy;
 use crate::edge::chat::{PromptRequest, Shape, Usage};
@@ -137,7 +137,7 @@
     request: &Request,
     shape: Shape,
 ) -> Result<(Prompt, ResponseFormat), Refusal> {
-    let bad = |message: String| Refusal::not_run(Code::BadRequest, message);
+    let bad = |message: String| Refusal::not_run(RefusalCode::BadRequest, message);
     let body: serde_json::Value =
         request.json().map_err(|reason| bad(format!("the body is not JSON: {reason}")))?;
     let asked: PromptRequest = serde_json::from_value(body.clone())
@@ -153,7 +153,7 @@
     let Some(model) = models.get(&asked.model).cloned() else {
         let known = models.keys().cloned().collect::<Vec<_>>().join(", ");
         let message = format!("no model {:?}; there are: {known}", asked.model);
-        return Err(Refusal::not_run(Code::UnknownModel, message));
+        return Err(Refusal::not_run(RefusalCode::UnknownModel, message));
     };
     let weight_version = {
         let mut router = node.router.lock();
@@ -190,7 +190,7 @@
     let body = outcome.body.as_deref().unwrap_or_default();
     let Ok(record) = serde_json::from_slice::<Record>(body) else {
         let message = "it ran before, and its answer was too long to keep";
-        return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
+        return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
     Ok(responses::complete_response(format, record.text, record.finish, record.usage))
 }
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -28,13 +28,13 @@
 
 /// Why there is no answer. docs/OPERATIONS.md lists the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
+pub enum RefusalCode {
     /// No bearer key, or an unknown one.
-    WrongKey,
+    InvalidKey,
     /// The request can't be understood.
     BadRequest,
     /// The body is too large.
-    TooLarge,
+    BodyTooLarge,
     /// No such model for this account.
     UnknownModel,
     /// No such kind of request.
@@ -50,7 +50,7 @@
     /// The queue is full.
     QueueFull,
     /// It could not have been answered by its deadline.
-    Deadline,
+    DeadlineExceeded,
     /// The node is shutting down.
     ShuttingDown,
     /// The node's freshness lease has ended.
@@ -58,50 +58,66 @@
     /// No leader of the replicated log could be asked.
     NoLeader,
     /// Targets have ended under this request.
-    Held,
+    Quarantined,
     /// No target may take it now.
     NoTarget,
     /// The target failed.
     TargetFailed,
     /// The answer broke off and can't be continued safely.
-    AnswerBroken,
+    AnswerIncomplete,
 }
 
-impl Code {
+impl RefusalCode {
     /// The word in the answer, the status, and the remedy.
-    pub fn parts(self) -> (&'static str, StatusCode, &'static str) {
+    pub fn code_status_remedy(self) -> (&'static str, StatusCode, &'static str) {
         use StatusCode as S;
         match self {
-            Code::WrongKey => ("wrong_key", S::UNAUTHORIZED, "send Authorization: Bearer KEY"),
-            Code::BadRequest => ("bad_request", S::BAD_REQUEST, "mend the request"),
-            Code::TooLarge => ("too_large", S::PAYLOAD_TOO_LARGE, "send a shorter body"),
-            Code::UnknownModel => ("unknown_model", S::NOT_FOUND, "use a model of /v1/models"),
-            Code::UnknownKind => ("unknown_kind", S::BAD_REQUEST, "use a configured kind"),
-            Code::UnknownService => ("unknown_service", S::NOT_FOUND, "use a configured service"),
-            Code::NotFound => ("not_found", S::NOT_FOUND, "see README.md for the interfaces"),
-            Code::IdReused => (
+            RefusalCode::InvalidKey => {
+                ("wrong_key", S::UNAUTHORIZED, "send Authorization: Bearer KEY")
+            }
+            RefusalCode::BadRequest => ("bad_request", S::BAD_REQUEST, "mend the request"),
+            RefusalCode::BodyTooLarge => ("too_large", S::PAYLOAD_TOO_LARGE, "send a shorter body"),
+            RefusalCode::UnknownModel => {
+                ("unknown_model", S::NOT_FOUND, "use a model of /v1/models")
+            }
+            RefusalCode::UnknownKind => ("unknown_kind", S::BAD_REQUEST, "use a configured kind"),
+            RefusalCode::UnknownService => {
+                ("unknown_service", S::NOT_FOUND, "use a configured service")
+            }
+            RefusalCode::NotFound => {
+                ("not_found", S::NOT_FOUND, "see README.md for the interfaces")
+            }
+            RefusalCode::IdReused => (
                 "id_reused",
                 S::UNPROCESSABLE_ENTITY,
                 "use a new Idempotency-Key for a new request",
             ),
-            Code::AlreadyClaimed => {
+            RefusalCode::AlreadyClaimed => {
                 ("already_claimed", S::CONFLICT, "find out by other means before you order again")
             }
-            Code::QueueFull => ("queue_full", S::TOO_MANY_REQUESTS, "come back after Retry-After"),
-            Code::Deadline => {
+            RefusalCode::QueueFull => {
+                ("queue_full", S::TOO_MANY_REQUESTS, "come back after Retry-After")
+            }
+            RefusalCode::DeadlineExceeded => {
                 ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or come back later")
             }
-            Code::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "send it again"),
-            Code::NotFresh => ("not_fresh", S::SERVICE_UNAVAILABLE, "send it to another node"),
-            Code::NoLeader => ("no_leader", S::SERVICE_UNAVAILABLE, "come back after Retry-After"),
-            Code::Held => {
+            RefusalCode::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "send it again"),
+            RefusalCode::NotFresh => {
+                ("not_fresh", S::SERVICE_UNAVAILABLE, "send it to another node")
+            }
+            RefusalCode::NoLeader => {
+                ("no_leader", S::SERVICE_UNAVAILABLE, "come back after Retry-After")
+            }
+            RefusalCode::Quarantined => {
                 ("held", S::SERVICE_UNAVAILABLE, "come back after Retry-After, or ask otherwise")
             }
-            Code::NoTarget => ("no_target", S::SERVICE_UNAVAILABLE, "come back after Retry-After"),
-            Code::TargetFailed => {
+            RefusalCode::NoTarget => {
+                ("no_target", S::SERVICE_UNAVAILABLE, "come back after Retry-After")
+            }
+            RefusalCode::TargetFailed => {
                 ("target_failed", S::BAD_GATEWAY, "send it again if it may repeat")
             }
-            Code::AnswerBroken => {
+            RefusalCode::AnswerIncomplete => {
                 ("answer_broken", S::BAD_GATEWAY, "send it again if it may repeat")
             }
         }
@@ -112,7 +128,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Why.
-    pub code: Code,
+    pub code: RefusalCode,
     /// What exactly is wrong.
     pub message: String,
     /// Whether the request may have had an effect.
@@ -123,29 +139,30 @@
 
 impl Refusal {
     /// A refusal before anything was sent to a target.
-    pub fn not_run(code: Code, message: impl Into<String>) -> Refusal {
+    pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         Refusal { code, message: message.into(), execution: Execution::NotRun, retry_after: None }
     }
 
     /// A refusal after something may have been sent to a target.
-    pub fn may_have_run(code: Code, message: impl Into<String>) -> Refusal {
+    pub fn may_have_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         let execution = Execution::MayHaveRun;
         Refusal { code, message: message.into(), execution, retry_after: None }
     }
 
     /// Tells the caller when to come back.
-    pub fn after(mut self, retry_after: Duration) -> Refusal {
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Refusal {
         self.retry_after = Some(retry_after);
         self
     }
 
     /// The error object, in the published shape with fields of ours.
     pub fn body(&self) -> serde_json::Value {
-        let (code, status, remedy) = self.code.parts();
-        let kind = if status.is_client_error() { "invalid_request_error" } else { "server_error" };
+        let (code, status, remedy) = self.code.code_status_remedy();
+        let error_type =
+            if status.is_client_error() { "invalid_request_error" } else { "server_error" };
         json!({"error": {
             "message": format!("{}; {remedy}", self.message),
-            "type": kind,
+            "type": error_type,
             "param": null,
             "code": code,
             "execution": self.execution.as_str(),
@@ -154,7 +171,7 @@
 
     /// The whole answer.
     pub fn response(&self) -> Response {
-        let (_, status, _) = self.code.parts();
+        let (_, status, _) = self.code.code_status_remedy();
         let mut response = http::json(status, &self.body());
         if let Some(after) = self.retry_after {
             let seconds = after.as_millis().div_ceil(1_000).max(1);
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -4,7 +4,7 @@
 use tokio::sync::mpsc;
 use warp::http::StatusCode;
 
-use super::refusal::{Code, Refusal};
+use super::refusal::{Refusal, RefusalCode};
 use crate::clock::unix_ms;
 use crate::edge::chat::{self, Chunk, Shape, Usage};
 use crate::edge::sse;
@@ -127,7 +127,7 @@
 
 fn ended_early() -> ResponseEvent {
     ResponseEvent::Failed(Refusal::may_have_run(
-        Code::AnswerBroken,
+        RefusalCode::AnswerIncomplete,
         "the run ended without an answer",
     ))
 }
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -7,7 +7,7 @@
 
 use super::at_most_once::{self, ClaimOutcome, HeldClaim};
 use super::callers::{ApiCall, CallSummary};
-use super::{Code, Refusal};
+use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{OWNER_HEADER, REQUEST_HEADER, Target};
@@ -35,7 +35,7 @@
     let Some(configured) = services.get(service) else {
         let known = services.keys().cloned().collect::<Vec<_>>().join(", ");
         let message = format!("no service {service:?}; there are: {known}");
-        return Err(Refusal::not_run(Code::UnknownService, message));
+        return Err(Refusal::not_run(RefusalCode::UnknownService, message));
     };
     call.repeatable &= configured.repeatable;
     let result = answer(node, &call, request, service).await;
@@ -65,7 +65,7 @@
             ClaimOutcome::AlreadyRan(outcome) if outcome.body.is_some() => return Ok(outcome),
             ClaimOutcome::AlreadyRan(_) => {
                 let message = "it ran before, and its answer was too long to keep";
-                return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
+                return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
             }
             ClaimOutcome::Granted(held_claim) => held_claim,
         };
@@ -78,7 +78,7 @@
         run_once(&node, &call, &request, &service, held_claim).await
     });
     running.await.unwrap_or_else(|_| {
-        Err(Refusal::may_have_run(Code::TargetFailed, "the call ended without an outcome"))
+        Err(Refusal::may_have_run(RefusalCode::TargetFailed, "the call ended without an outcome"))
     })
 }
 
@@ -227,14 +227,14 @@
 
 fn no_instance(service: &str) -> Refusal {
     let message = format!("no instance of service {service:?} takes work now");
-    Refusal::not_run(Code::NoTarget, message).after(NO_TARGET_RETRY)
+    Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY)
 }
 
 fn failed(instance: &Target, reason: &str, may_have_run: bool) -> Refusal {
     let message = format!("{}: {reason}", instance.id);
     if may_have_run {
-        Refusal::may_have_run(Code::TargetFailed, message)
+        Refusal::may_have_run(RefusalCode::TargetFailed, message)
     } else {
-        Refusal::not_run(Code::TargetFailed, message).after(NO_TARGET_RETRY)
+        Refusal::not_run(RefusalCode::TargetFailed, message).with_retry_after(NO_TARGET_RETRY)
     }
 }
