--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -9,7 +9,7 @@
 
 use super::at_most_once::HeldClaim;
 use super::prompts::Prompt;
-use super::relay::{Fault, Relay};
+use super::relay::{Relay, StreamError};
 use super::responses::ResponseEvent;
 use super::{Execution, Refusal, RefusalCode};
 use crate::clock::{BootTime, boot_now};
@@ -58,7 +58,7 @@
     /// Its text.
     pub text: String,
     /// Why it ended.
-    pub finish: String,
+    pub finish_reason: String,
     /// Its tokens.
     pub usage: Usage,
 }
@@ -312,7 +312,7 @@
         let first = self.relay_stream(response).await;
         let result = match first {
             Err(Stopped::Broke(_)) => {
-                let from = self.relay.chunks();
+                let from = self.relay.text_chunks();
                 match self.node.client.resume(&dispatch.url, stream, from).await {
                     Ok(response) => self.relay_stream(response).await,
                     Err(_) => first,
@@ -322,8 +322,8 @@
         };
         let Err(stopped) = result else {
             let usage = self.relay.usage().unwrap_or_default();
-            let finish = self.relay.finish().unwrap_or("stop").to_string();
-            return Ok(Whole { text: self.relay.text().to_string(), finish, usage });
+            let finish_reason = self.relay.finish_reason().unwrap_or("stop").to_string();
+            return Ok(Whole { text: self.relay.sent_text().to_string(), finish_reason, usage });
         };
         self.node.client.cancel(&dispatch.url, stream).await;
         match stopped {
@@ -332,7 +332,7 @@
                     Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller hung up");
                 Err(Broken::Final(Ended::Cancelled, refusal))
             }
-            Stopped::Fault(Fault::Diverged) => {
+            Stopped::Fault(StreamError::Diverged) => {
                 let message = "a restarted answer differs from what was sent already";
                 let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, message);
                 Err(Broken::Final(Ended::Failed, refusal))
@@ -355,7 +355,7 @@
     /// equal requests give equal answers.
     fn try_another(&self, dispatch: &Dispatch, reason: &str) -> Broken {
         let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, reason);
-        if self.relay.text().is_empty() || dispatch.reproducible {
+        if self.relay.sent_text().is_empty() || dispatch.reproducible {
             Broken::TryAnother(Ended::Failed, refusal)
         } else {
             Broken::Final(Ended::Failed, refusal)
@@ -373,13 +373,13 @@
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let received = events.push(&bytes).map_err(|Oversized| {
-                Stopped::Fault(Fault::Unreadable { reason: "an event is too large".into() })
+                Stopped::Fault(StreamError::Malformed { reason: "an event is too large".into() })
             })?;
             for data in received {
-                if let Some(text) = self.relay.take(&data).map_err(Stopped::Fault)? {
+                if let Some(text) = self.relay.process_event(&data).map_err(Stopped::Fault)? {
                     self.send_text(text).await?;
                 }
-                if self.relay.is_whole() {
+                if self.relay.is_complete() {
                     return Ok(());
                 }
             }
@@ -388,7 +388,7 @@
 
     async fn send_text(&mut self, text: String) -> Result<(), Stopped> {
         let call = &self.prompt.call;
-        if self.relay.text().len() == text.len() {
+        if self.relay.sent_text().len() == text.len() {
             let took = boot_now().saturating_sub(call.received_at);
             self.first_token_latency = Some(took);
             let labels = [label("kind", &call.kind_id)];
@@ -463,7 +463,7 @@
     /// The stream broke; it may be resumed.
     Broke(String),
     /// The stream can't be trusted.
-    Fault(Fault),
+    Fault(StreamError),
     /// Nobody listens any more.
     CallerGone,
 }
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -116,9 +116,9 @@
     let (held_claim, sender) = run.into_parts();
     match result {
         Ok(whole) => {
-            let (finish_reason, usage) = (whole.finish.clone(), whole.usage);
+            let (finish_reason, usage) = (whole.finish_reason.clone(), whole.usage);
             if let Some(held_claim) = held_claim {
-                let record = Record { text: whole.text, finish: whole.finish, usage };
+                let record = Record { text: whole.text, finish: whole.finish_reason, usage };
                 held_claim.record_outcome(outcome(&record)).await;
             }
             // The caller may have hung up; then nobody needs the end.
--- a/src/http_api/relay.rs
+++ b/src/http_api/relay.rs
@@ -10,29 +10,29 @@
     /// The id that each chunk must carry.
     expected_id: String,
     /// Text that the caller has.
-    sent: String,
+    sent_text: String,
     /// Bytes of `sent` that the current stream has repeated so far.
     /// Invariant: at most `sent.len()`, at a boundary of characters.
-    repeated: usize,
+    repeated_bytes: usize,
     /// Chunks with text that came over the current generation, for resuming it.
-    chunks: u32,
-    finish: Option<String>,
+    text_chunks: u32,
+    finish_reason: Option<String>,
     usage: Option<Usage>,
-    done: bool,
+    completed: bool,
 }
 
 /// Why a stream can't be used any more.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum StreamError {
     /// A chunk belongs to another request or attempt.
-    Crossed {
+    UnexpectedId {
         /// The id that it carries.
         id: String,
     },
     /// The restarted answer differs from what the caller has.
     Diverged,
     /// A chunk can't be read, or the engine reports an error.
-    Unreadable {
+    Malformed {
         /// Why.
         reason: String,
     },
@@ -44,9 +44,9 @@
     /// Starts a new generation under a new id. What the caller has must be repeated first.
     pub fn restart(&mut self, expected_id: String) {
         self.expected_id = expected_id;
-        self.repeated = 0;
-        self.chunks = 0;
-        self.finish = None;
+        self.repeated_bytes = 0;
+        self.text_chunks = 0;
+        self.finish_reason = None;
         self.usage = None;
     }
 
@@ -54,73 +54,73 @@
     ///
     /// # Errors
     /// Why the stream must be given up; nothing of this event may be sent.
-    pub fn take(&mut self, data: &str) -> Result<Option<String>, Fault> {
-        if self.done {
-            return Err(Fault::OutOfOrder);
+    pub fn process_event(&mut self, data: &str) -> Result<Option<String>, StreamError> {
+        if self.completed {
+            return Err(StreamError::OutOfOrder);
         }
         if data == sse::DONE {
             // Whole only if all that was sent has been repeated and the end was announced.
-            if self.finish.is_none() || self.repeated < self.sent.len() {
-                return Err(Fault::OutOfOrder);
+            if self.finish_reason.is_none() || self.repeated_bytes < self.sent_text.len() {
+                return Err(StreamError::OutOfOrder);
             }
-            self.done = true;
+            self.completed = true;
             return Ok(None);
         }
-        let chunk = Chunk::parse(data).map_err(|reason| Fault::Unreadable { reason })?;
+        let chunk = Chunk::parse(data).map_err(|reason| StreamError::Malformed { reason })?;
         if chunk.id != self.expected_id {
-            return Err(Fault::Crossed { id: chunk.id });
+            return Err(StreamError::UnexpectedId { id: chunk.id });
         }
-        self.chunk(chunk)
+        self.process_chunk(chunk)
     }
 
-    fn chunk(&mut self, chunk: Chunk) -> Result<Option<String>, Fault> {
+    fn process_chunk(&mut self, chunk: Chunk) -> Result<Option<String>, StreamError> {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
-        if !chunk.text.is_empty() && self.finish.is_some() {
-            return Err(Fault::OutOfOrder);
+        if !chunk.text.is_empty() && self.finish_reason.is_some() {
+            return Err(StreamError::OutOfOrder);
         }
         if !chunk.text.is_empty() {
-            self.chunks += 1;
+            self.text_chunks += 1;
         }
-        let new = self.beyond_sent(&chunk.text)?;
+        let new_text = self.strip_repeated(&chunk.text)?;
         if chunk.finish.is_some() {
-            self.finish = chunk.finish;
+            self.finish_reason = chunk.finish;
         }
-        self.sent.push_str(&new);
-        self.repeated += new.len();
-        Ok((!new.is_empty()).then_some(new))
+        self.sent_text.push_str(&new_text);
+        self.repeated_bytes += new_text.len();
+        Ok((!new_text.is_empty()).then_some(new_text))
     }
 
     /// The part of `text` that the caller does not have.
-    fn beyond_sent(&mut self, text: &str) -> Result<String, Fault> {
-        let missing = &self.sent[self.repeated..];
-        let common = missing.len().min(text.len());
-        if !text.is_char_boundary(common) || text[..common] != missing[..common] {
-            return Err(Fault::Diverged);
+    fn strip_repeated(&mut self, text: &str) -> Result<String, StreamError> {
+        let unrepeated = &self.sent_text[self.repeated_bytes..];
+        let overlap = unrepeated.len().min(text.len());
+        if !text.is_char_boundary(overlap) || text[..overlap] != unrepeated[..overlap] {
+            return Err(StreamError::Diverged);
         }
-        self.repeated += common;
-        Ok(text[common..].to_string())
+        self.repeated_bytes += overlap;
+        Ok(text[overlap..].to_string())
     }
 
     /// Whether the end mark came after a whole answer.
-    pub fn is_whole(&self) -> bool {
-        self.done
+    pub fn is_complete(&self) -> bool {
+        self.completed
     }
 
     /// The text that the caller has.
-    pub fn text(&self) -> &str {
-        &self.sent
+    pub fn sent_text(&self) -> &str {
+        &self.sent_text
     }
 
     /// Chunks with text that came of the current generation: where to resume it.
-    pub fn chunks(&self) -> u32 {
-        self.chunks
+    pub fn text_chunks(&self) -> u32 {
+        self.text_chunks
     }
 
     /// Why the answer ended.
-    pub fn finish(&self) -> Option<&str> {
-        self.finish.as_deref()
+    pub fn finish_reason(&self) -> Option<&str> {
+        self.finish_reason.as_deref()
     }
 
     /// The usage, once the engine has told it.
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,7 +1,7 @@
 //! Relaying an answer: only its own chunks, in order, to the end mark, never two mixed.
 
 use kumquatpost::edge::chat::{Chunk, Shape, Usage};
-use kumquatpost::http_api::relay::{Fault, Relay};
+use kumquatpost::http_api::relay::{Relay, StreamError};
 
 fn text(id: &str, text: &str) -> String {
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
@@ -20,10 +20,10 @@
 const DONE: &str = "[DONE]";
 
 /// Feeds events; returns the text that went to the caller, and the first fault.
-fn feed(relay: &mut Relay, events: &[String]) -> (String, Option<Fault>) {
+fn feed(relay: &mut Relay, events: &[String]) -> (String, Option<StreamError>) {
     let mut sent = String::new();
     for event in events {
-        match relay.take(event) {
+        match relay.process_event(event) {
             Ok(new) => sent.push_str(&new.unwrap_or_default()),
             Err(fault) => return (sent, Some(fault)),
         }
@@ -33,8 +33,8 @@
 
 #[test]
 fn streams_are_whole_or_given_up() {
-    let crossed = |id: &str| Some(Fault::Crossed { id: id.into() });
-    type Case = (&'static str, Vec<String>, &'static str, Option<Fault>, bool);
+    let crossed = |id: &str| Some(StreamError::UnexpectedId { id: id.into() });
+    type Case = (&'static str, Vec<String>, &'static str, Option<StreamError>, bool);
     let cases: Vec<Case> = vec![
         (
             "whole",
@@ -55,7 +55,7 @@
             "end mark too early",
             vec![text("r.1", "a "), DONE.into()],
             "a ",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             false,
         ),
         (
@@ -70,14 +70,14 @@
             "more after its end",
             vec![last("r.1", "a"), text("r.1", "b")],
             "a",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             false,
         ),
         (
             "more after the end mark",
             vec![last("r.1", "a"), DONE.into(), text("r.1", "b")],
             "a",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             true,
         ),
     ];
@@ -85,12 +85,15 @@
         let mut relay = Relay::default();
         relay.restart("r.1".into());
         assert_eq!(feed(&mut relay, &events), (sent.to_string(), fault), "{what}");
-        assert_eq!(relay.is_whole(), whole, "{what}");
+        assert_eq!(relay.is_complete(), whole, "{what}");
     }
     let mut relay = Relay::default();
     relay.restart("r.1".into());
-    assert!(matches!(relay.take("{"), Err(Fault::Unreadable { .. })));
-    assert!(matches!(relay.take(r#"{"error": {"message": "x"}}"#), Err(Fault::Unreadable { .. })));
+    assert!(matches!(relay.process_event("{"), Err(StreamError::Malformed { .. })));
+    assert!(matches!(
+        relay.process_event(r#"{"error": {"message": "x"}}"#),
+        Err(StreamError::Malformed { .. })
+    ));
 }
 
 #[test]
@@ -106,13 +109,13 @@
         let mut relay = Relay::default();
         relay.restart("r.1".into());
         feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
-        assert_eq!(relay.chunks(), 2);
+        assert_eq!(relay.text_chunks(), 2);
         relay.restart("r.2".into());
         let events: Vec<String> = pieces.iter().map(|piece| text("r.2", piece)).collect();
         let (sent, fault) = feed(&mut relay, &events);
         assert_eq!(sent, expected, "{what}");
         assert_eq!(fault.is_none(), repeats, "{what}");
-        assert!(fault.is_none() || fault == Some(Fault::Diverged), "{what}");
+        assert!(fault.is_none() || fault == Some(StreamError::Diverged), "{what}");
     }
 }
 
@@ -123,8 +126,8 @@
     feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
     relay.restart("r.2".into());
     let (sent, fault) = feed(&mut relay, &[last("r.2", "one "), DONE.into()]);
-    assert_eq!((sent.as_str(), fault), ("", Some(Fault::OutOfOrder)));
-    assert!(!relay.is_whole());
+    assert_eq!((sent.as_str(), fault), ("", Some(StreamError::OutOfOrder)));
+    assert!(!relay.is_complete());
 }
 
 #[test]
@@ -134,6 +137,6 @@
     feed(&mut relay, &[text("r.1", "one "), text("r.1", "two ")]);
     let rest = [last("r.1", "three"), usage("r.1"), DONE.into()];
     assert_eq!(feed(&mut relay, &rest), ("three".into(), None));
-    assert!(relay.is_whole());
-    assert_eq!(relay.text(), "one two three");
+    assert!(relay.is_complete());
+    assert_eq!(relay.sent_text(), "one two three");
 }
