--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -173,11 +173,11 @@
         })
     }
 
-    /// Waits for a place to run.
+    /// Waits for a permit to run.
     ///
     /// # Errors
     /// That it was given up on, and when to come back.
-    pub async fn take_place(&self, node: &Arc<Node>) -> Result<Place, Refusal> {
+    pub async fn acquire_permit(&self, node: &Arc<Node>) -> Result<Place, Refusal> {
         let account = self.config.config.accounts.get(&self.account);
         let limit = account.map_or(1, |account| account.max_running);
         let wants = Wants {
@@ -187,7 +187,7 @@
             priority: self.kind.priority,
             deadline: self.deadline,
         };
-        let place = node.places.take(wants).await.map_err(|refused| {
+        let permit = node.places.take(wants).await.map_err(|refused| {
             let (code, message) = match refused.reason {
                 Reason::QueueFull => (RefusalCode::QueueFull, "too many requests wait already"),
                 Reason::Deadline => {
@@ -198,7 +198,7 @@
         })?;
         // Time has passed in the queue.
         self.check_dispatch_in_time(node)?;
-        Ok(place)
+        Ok(permit)
     }
 
     /// Checks again, right before a dispatch, that the request may still be sent.
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -27,14 +27,14 @@
 /// Dispatches of one request, at the most.
 const MAX_ATTEMPTS: Attempt = 4;
 /// A stream that is silent for this long has broken.
-const SILENCE: Duration = Duration::from_secs(30);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// A caller who does not read for this long has gone.
-const CALLER_PATIENCE: Duration = Duration::from_secs(30);
+const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(30);
 /// When to come back if no engine may take the request.
-const NO_TARGET_RETRY: Duration = Duration::from_secs(2);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// One prompt on its way.
-pub struct Run {
+pub struct PromptRun {
     node: Arc<Node>,
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
@@ -43,8 +43,8 @@
     /// Names the run towards engines; drawn, so that no two requests can be taken for one.
     run_id: String,
     attempt: Attempt,
-    avoid: Vec<TargetId>,
-    kept: Vec<(TargetId, KeptObject)>,
+    excluded_engines: Vec<TargetId>,
+    stored_prefixes: Vec<(TargetId, KeptObject)>,
     /// Whether any byte of the request may have had an effect on a target.
     may_have_run: bool,
     /// When the first token came, counted from the request's arrival.
@@ -54,7 +54,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Whole {
+pub struct CompleteAnswer {
     /// Its text.
     pub text: String,
     /// Why it ended.
@@ -72,24 +72,24 @@
 }
 
 /// Why one dispatch gave no whole answer.
-enum Broken {
+enum DispatchError {
     /// The engine failed or did not run it: another one may be tried.
-    TryAnother(Ended, Refusal),
+    Retryable(Ended, Refusal),
     /// Nothing more can be done.
-    Final(Ended, Refusal),
+    NotRetryable(Ended, Refusal),
 }
 
-impl Run {
+impl PromptRun {
     /// A prompt that has a place and, if it must not repeat, a claim.
     pub fn new(
         node: Arc<Node>,
         prompt: Prompt,
         held_claim: Option<HeldClaim>,
         sender: mpsc::Sender<ResponseEvent>,
-    ) -> Run {
+    ) -> PromptRun {
         // The request id is the caller's and may come twice; the drawn part never does.
         let run_id = format!("{}~{:016x}", prompt.call.request_id, rand::rng().random::<u64>());
-        Run {
+        PromptRun {
             node,
             prompt,
             held_claim,
@@ -97,8 +97,8 @@
             relay: Relay::default(),
             run_id,
             attempt: 0,
-            avoid: Vec::new(),
-            kept: Vec::new(),
+            excluded_engines: Vec::new(),
+            stored_prefixes: Vec::new(),
             may_have_run: false,
             first_token_latency: None,
             last_target: None,
@@ -124,36 +124,36 @@
     ///
     /// # Errors
     /// Why there is no whole answer.
-    pub async fn to_end(&mut self) -> Result<Whole, Refusal> {
-        self.kept = self.node.kept_of(&self.prompt.chain).await;
+    pub async fn run_to_completion(&mut self) -> Result<CompleteAnswer, Refusal> {
+        self.stored_prefixes = self.node.kept_of(&self.prompt.chain).await;
         self.node.router.lock().earn_retry();
         loop {
             self.attempt += 1;
-            let dispatch = match self.choose() {
+            let dispatch = match self.start_dispatch() {
                 Err(NoDispatch::NoEngine(NoEngine::NoneTakesWork))
-                    if self.turn_to_others().await =>
+                    if self.switch_weight_version().await =>
                 {
-                    self.choose()
+                    self.start_dispatch()
                 }
-                chosen => chosen,
+                started => started,
             };
-            let dispatch = dispatch.map_err(|reason| self.no_dispatch(reason))?;
+            let dispatch = dispatch.map_err(|reason| self.no_dispatch_refusal(reason))?;
             self.last_target = Some(dispatch.engine().clone());
             let sent_at = boot_now();
-            let (ended, result) = match self.dispatch(&dispatch).await {
-                Ok(whole) => (Ended::Whole(whole.usage), Ok(whole)),
-                Err(Broken::TryAnother(ended, refusal)) => (ended, Err((true, refusal))),
-                Err(Broken::Final(ended, refusal)) => (ended, Err((false, refusal))),
+            let (ended, result) = match self.run_dispatch(&dispatch).await {
+                Ok(answer) => (Ended::Whole(answer.usage), Ok(answer)),
+                Err(DispatchError::Retryable(ended, refusal)) => (ended, Err((true, refusal))),
+                Err(DispatchError::NotRetryable(ended, refusal)) => (ended, Err((false, refusal))),
             };
-            self.book(&dispatch, ended);
+            self.record_dispatch_end(&dispatch, ended);
             if ended == Ended::Failed {
-                self.examine(&dispatch, sent_at).await;
+                self.report_broken_run(&dispatch, sent_at).await;
             }
             match result {
-                Ok(whole) => {
+                Ok(answer) => {
                     self.node.answered_whole(self.prompt.call.fingerprint);
                     self.node.note_answered(&self.prompt.chain, dispatch.url);
-                    return Ok(whole);
+                    return Ok(answer);
                 }
                 Err((true, refusal)) if self.may_retry(ended) => {
                     log::info!(
@@ -163,7 +163,7 @@
                         dispatch.engine(),
                         quoted(&refusal.message),
                     );
-                    self.avoid.push(dispatch.engine().clone());
+                    self.excluded_engines.push(dispatch.engine().clone());
                 }
                 Err((_, refusal)) => return Err(self.final_refusal(refusal)),
             }
@@ -171,11 +171,11 @@
     }
 
     /// The engine may have ended under this prompt, and others would.
-    async fn examine(&self, dispatch: &Dispatch, sent_at: BootTime) {
-        let news = dispatch.news();
+    async fn report_broken_run(&self, dispatch: &Dispatch, sent_at: BootTime) {
+        let announcement = dispatch.news();
         let broken = BrokenAt {
-            target: &news.engine,
-            incarnation: news.incarnation,
+            target: &announcement.engine,
+            incarnation: announcement.incarnation,
             url: &dispatch.url,
             fingerprint: self.prompt.call.fingerprint,
             sent_at,
@@ -185,7 +185,7 @@
 
     /// Turns to the weights that engines have by now, if they are others: a prompt may have waited
     /// while the last engine with its weights loaded the next ones. Says whether it did.
-    async fn turn_to_others(&mut self) -> bool {
+    async fn switch_weight_version(&mut self) -> bool {
         if self.may_have_run {
             return false;
         }
@@ -206,12 +206,12 @@
             quoted(&self.prompt.weight_version),
             quoted(&version),
         );
-        self.prompt.turn_to(version);
-        self.kept = self.node.kept_of(&self.prompt.chain).await;
+        self.prompt.set_weight_version(version);
+        self.stored_prefixes = self.node.kept_of(&self.prompt.chain).await;
         true
     }
 
-    fn choose(&self) -> Result<Dispatch, NoDispatch> {
+    fn start_dispatch(&self) -> Result<Dispatch, NoDispatch> {
         let call = &self.prompt.call;
         let has_begun = self.first_token_latency.is_some();
         let admitted = if has_begun {
@@ -229,8 +229,8 @@
             model: &self.prompt.model_id,
             weight_version: &self.prompt.weight_version,
             chain: &self.prompt.chain,
-            kept: &self.kept,
-            avoid: &self.avoid,
+            kept: &self.stored_prefixes,
+            avoid: &self.excluded_engines,
             draw,
         };
         let prices = &call.config.config.prices;
@@ -241,13 +241,14 @@
         Ok(dispatch)
     }
 
-    fn no_dispatch(&self, reason: NoDispatch) -> Refusal {
+    fn no_dispatch_refusal(&self, reason: NoDispatch) -> Refusal {
         let refusal = match reason {
             NoDispatch::Refused(refusal) => refusal,
             NoDispatch::NoEngine(NoEngine::NoneTakesWork) => {
                 let message =
                     format!("no engine of model {:?} takes work now", self.prompt.model_id);
-                Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY)
+                Refusal::not_run(RefusalCode::NoTarget, message)
+                    .with_retry_after(NO_TARGET_RETRY_AFTER)
             }
             NoDispatch::NoEngine(NoEngine::TooLate(late)) => {
                 let message = "no engine would give the first token by the deadline";
@@ -257,10 +258,10 @@
         self.final_refusal(refusal)
     }
 
-    async fn dispatch(&mut self, dispatch: &Dispatch) -> Result<Whole, Broken> {
-        let refused = |refusal| Broken::Final(Ended::Cancelled, refusal);
+    async fn run_dispatch(&mut self, dispatch: &Dispatch) -> Result<CompleteAnswer, DispatchError> {
+        let not_dispatched = |refusal| DispatchError::NotRetryable(Ended::Cancelled, refusal);
         if let Some(held_claim) = &mut self.held_claim {
-            held_claim.mark_dispatched().map_err(refused)?;
+            held_claim.mark_dispatched().map_err(not_dispatched)?;
         }
         let run_id = self.run_id.clone();
         let stream = StreamRef { request_id: &run_id, attempt: self.attempt };
@@ -284,34 +285,34 @@
                     held_claim.mark_not_run();
                 }
                 let refusal = Refusal::not_run(RefusalCode::TargetFailed, reason)
-                    .with_retry_after(NO_TARGET_RETRY);
-                return Err(Broken::TryAnother(Ended::Refused, refusal));
+                    .with_retry_after(NO_TARGET_RETRY_AFTER);
+                return Err(DispatchError::Retryable(Ended::Refused, refusal));
             }
             Err(CallError::Rejected(reason)) => {
                 self.may_have_run = true;
                 let refusal = Refusal::may_have_run(RefusalCode::BadRequest, reason);
-                return Err(Broken::Final(Ended::Cancelled, refusal));
+                return Err(DispatchError::NotRetryable(Ended::Cancelled, refusal));
             }
             Err(CallError::MayHaveRun(reason)) => {
                 self.may_have_run = true;
                 let refusal = Refusal::may_have_run(RefusalCode::TargetFailed, reason);
-                return Err(Broken::TryAnother(Ended::Failed, refusal));
+                return Err(DispatchError::Retryable(Ended::Failed, refusal));
             }
         };
         self.may_have_run = true;
-        self.relay_to_end(dispatch, stream, response).await
+        self.relay_answer(dispatch, stream, response).await
     }
 
     /// Relays a stream; if it breaks, goes on with it once where it broke.
-    async fn relay_to_end(
+    async fn relay_answer(
         &mut self,
         dispatch: &Dispatch,
         stream: StreamRef<'_>,
         response: reqwest::Response,
-    ) -> Result<Whole, Broken> {
+    ) -> Result<CompleteAnswer, DispatchError> {
         let first = self.relay_stream(response).await;
         let result = match first {
-            Err(Stopped::Broke(_)) => {
+            Err(RelayError::StreamBroken(_)) => {
                 let from = self.relay.text_chunks();
                 match self.node.client.resume(&dispatch.url, stream, from).await {
                     Ok(response) => self.relay_stream(response).await,
@@ -320,63 +321,73 @@
             }
             other => other,
         };
-        let Err(stopped) = result else {
+        let Err(relay_error) = result else {
             let usage = self.relay.usage().unwrap_or_default();
             let finish_reason = self.relay.finish_reason().unwrap_or("stop").to_string();
-            return Ok(Whole { text: self.relay.sent_text().to_string(), finish_reason, usage });
+            return Ok(CompleteAnswer {
+                text: self.relay.sent_text().to_string(),
+                finish_reason,
+                usage,
+            });
         };
         self.node.client.cancel(&dispatch.url, stream).await;
-        match stopped {
-            Stopped::CallerGone => {
+        match relay_error {
+            RelayError::CallerDisconnected => {
                 let refusal =
                     Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller hung up");
-                Err(Broken::Final(Ended::Cancelled, refusal))
+                Err(DispatchError::NotRetryable(Ended::Cancelled, refusal))
             }
-            Stopped::Fault(StreamError::Diverged) => {
+            RelayError::InvalidStream(StreamError::Diverged) => {
                 let message = "a restarted answer differs from what was sent already";
                 let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, message);
-                Err(Broken::Final(Ended::Failed, refusal))
+                Err(DispatchError::NotRetryable(Ended::Failed, refusal))
             }
-            Stopped::Fault(fault) => {
+            RelayError::InvalidStream(stream_error) => {
                 log::warn!(
                     "event=answer_refused request={} target={} fault={}",
                     quoted(&self.prompt.call.request_id),
                     dispatch.engine(),
-                    quoted(&format!("{fault:?}")),
+                    quoted(&format!("{stream_error:?}")),
                 );
                 let message = "the target sent something else than this answer";
-                Err(self.try_another(dispatch, message))
+                Err(self.retryable_if_reproducible(dispatch, message))
+            }
+            RelayError::StreamBroken(reason) => {
+                Err(self.retryable_if_reproducible(dispatch, &reason))
             }
-            Stopped::Broke(reason) => Err(self.try_another(dispatch, &reason)),
         }
     }
 
     /// What the caller has must be repeated by the next engine, so that is tried only where
     /// equal requests give equal answers.
-    fn try_another(&self, dispatch: &Dispatch, reason: &str) -> Broken {
+    fn retryable_if_reproducible(&self, dispatch: &Dispatch, reason: &str) -> DispatchError {
         let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, reason);
         if self.relay.sent_text().is_empty() || dispatch.reproducible {
-            Broken::TryAnother(Ended::Failed, refusal)
+            DispatchError::Retryable(Ended::Failed, refusal)
         } else {
-            Broken::Final(Ended::Failed, refusal)
+            DispatchError::NotRetryable(Ended::Failed, refusal)
         }
     }
 
-    async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), Stopped> {
+    async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), RelayError> {
         let mut events = Events::default();
         let mut body = response.bytes_stream();
         loop {
-            let bytes = match tokio::time::timeout(SILENCE, body.next()).await {
-                Err(_) => return Err(Stopped::Broke("the stream fell silent".into())),
-                Ok(None) => return Err(Stopped::Broke("the stream ended early".into())),
-                Ok(Some(Err(error))) => return Err(Stopped::Broke(error.to_string())),
+            let bytes = match tokio::time::timeout(STREAM_IDLE_TIMEOUT, body.next()).await {
+                Err(_) => return Err(RelayError::StreamBroken("the stream fell silent".into())),
+                Ok(None) => return Err(RelayError::StreamBroken("the stream ended early".into())),
+                Ok(Some(Err(error))) => return Err(RelayError::StreamBroken(error.to_string())),
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let received = events.push(&bytes).map_err(|Oversized| {
-                Stopped::Fault(StreamError::Malformed { reason: "an event is too large".into() })
+                RelayError::InvalidStream(StreamError::Malformed {
+                    reason: "an event is too large".into(),
+                })
             })?;
             for data in received {
-                if let Some(text) = self.relay.process_event(&data).map_err(Stopped::Fault)? {
+                if let Some(text) =
+                    self.relay.process_event(&data).map_err(RelayError::InvalidStream)?
+                {
                     self.send_text(text).await?;
                 }
                 if self.relay.is_complete() {
@@ -386,7 +397,7 @@
         }
     }
 
-    async fn send_text(&mut self, text: String) -> Result<(), Stopped> {
+    async fn send_text(&mut self, text: String) -> Result<(), RelayError> {
         let call = &self.prompt.call;
         if self.relay.sent_text().len() == text.len() {
             let took = boot_now().saturating_sub(call.received_at);
@@ -394,9 +405,9 @@
             let labels = [label("kind", &call.kind_id)];
             self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
         }
-        let sent = self.sender.send_timeout(ResponseEvent::Text(text), CALLER_PATIENCE).await;
+        let sent = self.sender.send_timeout(ResponseEvent::Text(text), CALLER_SEND_TIMEOUT).await;
         // A run that must not repeat goes on to its outcome even if nobody listens.
-        if sent.is_err() && call.repeatable { Err(Stopped::CallerGone) } else { Ok(()) }
+        if sent.is_err() && call.repeatable { Err(RelayError::CallerDisconnected) } else { Ok(()) }
     }
 
     fn may_retry(&self, ended: Ended) -> bool {
@@ -410,7 +421,7 @@
         self.prompt.call.repeatable && self.node.router.lock().spend_retry()
     }
 
-    fn book(&self, dispatch: &Dispatch, ended: Ended) {
+    fn record_dispatch_end(&self, dispatch: &Dispatch, ended: Ended) {
         self.node.router.lock().end(dispatch, &self.prompt.chain, ended, boot_now());
         let outcome = match ended {
             Ended::Whole(usage) => {
@@ -435,10 +446,11 @@
     /// What was believed of the context and what proved true, for whoever tunes the decision.
     fn log_reuse(&self, dispatch: &Dispatch, ended: Ended) {
         let Ended::Whole(usage) = ended else { return };
-        let kept = self.kept.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
+        let stored_blocks =
+            self.stored_prefixes.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
         let imported = dispatch.decision.import.as_ref().map_or(0, |import| import.object.blocks);
         log::debug!(
-            "event=reuse request={} target={} blocks={} kept={kept} import={imported} believed={} \
+            "event=reuse request={} target={} blocks={} kept={stored_blocks} import={imported} believed={} \
              cached_tokens={} imported_tokens={}",
             quoted(&self.prompt.call.request_id),
             dispatch.engine(),
@@ -458,14 +470,14 @@
     }
 }
 
-/// Why relaying stopped.
-enum Stopped {
+/// Why relaying relay_error.
+enum RelayError {
     /// The stream broke; it may be resumed.
-    Broke(String),
+    StreamBroken(String),
     /// The stream can't be trusted.
-    Fault(StreamError),
+    InvalidStream(StreamError),
     /// Nobody listens any more.
-    CallerGone,
+    CallerDisconnected,
 }
 
 fn import_order(dispatch: &Dispatch) -> Option<ImportOrder> {
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -7,7 +7,7 @@
 
 use super::at_most_once::{self, ClaimOutcome, HeldClaim};
 use super::callers::{ApiCall, CallSummary};
-use super::prompt_run::Run;
+use super::prompt_run::PromptRun;
 use super::responses::{self, ResponseEvent, ResponseFormat};
 use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
@@ -38,18 +38,18 @@
     pub model_id: String,
     /// The prompt in blocks. Invariant: named for `weight_version`.
     pub chain: Chain,
-    text: String,
+    prompt_text: String,
 }
 
 impl Prompt {
     /// Has it answered by other weights. Only before any engine may have begun with it.
-    pub fn turn_to(&mut self, weight_version: WeightVersion) {
-        self.chain = chain(&self.call, &self.model_id, &weight_version, &self.text);
+    pub fn set_weight_version(&mut self, weight_version: WeightVersion) {
+        self.chain = build_chain(&self.call, &self.model_id, &weight_version, &self.prompt_text);
         self.weight_version = weight_version;
     }
 }
 
-fn chain(call: &ApiCall, model: &str, weight_version: &str, text: &str) -> Chain {
+fn build_chain(call: &ApiCall, model: &str, weight_version: &str, text: &str) -> Chain {
     let owner = Owner {
         account: call.account.clone(),
         model: model.to_string(),
@@ -61,7 +61,7 @@
 
 /// The answer of a prompt marked not repeatable, as it is replay_outcome.
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct RecordedAnswer {
     text: String,
     finish: String,
     usage: Usage,
@@ -77,7 +77,7 @@
     request: &Request,
     shape: Shape,
 ) -> Result<Response, Refusal> {
-    let (prompt, format) = read(node, call, request, shape)?;
+    let (prompt, format) = parse_prompt(node, call, request, shape)?;
     let mut held_claim = None;
     if !prompt.call.repeatable {
         let digest = at_most_once::request_digest(&[shape.path().as_bytes(), &request.bytes()]);
@@ -86,27 +86,27 @@
             ClaimOutcome::AlreadyRan(outcome) => return replay_outcome(format, &outcome),
         }
     }
-    let place = prompt.call.take_place(node).await.inspect_err(|refusal| {
+    let permit = prompt.call.acquire_permit(node).await.inspect_err(|refusal| {
         let summary = CallSummary { result: Err(refusal), first_token_latency: None, target: None };
         prompt.call.record_end(node, &prompt.model_id, summary);
     })?;
     let (sender, events) = mpsc::channel(RESPONSE_EVENT_BUFFER);
-    tokio::spawn(run(node.clone(), prompt, held_claim, place, sender));
+    tokio::spawn(run_prompt(node.clone(), prompt, held_claim, permit, sender));
     Ok(responses::respond(format, events).await)
 }
 
 /// Runs a prompt to its end, whether or not the caller stays.
-async fn run(
+async fn run_prompt(
     node: Arc<Node>,
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
-    place: Place,
+    permit: Place,
     sender: mpsc::Sender<ResponseEvent>,
 ) {
     let call = prompt.call.clone();
     let model_id = prompt.model_id.clone();
-    let mut run = Run::new(node.clone(), prompt, held_claim, sender);
-    let result = run.to_end().await;
+    let mut run = PromptRun::new(node.clone(), prompt, held_claim, sender);
+    let result = run.run_to_completion().await;
     let summary = CallSummary {
         result: result.as_ref().map(|_| ()),
         first_token_latency: run.first_token_latency(),
@@ -115,11 +115,12 @@
     call.record_end(&node, &model_id, summary);
     let (held_claim, sender) = run.into_parts();
     match result {
-        Ok(whole) => {
-            let (finish_reason, usage) = (whole.finish_reason.clone(), whole.usage);
+        Ok(answer) => {
+            let (finish_reason, usage) = (answer.finish_reason.clone(), answer.usage);
             if let Some(held_claim) = held_claim {
-                let record = Record { text: whole.text, finish: whole.finish_reason, usage };
-                held_claim.record_outcome(outcome(&record)).await;
+                let record =
+                    RecordedAnswer { text: answer.text, finish: answer.finish_reason, usage };
+                held_claim.record_outcome(to_outcome(&record)).await;
             }
             // The caller may have hung up; then nobody needs the end.
             let _ = sender.send(ResponseEvent::Completed { finish_reason, usage }).await;
@@ -128,37 +129,37 @@
             let _ = sender.send(ResponseEvent::Failed(refusal)).await;
         }
     }
-    drop(place);
+    drop(permit);
 }
 
-fn read(
+fn parse_prompt(
     node: &Node,
     call: ApiCall,
     request: &Request,
     shape: Shape,
 ) -> Result<(Prompt, ResponseFormat), Refusal> {
-    let bad = |message: String| Refusal::not_run(RefusalCode::BadRequest, message);
+    let bad_request = |message: String| Refusal::not_run(RefusalCode::BadRequest, message);
     let body: serde_json::Value =
-        request.json().map_err(|reason| bad(format!("the body is not JSON: {reason}")))?;
-    let asked: PromptRequest = serde_json::from_value(body.clone())
-        .map_err(|reason| bad(format!("the body is not a prompt: {reason}")))?;
+        request.json().map_err(|reason| bad_request(format!("the body is not JSON: {reason}")))?;
+    let prompt_request: PromptRequest = serde_json::from_value(body.clone())
+        .map_err(|reason| bad_request(format!("the body is not a prompt: {reason}")))?;
     let missing = match shape {
-        Shape::Chat => asked.messages.is_empty().then_some("messages"),
-        Shape::Text => asked.prompt.is_none().then_some("prompt"),
+        Shape::Chat => prompt_request.messages.is_empty().then_some("messages"),
+        Shape::Text => prompt_request.prompt.is_none().then_some("prompt"),
     };
     if let Some(field) = missing {
-        return Err(bad(format!("{field}: is missing or empty")));
+        return Err(bad_request(format!("{field}: is missing or empty")));
     }
     let models = &call.config.config.models;
-    let Some(model) = models.get(&asked.model).cloned() else {
+    let Some(model) = models.get(&prompt_request.model).cloned() else {
         let known = models.keys().cloned().collect::<Vec<_>>().join(", ");
-        let message = format!("no model {:?}; there are: {known}", asked.model);
+        let message = format!("no model {:?}; there are: {known}", prompt_request.model);
         return Err(Refusal::not_run(RefusalCode::UnknownModel, message));
     };
     let weight_version = {
         let mut router = node.router.lock();
         let draw = router.draw();
-        router.version_for(&asked.model, &model, draw, call.received_at)
+        router.version_for(&prompt_request.model, &model, draw, call.received_at)
     };
     let prefix = match shape {
         Shape::Chat => "chatcmpl",
@@ -166,19 +167,19 @@
     };
     let format = ResponseFormat {
         shape,
-        model: asked.model.clone(),
+        model: prompt_request.model.clone(),
         id: format!("{prefix}-{}", call.request_id),
-        stream: asked.stream,
-        include_usage: asked.wants_usage(),
+        stream: prompt_request.stream,
+        include_usage: prompt_request.wants_usage(),
     };
-    let text = asked.prompt_text();
-    let chain = chain(&call, &asked.model, &weight_version, &text);
-    let model_id = asked.model;
+    let prompt_text = prompt_request.prompt_text();
+    let chain = build_chain(&call, &prompt_request.model, &weight_version, &prompt_text);
+    let model_id = prompt_request.model;
     let policy = model.policy;
-    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, text }, format))
+    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, prompt_text }, format))
 }
 
-fn outcome(record: &Record) -> Outcome {
+fn to_outcome(record: &RecordedAnswer) -> Outcome {
     Outcome {
         status: 200,
         content_type: "application/json".into(),
@@ -188,7 +189,7 @@
 
 fn replay_outcome(format: ResponseFormat, outcome: &Outcome) -> Result<Response, Refusal> {
     let body = outcome.body.as_deref().unwrap_or_default();
-    let Ok(record) = serde_json::from_slice::<Record>(body) else {
+    let Ok(record) = serde_json::from_slice::<RecordedAnswer>(body) else {
         let message = "it ran before, and its answer was too long to keep";
         return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -17,9 +17,9 @@
 use crate::node::quarantine::BrokenAt;
 
 /// Instances tried for one call.
-const MAX_ATTEMPTS: usize = 3;
+const MAX_INSTANCES_TRIED: usize = 3;
 /// When to come back if no instance may take the call.
-const NO_TARGET_RETRY: Duration = Duration::from_secs(2);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Answers a call of a plain service.
 ///
@@ -38,25 +38,25 @@
         return Err(Refusal::not_run(RefusalCode::UnknownService, message));
     };
     call.repeatable &= configured.repeatable;
-    let result = answer(node, &call, request, service).await;
+    let result = run_call(node, &call, request, service).await;
     let summary = CallSummary {
         result: result.as_ref().map(|_| ()),
         first_token_latency: None,
         target: None,
     };
     call.record_end(node, service, summary);
-    result.map(|outcome| response(&outcome))
+    result.map(|outcome| outcome_response(&outcome))
 }
 
-async fn answer(
+async fn run_call(
     node: &Arc<Node>,
     call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
     if call.repeatable {
-        let _place = call.take_place(node).await?;
-        return repeat(node, call, request, service).await;
+        let _permit = call.acquire_permit(node).await?;
+        return run_repeatable(node, call, request, service).await;
     }
     let method = request.method.as_str().as_bytes();
     let parts = [method, request.path.as_bytes(), request.query.as_bytes(), &request.bytes()];
@@ -69,83 +69,85 @@
             }
             ClaimOutcome::Granted(held_claim) => held_claim,
         };
-    let place = call.take_place(node).await?;
+    let permit = call.acquire_permit(node).await?;
     let (node, call) = (node.clone(), call.clone());
     let (request, service) = (request.clone(), service.to_string());
     // On its own task: it must come to its outcome even if the caller hangs up.
-    let running = tokio::spawn(async move {
-        let _place = place;
-        run_once(&node, &call, &request, &service, held_claim).await
+    let task = tokio::spawn(async move {
+        let _permit = permit;
+        run_at_most_once(&node, &call, &request, &service, held_claim).await
     });
-    running.await.unwrap_or_else(|_| {
+    task.await.unwrap_or_else(|_| {
         Err(Refusal::may_have_run(RefusalCode::TargetFailed, "the call ended without an outcome"))
     })
 }
 
-async fn repeat(
+async fn run_repeatable(
     node: &Arc<Node>,
     call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
     let mut may_have_run = false;
-    let mut last = no_instance(service);
-    for instance in instances(node, service) {
+    let mut last_refusal = no_instance_refusal(service);
+    for instance in candidate_instances(node, service) {
         call.check_dispatch_in_time(node)?;
         let sent_at = boot_now();
-        match send(node, call, request, &instance, false).await {
+        match send_call(node, call, request, &instance, false).await {
             Ok(outcome) => {
-                answered(node, call, &outcome);
+                record_completion(node, call, &outcome);
                 return Ok(outcome);
             }
-            Err(CallError::NotRun(reason)) => last = failed(&instance, &reason, may_have_run),
+            Err(CallError::NotRun(reason)) => {
+                last_refusal = target_failure(&instance, &reason, may_have_run)
+            }
             Err(error @ (CallError::Rejected(_) | CallError::MayHaveRun(_))) => {
                 may_have_run = true;
-                last = failed(&instance, error.reason(), may_have_run);
-                examine(node, call, &instance, sent_at, &error).await;
+                last_refusal = target_failure(&instance, error.reason(), may_have_run);
+                report_broken_run(node, call, &instance, sent_at, &error).await;
                 if !node.router.lock().spend_retry() {
                     break;
                 }
             }
         }
     }
-    Err(last)
+    Err(last_refusal)
 }
 
 /// Makes the one dispatch; another instance is tried only if nothing was run.
-async fn run_once(
+async fn run_at_most_once(
     node: &Arc<Node>,
     call: &ApiCall,
     request: &Request,
     service: &str,
     mut held_claim: HeldClaim,
 ) -> Result<Outcome, Refusal> {
-    let mut last = no_instance(service);
-    for instance in instances(node, service) {
+    let mut last_refusal = no_instance_refusal(service);
+    for instance in candidate_instances(node, service) {
         call.check_dispatch_in_time(node)?;
         held_claim.mark_dispatched()?;
         let sent_at = boot_now();
-        match send(node, call, request, &instance, true).await {
+        match send_call(node, call, request, &instance, true).await {
             Ok(outcome) => {
-                answered(node, call, &outcome);
+                record_completion(node, call, &outcome);
                 held_claim.record_outcome(outcome.clone()).await;
                 return Ok(outcome);
             }
             Err(CallError::NotRun(reason)) => {
                 held_claim.mark_not_run();
-                last = failed(&instance, &reason, false);
+                last_refusal = target_failure(&instance, &reason, false);
             }
             Err(error @ (CallError::Rejected(_) | CallError::MayHaveRun(_))) => {
-                examine(node, call, &instance, sent_at, &error).await;
-                return Err(failed(&instance, error.reason(), true));
+                report_broken_run(node, call, &instance, sent_at, &error).await;
+                return Err(target_failure(&instance, error.reason(), true));
             }
         }
     }
-    Err(last)
+    Err(last_refusal)
 }
 
 /// An instance that broke off may have ended under a call, and others would.
-async fn examine(
+async fn report_broken_run(
     node: &Node,
     call: &ApiCall,
     instance: &Target,
@@ -165,27 +167,27 @@
     node.examine(broken).await;
 }
 
-fn answered(node: &Node, call: &ApiCall, outcome: &Outcome) {
+fn record_completion(node: &Node, call: &ApiCall, outcome: &Outcome) {
     if (200..300).contains(&outcome.status) {
         node.answered_whole(call.fingerprint);
     }
 }
 
 /// Instances that take work, in an order that differs from call to call.
-fn instances(node: &Node, service: &str) -> Vec<Target> {
+fn candidate_instances(node: &Node, service: &str) -> Vec<Target> {
     let mut router = node.router.lock();
-    let turn = router.draw() as usize;
+    let request_number = router.draw() as usize;
     let mut instances: Vec<Target> =
         router.targets().instances(service).into_iter().cloned().collect();
     if !instances.is_empty() {
-        let middle = turn % instances.len();
-        instances.rotate_left(middle);
+        let start = request_number % instances.len();
+        instances.rotate_left(start);
     }
-    instances.truncate(MAX_ATTEMPTS);
+    instances.truncate(MAX_INSTANCES_TRIED);
     instances
 }
 
-async fn send(
+async fn send_call(
     node: &Node,
     call: &ApiCall,
     request: &Request,
@@ -220,21 +222,21 @@
     Ok(Outcome { status: status.as_u16(), content_type, body: Some(body.to_vec()) })
 }
 
-fn response(outcome: &Outcome) -> Response {
+fn outcome_response(outcome: &Outcome) -> Response {
     let status = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::BAD_GATEWAY);
     http::body(status, &outcome.content_type, outcome.body.clone().unwrap_or_default())
 }
 
-fn no_instance(service: &str) -> Refusal {
+fn no_instance_refusal(service: &str) -> Refusal {
     let message = format!("no instance of service {service:?} takes work now");
-    Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY)
+    Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY_AFTER)
 }
 
-fn failed(instance: &Target, reason: &str, may_have_run: bool) -> Refusal {
+fn target_failure(instance: &Target, reason: &str, may_have_run: bool) -> Refusal {
     let message = format!("{}: {reason}", instance.id);
     if may_have_run {
         Refusal::may_have_run(RefusalCode::TargetFailed, message)
     } else {
-        Refusal::not_run(RefusalCode::TargetFailed, message).with_retry_after(NO_TARGET_RETRY)
+        Refusal::not_run(RefusalCode::TargetFailed, message).with_retry_after(NO_TARGET_RETRY_AFTER)
     }
 }
