--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -16,7 +16,7 @@
 use crate::limits::Wants;
 use crate::limits::admission::Reason;
 use crate::node::Node;
-use crate::node::admission::Place;
+use crate::node::admission::Permit;
 use crate::quarantine::Fingerprint;
 use crate::telemetry::burn::Served;
 use crate::telemetry::logs::quoted;
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// That it was given up on, and when to come back.
-    pub async fn acquire_permit(&self, node: &Arc<Node>) -> Result<Place, Refusal> {
+    pub async fn acquire_permit(&self, node: &Arc<Node>) -> Result<Permit, Refusal> {
         let account = self.config.config.accounts.get(&self.account);
         let limit = account.map_or(1, |account| account.max_running);
         let wants = Wants {
@@ -187,7 +187,7 @@
             priority: self.kind.priority,
             deadline: self.deadline,
         };
-        let permit = node.places.take(wants).await.map_err(|refused| {
+        let permit = node.admission.acquire(wants).await.map_err(|refused| {
             let (code, message) = match refused.reason {
                 Reason::QueueFull => (RefusalCode::QueueFull, "too many requests wait already"),
                 Reason::Deadline => {
@@ -210,7 +210,7 @@
         if boot_now() >= self.deadline {
             let refusal =
                 Refusal::not_run(RefusalCode::DeadlineExceeded, "its deadline has passed");
-            return Err(refusal.with_retry_after(node.places.retry_after()));
+            return Err(refusal.with_retry_after(node.admission.retry_after()));
         }
         Ok(())
     }
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -16,7 +16,7 @@
 use crate::http::{Request, Response};
 use crate::ids::WeightVersion;
 use crate::node::Node;
-use crate::node::admission::Place;
+use crate::node::admission::Permit;
 use crate::prompt::{Chain, Owner};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
@@ -100,7 +100,7 @@
     node: Arc<Node>,
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
-    permit: Place,
+    permit: Permit,
     sender: mpsc::Sender<ResponseEvent>,
 ) {
     let call = prompt.call.clone();
--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -69,7 +69,7 @@
     /// Requests of an account that this node may run now; `limit` is for all nodes together.
     pub async fn share_of(self: &Arc<Node>, account: &str, limit: u32) -> u32 {
         let now = boot_now();
-        let demand = self.places.demand(account) + 1;
+        let demand = self.admission.demand(account) + 1;
         let held = self.sharing.lock().held.get(account).copied();
         let usable = held.filter(|held| held.ends > now);
         let is_enough = usable.is_some_and(|held| held.share >= demand && held.limit == limit);
@@ -106,7 +106,7 @@
         {
             let held = Held { share, ends: asked_at + lasts, asked_at, limit };
             self.sharing.lock().held.insert(account.to_string(), held);
-            self.places.set_account_limit(account, share);
+            self.admission.set_account_limit(account, share);
         }
     }
 
@@ -141,7 +141,7 @@
             let mut sharing = self.sharing.lock();
             sharing.note_places(places, now);
             sharing.granted.forget(now);
-            let demand = |account: &str| self.places.demand(account);
+            let demand = |account: &str| self.admission.demand(account);
             sharing.held.retain(|account, held| held.ends > now || demand(account) > 0);
             let held = sharing.held.iter();
             held.filter(|(account, _)| demand(account) > 0)
@@ -149,9 +149,9 @@
                 .collect()
         };
         for (account, limit) in in_use {
-            let demand = self.places.demand(&account);
+            let demand = self.admission.demand(&account);
             self.ask_for_share(&account, limit, demand).await;
-            self.places.set_account_limit(&account, self.usable_share(&account, limit));
+            self.admission.set_account_limit(&account, self.usable_share(&account, limit));
         }
     }
 }
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -1,4 +1,4 @@
-//! Places for running requests: the shell around admission.
+//! AdmissionController for running requests: the shell around admission.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,39 +14,41 @@
 use crate::limits::{Admission, Offer, Refused, Ticket, Wants};
 
 /// How often waiting requests are looked at for their deadlines.
-const EXPIRE_PERIOD: Duration = Duration::from_millis(20);
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(20);
 /// Capacity until the engines' reports have come.
-const FIRST_CAPACITY: usize = 8;
+const INITIAL_CAPACITY: usize = 8;
 
-/// Places for running requests.
-pub struct Places {
+/// AdmissionController for running requests.
+pub struct AdmissionController {
     inner: Arc<Mutex<Inner>>,
 }
 
 struct Inner {
     admission: Admission,
-    waiting: HashMap<Ticket, oneshot::Sender<Result<(), Refused>>>,
+    waiters: HashMap<Ticket, oneshot::Sender<Result<(), Refused>>>,
 }
 
 /// A place; dropping it lets the next request run.
-pub struct Place {
+pub struct Permit {
     inner: Arc<Mutex<Inner>>,
     account: AccountId,
 }
 
 /// Takes a request that gave up waiting out of the queue.
-struct Waiting {
+struct WaitGuard {
     inner: Arc<Mutex<Inner>>,
     ticket: Ticket,
     account: AccountId,
     receiver: oneshot::Receiver<Result<(), Refused>>,
 }
 
-impl Places {
-    /// Places of an idle node in which `queue_len` requests may wait.
-    pub fn new(queue_len: usize) -> Places {
-        let admission = Admission::new(FIRST_CAPACITY, queue_len);
-        Places { inner: Arc::new(Mutex::new(Inner { admission, waiting: HashMap::new() })) }
+impl AdmissionController {
+    /// AdmissionController of an idle node in which `queue_len` requests may wait.
+    pub fn new(queue_len: usize) -> AdmissionController {
+        let admission = Admission::new(INITIAL_CAPACITY, queue_len);
+        AdmissionController {
+            inner: Arc::new(Mutex::new(Inner { admission, waiters: HashMap::new() })),
+        }
     }
 
     /// Requests that run.
@@ -87,26 +89,26 @@
     ///
     /// # Errors
     /// Why the request was given up on, at once.
-    pub async fn take(&self, wants: Wants) -> Result<Place, Refused> {
+    pub async fn acquire(&self, wants: Wants) -> Result<Permit, Refused> {
         let account = wants.account.clone();
-        let place = || Place { inner: self.inner.clone(), account: account.clone() };
-        let mut waiting = {
+        let permit = || Permit { inner: self.inner.clone(), account: account.clone() };
+        let mut guard = {
             let mut inner = self.inner.lock();
             match inner.admission.offer(wants, boot_now()) {
-                Offer::Run => return Ok(place()),
+                Offer::Run => return Ok(permit()),
                 Offer::Refused(refused) => return Err(refused),
                 Offer::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
-                    inner.waiting.insert(ticket, sender);
+                    inner.waiters.insert(ticket, sender);
                     let (inner, account) = (self.inner.clone(), account.clone());
-                    Waiting { inner, ticket, account, receiver }
+                    WaitGuard { inner, ticket, account, receiver }
                 }
             }
         };
-        // Places may have become free between an end and this request's arrival.
+        // AdmissionController may have become free between an end and this request's arrival.
         self.inner.lock().start_next();
-        match (&mut waiting.receiver).await {
-            Ok(Ok(())) => Ok(place()),
+        match (&mut guard.receiver).await {
+            Ok(Ok(())) => Ok(permit()),
             Ok(Err(refused)) => Err(refused),
             Err(_) => {
                 let retry_after = self.retry_after();
@@ -119,10 +121,10 @@
         let mut inner = self.inner.lock();
         let retry_after = inner.admission.retry_after();
         for ticket in inner.admission.expire(now) {
-            if let Some(waiting) = inner.waiting.remove(&ticket) {
+            if let Some(sender) = inner.waiters.remove(&ticket) {
                 let refused = Refused { reason: Reason::Deadline, retry_after };
                 // The caller may have hung up.
-                let _ = waiting.send(Err(refused));
+                let _ = sender.send(Err(refused));
             }
         }
     }
@@ -131,14 +133,14 @@
 impl Inner {
     fn start_next(&mut self) {
         while let Some(ticket) = self.admission.start_next() {
-            let Some(waiting) = self.waiting.remove(&ticket) else { continue };
+            let Some(sender) = self.waiters.remove(&ticket) else { continue };
             // If the caller has hung up, its guard gives the place back.
-            let _ = waiting.send(Ok(()));
+            let _ = sender.send(Ok(()));
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         let mut inner = self.inner.lock();
         inner.admission.finish(&self.account, boot_now());
@@ -146,10 +148,10 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut inner = self.inner.lock();
-        inner.waiting.remove(&self.ticket);
+        inner.waiters.remove(&self.ticket);
         inner.admission.withdraw(self.ticket);
         if let Ok(Ok(())) = self.receiver.try_recv() {
             // It had been given a place already, which nobody will take now.
@@ -161,9 +163,9 @@
 
 impl Node {
     /// Answers waiting requests whose deadline has come, again and again.
-    pub(super) async fn expire_waiting(self: Arc<Node>) {
-        super::every(EXPIRE_PERIOD, || async {
-            self.places.expire(boot_now());
+    pub(super) async fn run_queue_expiry(self: Arc<Node>) {
+        super::every(EXPIRE_INTERVAL, || async {
+            self.admission.expire(boot_now());
             true
         })
         .await;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -45,7 +45,7 @@
 use crate::telemetry::metrics::Metrics;
 use crate::whereabouts::{Catalog, NodePlace};
 use account_shares::Sharing;
-use admission::Places;
+use admission::AdmissionController;
 use freshness::Fresh;
 use quarantine::Quarantining;
 
@@ -69,7 +69,7 @@
     /// Kept copies of the contexts that this node owns.
     pub catalog: Mutex<Catalog>,
     /// Requests that run and wait.
-    pub places: Places,
+    pub admission: AdmissionController,
     /// Counts against the service levels.
     pub burn: Mutex<Burn>,
     sharing: Mutex<Sharing>,
@@ -125,7 +125,7 @@
             client: TargetClient::new(settings.timing.connect)?,
             router: Mutex::new(Router::new(settings.node_id, settings.bounds.watched_engines)),
             catalog: Mutex::new(Catalog::new(settings.bounds.context_entries, boot)),
-            places: Places::new(settings.bounds.queue_len),
+            admission: AdmissionController::new(settings.bounds.queue_len),
             burn: Mutex::new(Burn::default()),
             sharing: Mutex::new(Sharing::new(settings.timing.lease)),
             quarantining: Mutex::new(Quarantining::new(boot)),
@@ -162,12 +162,12 @@
     /// `timing.shutdown_ms`. Returns how many requests were cut off.
     pub async fn close(self: Arc<Node>) -> usize {
         self.stopping.store(true, Ordering::SeqCst);
-        log::info!("event=shutdown_started running={}", self.places.running());
+        log::info!("event=shutdown_started running={}", self.admission.running());
         let end = boot_now() + self.settings.timing.shutdown;
-        while self.places.running() + self.places.waiting() > 0 && boot_now() < end {
+        while self.admission.running() + self.admission.waiting() > 0 && boot_now() < end {
             tokio::time::sleep(SHUTDOWN_CHECK).await;
         }
-        let cut_off = self.places.running() + self.places.waiting();
+        let cut_off = self.admission.running() + self.admission.waiting();
         self.stopped.send_replace(true);
         // The last bytes of ended answers are still on their way out of the HTTP server.
         tokio::time::sleep(SHUTDOWN_CHECK).await;
@@ -221,7 +221,7 @@
         tokio::spawn(self.clone().watch_platform());
         tokio::spawn(self.clone().watch_targets());
         tokio::spawn(self.clone().keep_contexts());
-        tokio::spawn(self.clone().expire_waiting());
+        tokio::spawn(self.clone().run_queue_expiry());
         tokio::spawn(self.clone().keep_ordering());
         tokio::spawn(self.clone().keep_shares());
         if self.settings.first_config.is_some() {
--- a/src/node/target_polling.rs
+++ b/src/node/target_polling.rs
@@ -77,7 +77,7 @@
         let reading_stores = stores.iter().map(|(id, url)| self.read_store(id, url));
         tokio::join!(join_all(reading_engines), join_all(reading_stores));
         let capacity = self.router.lock().capacity(boot_now());
-        self.places.set_capacity(capacity);
+        self.admission.set_capacity(capacity);
     }
 
     async fn read_engine(&self, id: &str, url: &str, last_event: u64) {
