--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -165,7 +165,7 @@
     ("low priority starves", "src/limits/admission.rs",
      "if self.picks.is_multiple_of(OLDEST_FIRST_ONE_IN) {", "if false {", "logic", "admission"),
     ("admits without a lease", "src/node/freshness.rs",
-     "self.holder.is_fresh(now).then(|| self.book.newest().clone())", "Some(self.book.newest().clone())", "process", "frozen"),
+     "self.held_lease.is_fresh(now).then(|| self.book.newest().clone())", "Some(self.book.newest().clone())", "process", "frozen"),
     ("a shutdown does not wait", "src/node/mod.rs",
      "while self.admission.running() + self.admission.waiting() > 0 && boot_now() < end {", "while false && boot_now() < end {", "process", "planned_stop"),
     ("an order is retried after it may have run", "src/http_api/services.rs",
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -141,7 +141,7 @@
 }
 
 async fn get_history(node: &Arc<Node>) -> Response {
-    let read = node.read_config(node.number().saturating_sub(MAX_HISTORY_LEN)).await;
+    let read = node.read_config(node.config_number().saturating_sub(MAX_HISTORY_LEN)).await;
     let patches: Vec<Value> = match read {
         Ok(Update::Patches(patches)) => patches
             .iter()
@@ -248,7 +248,7 @@
             "node": self.settings.node_id,
             "fresh": in_force.is_some(),
             "ready": !self.is_stopping() && in_force.is_some(),
-            "number": self.number(),
+            "number": self.config_number(),
             "running": self.admission.running(),
             "waiting": self.admission.waiting(),
             "contexts": self.catalog.lock().len(),
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -15,23 +15,23 @@
 /// A renewal that is not answered within this time is sent elsewhere.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause between attempts while the lease is close to its end.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RENEW_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a lease lasts, the number under which it is granted, and how the asker gets there.
-pub type Grant = (Duration, ConfigNumber, Update);
+/// How long a lease duration, the number under which it is granted, and how the asker gets there.
+pub type LeaseGrant = (Duration, ConfigNumber, Update);
 
 /// A node's lease, its configuration, and the leases that it granted as a relay.
-pub struct Fresh {
-    holder: Holder,
+pub struct Freshness {
+    held_lease: Holder,
     book: Book,
     grantor: Grantor,
 }
 
-impl Fresh {
+impl Freshness {
     /// A node that has just started: no lease, no configuration.
-    pub fn new(lease: Duration, now: BootTime) -> Fresh {
-        Fresh {
-            holder: Holder::default(),
+    pub fn new(lease: Duration, now: BootTime) -> Freshness {
+        Freshness {
+            held_lease: Holder::default(),
             book: Book::default(),
             grantor: Grantor::new(lease, now),
         }
@@ -39,81 +39,85 @@
 
     /// The configuration, if the lease holds.
     pub fn in_force(&self, now: BootTime) -> Option<Arc<Numbered>> {
-        self.holder.is_fresh(now).then(|| self.book.newest().clone())
+        self.held_lease.is_fresh(now).then(|| self.book.newest().clone())
     }
 
     /// The number known here, in force or not.
-    pub fn number(&self) -> ConfigNumber {
+    pub fn config_number(&self) -> ConfigNumber {
         self.book.number()
     }
 
     /// The number that this node has, and the one that all nodes below it have.
-    fn numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
+    fn own_and_acked_numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
         let has = self.book.number();
         (has, self.grantor.floor(has, now))
     }
 
     /// Takes a grant that answers the renewal sent at `sent_at`. False if it can't be used.
-    fn take(
+    fn apply_grant(
         &mut self,
         sent_at: BootTime,
-        lasts: Duration,
+        duration: Duration,
         number: ConfigNumber,
         update: &Update,
     ) -> bool {
         // First the number, then the lease: a lease under an older number would be a lie.
-        if self.book.take(update).is_err() || self.book.number() < number || lasts.is_zero() {
+        if self.book.take(update).is_err() || self.book.number() < number || duration.is_zero() {
             return false;
         }
-        self.holder.granted(sent_at, lasts);
+        self.held_lease.granted(sent_at, duration);
         true
     }
 
     /// Grants a lease as a relay; `None` if this node itself has none.
-    fn grant(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<Grant> {
-        let remaining = self.holder.remaining(now);
-        let lasts = self.grantor.grant(child, renew.acked, remaining, now);
+    fn grant_lease(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<LeaseGrant> {
+        let remaining = self.held_lease.remaining(now);
+        let duration = self.grantor.grant(child, renew.acked, remaining, now);
         let update = || self.book.update_since(renew.has);
-        (!lasts.is_zero()).then(|| (lasts, self.book.number(), update()))
+        (!duration.is_zero()).then(|| (duration, self.book.number(), update()))
     }
 }
 
 impl Node {
     /// Renews the lease for as long as the process lives.
-    pub(super) async fn keep_fresh(self: Arc<Node>) {
+    pub(super) async fn run_lease_renewal(self: Arc<Node>) {
         let mut was_fresh = false;
         loop {
             let renewed = self.renew().await;
             let is_fresh = self.in_force().is_some();
             if is_fresh != was_fresh {
-                log::info!("event=freshness fresh={is_fresh} number={}", self.number());
+                log::info!("event=freshness fresh={is_fresh} number={}", self.config_number());
                 was_fresh = is_fresh;
             }
-            self.metrics.config_number.record(self.number(), &[]);
-            let pause = if renewed { self.settings.timing.renew } else { RETRY_PAUSE };
+            self.metrics.config_number.record(self.config_number(), &[]);
+            let pause = if renewed { self.settings.timing.renew } else { RENEW_RETRY_DELAY };
             tokio::time::sleep(pause).await;
         }
     }
 
     /// The configuration number known here.
-    pub fn number(&self) -> ConfigNumber {
-        self.fresh.lock().number()
+    pub fn config_number(&self) -> ConfigNumber {
+        self.freshness.lock().config_number()
     }
 
     /// Grants a lease to another node as the relay of its failure domain.
     pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> Answer {
-        let grant = self.fresh.lock().grant(child, renew, boot_now());
-        grant.map_or(Answer::Unable, |grant| self.granted(grant, renew))
+        let grant = self.freshness.lock().grant_lease(child, renew, boot_now());
+        grant.map_or(Answer::Unable, |grant| self.grant_answer(grant, renew))
     }
 
     /// The answer to a renewal, with what else the asker is to know.
-    pub(super) fn granted(&self, (lasts, number, update): Grant, renew: &Renew) -> Answer {
+    pub(super) fn grant_answer(
+        &self,
+        (duration, number, update): LeaseGrant,
+        renew: &Renew,
+    ) -> Answer {
         let (quarantine, told) = self.quarantine_news(renew.heard);
-        Answer::Granted { lasts_ms: lasts.as_millis() as u64, number, update, quarantine, told }
+        Answer::Granted { lasts_ms: duration.as_millis() as u64, number, update, quarantine, told }
     }
 
     async fn renew(self: &Arc<Node>) -> bool {
-        let relay = self.relay();
+        let relay = self.lease_relay();
         if relay != self.settings.node_id && self.renew_with(relay, true).await {
             return true;
         }
@@ -128,7 +132,7 @@
     async fn renew_with(self: &Arc<Node>, node: NodeId, as_relay: bool) -> bool {
         // The lease counts from here, before anything has left this node.
         let sent_at = boot_now();
-        let (has, acked) = self.fresh.lock().numbers(sent_at);
+        let (has, acked) = self.freshness.lock().own_and_acked_numbers(sent_at);
         let (quarantine, heard, telling) = self.quarantine_for(node);
         let renew = Renew { has, acked, as_relay, quarantine, heard };
         match self.links.ask(node, Ask::Renew(renew), RENEW_TIMEOUT).await {
@@ -137,8 +141,8 @@
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
                 self.hear_quarantine(node, quarantine, told, telling);
-                let lasts = Duration::from_millis(lasts_ms);
-                self.fresh.lock().take(sent_at, lasts, number, &update)
+                let duration = Duration::from_millis(lasts_ms);
+                self.freshness.lock().apply_grant(sent_at, duration, number, &update)
             }
             Ok(Answer::NotLeader(Some(leader))) => {
                 self.leader_hint.store(leader, Ordering::Relaxed);
@@ -149,7 +153,7 @@
     }
 
     /// The live node of this failure domain with the lowest id renews for all others in it.
-    fn relay(&self) -> NodeId {
+    fn lease_relay(&self) -> NodeId {
         let domain = &self.settings.failure_domain;
         let known = self.known.lock();
         let here = known.live.iter().filter(|member| member.failure_domain == *domain);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -46,7 +46,7 @@
 use crate::whereabouts::{Catalog, NodePlace};
 use account_shares::Sharing;
 use admission::AdmissionController;
-use freshness::Fresh;
+use freshness::Freshness;
 use quarantine::Quarantining;
 
 /// How often timers of the log and of membership are looked at.
@@ -74,7 +74,7 @@
     pub burn: Mutex<Burn>,
     sharing: Mutex<Sharing>,
     quarantining: Mutex<Quarantining>,
-    fresh: Mutex<Fresh>,
+    freshness: Mutex<Freshness>,
     known: Arc<Mutex<MembershipView>>,
     membership: Address<Membership>,
     replica: Option<ReplicaHandle>,
@@ -129,7 +129,7 @@
             burn: Mutex::new(Burn::default()),
             sharing: Mutex::new(Sharing::new(settings.timing.lease)),
             quarantining: Mutex::new(Quarantining::new(boot)),
-            fresh: Mutex::new(Fresh::new(settings.timing.lease, now)),
+            freshness: Mutex::new(Freshness::new(settings.timing.lease, now)),
             known,
             membership,
             replica,
@@ -182,7 +182,7 @@
 
     /// The configuration that may be used now; `None` if the node is not fresh.
     pub fn in_force(&self) -> Option<Arc<Numbered>> {
-        self.fresh.lock().in_force(boot_now())
+        self.freshness.lock().in_force(boot_now())
     }
 
     /// Whether requests are admitted: fresh, not stopping, and some target is known.
@@ -217,7 +217,7 @@
     }
 
     fn spawn_loops(self: &Arc<Node>) {
-        tokio::spawn(self.clone().keep_fresh());
+        tokio::spawn(self.clone().run_lease_renewal());
         tokio::spawn(self.clone().watch_platform());
         tokio::spawn(self.clone().watch_targets());
         tokio::spawn(self.clone().keep_contexts());
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -110,7 +110,7 @@
         let Some(replica) = &self.replica else { return Answer::NotLeader(None) };
         let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
         match replica.address.send(grant).await {
-            Ok(Ok(grant)) => self.granted(grant, renew),
+            Ok(Ok(grant)) => self.grant_answer(grant, renew),
             Ok(Err(leader)) => Answer::NotLeader(leader),
             Err(_) => Answer::Unable,
         }
