--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -76,7 +76,7 @@
         state: HeldClaimState::NotDispatched,
     };
     let command = Command::Claim { key: held_claim.key.clone(), digest, token, at_ms: 0 };
-    let answer = match node.decide(command).await {
+    let answer = match node.propose(command).await {
         Ok(Reply::Claim(answer)) => answer,
         // It may be committed; dropping `held_claim` gives it back.
         _ => {
@@ -140,7 +140,7 @@
         }
         let (key, token) = (self.key.clone(), self.token);
         let command = Command::Record { key, token, outcome };
-        if self.node.decide(command.clone()).await.is_err() {
+        if self.node.propose(command.clone()).await.is_err() {
             tokio::spawn(propose_with_retries(self.node.clone(), command));
         }
     }
@@ -166,7 +166,7 @@
 
 async fn propose_with_retries(node: Arc<Node>, command: Command) {
     for _ in 0..MAX_PROPOSE_ATTEMPTS {
-        if node.decide(command.clone()).await.is_ok() {
+        if node.propose(command.clone()).await.is_ok() {
             return;
         }
         tokio::time::sleep(PROPOSE_RETRY_DELAY).await;
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -77,7 +77,7 @@
             return error_response(patch_error.status, patch_error.code, &patch_error.message);
         }
     };
-    match node.decide(Command::Patch(patch)).await {
+    match node.propose(Command::Patch(patch)).await {
         Ok(Reply::Patch(answer)) => patch_response(&answer),
         _ => no_leader_response(),
     }
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -237,7 +237,7 @@
         let begun = router.begin(self.prompt.policy, prices, &ask, deadline, now);
         drop(router);
         let dispatch = begun.map_err(NoDispatch::NoEngine)?;
-        self.node.tell_dispatched(&dispatch.news());
+        self.node.announce_dispatch(&dispatch.news());
         Ok(dispatch)
     }
 
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -15,15 +15,15 @@
 use crate::peer::message::{Answer, Ask};
 
 /// A leader that does not answer within this time is given up for another.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// All attempts together must end within this time.
-const DECIDE_TIMEOUT: Duration = Duration::from_secs(4);
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause before asking round once more.
-const ROUND_PAUSE: Duration = Duration::from_millis(50);
+const ROUND_DELAY: Duration = Duration::from_millis(50);
 /// Pause between proposals of the first configuration.
-const FIRST_CONFIG_PAUSE: Duration = Duration::from_millis(200);
+const FIRST_CONFIG_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The patch id of the first configuration, the same on every node: it is accepted once.
-const FIRST_CONFIG_ID: &str = "first_config";
+const FIRST_CONFIG_PATCH_ID: &str = "first_config";
 
 /// No leader could be asked in time. A command may or may not be decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// If no leader answered in time; the command may be decided all the same.
-    pub async fn decide(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
+    pub async fn propose(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
         match self.ask_leader(Ask::Propose(command)).await? {
             Answer::Decided(reply) => Ok(reply),
             _ => Err(NoLeader),
@@ -70,20 +70,20 @@
     /// Replicas in the order in which to ask them: the one that led last first.
     pub(super) fn leader_candidates(&self) -> Vec<NodeId> {
         let hint = self.leader_hint.load(Ordering::Relaxed);
-        let known = self.replica_status().map(|status| status.raft);
-        let own_view = known.as_ref().and_then(|raft| raft.leader).unwrap_or(0);
-        let members = known.map(|raft| raft.members.voters.into_iter().collect());
-        let replicas: Vec<NodeId> = members.unwrap_or_else(|| self.settings.replicas());
-        let first = if own_view != 0 { own_view } else { hint };
+        let raft_status = self.replica_status().map(|status| status.raft);
+        let known_leader = raft_status.as_ref().and_then(|raft| raft.leader).unwrap_or(0);
+        let voters = raft_status.map(|raft| raft.members.voters.into_iter().collect());
+        let replicas: Vec<NodeId> = voters.unwrap_or_else(|| self.settings.replicas());
+        let first = if known_leader != 0 { known_leader } else { hint };
         let others = replicas.into_iter().filter(|node| *node != first);
         std::iter::once(first).filter(|node| *node != 0).chain(others).collect()
     }
 
     async fn ask_leader(self: &Arc<Node>, ask: Ask) -> Result<Answer, NoLeader> {
-        let end = boot_now() + DECIDE_TIMEOUT;
+        let deadline = boot_now() + TOTAL_TIMEOUT;
         loop {
             for node in self.leader_candidates() {
-                match self.links.ask(node, ask.clone(), ASK_TIMEOUT).await {
+                match self.links.ask(node, ask.clone(), REQUEST_TIMEOUT).await {
                     Ok(Answer::NotLeader(leader)) => {
                         self.leader_hint.store(leader.unwrap_or(0), Ordering::Relaxed);
                     }
@@ -95,26 +95,27 @@
                         return Ok(answer);
                     }
                 }
-                if boot_now() >= end {
+                if boot_now() >= deadline {
                     return Err(NoLeader);
                 }
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_DELAY).await;
         }
     }
 
     /// Proposes the configuration of the settings until some configuration is accepted.
     pub(super) async fn propose_first_config(self: Arc<Node>) {
         let Some(document) = self.settings.first_config.clone() else { return };
-        let patch = Patch { patch_id: FIRST_CONFIG_ID.into(), base: 0, text: document.to_string() };
+        let patch =
+            Patch { patch_id: FIRST_CONFIG_PATCH_ID.into(), base: 0, text: document.to_string() };
         loop {
-            match self.decide(Command::Patch(patch.clone())).await {
+            match self.propose(Command::Patch(patch.clone())).await {
                 Ok(Reply::Patch(PatchAnswer::Invalid(problems))) => {
                     log::error!("event=first_config_invalid problems={problems:?}");
                     return;
                 }
                 Ok(_) => return,
-                Err(NoLeader) => tokio::time::sleep(FIRST_CONFIG_PAUSE).await,
+                Err(NoLeader) => tokio::time::sleep(FIRST_CONFIG_RETRY_DELAY).await,
             }
         }
     }
--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -59,7 +59,7 @@
     }
 
     async fn fenced(self: &Arc<Node>, load_version: String) -> Option<EngineOrder> {
-        match self.decide(Command::Fence).await {
+        match self.propose(Command::Fence).await {
             Ok(Reply::Fence(fencing)) => Some(EngineOrder { fencing, load_version }),
             _ => None,
         }
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -17,7 +17,7 @@
 use crate::whereabouts::Seen;
 
 /// Nodes among which each dispatch is told to all others, at the most.
-const NODES_TOLD: usize = 16;
+const MAX_NODES_FOR_ANNOUNCEMENTS: usize = 16;
 
 impl PeerHandler for Node {
     fn log(&self, from: NodeId, message: Message) {
@@ -43,23 +43,23 @@
                     }
                 }
                 Ask::Propose(command) => {
-                    let (sender, decided) = oneshot::channel();
-                    self.tell_replica(replica::Propose(command, sender)).await;
-                    decision(decided.await.ok(), Answer::Decided)
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::Propose(command, sender)).await;
+                    answer_from_result(receiver.await.ok(), Answer::Decided)
                 }
                 Ask::ReadConfig { has } => {
-                    let (sender, read) = oneshot::channel();
-                    self.tell_replica(replica::ReadConfig(has, sender)).await;
-                    decision(read.await.ok(), Answer::Config)
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::ReadConfig(has, sender)).await;
+                    answer_from_result(receiver.await.ok(), Answer::Config)
                 }
                 Ask::ChangeReplicas(change) => {
-                    let (sender, changed) = oneshot::channel();
-                    self.tell_replica(replica::ChangeReplicas(change, sender)).await;
-                    match changed.await {
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::ChangeReplicas(change, sender)).await;
+                    match receiver.await {
                         Ok(Err(ChangeError::NotLeader(other))) => Answer::NotLeader(other.leader),
-                        Ok(result) => {
-                            Answer::ReplicasChanged(result.map_err(|error| remedy(error).into()))
-                        }
+                        Ok(result) => Answer::ReplicasChanged(
+                            result.map_err(|error| change_error_message(error).into()),
+                        ),
                         Err(_) => Answer::Unable,
                     }
                 }
@@ -69,7 +69,7 @@
                     }
                     Answer::Kept(self.catalog.lock().lookup(root, boot_now()))
                 }
-                Ask::Seen(seen) => self.take_seen(&seen),
+                Ask::Seen(seen) => self.record_answered_prompt(&seen),
                 Ask::Written(written) => {
                     self.catalog.lock().written(&written, boot_now());
                     Answer::Done
@@ -85,17 +85,17 @@
 impl Node {
     /// Tells the other nodes of a dispatch, so that they don't choose the same engine for want of
     /// news. Beyond a few nodes that costs more than it saves.
-    pub fn tell_dispatched(&self, dispatched: &Dispatched) {
+    pub fn announce_dispatch(&self, dispatched: &Dispatched) {
         let others: Vec<NodeId> = {
             let known = self.known.lock();
             known.live.iter().skip(1).map(|member| member.node).collect()
         };
-        if others.len() < NODES_TOLD {
+        if others.len() < MAX_NODES_FOR_ANNOUNCEMENTS {
             others.iter().for_each(|node| self.links.tell(*node, dispatched.clone()));
         }
     }
 
-    async fn tell_replica<M>(&self, message: M)
+    async fn send_to_replica<M>(&self, message: M)
     where
         M: Send + 'static,
         replica::Replica: xtra::Handler<M, Return = ()>,
@@ -116,7 +116,7 @@
         }
     }
 
-    fn take_seen(&self, seen: &Seen) -> Answer {
+    fn record_answered_prompt(&self, seen: &Seen) -> Answer {
         if self.in_force().is_none() {
             return Answer::Unable;
         }
@@ -125,7 +125,10 @@
     }
 }
 
-fn decision<T>(result: Option<Result<T, Undecided>>, answer: impl Fn(T) -> Answer) -> Answer {
+fn answer_from_result<T>(
+    result: Option<Result<T, Undecided>>,
+    answer: impl Fn(T) -> Answer,
+) -> Answer {
     match result {
         Some(Ok(value)) => answer(value),
         Some(Err(Undecided::NotLeader(leader))) => Answer::NotLeader(leader),
@@ -133,7 +136,7 @@
     }
 }
 
-fn remedy(error: ChangeError) -> &'static str {
+fn change_error_message(error: ChangeError) -> &'static str {
     match error {
         ChangeError::NotLeader(_) => "another node leads; ask again",
         ChangeError::InProgress => "another change is not committed yet; ask again in a moment",
