--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -125,7 +125,7 @@
     /// # Errors
     /// Why there is no whole answer.
     pub async fn run_to_completion(&mut self) -> Result<CompleteAnswer, Refusal> {
-        self.stored_prefixes = self.node.kept_of(&self.prompt.chain).await;
+        self.stored_prefixes = self.node.stored_prefixes(&self.prompt.chain).await;
         self.node.router.lock().earn_retry();
         loop {
             self.attempt += 1;
@@ -152,7 +152,7 @@
             match result {
                 Ok(answer) => {
                     self.node.answered_whole(self.prompt.call.fingerprint);
-                    self.node.note_answered(&self.prompt.chain, dispatch.url);
+                    self.node.report_answered(&self.prompt.chain, dispatch.url);
                     return Ok(answer);
                 }
                 Err((true, refusal)) if self.may_retry(ended) => {
@@ -207,7 +207,7 @@
             quoted(&version),
         );
         self.prompt.set_weight_version(version);
-        self.stored_prefixes = self.node.kept_of(&self.prompt.chain).await;
+        self.stored_prefixes = self.node.stored_prefixes(&self.prompt.chain).await;
         true
     }
 
--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -89,7 +89,7 @@
     }
 
     async fn ask_for_share(self: &Arc<Node>, account: &str, limit: u32, demand: u32) {
-        let places = self.node_places();
+        let places = self.node_locations();
         let nodes = places.len() as u32;
         let Some(owner) = owners(account_root(account), &places).first().copied() else { return };
         // The lease counts from here.
@@ -116,7 +116,7 @@
             return Answer::Unable;
         }
         let now = boot_now();
-        let places = self.node_places();
+        let places = self.node_locations();
         let mut sharing = self.sharing.lock();
         sharing.note_places(places, now);
         if !sharing.is_settled_owner(&demand.account, self.settings.node_id, now) {
@@ -136,7 +136,7 @@
 
     async fn renew_shares(self: &Arc<Node>) {
         let now = boot_now();
-        let places = self.node_places();
+        let places = self.node_locations();
         let in_use: Vec<(AccountId, u32)> = {
             let mut sharing = self.sharing.lock();
             sharing.note_places(places, now);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -203,7 +203,7 @@
     }
 
     /// Live nodes and their failure domains.
-    pub fn node_places(&self) -> Vec<NodePlace> {
+    pub fn node_locations(&self) -> Vec<NodePlace> {
         let place = |member: &Member| NodePlace {
             node: member.node,
             failure_domain: member.failure_domain.clone(),
@@ -220,7 +220,7 @@
         tokio::spawn(self.clone().run_lease_renewal());
         tokio::spawn(self.clone().watch_platform());
         tokio::spawn(self.clone().watch_targets());
-        tokio::spawn(self.clone().keep_contexts());
+        tokio::spawn(self.clone().run_context_maintenance());
         tokio::spawn(self.clone().run_queue_expiry());
         tokio::spawn(self.clone().keep_ordering());
         tokio::spawn(self.clone().keep_shares());
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -120,7 +120,7 @@
         if self.in_force().is_none() {
             return Answer::Unable;
         }
-        let fills = self.store_fills();
+        let fills = self.store_used_fractions();
         Answer::Export(self.catalog.lock().seen(seen, &fills, boot_now()))
     }
 }
--- a/src/node/stored_prefixes.rs
+++ b/src/node/stored_prefixes.rs
@@ -15,26 +15,26 @@
 
 /// A lookup that is not answered within this time is done without.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(25);
-/// Notes to owners may take longer: nobody waits for them.
-const NOTE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Notes to owners may take longer: nobody backlog for them.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often copies are freed and ownership is looked at.
-const FREE_PERIOD: Duration = Duration::from_millis(500);
-/// How often the stores' inventories are read, in free periods.
-const INVENTORY_EVERY: u64 = 10;
+const FREE_INTERVAL: Duration = Duration::from_millis(500);
+/// How often the stores' inventories are read, in free rounds.
+const FREE_INTERVALS_PER_INVENTORY: u64 = 10;
 /// Exports wait while the link to a store is longer behind than this: imports go first.
-const EXPORT_BACKLOG: Duration = Duration::from_millis(50);
+const MAX_EXPORT_BACKLOG: Duration = Duration::from_millis(50);
 
 impl Node {
     /// What stores keep of a prompt. Owners that do not answer in time are done without.
-    pub async fn kept_of(
+    pub async fn stored_prefixes(
         self: &Arc<Node>,
         chain: &Chain,
     ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
-        for owner in owners(root, &self.node_places()) {
-            let asked = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
-            if let Ok(Answer::Kept(kept)) = asked {
-                let usable = kept.into_iter().filter(|kept| is_of(chain, kept));
+        for owner in owners(root, &self.node_locations()) {
+            let answer = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
+            if let Ok(Answer::Kept(kept)) = answer {
+                let usable = kept.into_iter().filter(|kept| is_prefix_of(chain, kept));
                 return usable.map(|kept| (kept.store, kept.object)).collect();
             }
         }
@@ -42,30 +42,30 @@
     }
 
     /// Tells the owners that a prompt was answered by an engine, and exports if that is worth it.
-    pub fn note_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
+    pub fn report_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
         let Some(seen) = Seen::of(chain) else { return };
         let node = self.clone();
-        tokio::spawn(async move { node.tell_owners(seen, engine_url).await });
+        tokio::spawn(async move { node.report_to_owner(seen, engine_url).await });
     }
 
-    async fn tell_owners(self: Arc<Node>, seen: Seen, engine_url: String) {
-        let owners = owners(seen.root, &self.node_places());
+    async fn report_to_owner(self: Arc<Node>, seen: Seen, engine_url: String) {
+        let owners = owners(seen.root, &self.node_locations());
         let Some(first) = owners.first() else { return };
-        let told = self.links.ask(*first, Ask::Seen(seen.clone()), NOTE_TIMEOUT).await;
-        let Ok(Answer::Export(Some(plan))) = told else { return };
-        let kept = self.export(&plan, &engine_url).await;
+        let answer = self.links.ask(*first, Ask::Seen(seen.clone()), REPORT_TIMEOUT).await;
+        let Ok(Answer::Export(Some(plan))) = answer else { return };
+        let kept = self.export_prefix(&plan, &engine_url).await;
         let written =
             Written { root: plan.root, key: plan.position.key, generation: plan.generation, kept };
-        self.tell_written(*first, written).await;
+        self.report_export(*first, written).await;
     }
 
-    async fn tell_written(self: &Arc<Node>, owner: NodeId, written: Written) {
+    async fn report_export(self: &Arc<Node>, owner: NodeId, written: Written) {
         // If the owner is gone, its successor finds the copy in the store's inventory.
-        drop(self.links.ask(owner, Ask::Written(written), NOTE_TIMEOUT).await);
+        drop(self.links.ask(owner, Ask::Written(written), REPORT_TIMEOUT).await);
     }
 
-    async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<Kept> {
-        let store_url = self.export_url(&plan.store)?;
+    async fn export_prefix(&self, plan: &ExportPlan, engine_url: &str) -> Option<Kept> {
+        let store_url = self.export_store_url(&plan.store)?;
         let order = ExportOrder {
             store_url,
             root: plan.root,
@@ -87,16 +87,16 @@
     }
 
     /// The URL of a store that can take an export now.
-    fn export_url(&self, store: &str) -> Option<String> {
+    fn export_store_url(&self, store: &str) -> Option<String> {
         let now = boot_now();
         let mut router = self.router.lock();
         let view = router.store_mut(store)?;
-        let waits = view.transfer_time(0, now)?;
-        (view.takes_work && waits < EXPORT_BACKLOG).then(|| view.url.clone())
+        let backlog = view.transfer_time(0, now)?;
+        (view.takes_work && backlog < MAX_EXPORT_BACKLOG).then(|| view.url.clone())
     }
 
     /// Stores that take exports and the share of each that is used.
-    pub(super) fn store_fills(&self) -> BTreeMap<TargetId, f64> {
+    pub(super) fn store_used_fractions(&self) -> BTreeMap<TargetId, f64> {
         let now = boot_now();
         let router = self.router.lock();
         let stores = router.view().stores.iter();
@@ -107,19 +107,19 @@
     }
 
     /// Frees copies, and rebuilds what is known from the stores' inventories, again and again.
-    pub(super) async fn keep_contexts(self: Arc<Node>) {
-        let mut periods: u64 = 0;
-        every(FREE_PERIOD, || {
-            periods += 1;
+    pub(super) async fn run_context_maintenance(self: Arc<Node>) {
+        let mut rounds: u64 = 0;
+        every(FREE_INTERVAL, || {
+            rounds += 1;
             let node = self.clone();
-            let inventory = periods.is_multiple_of(INVENTORY_EVERY);
+            let is_inventory_due = rounds.is_multiple_of(FREE_INTERVALS_PER_INVENTORY);
             async move {
                 // An owner acts only under its own freshness lease, so that one that is cut off
                 // falls silent before its successor acts.
                 if node.in_force().is_some() {
                     node.free_copies().await;
-                    if inventory {
-                        node.rebuild().await;
+                    if is_inventory_due {
+                        node.rebuild_catalog().await;
                     }
                 }
                 true
@@ -129,11 +129,12 @@
     }
 
     async fn free_copies(self: &Arc<Node>) {
-        let places = self.node_places();
-        let me = self.settings.node_id;
+        let locations = self.node_locations();
+        let own_id = self.settings.node_id;
         // Only the first owner frees; the second one is ready to take its place.
-        let decides = |root: BlockKey| owners(root, &places).first() == Some(&me);
-        let orders = self.catalog.lock().tick(&self.store_fills(), decides, boot_now());
+        let is_first_owner = |root: BlockKey| owners(root, &locations).first() == Some(&own_id);
+        let orders =
+            self.catalog.lock().tick(&self.store_used_fractions(), is_first_owner, boot_now());
         for order in orders {
             let Some(url) = self.store_url(&order.store) else { continue };
             let freed =
@@ -145,10 +146,10 @@
         }
     }
 
-    async fn rebuild(self: &Arc<Node>) {
-        let places = self.node_places();
-        let me = self.settings.node_id;
-        let owns = |root: BlockKey| owners(root, &places).contains(&me);
+    async fn rebuild_catalog(self: &Arc<Node>) {
+        let locations = self.node_locations();
+        let own_id = self.settings.node_id;
+        let owns = |root: BlockKey| owners(root, &locations).contains(&own_id);
         self.catalog.lock().hand_over(owns);
         let stores: Vec<(TargetId, String)> = {
             let router = self.router.lock();
@@ -167,7 +168,7 @@
 }
 
 /// Whether a kept object is a beginning of this very prompt.
-fn is_of(chain: &Chain, kept: &Kept) -> bool {
+fn is_prefix_of(chain: &Chain, kept: &Kept) -> bool {
     let blocks = kept.object.blocks as usize;
     blocks > 0 && chain.keys.get(blocks - 1) == Some(&kept.object.key)
 }
