--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -12,13 +12,13 @@
 use crate::replica::Leads;
 
 /// How often orders are planned.
-const PLAN_PERIOD: Duration = Duration::from_millis(300);
+const PLAN_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Node {
     /// Plans and sends orders, again and again.
-    pub(super) async fn keep_ordering(self: Arc<Node>) {
+    pub(super) async fn run_load_orders(self: Arc<Node>) {
         let mut planner: Option<(Term, Planner)> = None;
-        let mut interval = tokio::time::interval(PLAN_PERIOD);
+        let mut interval = tokio::time::interval(PLAN_INTERVAL);
         loop {
             interval.tick().await;
             let Some(term) = self.leading_term().await else {
@@ -29,16 +29,16 @@
                 planner = Some((term, Planner::new(self.settings.timing.election, boot_now())));
             }
             if let Some((_, planner)) = &mut planner {
-                self.order(planner, term).await;
+                self.send_load_orders(planner, term).await;
             }
         }
     }
 
-    async fn order(self: &Arc<Node>, planner: &mut Planner, term: Term) {
+    async fn send_load_orders(self: &Arc<Node>, planner: &mut Planner, term: Term) {
         let Some(config) = self.in_force() else { return };
         let planned = planner.plan(&config.config.models, &self.engine_states(), boot_now());
         for Planned { engine, version } in planned {
-            let order = self.fenced(version.clone()).await;
+            let order = self.fenced_order(version.clone()).await;
             // Asked again: time has passed since the plan was made.
             let still_leads = self.leading_term().await == Some(term);
             let url = self.engine_url(&engine);
@@ -58,7 +58,7 @@
         }
     }
 
-    async fn fenced(self: &Arc<Node>, load_version: String) -> Option<EngineOrder> {
+    async fn fenced_order(self: &Arc<Node>, load_version: String) -> Option<EngineOrder> {
         match self.propose(Command::Fence).await {
             Ok(Reply::Fence(fencing)) => Some(EngineOrder { fencing, load_version }),
             _ => None,
@@ -72,7 +72,7 @@
     fn engine_states(&self) -> Vec<EngineState> {
         let now = boot_now();
         let router = self.router.lock();
-        let known = router.view().engines.iter().filter_map(|(id, engine)| {
+        let states = router.view().engines.iter().filter_map(|(id, engine)| {
             let report = engine.fresh_report(now)?;
             Some(EngineState {
                 id: id.clone(),
@@ -83,7 +83,7 @@
                 checks_fencing: router.targets().get(id).is_some_and(|t| t.checks_fencing),
             })
         });
-        known.collect()
+        states.collect()
     }
 
     fn engine_url(&self, engine: &str) -> Option<String> {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -218,11 +218,11 @@
 
     fn spawn_loops(self: &Arc<Node>) {
         tokio::spawn(self.clone().run_lease_renewal());
-        tokio::spawn(self.clone().watch_platform());
-        tokio::spawn(self.clone().watch_targets());
+        tokio::spawn(self.clone().poll_platform());
+        tokio::spawn(self.clone().poll_targets());
         tokio::spawn(self.clone().run_context_maintenance());
         tokio::spawn(self.clone().run_queue_expiry());
-        tokio::spawn(self.clone().keep_ordering());
+        tokio::spawn(self.clone().run_load_orders());
         tokio::spawn(self.clone().keep_shares());
         if self.settings.first_config.is_some() {
             tokio::spawn(self.clone().propose_first_config());
--- a/src/node/target_polling.rs
+++ b/src/node/target_polling.rs
@@ -12,43 +12,43 @@
 
 impl Node {
     /// Reads the platform's list, and what other nodes saw leaving, again and again.
-    pub(super) async fn watch_platform(self: Arc<Node>) {
+    pub(super) async fn poll_platform(self: Arc<Node>) {
         let mut etag = String::new();
         let mut interval = tokio::time::interval(self.settings.timing.platform_poll);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             interval.tick().await;
-            self.read_platform(&mut etag).await;
+            self.fetch_target_list(&mut etag).await;
         }
     }
 
     /// Reads targets' reports again and again.
-    pub(super) async fn watch_targets(self: Arc<Node>) {
+    pub(super) async fn poll_targets(self: Arc<Node>) {
         every(self.settings.timing.load_poll, || async {
-            self.read_targets().await;
+            self.fetch_target_reports().await;
             true
         })
         .await;
     }
 
-    async fn read_platform(self: &Arc<Node>, etag: &mut String) {
-        let heard = std::mem::take(&mut self.known.lock().leaving_targets);
-        let mut news = self.router.lock().take_leaving(&heard);
+    async fn fetch_target_list(self: &Arc<Node>, etag: &mut String) {
+        let announced = std::mem::take(&mut self.known.lock().leaving_targets);
+        let mut newly_leaving = self.router.lock().take_leaving(&announced);
         match self.client.targets(&self.settings.platform_url, etag).await {
             Ok(Some((list, new_etag))) => {
-                news.extend(self.router.lock().take_list(list));
+                newly_leaving.extend(self.router.lock().take_list(list));
                 *etag = new_etag;
             }
             Ok(None) => {}
             // The last list serves on; targets' own refusals and health decide meanwhile.
             Err(error) => log::warn!("event=platform_unreadable error={:?}", error.to_string()),
         }
-        for leaving in news {
-            self.tell_leaving(leaving).await;
+        for leaving in newly_leaving {
+            self.announce_leaving(leaving).await;
         }
     }
 
-    async fn tell_leaving(&self, leaving: Leaving) {
+    async fn announce_leaving(&self, leaving: Leaving) {
         log::info!(
             "event=target_leaving target={} incarnation={}",
             leaving.target,
@@ -57,7 +57,7 @@
         drop(self.membership.send(AnnounceLeaving(leaving)).detach().await);
     }
 
-    async fn read_targets(self: &Arc<Node>) {
+    async fn fetch_target_reports(self: &Arc<Node>) {
         let nodes = self.known.lock().live.len();
         let (engines, stores) = {
             let mut router = self.router.lock();
@@ -72,15 +72,16 @@
                 router.view().stores.iter().map(|(id, s)| (id.clone(), s.url.clone())).collect();
             (engines, stores)
         };
-        let reading_engines =
-            engines.iter().map(|(id, url, last_event)| self.read_engine(id, url, *last_event));
-        let reading_stores = stores.iter().map(|(id, url)| self.read_store(id, url));
-        tokio::join!(join_all(reading_engines), join_all(reading_stores));
+        let engine_reads = engines
+            .iter()
+            .map(|(id, url, last_event)| self.fetch_engine_report(id, url, *last_event));
+        let store_reads = stores.iter().map(|(id, url)| self.fetch_store_report(id, url));
+        tokio::join!(join_all(engine_reads), join_all(store_reads));
         let capacity = self.router.lock().capacity(boot_now());
         self.admission.set_capacity(capacity);
     }
 
-    async fn read_engine(&self, id: &str, url: &str, last_event: u64) {
+    async fn fetch_engine_report(&self, id: &str, url: &str, last_event: u64) {
         let (load, events) =
             tokio::join!(self.client.load(url), self.client.events(url, last_event));
         let now = boot_now();
@@ -94,7 +95,7 @@
         }
     }
 
-    async fn read_store(&self, id: &str, url: &str) {
+    async fn fetch_store_report(&self, id: &str, url: &str) {
         let report = self.client.store(url).await;
         let now = boot_now();
         match report {
