--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -414,7 +414,7 @@
     ("held: entries tell replicas nothing", "src/gateway/subscription.rs",
      "let reports = known.changed_since(sent, boot_now());", "let reports: Vec<crate::quarantine::Report> = known.changed_since(u64::MAX, boot_now());", "deployment", "ending_prompts"),
     ("held: nodes tell their grantors nothing", "src/node/quarantine.rs",
-     "let news = quarantining.known.changed_since(told, boot_now());", "let news = quarantining.known.changed_since(told.max(u64::MAX), boot_now());", "process", "ending_prompts"),
+     "let reports = state.quarantine.changed_since(reported_revision, boot_now());", "let reports = state.quarantine.changed_since(reported_revision.max(u64::MAX), boot_now());", "process", "ending_prompts"),
     ("links: a question to a dead node waits", "src/peer/links.rs",
      "self.waiting.lock().retain(|_, (asked, _)| *asked != to);", "let _ = to;", "logic", "links::"),
 ]
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -220,7 +220,7 @@
     /// # Errors
     /// If the node's lease has ended, or targets have ended under the request.
     pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
-        if let Some(left) = node.held_for(self.fingerprint) {
+        if let Some(left) = node.quarantine_remaining(self.fingerprint) {
             let message = "targets have ended under this request, one after the other";
             return Err(Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(left));
         }
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -19,7 +19,7 @@
 use crate::edge::sse::{Events, Oversized};
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
-use crate::node::quarantine::BrokenAt;
+use crate::node::quarantine::BrokenDispatch;
 use crate::route::{Ask, Dispatch, Ended, NoEngine};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
@@ -151,7 +151,7 @@
             }
             match result {
                 Ok(answer) => {
-                    self.node.answered_whole(self.prompt.call.fingerprint);
+                    self.node.record_completion(self.prompt.call.fingerprint);
                     self.node.report_answered(&self.prompt.chain, dispatch.url);
                     return Ok(answer);
                 }
@@ -173,14 +173,14 @@
     /// The engine may have ended under this prompt, and others would.
     async fn report_broken_run(&self, dispatch: &Dispatch, sent_at: BootTime) {
         let announcement = dispatch.news();
-        let broken = BrokenAt {
+        let broken = BrokenDispatch {
             target: &announcement.engine,
             incarnation: announcement.incarnation,
             url: &dispatch.url,
             fingerprint: self.prompt.call.fingerprint,
             sent_at,
         };
-        self.node.examine(broken).await;
+        self.node.report_broken_run(broken).await;
     }
 
     /// Turns to the weights that engines have by now, if they are others: a prompt may have waited
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -14,7 +14,7 @@
 use crate::edge::client::CallError;
 use crate::http::{self, Request, Response};
 use crate::node::Node;
-use crate::node::quarantine::BrokenAt;
+use crate::node::quarantine::BrokenDispatch;
 
 /// Instances tried for one call.
 const MAX_INSTANCES_TRIED: usize = 3;
@@ -157,19 +157,19 @@
     if !matches!(error, CallError::MayHaveRun(_)) {
         return;
     }
-    let broken = BrokenAt {
+    let broken = BrokenDispatch {
         target: &instance.id,
         incarnation: instance.incarnation,
         url: &instance.url,
         fingerprint: call.fingerprint,
         sent_at,
     };
-    node.examine(broken).await;
+    node.report_broken_run(broken).await;
 }
 
 fn record_completion(node: &Node, call: &ApiCall, outcome: &Outcome) {
     if (200..300).contains(&outcome.status) {
-        node.answered_whole(call.fingerprint);
+        node.record_completion(call.fingerprint);
     }
 }
 
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -112,7 +112,7 @@
         (duration, number, update): LeaseGrant,
         renew: &Renew,
     ) -> Answer {
-        let (quarantine, told) = self.quarantine_news(renew.heard);
+        let (quarantine, told) = self.suspect_reports_since(renew.heard);
         Answer::Granted { lasts_ms: duration.as_millis() as u64, number, update, quarantine, told }
     }
 
@@ -133,14 +133,14 @@
         // The lease counts from here, before anything has left this node.
         let sent_at = boot_now();
         let (has, acked) = self.freshness.lock().own_and_acked_numbers(sent_at);
-        let (quarantine, heard, telling) = self.quarantine_for(node);
+        let (quarantine, heard, sent_revision) = self.quarantine_reports_for(node);
         let renew = Renew { has, acked, as_relay, quarantine, heard };
         match self.links.ask(node, Ask::Renew(renew), RENEW_TIMEOUT).await {
             Ok(Answer::Granted { lasts_ms, number, update, quarantine, told }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
-                self.hear_quarantine(node, quarantine, told, telling);
+                self.apply_quarantine_reports(node, quarantine, told, sent_revision);
                 let duration = Duration::from_millis(lasts_ms);
                 self.freshness.lock().apply_grant(sent_at, duration, number, &update)
             }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -47,7 +47,7 @@
 use account_shares::Sharing;
 use admission::AdmissionController;
 use freshness::Freshness;
-use quarantine::Quarantining;
+use quarantine::QuarantineState;
 
 /// How often timers of the log and of membership are looked at.
 const TICK: Duration = Duration::from_millis(10);
@@ -73,7 +73,7 @@
     /// Counts against the service levels.
     pub burn: Mutex<Burn>,
     sharing: Mutex<Sharing>,
-    quarantining: Mutex<Quarantining>,
+    quarantine: Mutex<QuarantineState>,
     freshness: Mutex<Freshness>,
     known: Arc<Mutex<MembershipView>>,
     membership: Address<Membership>,
@@ -128,7 +128,7 @@
             admission: AdmissionController::new(settings.bounds.queue_len),
             burn: Mutex::new(Burn::default()),
             sharing: Mutex::new(Sharing::new(settings.timing.lease)),
-            quarantining: Mutex::new(Quarantining::new(boot)),
+            quarantine: Mutex::new(QuarantineState::new(boot)),
             freshness: Mutex::new(Freshness::new(settings.timing.lease, now)),
             known,
             membership,
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -36,7 +36,7 @@
         async move {
             match ask {
                 Ask::Renew(mut renew) => {
-                    self.observe_quarantine(std::mem::take(&mut renew.quarantine));
+                    self.merge_quarantine_reports(std::mem::take(&mut renew.quarantine));
                     match renew.as_relay {
                         true => self.grant_as_relay(from, &renew),
                         false => self.grant_as_leader(from, &renew).await,
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -16,27 +16,27 @@
 use crate::quarantine::{Fingerprint, Observed, Quarantine, Report, Revision};
 
 /// Longest time to find out whether a target still listens.
-const EXAMINE_TIMEOUT: Duration = Duration::from_millis(250);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What this node knows, and whom it has told.
-pub struct Quarantining {
-    known: Quarantine,
-    broken: BrokenRuns,
+pub struct QuarantineState {
+    quarantine: Quarantine,
+    broken_runs: BrokenRuns,
     /// This start of the node: its revisions begin anew with each.
     boot: u64,
-    grantors: HashMap<NodeId, Grantor>,
+    grantors: HashMap<NodeId, GrantorState>,
 }
 
 /// A node that grants, or granted, this one its lease.
 #[derive(Clone, Copy, Default)]
-struct Grantor {
+struct GrantorState {
     /// The own revision up to which it was told.
-    told: Revision,
+    reported_revision: Revision,
     heard: Heard,
 }
 
 /// A run of a request that broke off at a target.
-pub struct BrokenAt<'a> {
+pub struct BrokenDispatch<'a> {
     /// The target.
     pub target: &'a TargetId,
     /// The start of it.
@@ -49,101 +49,102 @@
     pub sent_at: BootTime,
 }
 
-impl Quarantining {
+impl QuarantineState {
     /// Nothing is known yet.
-    pub fn new(boot: u64) -> Quarantining {
-        let (known, broken) = (Quarantine::default(), BrokenRuns::default());
-        Quarantining { known, broken, boot, grantors: HashMap::new() }
+    pub fn new(boot: u64) -> QuarantineState {
+        let (quarantine, broken_runs) = (Quarantine::default(), BrokenRuns::default());
+        QuarantineState { quarantine, broken_runs, boot, grantors: HashMap::new() }
     }
 }
 
 impl Node {
     /// How much longer a request must not reach a target, if targets have ended under it.
-    pub fn held_for(&self, request: Fingerprint) -> Option<Duration> {
-        self.quarantining.lock().known.held_for(request, boot_now())
+    pub fn quarantine_remaining(&self, request: Fingerprint) -> Option<Duration> {
+        self.quarantine.lock().quarantine.held_for(request, boot_now())
     }
 
     /// A request got a whole answer.
-    pub fn answered_whole(&self, request: Fingerprint) {
-        self.quarantining.lock().known.answered_whole(request, boot_now());
+    pub fn record_completion(&self, request: Fingerprint) {
+        self.quarantine.lock().quarantine.answered_whole(request, boot_now());
     }
 
     /// A run broke off: finds out whether its target has ended.
-    pub async fn examine(&self, broken: BrokenAt<'_>) {
-        let BrokenAt { target, incarnation, url, fingerprint, sent_at } = broken;
+    pub async fn report_broken_run(&self, broken: BrokenDispatch<'_>) {
+        let BrokenDispatch { target, incarnation, url, fingerprint, sent_at } = broken;
         // Both only name a start.
         let start = TargetStart { id: target.clone(), born_ms: Some(incarnation as i64) };
         let run = BrokenRun { fingerprint, sent_at, broke_at: boot_now() };
-        let finding = self.quarantining.lock().broken.broke_off(&start, run);
+        let finding = self.quarantine.lock().broken_runs.broke_off(&start, run);
         if finding != Finding::HasEnded && !refuses_connections(url).await {
-            self.quarantining.lock().broken.listens(&start);
+            self.quarantine.lock().broken_runs.listens(&start);
             return;
         }
         let observed = {
-            let mut quarantining = self.quarantining.lock();
-            let mut runs = quarantining.broken.has_ended(&start, boot_now());
+            let mut state = self.quarantine.lock();
+            let mut runs = state.broken_runs.has_ended(&start, boot_now());
             if finding == Finding::HasEnded {
                 runs.push(run);
             }
             log::warn!("event=target_ended target={start} runs={}", runs.len());
-            quarantining.known.ended_under(&runs, &start, boot_now())
+            state.quarantine.ended_under(&runs, &start, boot_now())
         };
-        log_held(&observed);
+        log_quarantined(&observed);
     }
 
     /// Takes what another node knows.
-    pub(super) fn observe_quarantine(&self, reports: Vec<Report>) {
-        let observed = self.quarantining.lock().known.observe(reports, boot_now());
-        log_held(&observed);
+    pub(super) fn merge_quarantine_reports(&self, reports: Vec<Report>) {
+        let observed = self.quarantine.lock().quarantine.observe(reports, boot_now());
+        log_quarantined(&observed);
     }
 
-    /// What to tell a node that grants leases: news, what it was heard to say, and the revision up to which it
+    /// What to tell a node that grants leases: reports, what it was heard to say, and the revision up to which it
     /// knows all once it has answered.
-    pub(super) fn quarantine_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
-        let quarantining = self.quarantining.lock();
-        let Grantor { told, heard } =
-            quarantining.grantors.get(&grantor).copied().unwrap_or_default();
-        let news = quarantining.known.changed_since(told, boot_now());
-        (news, heard, quarantining.known.revision())
+    pub(super) fn quarantine_reports_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
+        let state = self.quarantine.lock();
+        let GrantorState { reported_revision, heard } =
+            state.grantors.get(&grantor).copied().unwrap_or_default();
+        let reports = state.quarantine.changed_since(reported_revision, boot_now());
+        (reports, heard, state.quarantine.revision())
     }
 
     /// Takes what came with a lease.
-    pub(super) fn hear_quarantine(
+    pub(super) fn apply_quarantine_reports(
         &self,
         grantor: NodeId,
         reports: Vec<Report>,
         heard: Heard,
-        telling: Revision,
+        sent_revision: Revision,
     ) {
         {
-            let mut quarantining = self.quarantining.lock();
-            let known = quarantining.grantors.entry(grantor).or_default();
+            let mut state = self.quarantine.lock();
+            let grantor_state = state.grantors.entry(grantor).or_default();
             // One that has started again knows only what it was told since.
-            known.told = if known.heard.boot == heard.boot { telling } else { 0 };
-            known.heard = heard;
+            grantor_state.reported_revision =
+                if grantor_state.heard.boot == heard.boot { sent_revision } else { 0 };
+            grantor_state.heard = heard;
         }
-        self.observe_quarantine(reports);
+        self.merge_quarantine_reports(reports);
     }
 
     /// What a node is to be told with its lease that has heard so much.
-    pub(super) fn quarantine_news(&self, heard: Heard) -> (Vec<Report>, Heard) {
-        let quarantining = self.quarantining.lock();
-        let is_of_this_start = heard.boot == quarantining.boot;
-        let since = if is_of_this_start { heard.revision } else { Revision::default() };
-        let told = Heard { boot: quarantining.boot, revision: quarantining.known.revision() };
-        (quarantining.known.suspects_since(since, boot_now()), told)
+    pub(super) fn suspect_reports_since(&self, heard: Heard) -> (Vec<Report>, Heard) {
+        let state = self.quarantine.lock();
+        let is_current_boot = heard.boot == state.boot;
+        let since = if is_current_boot { heard.revision } else { Revision::default() };
+        let reported = Heard { boot: state.boot, revision: state.quarantine.revision() };
+        (state.quarantine.suspects_since(since, boot_now()), reported)
     }
 }
 
 async fn refuses_connections(url: &str) -> bool {
     let Ok(url) = reqwest::Url::parse(url) else { return false };
     match (url.host_str(), url.port_or_known_default()) {
-        (Some(host), Some(port)) => net::refuses_connections(host, port, EXAMINE_TIMEOUT).await,
+        (Some(host), Some(port)) => net::refuses_connections(host, port, PROBE_TIMEOUT).await,
         _ => false,
     }
 }
 
-fn log_held(observed: &Observed) {
+fn log_quarantined(observed: &Observed) {
     for fingerprint in &observed.held {
         log::warn!("event=request_held fingerprint={fingerprint}");
     }
