--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -183,7 +183,7 @@
         let wants = Wants {
             account: self.account.clone(),
             weight: account.map_or(1, |account| account.weight),
-            account_limit: node.share_of(&self.account, limit).await,
+            account_limit: node.account_share(&self.account, limit).await,
             priority: self.kind.priority,
             deadline: self.deadline,
         };
--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -12,70 +12,78 @@
 use crate::whereabouts::{NodePlace, owners};
 
 /// A request waits no longer than this for a share.
-const ASK_TIMEOUT: Duration = Duration::from_millis(25);
+const SHARE_REQUEST_TIMEOUT: Duration = Duration::from_millis(25);
 /// An owner is asked no more often than this for an account whose share is used up.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 /// How often shares in use are renewed.
-const RENEW_PERIOD: Duration = Duration::from_secs(1);
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 /// A node asks for this many times its demand, so that it need not ask for each request.
-const HEADROOM: u32 = 2;
+const DEMAND_HEADROOM_FACTOR: u32 = 2;
 
 /// Shares that this node holds and those that it granted as an owner.
-pub struct Sharing {
-    held: HashMap<AccountId, Held>,
+pub struct AccountShares {
+    held: HashMap<AccountId, HeldShare>,
     granted: Shares,
     /// Live nodes as they were known within the last lease, oldest first. An account that another
     /// node owned by one of these may have leases of that owner outstanding.
-    places: VecDeque<(BootTime, Vec<NodePlace>)>,
+    location_history: VecDeque<(BootTime, Vec<NodePlace>)>,
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct HeldShare {
     share: u32,
-    ends: BootTime,
-    asked_at: BootTime,
+    expires_at: BootTime,
+    requested_at: BootTime,
     /// The account's limit over all nodes when it was asked for.
     limit: u32,
 }
 
-impl Sharing {
-    /// Nothing held, nothing granted.
-    pub fn new(lease: Duration) -> Sharing {
-        Sharing { held: HashMap::new(), granted: Shares::new(lease), places: VecDeque::new() }
+impl AccountShares {
+    /// Nothing held, empty granted.
+    pub fn new(lease: Duration) -> AccountShares {
+        AccountShares {
+            held: HashMap::new(),
+            granted: Shares::new(lease),
+            location_history: VecDeque::new(),
+        }
     }
 
-    fn note_places(&mut self, places: Vec<NodePlace>, now: BootTime) {
-        if self.places.back().is_none_or(|(_, known)| *known != places) {
-            self.places.push_back((now, places));
+    fn record_locations(&mut self, locations: Vec<NodePlace>, now: BootTime) {
+        if self.location_history.back().is_none_or(|(_, recorded)| *recorded != locations) {
+            self.location_history.push_back((now, locations));
         }
         // The one before the oldest change within a lease still counts.
         let lease = self.granted.lease();
-        while self.places.get(1).is_some_and(|(since, _)| *since + lease <= now) {
-            self.places.pop_front();
+        while self.location_history.get(1).is_some_and(|(since, _)| *since + lease <= now) {
+            self.location_history.pop_front();
         }
     }
 
-    /// Whether `me` has owned the account for a whole lease.
-    fn is_settled_owner(&self, account: &str, me: NodeId, now: BootTime) -> bool {
-        let root = account_root(account);
-        let started = self.places.front().map_or(now, |(since, _)| *since);
-        let always = self.places.iter().all(|(_, known)| owners(root, known).first() == Some(&me));
+    /// Whether `own_id` has owned the account for a whole lease.
+    fn is_settled_owner(&self, account: &str, own_id: NodeId, now: BootTime) -> bool {
+        let root = account_key(account);
+        let history_start = self.location_history.front().map_or(now, |(since, _)| *since);
+        let always_owner = self
+            .location_history
+            .iter()
+            .all(|(_, recorded)| owners(root, recorded).first() == Some(&own_id));
         // At this node's start, an earlier start of it may have granted leases.
-        always && started + self.granted.lease() <= now
+        always_owner && history_start + self.granted.lease() <= now
     }
 }
 
 impl Node {
     /// Requests of an account that this node may run now; `limit` is for all nodes together.
-    pub async fn share_of(self: &Arc<Node>, account: &str, limit: u32) -> u32 {
+    pub async fn account_share(self: &Arc<Node>, account: &str, limit: u32) -> u32 {
         let now = boot_now();
         let demand = self.admission.demand(account) + 1;
-        let held = self.sharing.lock().held.get(account).copied();
-        let usable = held.filter(|held| held.ends > now);
+        let held = self.account_shares.lock().held.get(account).copied();
+        let usable = held.filter(|held| held.expires_at > now);
         let is_enough = usable.is_some_and(|held| held.share >= demand && held.limit == limit);
-        let asked_just_now = held.is_some_and(|held| now < held.asked_at + ASK_PAUSE);
-        if !is_enough && !asked_just_now {
-            self.ask_for_share(account, limit, demand).await;
+        let requested_recently =
+            held.is_some_and(|held| now < held.requested_at + MIN_REQUEST_INTERVAL);
+        if !is_enough && !requested_recently {
+            self.request_share(account, limit, demand).await;
         }
         self.usable_share(account, limit)
     }
@@ -83,29 +91,29 @@
     fn usable_share(&self, account: &str, limit: u32) -> u32 {
         let now = boot_now();
         let nodes = self.known.lock().live.len() as u32;
-        let sharing = self.sharing.lock();
-        let usable = sharing.held.get(account).filter(|held| held.ends > now);
+        let shares = self.account_shares.lock();
+        let usable = shares.held.get(account).filter(|held| held.expires_at > now);
         usable.map_or(base(limit, nodes), |held| held.share).min(limit)
     }
 
-    async fn ask_for_share(self: &Arc<Node>, account: &str, limit: u32, demand: u32) {
-        let places = self.node_locations();
-        let nodes = places.len() as u32;
-        let Some(owner) = owners(account_root(account), &places).first().copied() else { return };
+    async fn request_share(self: &Arc<Node>, account: &str, limit: u32, demand: u32) {
+        let locations = self.node_locations();
+        let nodes = locations.len() as u32;
+        let Some(owner) = owners(account_key(account), &locations).first().copied() else { return };
         // The lease counts from here.
-        let asked_at = boot_now();
+        let requested_at = boot_now();
         {
-            let mut sharing = self.sharing.lock();
-            let nothing = Held { share: 0, ends: BootTime::ZERO, asked_at, limit };
-            sharing.held.entry(account.to_string()).or_insert(nothing).asked_at = asked_at;
+            let mut shares = self.account_shares.lock();
+            let empty = HeldShare { share: 0, expires_at: BootTime::ZERO, requested_at, limit };
+            shares.held.entry(account.to_string()).or_insert(empty).requested_at = requested_at;
         }
-        let demand = demand.saturating_mul(HEADROOM);
+        let demand = demand.saturating_mul(DEMAND_HEADROOM_FACTOR);
         let ask = Demand { account: account.to_string(), demand, limit, nodes };
         if let Ok(Answer::Share(Share { share, lasts })) =
-            self.links.ask(owner, Ask::Share(ask), ASK_TIMEOUT).await
+            self.links.ask(owner, Ask::Share(ask), SHARE_REQUEST_TIMEOUT).await
         {
-            let held = Held { share, ends: asked_at + lasts, asked_at, limit };
-            self.sharing.lock().held.insert(account.to_string(), held);
+            let held = HeldShare { share, expires_at: requested_at + lasts, requested_at, limit };
+            self.account_shares.lock().held.insert(account.to_string(), held);
             self.admission.set_account_limit(account, share);
         }
     }
@@ -116,18 +124,18 @@
             return Answer::Unable;
         }
         let now = boot_now();
-        let places = self.node_locations();
-        let mut sharing = self.sharing.lock();
-        sharing.note_places(places, now);
-        if !sharing.is_settled_owner(&demand.account, self.settings.node_id, now) {
+        let locations = self.node_locations();
+        let mut shares = self.account_shares.lock();
+        shares.record_locations(locations, now);
+        if !shares.is_settled_owner(&demand.account, self.settings.node_id, now) {
             return Answer::Unable;
         }
-        Answer::Share(sharing.granted.ask(node, demand, now))
+        Answer::Share(shares.granted.ask(node, demand, now))
     }
 
     /// Renews shares that are in use, and forgets the others, again and again.
-    pub(super) async fn keep_shares(self: Arc<Node>) {
-        every(RENEW_PERIOD, || async {
+    pub(super) async fn run_share_renewal(self: Arc<Node>) {
+        every(RENEW_INTERVAL, || async {
             self.renew_shares().await;
             true
         })
@@ -136,28 +144,28 @@
 
     async fn renew_shares(self: &Arc<Node>) {
         let now = boot_now();
-        let places = self.node_locations();
+        let locations = self.node_locations();
         let in_use: Vec<(AccountId, u32)> = {
-            let mut sharing = self.sharing.lock();
-            sharing.note_places(places, now);
-            sharing.granted.forget(now);
+            let mut shares = self.account_shares.lock();
+            shares.record_locations(locations, now);
+            shares.granted.forget(now);
             let demand = |account: &str| self.admission.demand(account);
-            sharing.held.retain(|account, held| held.ends > now || demand(account) > 0);
-            let held = sharing.held.iter();
+            shares.held.retain(|account, held| held.expires_at > now || demand(account) > 0);
+            let held = shares.held.iter();
             held.filter(|(account, _)| demand(account) > 0)
                 .map(|(account, held)| (account.clone(), held.limit))
                 .collect()
         };
         for (account, limit) in in_use {
             let demand = self.admission.demand(&account);
-            self.ask_for_share(&account, limit, demand).await;
+            self.request_share(&account, limit, demand).await;
             self.admission.set_account_limit(&account, self.usable_share(&account, limit));
         }
     }
 }
 
 /// Accounts are owned like contexts, by a hash of their name.
-fn account_root(account: &str) -> BlockKey {
+fn account_key(account: &str) -> BlockKey {
     let mut key = [0; 16];
     key.copy_from_slice(&blake3::hash(account.as_bytes()).as_bytes()[..16]);
     BlockKey::from_le_bytes(key)
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -44,7 +44,7 @@
 use crate::telemetry::burn::Burn;
 use crate::telemetry::metrics::Metrics;
 use crate::whereabouts::{Catalog, NodePlace};
-use account_shares::Sharing;
+use account_shares::AccountShares;
 use admission::AdmissionController;
 use freshness::Freshness;
 use quarantine::QuarantineState;
@@ -72,7 +72,7 @@
     pub admission: AdmissionController,
     /// Counts against the service levels.
     pub burn: Mutex<Burn>,
-    sharing: Mutex<Sharing>,
+    account_shares: Mutex<AccountShares>,
     quarantine: Mutex<QuarantineState>,
     freshness: Mutex<Freshness>,
     known: Arc<Mutex<MembershipView>>,
@@ -127,7 +127,7 @@
             catalog: Mutex::new(Catalog::new(settings.bounds.context_entries, boot)),
             admission: AdmissionController::new(settings.bounds.queue_len),
             burn: Mutex::new(Burn::default()),
-            sharing: Mutex::new(Sharing::new(settings.timing.lease)),
+            account_shares: Mutex::new(AccountShares::new(settings.timing.lease)),
             quarantine: Mutex::new(QuarantineState::new(boot)),
             freshness: Mutex::new(Freshness::new(settings.timing.lease, now)),
             known,
@@ -223,7 +223,7 @@
         tokio::spawn(self.clone().run_context_maintenance());
         tokio::spawn(self.clone().run_queue_expiry());
         tokio::spawn(self.clone().run_load_orders());
-        tokio::spawn(self.clone().keep_shares());
+        tokio::spawn(self.clone().run_share_renewal());
         if self.settings.first_config.is_some() {
             tokio::spawn(self.clone().propose_first_config());
         }
