--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -167,7 +167,7 @@
     ("admits without a lease", "src/node/freshness.rs",
      "self.held_lease.is_fresh(now).then(|| self.book.newest().clone())", "Some(self.book.newest().clone())", "process", "frozen"),
     ("a shutdown does not wait", "src/node/mod.rs",
-     "while self.admission.running() + self.admission.waiting() > 0 && boot_now() < end {", "while false && boot_now() < end {", "process", "planned_stop"),
+     "while self.admission.running() + self.admission.waiting() > 0 && boot_now() < deadline {", "while false && boot_now() < deadline {", "process", "planned_stop"),
     ("an order is retried after it may have run", "src/http_api/services.rs",
      "                return Err(target_failure(&instance, error.reason(), true));", "                last_refusal = target_failure(&instance, error.reason(), true);", "process", "an_order_runs"),
     ("no claim before an order", "src/http_api/services.rs",
--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -76,7 +76,7 @@
     let figures = Figures::of(&samples, &before, &emulator.counts());
     println!("{}", figures.table());
     println!("least share that could be recomputed: {:.1} %", bound.recomputed_share * 100.0);
-    let cut_off = node.close().await;
+    let cut_off = node.shut_down().await;
     check(&figures, cut_off)
 }
 
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -18,7 +18,7 @@
         let (node, listening) = Node::start(settings).await?;
         println!("ready callers={} operators={}", listening.callers, listening.operators);
         super::until_asked_to_end().await?;
-        match node.close().await {
+        match node.shut_down().await {
             0 => Ok(()),
             cut_off => Err(Error::Failed {
                 message: format!(
--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -66,7 +66,7 @@
     digest: Digest,
 ) -> Result<ClaimOutcome, Refusal> {
     let key = ClaimKey { account: call.account.clone(), request_id: call.request_id.clone() };
-    let token = node.claim_token();
+    let token = node.next_claim_token();
     let requested_at = boot_now();
     let held_claim = HeldClaim {
         node: node.clone(),
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -223,7 +223,7 @@
             })
         });
         let live: Vec<Value> = self
-            .live()
+            .live_members()
             .iter()
             .map(|member| {
                 json!({"node": member.node, "failure_domain": member.failure_domain,
--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Node, every};
+use super::{Node, run_periodically};
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{AccountId, BlockKey, NodeId};
 use crate::limits::shares::{Demand, Share, Shares, base};
@@ -90,7 +90,7 @@
 
     fn usable_share(&self, account: &str, limit: u32) -> u32 {
         let now = boot_now();
-        let nodes = self.known.lock().live.len() as u32;
+        let nodes = self.membership_view.lock().live.len() as u32;
         let shares = self.account_shares.lock();
         let usable = shares.held.get(account).filter(|held| held.expires_at > now);
         usable.map_or(base(limit, nodes), |held| held.share).min(limit)
@@ -135,7 +135,7 @@
 
     /// Renews shares that are in use, and forgets the others, again and again.
     pub(super) async fn run_share_renewal(self: Arc<Node>) {
-        every(RENEW_INTERVAL, || async {
+        run_periodically(RENEW_INTERVAL, || async {
             self.renew_shares().await;
             true
         })
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -164,7 +164,7 @@
 impl Node {
     /// Answers waiting requests whose deadline has come, again and again.
     pub(super) async fn run_queue_expiry(self: Arc<Node>) {
-        super::every(EXPIRE_INTERVAL, || async {
+        super::run_periodically(EXPIRE_INTERVAL, || async {
             self.admission.expire(boot_now());
             true
         })
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -155,8 +155,8 @@
     /// The live node of this failure domain with the lowest id renews for all others in it.
     fn lease_relay(&self) -> NodeId {
         let domain = &self.settings.failure_domain;
-        let known = self.known.lock();
-        let here = known.live.iter().filter(|member| member.failure_domain == *domain);
+        let view = self.membership_view.lock();
+        let here = view.live.iter().filter(|member| member.failure_domain == *domain);
         here.map(|member| member.node).min().unwrap_or(self.settings.node_id)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -50,9 +50,9 @@
 use quarantine::QuarantineState;
 
 /// How often timers of the log and of membership are looked at.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 /// How often a shutdown looks whether the last request has ended.
-const SHUTDOWN_CHECK: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One node.
 pub struct Node {
@@ -75,14 +75,14 @@
     account_shares: Mutex<AccountShares>,
     quarantine: Mutex<QuarantineState>,
     freshness: Mutex<Freshness>,
-    known: Arc<Mutex<MembershipView>>,
+    membership_view: Arc<Mutex<MembershipView>>,
     membership: Address<Membership>,
     replica: Option<ReplicaHandle>,
     /// The replica that led when last heard of; 0 for none.
     leader_hint: AtomicU64,
     /// Tells this start of the node from others.
     boot: u64,
-    claims: AtomicU64,
+    claim_count: AtomicU64,
     stopping: AtomicBool,
     stopped: watch::Sender<bool>,
 }
@@ -94,7 +94,7 @@
 
 /// Where a running node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Listening {
+pub struct ListenAddresses {
     /// Callers' HTTP.
     pub callers: SocketAddr,
     /// Operators' HTTP.
@@ -106,19 +106,19 @@
     ///
     /// # Errors
     /// `Error::Start` if a part can't start, for example since a port is taken.
-    pub async fn start(settings: Settings) -> Result<(Arc<Node>, Listening)> {
+    pub async fn start(settings: Settings) -> Result<(Arc<Node>, ListenAddresses)> {
         let key = PeerKey::read(&settings.key_file)?;
         let boot = unix_ms();
         let now = boot_now();
-        let peer_listener = bind("peer_address", settings.peer_address).await?;
-        let callers = bind("callers_address", settings.callers_address).await?;
-        let operators = bind("operators_address", settings.operators_address).await?;
+        let peer_listener = bind_listener("peer_address", settings.peer_address).await?;
+        let callers = bind_listener("callers_address", settings.callers_address).await?;
+        let operators = bind_listener("operators_address", settings.operators_address).await?;
         let addresses: HashMap<NodeId, SocketAddr> =
             settings.nodes.iter().map(|node| (node.node_id, node.peer_address)).collect();
         let links = Links::new(settings.node_id, key.clone(), addresses);
         let metrics = Arc::new(Metrics::new()?);
-        let known = Arc::new(Mutex::new(MembershipView::default()));
-        let membership = start_membership(&settings, key, boot, &links, &known).await?;
+        let membership_view = Arc::new(Mutex::new(MembershipView::default()));
+        let membership = start_membership(&settings, key, boot, &links, &membership_view).await?;
         let replica = start_replica(&settings, &links, &metrics)?;
         let node = Arc::new(Node {
             metrics,
@@ -130,12 +130,12 @@
             account_shares: Mutex::new(AccountShares::new(settings.timing.lease)),
             quarantine: Mutex::new(QuarantineState::new(boot)),
             freshness: Mutex::new(Freshness::new(settings.timing.lease, now)),
-            known,
+            membership_view,
             membership,
             replica,
             leader_hint: AtomicU64::new(0),
             boot,
-            claims: AtomicU64::new(0),
+            claim_count: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
             stopped: watch::Sender::new(false),
             links: links.clone(),
@@ -143,34 +143,34 @@
         });
         links.set_handler(node.clone());
         tokio::spawn(links.accept(peer_listener));
-        node.spawn_loops();
-        let listening = Listening {
-            callers: local("callers_address", &callers)?,
-            operators: local("operators_address", &operators)?,
+        node.spawn_background_tasks();
+        let listen_addresses = ListenAddresses {
+            callers: local_address("callers_address", &callers)?,
+            operators: local_address("operators_address", &operators)?,
         };
         node.serve_http(callers, operators);
         log::info!(
             "event=started node={} callers={} operators={}",
             node.settings.node_id,
-            listening.callers,
-            listening.operators,
+            listen_addresses.callers,
+            listen_addresses.operators,
         );
-        Ok((node, listening))
+        Ok((node, listen_addresses))
     }
 
     /// Shuts down gracefully: admits nothing new, lets running requests end, bounded by
     /// `timing.shutdown_ms`. Returns how many requests were cut off.
-    pub async fn close(self: Arc<Node>) -> usize {
+    pub async fn shut_down(self: Arc<Node>) -> usize {
         self.stopping.store(true, Ordering::SeqCst);
         log::info!("event=shutdown_started running={}", self.admission.running());
-        let end = boot_now() + self.settings.timing.shutdown;
-        while self.admission.running() + self.admission.waiting() > 0 && boot_now() < end {
-            tokio::time::sleep(SHUTDOWN_CHECK).await;
+        let deadline = boot_now() + self.settings.timing.shutdown;
+        while self.admission.running() + self.admission.waiting() > 0 && boot_now() < deadline {
+            tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
         let cut_off = self.admission.running() + self.admission.waiting();
         self.stopped.send_replace(true);
         // The last bytes of ended answers are still on their way out of the HTTP server.
-        tokio::time::sleep(SHUTDOWN_CHECK).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         log::info!("event=shutdown_ended cut_off={cut_off}");
         cut_off
     }
@@ -185,21 +185,21 @@
         self.freshness.lock().in_force(boot_now())
     }
 
-    /// Whether requests are admitted: fresh, not stopping, and some target is known.
+    /// Whether requests are admitted: fresh, not stopping, and some target is membership_view.
     pub fn is_ready(&self) -> bool {
         let has_targets = self.router.lock().targets().iter().next().is_some();
         !self.is_stopping() && has_targets && self.in_force().is_some_and(|c| c.number > 0)
     }
 
     /// A new token for a claim.
-    pub fn claim_token(&self) -> ClaimToken {
-        let count = self.claims.fetch_add(1, Ordering::Relaxed);
+    pub fn next_claim_token(&self) -> ClaimToken {
+        let count = self.claim_count.fetch_add(1, Ordering::Relaxed);
         ClaimToken { node: self.settings.node_id, boot: self.boot, count }
     }
 
     /// Nodes that are not taken for dead, this one first.
-    pub fn live(&self) -> Vec<Member> {
-        self.known.lock().live.clone()
+    pub fn live_members(&self) -> Vec<Member> {
+        self.membership_view.lock().live.clone()
     }
 
     /// Live nodes and their failure domains.
@@ -208,7 +208,7 @@
             node: member.node,
             failure_domain: member.failure_domain.clone(),
         };
-        self.known.lock().live.iter().map(place).collect()
+        self.membership_view.lock().live.iter().map(place).collect()
     }
 
     /// Status of this node's replica, if it has one.
@@ -216,7 +216,7 @@
         self.replica.as_ref().map(|replica| replica.status.borrow().clone())
     }
 
-    fn spawn_loops(self: &Arc<Node>) {
+    fn spawn_background_tasks(self: &Arc<Node>) {
         tokio::spawn(self.clone().run_lease_renewal());
         tokio::spawn(self.clone().poll_platform());
         tokio::spawn(self.clone().poll_targets());
@@ -248,12 +248,12 @@
     }
 }
 
-async fn bind(part: &str, address: SocketAddr) -> Result<TcpListener> {
+async fn bind_listener(part: &str, address: SocketAddr) -> Result<TcpListener> {
     let remedy = "name a free address of this host";
     TcpListener::bind(address).await.map_err(|source| Error::start(part, source, remedy))
 }
 
-fn local(part: &str, listener: &TcpListener) -> Result<SocketAddr> {
+fn local_address(part: &str, listener: &TcpListener) -> Result<SocketAddr> {
     listener.local_addr().map_err(|source| Error::start(part, source, "report this as a defect"))
 }
 
@@ -262,7 +262,7 @@
     key: PeerKey,
     boot: u64,
     links: &Arc<Links>,
-    known: &Arc<Mutex<MembershipView>>,
+    membership_view: &Arc<Mutex<MembershipView>>,
 ) -> Result<Address<Membership>> {
     let remedy = "name a free address of this host";
     let socket = UdpSocket::bind(settings.peer_address)
@@ -276,23 +276,31 @@
         incarnation,
         status: Status::Alive,
     };
-    let me = member(settings.node_id, settings.peer_address, &settings.failure_domain, boot);
+    let own_member =
+        member(settings.node_id, settings.peer_address, &settings.failure_domain, boot);
     let seeds = settings
         .nodes
         .iter()
         .map(|node| member(node.node_id, node.peer_address, &node.failure_domain, 0))
         .collect();
     let timing = SwimTiming { probe_interval: settings.timing.probe };
-    let swim = Swim::new(me, seeds, timing, rand::rng().random(), boot_now());
-    known.lock().live = swim.live();
+    let swim = Swim::new(own_member, seeds, timing, rand::rng().random(), boot_now());
+    membership_view.lock().live = swim.live();
     let sealer = DatagramSealer::new(key.clone(), settings.node_id, boot);
     let opener = DatagramOpener::new(key, settings.node_id);
-    let actor = Membership::new(swim, socket.clone(), sealer, opener, links.clone(), known.clone());
+    let actor = Membership::new(
+        swim,
+        socket.clone(),
+        sealer,
+        opener,
+        links.clone(),
+        membership_view.clone(),
+    );
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
     tokio::spawn(actor::read_datagrams(socket, address.clone()));
-    let ticking = address.clone();
-    tokio::spawn(every(TICK, move || {
-        let address = ticking.clone();
+    let tick_address = address.clone();
+    tokio::spawn(run_periodically(TICK_INTERVAL, move || {
+        let address = tick_address.clone();
         async move { address.send(actor::Tick).await.is_ok() }
     }));
     Ok(address)
@@ -320,16 +328,16 @@
         Replica::new(raft, disk, state, links.clone(), metrics.clone(), settings.timing.lease);
     let save_ended = actor.save_ended();
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-    let ticking = address.clone();
-    tokio::spawn(every(TICK, move || {
-        let address = ticking.clone();
+    let tick_address = address.clone();
+    tokio::spawn(run_periodically(TICK_INTERVAL, move || {
+        let address = tick_address.clone();
         async move { address.send(replica::Tick).await.is_ok() }
     }));
-    let saving = address.clone();
+    let save_address = address.clone();
     tokio::spawn(async move {
         loop {
             save_ended.notified().await;
-            if saving.send(replica::SaveEnded).await.is_err() {
+            if save_address.send(replica::SaveEnded).await.is_err() {
                 return;
             }
         }
@@ -338,7 +346,7 @@
 }
 
 /// Does something at a period until it returns false.
-async fn every<F, W>(period: Duration, mut work: W)
+async fn run_periodically<F, W>(period: Duration, mut work: W)
 where
     W: FnMut() -> F,
     F: Future<Output = bool>,
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -87,8 +87,8 @@
     /// news. Beyond a few nodes that costs more than it saves.
     pub fn announce_dispatch(&self, dispatched: &Dispatched) {
         let others: Vec<NodeId> = {
-            let known = self.known.lock();
-            known.live.iter().skip(1).map(|member| member.node).collect()
+            let view = self.membership_view.lock();
+            view.live.iter().skip(1).map(|member| member.node).collect()
         };
         if others.len() < MAX_NODES_FOR_ANNOUNCEMENTS {
             others.iter().for_each(|node| self.links.tell(*node, dispatched.clone()));
--- a/src/node/stored_prefixes.rs
+++ b/src/node/stored_prefixes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Node, every};
+use super::{Node, run_periodically};
 use crate::clock::boot_now;
 use crate::edge::api::ExportOrder;
 use crate::ids::{BlockKey, NodeId, TargetId};
@@ -109,7 +109,7 @@
     /// Frees copies, and rebuilds what is known from the stores' inventories, again and again.
     pub(super) async fn run_context_maintenance(self: Arc<Node>) {
         let mut rounds: u64 = 0;
-        every(FREE_INTERVAL, || {
+        run_periodically(FREE_INTERVAL, || {
             rounds += 1;
             let node = self.clone();
             let is_inventory_due = rounds.is_multiple_of(FREE_INTERVALS_PER_INVENTORY);
--- a/src/node/target_polling.rs
+++ b/src/node/target_polling.rs
@@ -5,7 +5,7 @@
 use futures::future::join_all;
 use tokio::time::MissedTickBehavior;
 
-use super::{Node, every};
+use super::{Node, run_periodically};
 use crate::clock::boot_now;
 use crate::membership::actor::AnnounceLeaving;
 use crate::route::targets::Leaving;
@@ -24,7 +24,7 @@
 
     /// Reads targets' reports again and again.
     pub(super) async fn poll_targets(self: Arc<Node>) {
-        every(self.settings.timing.load_poll, || async {
+        run_periodically(self.settings.timing.load_poll, || async {
             self.fetch_target_reports().await;
             true
         })
@@ -32,7 +32,7 @@
     }
 
     async fn fetch_target_list(self: &Arc<Node>, etag: &mut String) {
-        let announced = std::mem::take(&mut self.known.lock().leaving_targets);
+        let announced = std::mem::take(&mut self.membership_view.lock().leaving_targets);
         let mut newly_leaving = self.router.lock().take_leaving(&announced);
         match self.client.targets(&self.settings.platform_url, etag).await {
             Ok(Some((list, new_etag))) => {
@@ -58,7 +58,7 @@
     }
 
     async fn fetch_target_reports(self: &Arc<Node>) {
-        let nodes = self.known.lock().live.len();
+        let nodes = self.membership_view.lock().live.len();
         let (engines, stores) = {
             let mut router = self.router.lock();
             router.set_nodes(nodes);
