--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -9,7 +9,7 @@
 use crate::log::Term;
 use crate::log::state::{Command, Reply};
 use crate::orders::{EngineState, Planned, Planner};
-use crate::replica::Leads;
+use crate::replica::LeadingTerm;
 
 /// How often orders are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(300);
@@ -66,7 +66,7 @@
     }
 
     async fn leading_term(&self) -> Option<Term> {
-        self.replica.as_ref()?.address.send(Leads).await.ok().flatten()
+        self.replica.as_ref()?.address.send(LeadingTerm).await.ok().flatten()
     }
 
     fn engine_states(&self) -> Vec<EngineState> {
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -13,7 +13,7 @@
 use crate::log::raft::ChangeError;
 use crate::peer::PeerHandler;
 use crate::peer::message::{Answer, Ask, Dispatched, Renew};
-use crate::replica::{self, Undecided};
+use crate::replica::{self, ReplicaError};
 use crate::whereabouts::Seen;
 
 /// Nodes among which each dispatch is told to all others, at the most.
@@ -22,7 +22,7 @@
 impl PeerHandler for Node {
     fn log(&self, from: NodeId, message: Message) {
         if let Some(replica) = &self.replica {
-            let sending = replica.address.send(replica::FromPeer(from, message)).detach();
+            let sending = replica.address.send(replica::PeerMessage(from, message)).detach();
             // An unbounded mailbox takes it at once; it is gone only when the process ends.
             drop(sending.now_or_never());
         }
@@ -108,7 +108,7 @@
 
     async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> Answer {
         let Some(replica) = &self.replica else { return Answer::NotLeader(None) };
-        let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
+        let grant = replica::GrantLease { child, known_number: renew.has, acked: renew.acked };
         match replica.address.send(grant).await {
             Ok(Ok(grant)) => self.grant_answer(grant, renew),
             Ok(Err(leader)) => Answer::NotLeader(leader),
@@ -126,13 +126,13 @@
 }
 
 fn answer_from_result<T>(
-    result: Option<Result<T, Undecided>>,
+    result: Option<Result<T, ReplicaError>>,
     answer: impl Fn(T) -> Answer,
 ) -> Answer {
     match result {
         Some(Ok(value)) => answer(value),
-        Some(Err(Undecided::NotLeader(leader))) => Answer::NotLeader(leader),
-        Some(Err(Undecided::Unknown)) | None => Answer::Unable,
+        Some(Err(ReplicaError::NotLeader(leader))) => Answer::NotLeader(leader),
+        Some(Err(ReplicaError::OutcomeUnknown)) | None => Answer::Unable,
     }
 }
 
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -22,9 +22,9 @@
 use crate::telemetry::metrics::Metrics;
 
 /// Inputs taken before their effects are made durable, at the most.
-const BATCH: usize = 256;
+const MAX_BATCHED_INPUTS: usize = 256;
 /// Entries after which a snapshot replaces them.
-const SNAPSHOT_EVERY: Index = 4_096;
+const SNAPSHOT_INTERVAL: Index = 4_096;
 
 /// The actor.
 #[derive(xtra::Actor)]
@@ -33,17 +33,17 @@
     state: State,
     links: Arc<Links>,
     metrics: Arc<Metrics>,
-    lease: Duration,
+    lease_duration: Duration,
     /// Leases granted; `None` while this replica does not surely lead.
     grantor: Option<Grantor>,
     /// The term that `grantor` is for.
     grantor_term: Term,
-    decisions: BTreeMap<Index, (Term, Waiter)>,
-    reads: BTreeMap<ReadId, ReadWaiter>,
+    pending_proposals: BTreeMap<Index, (Term, ProposalWaiter)>,
+    pending_reads: BTreeMap<ReadId, ReadWaiter>,
     /// Accepted numbers that are not known to be in force everywhere, with their times.
-    not_in_force: BTreeMap<ConfigNumber, BootTime>,
+    awaiting_in_force: BTreeMap<ConfigNumber, BootTime>,
     in_force: ConfigNumber,
-    batched: usize,
+    batched_inputs: usize,
     status: watch::Sender<ReplicaStatus>,
 }
 
@@ -62,49 +62,49 @@
 
 /// Why there was no decision here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Undecided {
+pub enum ReplicaError {
     /// This replica does not lead; this one may.
     NotLeader(Option<NodeId>),
     /// Leadership was lost on the way: it may or may not be decided.
-    Unknown,
+    OutcomeUnknown,
 }
 
-type DecisionSender = oneshot::Sender<Result<Reply, Undecided>>;
+type ProposalSender = oneshot::Sender<Result<Reply, ReplicaError>>;
 
-enum Waiter {
-    Command(DecisionSender),
+enum ProposalWaiter {
+    Command(ProposalSender),
     Change(oneshot::Sender<Result<(), ChangeError>>),
 }
 
 struct ReadWaiter {
-    has: ConfigNumber,
-    sender: oneshot::Sender<Result<Update, Undecided>>,
+    known_number: ConfigNumber,
+    sender: oneshot::Sender<Result<Update, ReplicaError>>,
 }
 
 /// A message from another replica.
-pub struct FromPeer(pub NodeId, pub Message);
+pub struct PeerMessage(pub NodeId, pub Message);
 
 /// Have a command decided.
-pub struct Propose(pub Command, pub DecisionSender);
+pub struct Propose(pub Command, pub ProposalSender);
 
 /// Read the configuration, confirmed by a quorum.
-pub struct ReadConfig(pub ConfigNumber, pub oneshot::Sender<Result<Update, Undecided>>);
+pub struct ReadConfig(pub ConfigNumber, pub oneshot::Sender<Result<Update, ReplicaError>>);
 
 /// Change the replicas.
 pub struct ChangeReplicas(pub Change, pub oneshot::Sender<Result<(), ChangeError>>);
 
-/// Grant a freshness lease to `child`, which has number `has` and below which all have `acked`.
-pub struct Grant {
+/// GrantLease a freshness lease to `child`, which has number `has` and below which all have `acked`.
+pub struct GrantLease {
     /// The node that asks.
     pub child: NodeId,
     /// The number that it has.
-    pub has: ConfigNumber,
+    pub known_number: ConfigNumber,
     /// The number that all below it have.
     pub acked: ConfigNumber,
 }
 
 /// Does this replica surely lead now? In which term?
-pub struct Leads;
+pub struct LeadingTerm;
 
 /// Time passes.
 pub struct Tick;
@@ -120,23 +120,23 @@
         state: State,
         links: Arc<Links>,
         metrics: Arc<Metrics>,
-        lease: Duration,
+        lease_duration: Duration,
     ) -> (Replica, watch::Receiver<ReplicaStatus>) {
         let status = ReplicaStatus { raft: raft.status(), number: 0, in_force: 0, claims: 0 };
         let (sender, receiver) = watch::channel(status);
         let replica = Replica {
-            driver: Driver::new(raft, disk, SNAPSHOT_EVERY),
+            driver: Driver::new(raft, disk, SNAPSHOT_INTERVAL),
             state,
             links,
             metrics,
-            lease,
+            lease_duration,
             grantor: None,
             grantor_term: 0,
-            decisions: BTreeMap::new(),
-            reads: BTreeMap::new(),
-            not_in_force: BTreeMap::new(),
+            pending_proposals: BTreeMap::new(),
+            pending_reads: BTreeMap::new(),
+            awaiting_in_force: BTreeMap::new(),
             in_force: 0,
-            batched: 0,
+            batched_inputs: 0,
             status: sender,
         };
         (replica, receiver)
@@ -148,26 +148,26 @@
     }
 
     /// Makes effects happen, unless more inputs wait that can share the sync.
-    fn settle(&mut self, context: &mut Context<Self>) {
-        self.batched += 1;
+    fn process_batch(&mut self, context: &mut Context<Self>) {
+        self.batched_inputs += 1;
         let waiting = context.mailbox().address().try_upgrade().map_or(0, |address| address.len());
-        if waiting > 0 && self.batched < BATCH {
+        if waiting > 0 && self.batched_inputs < MAX_BATCHED_INPUTS {
             return;
         }
-        self.batched = 0;
+        self.batched_inputs = 0;
         let links = self.links.clone();
         for output in self.driver.process_effects(|to, message| links.send(to, message)) {
-            self.carry_out(output);
+            self.execute(output);
         }
         if self.driver.raft.status().stopped {
-            self.stop();
+            self.stop_serving();
         }
         let state = &self.state;
         self.driver.compact(|| state.snapshot());
-        self.publish();
+        self.publish_status();
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::Restore(snapshot) => {
                 if self.state.restore(&snapshot.data).is_err() {
@@ -176,7 +176,7 @@
                     return;
                 }
                 let index = snapshot.index;
-                self.decisions.retain(|waiting, _| *waiting > index);
+                self.pending_proposals.retain(|waiting, _| *waiting > index);
             }
             Output::Apply(entry) => {
                 let reply = match &entry.payload {
@@ -185,22 +185,24 @@
                     }
                     Payload::Noop | Payload::Members(_) => None,
                 };
-                self.answer(entry.index, entry.term, reply);
+                self.complete_proposal(entry.index, entry.term, reply);
             }
             Output::Read(read) => {
                 // All that is committed has been applied above, so the state is new enough.
-                if let Some(waiter) = self.reads.remove(&read) {
-                    drop(waiter.sender.send(Ok(self.state.book().update_since(waiter.has))));
+                if let Some(waiter) = self.pending_reads.remove(&read) {
+                    drop(
+                        waiter.sender.send(Ok(self.state.book().update_since(waiter.known_number))),
+                    );
                 }
             }
         }
     }
 
     /// The disk has failed: nobody who waits gets an answer here.
-    fn stop(&mut self) {
+    fn stop_serving(&mut self) {
         self.grantor = None;
-        self.decisions.clear();
-        self.reads.clear();
+        self.pending_proposals.clear();
+        self.pending_reads.clear();
     }
 
     fn apply(&mut self, command: &Command) -> Reply {
@@ -209,19 +211,19 @@
             && self.state.config().number == *number
         {
             log::info!("event=config_accepted number={number}");
-            self.not_in_force.insert(*number, boot_now());
+            self.awaiting_in_force.insert(*number, boot_now());
         }
         reply
     }
 
-    fn answer(&mut self, index: Index, term: Term, reply: Option<Reply>) {
-        let Some((expected, waiter)) = self.decisions.remove(&index) else { return };
+    fn complete_proposal(&mut self, index: Index, term: Term, reply: Option<Reply>) {
+        let Some((expected, waiter)) = self.pending_proposals.remove(&index) else { return };
         match waiter {
-            Waiter::Command(sender) => {
-                let result = reply.filter(|_| expected == term).ok_or(Undecided::Unknown);
+            ProposalWaiter::Command(sender) => {
+                let result = reply.filter(|_| expected == term).ok_or(ReplicaError::OutcomeUnknown);
                 drop(sender.send(result));
             }
-            Waiter::Change(sender) => {
+            ProposalWaiter::Change(sender) => {
                 let result = if expected == term { Ok(()) } else { Err(ChangeError::InProgress) };
                 // The asker may have given up waiting.
                 let _ = sender.send(result);
@@ -230,41 +232,41 @@
     }
 
     /// The grantor, if this replica surely leads at `now`.
-    fn leading_grantor(&mut self, now: BootTime) -> Option<&mut Grantor> {
+    fn grantor_if_leader(&mut self, now: BootTime) -> Option<&mut Grantor> {
         if !self.driver.raft.holds_leader_lease(now) {
             return None;
         }
         if self.grantor.is_none() || self.grantor_term != self.driver.raft.term() {
-            self.grantor = Some(Grantor::new(self.lease, now));
+            self.grantor = Some(Grantor::new(self.lease_duration, now));
             self.grantor_term = self.driver.raft.term();
         }
         self.grantor.as_mut()
     }
 
-    fn track_in_force(&mut self, now: BootTime) {
+    fn update_in_force(&mut self, now: BootTime) {
         let number = self.state.config().number;
-        let Some(grantor) = self.leading_grantor(now) else { return };
-        let floor = grantor.floor(number, now);
-        self.in_force = self.in_force.max(floor);
-        while let Some((number, accepted_at)) = self.not_in_force.first_key_value()
-            && *number <= floor
+        let Some(grantor) = self.grantor_if_leader(now) else { return };
+        let min_acked = grantor.floor(number, now);
+        self.in_force = self.in_force.max(min_acked);
+        while let Some((number, accepted_at)) = self.awaiting_in_force.first_key_value()
+            && *number <= min_acked
         {
             let took = now.saturating_sub(*accepted_at);
             log::info!("event=config_in_force number={number} took_ms={}", took.as_millis());
             self.metrics.in_force_s.record(took.as_secs_f64(), &[]);
-            self.not_in_force.pop_first();
+            self.awaiting_in_force.pop_first();
         }
     }
 
-    fn publish(&mut self) {
+    fn publish_status(&mut self) {
         let status = ReplicaStatus {
             raft: self.driver.raft.status(),
             number: self.state.config().number,
             in_force: self.in_force,
             claims: self.state.claims().len(),
         };
-        let before = self.status.borrow().raft.clone();
-        if before.is_leader != status.raft.is_leader || before.leader != status.raft.leader {
+        let previous = self.status.borrow().raft.clone();
+        if previous.is_leader != status.raft.is_leader || previous.leader != status.raft.leader {
             log::info!(
                 "event=leader_changed term={} leader={} here={}",
                 status.raft.term,
@@ -276,12 +278,12 @@
     }
 }
 
-impl Handler<FromPeer> for Replica {
+impl Handler<PeerMessage> for Replica {
     type Return = ();
 
-    async fn handle(&mut self, message: FromPeer, context: &mut Context<Self>) {
+    async fn handle(&mut self, message: PeerMessage, context: &mut Context<Self>) {
         self.driver.raft.receive(message.0, message.1, boot_now());
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
@@ -291,11 +293,11 @@
     async fn handle(&mut self, _tick: Tick, context: &mut Context<Self>) {
         let now = boot_now();
         self.driver.raft.tick(now);
-        self.track_in_force(now);
+        self.update_in_force(now);
         if !self.driver.raft.status().is_leader {
-            self.reads.clear();
+            self.pending_reads.clear();
         }
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
@@ -303,7 +305,7 @@
     type Return = ();
 
     async fn handle(&mut self, _ended: SaveEnded, context: &mut Context<Self>) {
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
@@ -312,16 +314,16 @@
 
     async fn handle(&mut self, propose: Propose, context: &mut Context<Self>) {
         let Propose(command, sender) = propose;
-        let command = stamped(command);
+        let command = with_timestamp(command);
         // Cannot fail: commands hold only types that the codec writes.
         let bytes = postcard::to_stdvec(&command).unwrap_or_default();
         match self.driver.raft.propose(bytes) {
             Ok((term, index)) => {
-                self.decisions.insert(index, (term, Waiter::Command(sender)));
+                self.pending_proposals.insert(index, (term, ProposalWaiter::Command(sender)));
             }
-            Err(NotLeader { leader }) => drop(sender.send(Err(Undecided::NotLeader(leader)))),
+            Err(NotLeader { leader }) => drop(sender.send(Err(ReplicaError::NotLeader(leader)))),
         }
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
@@ -329,14 +331,14 @@
     type Return = ();
 
     async fn handle(&mut self, read: ReadConfig, context: &mut Context<Self>) {
-        let ReadConfig(has, sender) = read;
+        let ReadConfig(known_number, sender) = read;
         match self.driver.raft.read() {
             Ok(id) => {
-                self.reads.insert(id, ReadWaiter { has, sender });
+                self.pending_reads.insert(id, ReadWaiter { known_number, sender });
             }
-            Err(NotLeader { leader }) => drop(sender.send(Err(Undecided::NotLeader(leader)))),
+            Err(NotLeader { leader }) => drop(sender.send(Err(ReplicaError::NotLeader(leader)))),
         }
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
@@ -347,39 +349,39 @@
         let ChangeReplicas(change, sender) = change;
         match self.driver.raft.propose_change(change) {
             Ok((term, index)) => {
-                self.decisions.insert(index, (term, Waiter::Change(sender)));
+                self.pending_proposals.insert(index, (term, ProposalWaiter::Change(sender)));
             }
             Err(error) => drop(sender.send(Err(error))),
         }
-        self.settle(context);
+        self.process_batch(context);
     }
 }
 
-impl Handler<Grant> for Replica {
+impl Handler<GrantLease> for Replica {
     type Return = Result<(Duration, ConfigNumber, Update), Option<NodeId>>;
 
-    async fn handle(&mut self, grant: Grant, context: &mut Context<Self>) -> Self::Return {
-        self.settle(context);
+    async fn handle(&mut self, grant: GrantLease, context: &mut Context<Self>) -> Self::Return {
+        self.process_batch(context);
         let now = boot_now();
         let leader = self.driver.raft.status().leader;
         let number = self.state.config().number;
-        let update = self.state.book().update_since(grant.has);
-        let lease = self.lease;
-        let Some(grantor) = self.leading_grantor(now) else { return Err(leader) };
-        Ok((grantor.grant(grant.child, grant.acked, lease, now), number, update))
+        let update = self.state.book().update_since(grant.known_number);
+        let lease_duration = self.lease_duration;
+        let Some(grantor) = self.grantor_if_leader(now) else { return Err(leader) };
+        Ok((grantor.grant(grant.child, grant.acked, lease_duration, now), number, update))
     }
 }
 
-impl Handler<Leads> for Replica {
+impl Handler<LeadingTerm> for Replica {
     type Return = Option<Term>;
 
-    async fn handle(&mut self, _leads: Leads, _context: &mut Context<Self>) -> Self::Return {
+    async fn handle(&mut self, _leads: LeadingTerm, _context: &mut Context<Self>) -> Self::Return {
         self.driver.raft.holds_leader_lease(boot_now()).then(|| self.driver.raft.term())
     }
 }
 
 /// Sets the leader's time where a command needs one.
-fn stamped(command: Command) -> Command {
+fn with_timestamp(command: Command) -> Command {
     match command {
         Command::Claim { key, digest, token, .. } => {
             Command::Claim { key, digest, token, at_ms: unix_ms() }
