--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -134,7 +134,7 @@
     ("two generations are spliced", "src/http_api/relay.rs",
      "if !text.is_char_boundary(overlap) || text[..overlap] != unrepeated[..overlap] {", "if !text.is_char_boundary(overlap) {", "logic", "relay"),
     ("an early end mark counts", "src/http_api/relay.rs",
-     "if self.finish_reason.is_none() || self.repeated_bytes < self.sent_text.len() {", "if false {", "logic", "relay"),
+     "if self.finish.is_none() || self.repeated_bytes < self.sent_text.len() {", "if false {", "logic", "relay"),
     ("a copy that is being written is handed out", "src/whereabouts/catalog.rs",
      "context.copies.iter_mut().filter(|copy| copy.state == CopyState::Committed);", "context.copies.iter_mut().filter(|copy| copy.state != CopyState::Freeing);", "logic", "catalog"),
     ("a copy that is being freed is handed out", "src/whereabouts/catalog.rs",
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -73,9 +73,7 @@
 async fn patch_config(node: &Arc<Node>, request: &Request) -> Response {
     let patch = match parse_patch(request) {
         Ok(patch) => patch,
-        Err(patch_error) => {
-            return error_response(patch_error.status, patch_error.code, &patch_error.message);
-        }
+        Err(error) => return error_response(error.status, error.code, &error.message),
     };
     match node.propose(Command::Patch(patch)).await {
         Ok(Reply::Patch(answer)) => patch_response(&answer),
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -10,7 +10,7 @@
 use super::at_most_once::HeldClaim;
 use super::prompts::Prompt;
 use super::relay::{Relay, StreamError};
-use super::responses::ResponseEvent;
+use super::responses::AnswerEvent;
 use super::{Execution, Refusal, RefusalCode};
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{ImportOrder, KeptObject};
@@ -38,7 +38,7 @@
     node: Arc<Node>,
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
-    sender: mpsc::Sender<ResponseEvent>,
+    sender: mpsc::Sender<AnswerEvent>,
     relay: Relay,
     /// Names the run towards engines; drawn, so that no two requests can be taken for one.
     run_id: String,
@@ -58,7 +58,7 @@
     /// Its text.
     pub text: String,
     /// Why it ended.
-    pub finish_reason: String,
+    pub finish: String,
     /// Its tokens.
     pub usage: Usage,
 }
@@ -85,7 +85,7 @@
         node: Arc<Node>,
         prompt: Prompt,
         held_claim: Option<HeldClaim>,
-        sender: mpsc::Sender<ResponseEvent>,
+        sender: mpsc::Sender<AnswerEvent>,
     ) -> PromptRun {
         // The request id is the caller's and may come twice; the drawn part never does.
         let run_id = format!("{}~{:016x}", prompt.call.request_id, rand::rng().random::<u64>());
@@ -116,7 +116,7 @@
     }
 
     /// The claim and the way to the caller.
-    pub fn into_parts(self) -> (Option<HeldClaim>, mpsc::Sender<ResponseEvent>) {
+    pub fn into_parts(self) -> (Option<HeldClaim>, mpsc::Sender<AnswerEvent>) {
         (self.held_claim, self.sender)
     }
 
@@ -323,12 +323,8 @@
         };
         let Err(relay_error) = result else {
             let usage = self.relay.usage().unwrap_or_default();
-            let finish_reason = self.relay.finish_reason().unwrap_or("stop").to_string();
-            return Ok(CompleteAnswer {
-                text: self.relay.sent_text().to_string(),
-                finish_reason,
-                usage,
-            });
+            let finish = self.relay.finish().unwrap_or("stop").to_string();
+            return Ok(CompleteAnswer { text: self.relay.sent_text().to_string(), finish, usage });
         };
         self.node.client.cancel(&dispatch.url, stream).await;
         match relay_error {
@@ -405,7 +401,7 @@
             let labels = [label("kind", &call.kind_id)];
             self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
         }
-        let sent = self.sender.send_timeout(ResponseEvent::Text(text), CALLER_SEND_TIMEOUT).await;
+        let sent = self.sender.send_timeout(AnswerEvent::Text(text), CALLER_SEND_TIMEOUT).await;
         // A run that must not repeat goes on to its outcome even if nobody listens.
         if sent.is_err() && call.repeatable { Err(RelayError::CallerDisconnected) } else { Ok(()) }
     }
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -8,7 +8,7 @@
 use super::at_most_once::{self, ClaimOutcome, HeldClaim};
 use super::callers::{ApiCall, CallSummary};
 use super::prompt_run::PromptRun;
-use super::responses::{self, ResponseEvent, ResponseFormat};
+use super::responses::{self, AnswerEvent, ResponseFormat};
 use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::config::Policy;
@@ -20,7 +20,7 @@
 use crate::prompt::{Chain, Owner};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
-const RESPONSE_EVENT_BUFFER: usize = 64;
+const ANSWER_EVENT_BUFFER: usize = 64;
 
 /// A prompt that was read and checked.
 pub struct Prompt {
@@ -90,7 +90,7 @@
         let summary = CallSummary { result: Err(refusal), first_token_latency: None, target: None };
         prompt.call.record_end(node, &prompt.model_id, summary);
     })?;
-    let (sender, events) = mpsc::channel(RESPONSE_EVENT_BUFFER);
+    let (sender, events) = mpsc::channel(ANSWER_EVENT_BUFFER);
     tokio::spawn(run_prompt(node.clone(), prompt, held_claim, permit, sender));
     Ok(responses::respond(format, events).await)
 }
@@ -101,7 +101,7 @@
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
     permit: Permit,
-    sender: mpsc::Sender<ResponseEvent>,
+    sender: mpsc::Sender<AnswerEvent>,
 ) {
     let call = prompt.call.clone();
     let model_id = prompt.model_id.clone();
@@ -116,17 +116,16 @@
     let (held_claim, sender) = run.into_parts();
     match result {
         Ok(answer) => {
-            let (finish_reason, usage) = (answer.finish_reason.clone(), answer.usage);
+            let (finish, usage) = (answer.finish.clone(), answer.usage);
             if let Some(held_claim) = held_claim {
-                let record =
-                    RecordedAnswer { text: answer.text, finish: answer.finish_reason, usage };
+                let record = RecordedAnswer { text: answer.text, finish: answer.finish, usage };
                 held_claim.record_outcome(to_outcome(&record)).await;
             }
             // The caller may have hung up; then nobody needs the end.
-            let _ = sender.send(ResponseEvent::Completed { finish_reason, usage }).await;
+            let _ = sender.send(AnswerEvent::End { finish, usage }).await;
         }
         Err(refusal) => {
-            let _ = sender.send(ResponseEvent::Failed(refusal)).await;
+            let _ = sender.send(AnswerEvent::Failed(refusal)).await;
         }
     }
     drop(permit);
@@ -193,5 +192,5 @@
         let message = "it ran before, and its answer was too long to keep";
         return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
-    Ok(responses::complete_response(format, record.text, record.finish, record.usage))
+    Ok(responses::json_response(format, record.text, record.finish, record.usage))
 }
--- a/src/http_api/relay.rs
+++ b/src/http_api/relay.rs
@@ -16,7 +16,7 @@
     repeated_bytes: usize,
     /// Chunks with text that came over the current generation, for resuming it.
     text_chunks: u32,
-    finish_reason: Option<String>,
+    finish: Option<String>,
     usage: Option<Usage>,
     completed: bool,
 }
@@ -46,7 +46,7 @@
         self.expected_id = expected_id;
         self.repeated_bytes = 0;
         self.text_chunks = 0;
-        self.finish_reason = None;
+        self.finish = None;
         self.usage = None;
     }
 
@@ -60,7 +60,7 @@
         }
         if data == sse::DONE {
             // Whole only if all that was sent has been repeated and the end was announced.
-            if self.finish_reason.is_none() || self.repeated_bytes < self.sent_text.len() {
+            if self.finish.is_none() || self.repeated_bytes < self.sent_text.len() {
                 return Err(StreamError::OutOfOrder);
             }
             self.completed = true;
@@ -77,7 +77,7 @@
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
-        if !chunk.text.is_empty() && self.finish_reason.is_some() {
+        if !chunk.text.is_empty() && self.finish.is_some() {
             return Err(StreamError::OutOfOrder);
         }
         if !chunk.text.is_empty() {
@@ -85,7 +85,7 @@
         }
         let new_text = self.strip_repeated(&chunk.text)?;
         if chunk.finish.is_some() {
-            self.finish_reason = chunk.finish;
+            self.finish = chunk.finish;
         }
         self.sent_text.push_str(&new_text);
         self.repeated_bytes += new_text.len();
@@ -119,8 +119,8 @@
     }
 
     /// Why the answer ended.
-    pub fn finish_reason(&self) -> Option<&str> {
-        self.finish_reason.as_deref()
+    pub fn finish(&self) -> Option<&str> {
+        self.finish.as_deref()
     }
 
     /// The usage, once the engine has told it.
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -12,13 +12,13 @@
 
 /// A event of an answer on its way to the caller.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ResponseEvent {
+pub enum AnswerEvent {
     /// New text.
     Text(String),
     /// The answer is whole.
-    Completed {
+    End {
         /// Why it ended.
-        finish_reason: String,
+        finish: String,
         /// Its tokens.
         usage: Usage,
     },
@@ -42,12 +42,9 @@
 }
 
 /// Turns the events into a response. Refusals that come before any text keep their status.
-pub async fn respond(
-    format: ResponseFormat,
-    mut events: mpsc::Receiver<ResponseEvent>,
-) -> Response {
+pub async fn respond(format: ResponseFormat, mut events: mpsc::Receiver<AnswerEvent>) -> Response {
     let first = events.recv().await.unwrap_or_else(ended_early);
-    if let ResponseEvent::Failed(refusal) = first {
+    if let AnswerEvent::Failed(refusal) = first {
         return refusal.response();
     }
     if format.stream {
@@ -58,32 +55,31 @@
 }
 
 /// A whole answer that is known already.
-pub fn complete_response(
+pub fn json_response(
     format: ResponseFormat,
     text: String,
-    finish_reason: String,
+    finish: String,
     usage: Usage,
 ) -> Response {
-    let chunk =
-        Chunk { id: format.id.clone(), text, finish: Some(finish_reason), usage: Some(usage) };
+    let chunk = Chunk { id: format.id.clone(), text, finish: Some(finish), usage: Some(usage) };
     let value = chat::whole(format.shape, &format.id, &format.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
 }
 
 async fn buffered_response(
     format: ResponseFormat,
-    first: ResponseEvent,
-    mut events: mpsc::Receiver<ResponseEvent>,
+    first: AnswerEvent,
+    mut events: mpsc::Receiver<AnswerEvent>,
 ) -> Response {
     let mut text = String::new();
     let mut event = first;
     loop {
         match event {
-            ResponseEvent::Text(more) => text.push_str(&more),
-            ResponseEvent::Completed { finish_reason, usage } => {
-                return complete_response(format, text, finish_reason, usage);
+            AnswerEvent::Text(more) => text.push_str(&more),
+            AnswerEvent::End { finish, usage } => {
+                return json_response(format, text, finish, usage);
             }
-            ResponseEvent::Failed(refusal) => return refusal.response(),
+            AnswerEvent::Failed(refusal) => return refusal.response(),
         }
         event = events.recv().await.unwrap_or_else(ended_early);
     }
@@ -91,8 +87,8 @@
 
 fn streamed_response(
     format: ResponseFormat,
-    first: ResponseEvent,
-    events: mpsc::Receiver<ResponseEvent>,
+    first: AnswerEvent,
+    events: mpsc::Receiver<AnswerEvent>,
 ) -> Response {
     let state = (format, Some(first), events, unix_ms() / 1_000);
     let body =
@@ -107,13 +103,13 @@
     http::stream("text/event-stream", body)
 }
 
-fn encode_event(format: &ResponseFormat, event: ResponseEvent, created_s: u64) -> String {
+fn encode_event(format: &ResponseFormat, event: AnswerEvent, created_s: u64) -> String {
     let write = |chunk: Chunk| sse::event(&chunk.write(format.shape, &format.model, created_s));
     let empty = Chunk { id: format.id.clone(), ..Chunk::default() };
     match event {
-        ResponseEvent::Text(text) => write(Chunk { text, ..empty }),
-        ResponseEvent::Completed { finish_reason, usage } => {
-            let mut text = write(Chunk { finish: Some(finish_reason), ..empty.clone() });
+        AnswerEvent::Text(text) => write(Chunk { text, ..empty }),
+        AnswerEvent::End { finish, usage } => {
+            let mut text = write(Chunk { finish: Some(finish), ..empty.clone() });
             if format.include_usage {
                 text.push_str(&write(Chunk { usage: Some(usage), ..empty }));
             }
@@ -121,12 +117,12 @@
             text
         }
         // No end mark follows, so the caller knows that the answer is not whole.
-        ResponseEvent::Failed(refusal) => sse::event(&refusal.body().to_string()),
+        AnswerEvent::Failed(refusal) => sse::event(&refusal.body().to_string()),
     }
 }
 
-fn ended_early() -> ResponseEvent {
-    ResponseEvent::Failed(Refusal::may_have_run(
+fn ended_early() -> AnswerEvent {
+    AnswerEvent::Failed(Refusal::may_have_run(
         RefusalCode::AnswerIncomplete,
         "the run ended without an answer",
     ))
