--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -1,4 +1,7 @@
-//! Requests marked not repeatable: claim, then one dispatch, then the outcome.
+//! At-most-once execution of non-repeatable requests.
+//!
+//! A node claims the request in the replicated log, dispatches it, and records the outcome. A caller
+//! that sends the request again gets the recorded outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,42 +13,46 @@
 use crate::log::state::{Command, Reply};
 use crate::node::Node;
 
-/// Pause between attempts to record an outcome or to give a claim back.
+/// Delay between attempts to record an outcome or to release a claim.
 const PROPOSE_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// Attempts to record an outcome or to give a claim back.
+/// Limit on attempts to record an outcome or to release a claim.
 const MAX_PROPOSE_ATTEMPTS: u32 = 60;
-/// A claim older than this part of the retention time is not acted on any more.
+/// A claim may be used for one part in this many of the retention time. The rest is a margin, since
+/// replicas forget a claim after the retention time on their own clocks.
 const USABLE_RETENTION_DIVISOR: u32 = 2;
-/// When to ask again for the answer of a request that runs.
+/// Suggested retry delay if a request could not be claimed.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A claim that this node holds: it alone may run the request, once.
+/// A claim on a request, which permits this node to dispatch it. Dropping it releases the claim unless
+/// the request may have run.
 pub struct HeldClaim {
     node: Arc<Node>,
     key: ClaimKey,
     token: ClaimToken,
-    /// When it was asked for; it is no older than that.
+    /// When the claim was proposed, which is not after it was granted.
     requested_at: BootTime,
-    /// What becomes of it if it is dropped without a word.
     state: HeldClaimState,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum HeldClaimState {
+    /// The request has not run; dropping releases the claim.
     NotDispatched,
+    /// The request may have run; the claim is kept.
     Dispatched,
+    /// The claim needs no release: its outcome is recorded, or it belongs to another attempt.
     Settled,
 }
 
-/// What came of claiming.
+/// The result of a successful claim.
 pub enum ClaimOutcome {
-    /// Run it.
+    /// The request may be dispatched.
     Granted(HeldClaim),
-    /// It ran before; this is its answer.
+    /// The request has already run, with this outcome.
     AlreadyRan(Outcome),
 }
 
-/// Digest of everything that makes a request the same request.
+/// Digest of the parts of a request that must not differ between requests with the same id.
 pub fn request_digest(parts: &[&[u8]]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     for part in parts {
@@ -56,10 +63,10 @@
     digest
 }
 
-/// Claims a request marked not repeatable.
+/// Claims a non-repeatable request.
 ///
 /// # Errors
-/// If it must not be run, or if that could not be found out.
+/// If the request must not run, or if no leader answered.
 pub async fn claim(
     node: &Arc<Node>,
     call: &ApiCall,
@@ -78,7 +85,7 @@
     let command = Command::Claim { key: held_claim.key.clone(), digest, token, at_ms: 0 };
     let answer = match node.propose(command).await {
         Ok(Reply::Claim(answer)) => answer,
-        // It may be committed; dropping `held_claim` gives it back.
+        // The claim may have been committed. Dropping `held_claim` releases it.
         _ => {
             let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim could not be decided");
             return Err(refusal.with_retry_after(CLAIM_RETRY_AFTER));
@@ -111,11 +118,10 @@
 }
 
 impl HeldClaim {
-    /// Checks that the claim may still be acted on, and records that it is: call it right before
-    /// the one dispatch.
+    /// Marks the request as dispatched. Must be called directly before the dispatch.
     ///
     /// # Errors
-    /// If so much time has passed that others may have forgotten the claim.
+    /// If the claim is so old that replicas may have forgotten it.
     pub fn mark_dispatched(&mut self) -> Result<(), Refusal> {
         let usable = self.node.settings.timing.claim_retention / USABLE_RETENTION_DIVISOR;
         if boot_now() >= self.requested_at + usable {
@@ -127,12 +133,12 @@
         Ok(())
     }
 
-    /// Records that the dispatch provably ran nothing: the claim is given back when dropped.
+    /// Marks the request as not run after a dispatch that verifiably had no effect.
     pub fn mark_not_run(&mut self) {
         self.state = HeldClaimState::NotDispatched;
     }
 
-    /// Records what came of the request.
+    /// Records the outcome of the request in the replicated log.
     pub async fn record_outcome(mut self, mut outcome: Outcome) {
         self.state = HeldClaimState::Settled;
         if outcome.body.as_ref().is_some_and(|body| body.len() > OUTCOME_BODY_BYTES) {
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Lets the claim be: it is not this node's.
+    /// Drops the claim without releasing it.
     fn skip_release(mut self) {
         self.state = HeldClaimState::Settled;
     }
@@ -153,7 +159,7 @@
 
 impl Drop for HeldClaim {
     fn drop(&mut self) {
-        // A claim that was dispatched and not settled stays: nobody may run the request again.
+        // The claim of a request that may have run is kept, so that it can't run again.
         if self.state != HeldClaimState::NotDispatched {
             return;
         }
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: who asks, for what kind of request, and which interface answers.
+//! The HTTP interface for callers: routing, authentication, admission and request logging.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,46 +28,42 @@
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 const MAX_REQUEST_ID_BYTES: usize = 256;
 const DEFAULT_KIND: &str = "default";
-/// Interfaces don't depend on the name that a caller has for this node.
+/// The host part of fingerprints. The Host header is left out, since a caller may reach the same
+/// endpoint under several names.
 const FINGERPRINT_HOST: &str = "";
-/// When to come back to a node that is not fresh: its lease may be renewed by then.
+/// Suggested retry delay if the node can't admit requests.
 const NOT_FRESH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A caller's request with everything that was found out about it.
+/// An authenticated request of a caller.
 #[derive(Clone, Debug)]
 pub struct ApiCall {
-    /// The configuration that it runs under to its end.
+    /// The configuration when the request was received. Applies until the request ends.
     pub config: Arc<Numbered>,
-    /// Whose it is.
     pub account: AccountId,
-    /// Its id, given by the caller or drawn.
+    /// The Idempotency-Key header, or a random id.
     pub request_id: RequestId,
-    /// The name of its kind.
     pub kind_id: KindId,
-    /// Its kind.
     pub kind: Kind,
-    /// Whether it may run twice without harm.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// When it came.
     pub received_at: BootTime,
-    /// When its first token is due.
+    /// When the first token is due.
     pub deadline: BootTime,
-    /// What it asks, whichever of its caller's tries it is.
+    /// Identifies the content of the request; the same for all retries by the caller.
     pub fingerprint: Fingerprint,
 }
 
-/// How a request ended.
+/// The result of a request, for logs and metrics.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSummary<'a> {
-    /// With an answer or a refusal.
     pub result: Result<(), &'a Refusal>,
-    /// When its first token came, counted from its arrival; `None` if it has no tokens.
+    /// Time from the arrival of the request to its first token; `None` if there was no token.
     pub first_token_latency: Option<Duration>,
-    /// The target that answered or failed it last.
+    /// The target of the last dispatch.
     pub target: Option<&'a str>,
 }
 
-/// Answers one request.
+/// Handles a request on the callers' listener.
 pub async fn handle(node: Arc<Node>, request: Request) -> Response {
     match (&request.method, request.path.as_str()) {
         (&Method::GET, "/health/live") => http::text(StatusCode::OK, "live\n".into()),
@@ -116,7 +112,10 @@
     Ok(http::json(StatusCode::OK, &json!({"object": "list", "data": models})))
 }
 
-/// The configuration in force, if the node admits requests.
+/// The configuration in force.
+///
+/// # Errors
+/// If this node does not admit requests.
 pub fn admission_config(node: &Node) -> Result<Arc<Numbered>, Refusal> {
     if node.is_stopping() {
         let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this node is shutting down");
@@ -137,10 +136,10 @@
 }
 
 impl ApiCall {
-    /// Finds out who asks and for what.
+    /// Authenticates a request and reads its headers.
     ///
     /// # Errors
-    /// What is wrong with the request, or that this node does not admit any.
+    /// If the request is invalid, or if this node does not admit requests.
     pub fn from_request(node: &Node, request: &Request) -> Result<ApiCall, Refusal> {
         let config = admission_config(node)?;
         let account = authenticate(&config, request)?;
@@ -155,7 +154,7 @@
         };
         let received_at = boot_now();
         let deadline_ms = deadline_ms(request)?.unwrap_or(kind.deadline_ms);
-        // A caller can tighten whether it repeats, never loosen it.
+        // The header can only make a repeatable kind non-repeatable, not the other way round.
         let repeatable = kind.repeatable && request.header(REPEATABLE_HEADER) != Some("false");
         let (method, path) =
             (request.method.as_str(), format!("{}?{}", request.path, request.query));
@@ -173,10 +172,10 @@
         })
     }
 
-    /// Waits for a permit to run.
+    /// Waits until the request may run.
     ///
     /// # Errors
-    /// That it was given up on, and when to come back.
+    /// If the queue is full, or if the request can't start in time.
     pub async fn acquire_permit(&self, node: &Arc<Node>) -> Result<Permit, Refusal> {
         let account = self.config.config.accounts.get(&self.account);
         let limit = account.map_or(1, |account| account.max_running);
@@ -196,12 +195,13 @@
             };
             Refusal::not_run(code, message).with_retry_after(refused.retry_after)
         })?;
-        // Time has passed in the queue.
+        // The node or the request may have changed state while the request was queued.
         self.check_dispatch_in_time(node)?;
         Ok(permit)
     }
 
-    /// Checks again, right before a dispatch, that the request may still be sent.
+    /// Checks that the request may be sent to a target before its deadline. Must be called
+    /// directly before each dispatch.
     ///
     /// # Errors
     /// As `check_dispatch`, and if the deadline has passed.
@@ -215,10 +215,11 @@
         Ok(())
     }
 
-    /// Checks, right before a dispatch, that the node may still send it.
+    /// Checks that the request may be sent to a target. Must be called directly before each
+    /// dispatch.
     ///
     /// # Errors
-    /// If the node's lease has ended, or targets have ended under the request.
+    /// If the node's freshness lease has expired, or if the request is quarantined.
     pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
         if let Some(left) = node.quarantine_remaining(self.fingerprint) {
             let message = "targets have ended under this request, one after the other";
@@ -232,8 +233,8 @@
             .with_retry_after(NOT_FRESH_RETRY_AFTER))
     }
 
-    /// Records how the request ended: in a log line, in the metrics, and against its service
-    /// level. `what` is the model or service.
+    /// Logs the result of the request and updates the metrics and the service-level objective.
+    /// `resource` is the model or service.
     pub fn record_end(&self, node: &Node, resource: &str, summary: CallSummary<'_>) {
         let CallSummary { result, first_token_latency, target } = summary;
         let code = result.map_or_else(|refusal| refusal.code.code_status_remedy().0, |()| "ok");
@@ -251,7 +252,7 @@
         let labels =
             [label("kind", &self.kind_id), label("account", &self.account), label("code", code)];
         node.metrics.requests.add(1, &labels);
-        // What the caller did wrong is not held against the service level.
+        // Errors of the caller don't count against the service-level objective.
         if result.is_err_and(|refusal| refusal.code.code_status_remedy().1.is_client_error()) {
             return;
         }
@@ -280,6 +281,7 @@
 fn deadline_ms(request: &Request) -> Result<Option<u64>, Refusal> {
     let Some(text) = request.header(DEADLINE_HEADER) else { return Ok(None) };
     match text.parse::<u64>() {
+        // Limited to one day.
         Ok(ms) if ms > 0 => Ok(Some(ms.min(86_400_000))),
         _ => {
             let message = format!("{DEADLINE_HEADER}: {text:?} is not a number of milliseconds");
--- a/src/http_api/mod.rs
+++ b/src/http_api/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' and operators' HTTP.
+//! The HTTP interfaces for callers and operators.
 
 pub mod at_most_once;
 pub mod callers;
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts: reads the request, finds what is kept of its context, runs it, and answers.
+//! Serves the prompt endpoints: parses the request, starts the run, and responds.
 
 use std::sync::Arc;
 
@@ -19,30 +19,27 @@
 use crate::node::admission::Permit;
 use crate::prompt::{Chain, Owner};
 
-/// Parts that wait for a slow caller; the run waits when there are more.
+/// Capacity of the channel from a run to its response. A run waits while it is full.
 const ANSWER_EVENT_BUFFER: usize = 64;
 
-/// A prompt that was read and checked.
+/// A valid prompt.
 pub struct Prompt {
-    /// Who asks and for what kind.
     pub call: ApiCall,
-    /// The interface.
     pub shape: Shape,
-    /// The body as it came.
+    /// The body of the request.
     pub body: serde_json::Value,
-    /// How it is routed.
+    /// The routing policy of the model.
     pub policy: Policy,
-    /// The weight version that answers it, to its end.
+    /// The weight version that must generate the whole answer.
     pub weight_version: WeightVersion,
-    /// The model's name.
     pub model_id: String,
-    /// The prompt in blocks. Invariant: named for `weight_version`.
+    /// The blocks of the prompt. Invariant: its keys are those of `weight_version`.
     pub chain: Chain,
     prompt_text: String,
 }
 
 impl Prompt {
-    /// Has it answered by other weights. Only before any engine may have begun with it.
+    /// Changes the weight version. Must not be called after the prompt may have been dispatched.
     pub fn set_weight_version(&mut self, weight_version: WeightVersion) {
         self.chain = build_chain(&self.call, &self.model_id, &weight_version, &self.prompt_text);
         self.weight_version = weight_version;
@@ -59,7 +56,7 @@
     Chain::new(&owner, text)
 }
 
-/// The answer of a prompt marked not repeatable, as it is replay_outcome.
+/// The recorded outcome of a non-repeatable prompt.
 #[derive(Serialize, Deserialize)]
 struct RecordedAnswer {
     text: String,
@@ -67,10 +64,10 @@
     usage: Usage,
 }
 
-/// Answers a prompt.
+/// Handles a prompt request.
 ///
 /// # Errors
-/// Why there is no answer.
+/// A refusal that was determined before the run was started.
 pub async fn serve(
     node: &Arc<Node>,
     call: ApiCall,
@@ -95,7 +92,7 @@
     Ok(responses::respond(format, events).await)
 }
 
-/// Runs a prompt to its end, whether or not the caller stays.
+/// Runs a prompt on its own task, so that it completes even if the response is dropped.
 async fn run_prompt(
     node: Arc<Node>,
     prompt: Prompt,
@@ -121,7 +118,7 @@
                 let record = RecordedAnswer { text: answer.text, finish: answer.finish, usage };
                 held_claim.record_outcome(to_outcome(&record)).await;
             }
-            // The caller may have hung up; then nobody needs the end.
+            // Fails only if the caller has disconnected.
             let _ = sender.send(AnswerEvent::End { finish, usage }).await;
         }
         Err(refusal) => {
@@ -192,5 +189,5 @@
         let message = "it ran before, and its answer was too long to keep";
         return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
-    Ok(responses::json_response(format, record.text, record.finish, record.usage))
+    Ok(responses::json_answer(format, record.text, record.finish, record.usage))
 }
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -1,4 +1,4 @@
-//! The answer of a prompt, as the caller wants it: whole, or in events as they come.
+//! Turns the answer of a prompt into an HTTP response: one JSON document, or server-sent events.
 
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -10,38 +10,36 @@
 use crate::edge::sse;
 use crate::http::{self, Response};
 
-/// A event of an answer on its way to the caller.
+/// A step in the generation of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AnswerEvent {
     /// New text.
     Text(String),
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Why it ended.
+        /// The finish reason.
         finish: String,
-        /// Its tokens.
         usage: Usage,
     },
-    /// There is no more, and it is not whole.
+    /// The answer ended incomplete.
     Failed(Refusal),
 }
 
-/// How a caller wants an answer.
+/// The response format that a caller asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseFormat {
-    /// The interface.
     pub shape: Shape,
-    /// The model, as the caller named it.
+    /// The model name from the request.
     pub model: String,
-    /// The id that the caller sees.
+    /// The id of the response.
     pub id: String,
-    /// Whether it comes in events.
+    /// Whether the answer is sent as server-sent events.
     pub stream: bool,
-    /// Whether a last chunk carries the usage.
+    /// Whether the usage is sent in a last chunk of the stream.
     pub include_usage: bool,
 }
 
-/// Turns the events into a response. Refusals that come before any text keep their status.
+/// Turns the events into a response. A refusal that is the first event determines the status.
 pub async fn respond(format: ResponseFormat, mut events: mpsc::Receiver<AnswerEvent>) -> Response {
     let first = events.recv().await.unwrap_or_else(ended_early);
     if let AnswerEvent::Failed(refusal) = first {
@@ -54,13 +52,8 @@
     }
 }
 
-/// A whole answer that is known already.
-pub fn json_response(
-    format: ResponseFormat,
-    text: String,
-    finish: String,
-    usage: Usage,
-) -> Response {
+/// A complete answer as one JSON document.
+pub fn json_answer(format: ResponseFormat, text: String, finish: String, usage: Usage) -> Response {
     let chunk = Chunk { id: format.id.clone(), text, finish: Some(finish), usage: Some(usage) };
     let value = chat::whole(format.shape, &format.id, &format.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
@@ -76,9 +69,7 @@
     loop {
         match event {
             AnswerEvent::Text(more) => text.push_str(&more),
-            AnswerEvent::End { finish, usage } => {
-                return json_response(format, text, finish, usage);
-            }
+            AnswerEvent::End { finish, usage } => return json_answer(format, text, finish, usage),
             AnswerEvent::Failed(refusal) => return refusal.response(),
         }
         event = events.recv().await.unwrap_or_else(ended_early);
@@ -116,7 +107,7 @@
             text.push_str(&sse::event(sse::DONE));
             text
         }
-        // No end mark follows, so the caller knows that the answer is not whole.
+        // The missing `[DONE]` tells the caller that the answer is incomplete.
         AnswerEvent::Failed(refusal) => sse::event(&refusal.body().to_string()),
     }
 }
