--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -1,7 +1,7 @@
 //! At-most-once execution of non-repeatable requests.
 //!
-//! A node claims the request in the replicated log, dispatches it, and records the outcome. A caller
-//! that sends the request again gets the recorded outcome.
+//! A node claims the request in the replicated log, dispatches it, and records the outcome. A
+//! caller that sends the request again gets the recorded outcome.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 const PROPOSE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Limit on attempts to record an outcome or to release a claim.
 const MAX_PROPOSE_ATTEMPTS: u32 = 60;
-/// A claim may be used for one part in this many of the retention time. The rest is a margin, since
-/// replicas forget a claim after the retention time on their own clocks.
+/// A claim may be used for one part in this many of the retention time. Afterwards the node may
+/// have been suspended for so long that the replicas have forgotten the claim.
 const USABLE_RETENTION_DIVISOR: u32 = 2;
 /// Suggested retry delay if a request could not be claimed.
 const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A claim on a request, which permits this node to dispatch it. Dropping it releases the claim unless
-/// the request may have run.
+/// A claim on a request, which permits this node to dispatch it. Dropping it releases the claim
+/// unless the request may have run.
 pub struct HeldClaim {
     node: Arc<Node>,
     key: ClaimKey,
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP: the numbered configuration, status, replicas, and fault knobs of tests.
+//! The HTTP interface for operators: configuration, status, replicas, and fault injection.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::node::leader_client::NoLeader;
 
 const NO_LEADER_RETRY_AFTER_S: &str = "1";
-/// Numbers that the history goes back, at the most.
+/// Number of patches in the history.
 const MAX_HISTORY_LEN: u64 = 50;
 
-/// Answers one request.
+/// Handles a request on the operators' listener.
 pub async fn handle(node: Arc<Node>, request: Request) -> Response {
     match (&request.method, request.segments().as_slice()) {
         (&Method::GET, ["v1", "config"]) => get_config(&node, &request).await,
@@ -46,7 +46,7 @@
     if request.parameter("local") == Some("true") {
         return local_config(node);
     }
-    // From number 0, since the reader has none of it.
+    // Number 0 requests the whole configuration.
     let mut book = Book::default();
     match node.read_config(0).await {
         Ok(update) if book.take(&update).is_ok() => {
@@ -56,7 +56,8 @@
     }
 }
 
-/// What is in force at this node; it may be a lease behind the newest.
+/// The configuration in force at this node, which may be older than the newest by the duration of a
+/// lease.
 fn local_config(node: &Node) -> Response {
     match node.in_force() {
         Some(numbered) => config_response(numbered.number, &numbered.document),
@@ -81,7 +82,7 @@
     }
 }
 
-/// A request of an operator that can't be understood.
+/// Why a patch request is invalid.
 struct PatchError {
     status: StatusCode,
     code: &'static str,
@@ -207,7 +208,7 @@
 }
 
 impl Node {
-    /// What operators see of this node.
+    /// The status of this node, as shown to operators.
     pub fn status_json(&self) -> Value {
         let in_force = self.in_force();
         let replica = self.replica_status().map(|status| {
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -1,4 +1,4 @@
-//! One prompt on its way: chooses an engine, dispatches, relays, and recovers from failures.
+//! Runs a prompt: dispatches it to an engine, relays the answer, and retries after failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,70 +24,67 @@
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
 
-/// Dispatches of one request, at the most.
+/// Limit on dispatches of one request.
 const MAX_ATTEMPTS: Attempt = 4;
-/// A stream that is silent for this long has broken.
+/// A stream without data for this long is considered broken.
 const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A caller who does not read for this long has gone.
+/// A caller that does not read for this long is considered disconnected.
 const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(30);
-/// When to come back if no engine may take the request.
+/// Suggested retry delay if no engine is available.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// One prompt on its way.
+/// The execution of one prompt, over all its dispatches.
 pub struct PromptRun {
     node: Arc<Node>,
     prompt: Prompt,
     held_claim: Option<HeldClaim>,
     sender: mpsc::Sender<AnswerEvent>,
     relay: Relay,
-    /// Names the run towards engines; drawn, so that no two requests can be taken for one.
+    /// Identifies the run to engines. Unique even if callers reuse a request id.
     run_id: String,
     attempt: Attempt,
     excluded_engines: Vec<TargetId>,
     stored_prefixes: Vec<(TargetId, KeptObject)>,
-    /// Whether any byte of the request may have had an effect on a target.
+    /// Whether a target may have run the request.
     may_have_run: bool,
-    /// When the first token came, counted from the request's arrival.
+    /// Time from the arrival of the request to its first token.
     first_token_latency: Option<Duration>,
     last_target: Option<TargetId>,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompleteAnswer {
-    /// Its text.
     pub text: String,
-    /// Why it ended.
+    /// The finish reason.
     pub finish: String,
-    /// Its tokens.
     pub usage: Usage,
 }
 
-/// Why there is no dispatch.
+/// Why a prompt was not dispatched.
 enum NoDispatch {
-    /// The request is no longer admitted.
+    /// The request may no longer be dispatched.
     Refused(Refusal),
-    /// No engine gets it.
+    /// No suitable engine is available.
     NoEngine(NoEngine),
 }
 
-/// Why one dispatch gave no whole answer.
+/// Why a dispatch did not result in a complete answer.
 enum DispatchError {
-    /// The engine failed or did not run it: another one may be tried.
+    /// The request may be retried on another engine.
     Retryable(Ended, Refusal),
-    /// Nothing more can be done.
+    /// The request must not be retried.
     NotRetryable(Ended, Refusal),
 }
 
 impl PromptRun {
-    /// A prompt that has a place and, if it must not repeat, a claim.
+    /// Creates the run of an admitted prompt. A non-repeatable prompt needs a claim.
     pub fn new(
         node: Arc<Node>,
         prompt: Prompt,
         held_claim: Option<HeldClaim>,
         sender: mpsc::Sender<AnswerEvent>,
     ) -> PromptRun {
-        // The request id is the caller's and may come twice; the drawn part never does.
         let run_id = format!("{}~{:016x}", prompt.call.request_id, rand::rng().random::<u64>());
         PromptRun {
             node,
@@ -105,7 +102,7 @@
         }
     }
 
-    /// When the first token came, counted from the request's arrival.
+    /// Time from the arrival of the request to its first token.
     pub fn first_token_latency(&self) -> Option<Duration> {
         self.first_token_latency
     }
@@ -115,15 +112,15 @@
         self.last_target.as_deref()
     }
 
-    /// The claim and the way to the caller.
+    /// Returns the claim and the sender of the response.
     pub fn into_parts(self) -> (Option<HeldClaim>, mpsc::Sender<AnswerEvent>) {
         (self.held_claim, self.sender)
     }
 
-    /// Runs the prompt until its answer is whole.
+    /// Runs the prompt until its answer is complete.
     ///
     /// # Errors
-    /// Why there is no whole answer.
+    /// Why there is no complete answer.
     pub async fn run_to_completion(&mut self) -> Result<CompleteAnswer, Refusal> {
         self.stored_prefixes = self.node.stored_prefixes(&self.prompt.chain).await;
         self.node.router.lock().earn_retry();
@@ -170,7 +167,7 @@
         }
     }
 
-    /// The engine may have ended under this prompt, and others would.
+    /// Reports a failed dispatch to the quarantine: the prompt may have terminated the engine.
     async fn report_broken_run(&self, dispatch: &Dispatch, sent_at: BootTime) {
         let announcement = dispatch.news();
         let broken = BrokenDispatch {
@@ -183,8 +180,9 @@
         self.node.report_broken_run(broken).await;
     }
 
-    /// Turns to the weights that engines have by now, if they are others: a prompt may have waited
-    /// while the last engine with its weights loaded the next ones. Says whether it did.
+    /// Switches to the weight version that engines serve now. The last engine with the previous
+    /// version may have loaded the next one while the prompt was queued. Returns false if nothing
+    /// changed.
     async fn switch_weight_version(&mut self) -> bool {
         if self.may_have_run {
             return false;
@@ -220,7 +218,7 @@
             call.check_dispatch_in_time(&self.node)
         };
         admitted.map_err(NoDispatch::Refused)?;
-        // The deadline is for the first token: an answer that has begun runs to its end.
+        // The deadline applies only to the first token.
         let deadline = if has_begun { BootTime::MAX } else { call.deadline };
         let now = boot_now();
         let mut router = self.node.router.lock();
@@ -303,7 +301,7 @@
         self.relay_answer(dispatch, stream, response).await
     }
 
-    /// Relays a stream; if it breaks, goes on with it once where it broke.
+    /// Relays a stream, and resumes it once if it breaks.
     async fn relay_answer(
         &mut self,
         dispatch: &Dispatch,
@@ -354,8 +352,8 @@
         }
     }
 
-    /// What the caller has must be repeated by the next engine, so that is tried only where
-    /// equal requests give equal answers.
+    /// After text was sent, a retry can succeed only if the next engine generates the same text, so
+    /// the error is retryable only on engines with reproducible answers.
     fn retryable_if_reproducible(&self, dispatch: &Dispatch, reason: &str) -> DispatchError {
         let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, reason);
         if self.relay.sent_text().is_empty() || dispatch.reproducible {
@@ -402,7 +400,7 @@
             self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
         }
         let sent = self.sender.send_timeout(AnswerEvent::Text(text), CALLER_SEND_TIMEOUT).await;
-        // A run that must not repeat goes on to its outcome even if nobody listens.
+        // A non-repeatable run continues without its caller, so that its outcome is recorded.
         if sent.is_err() && call.repeatable { Err(RelayError::CallerDisconnected) } else { Ok(()) }
     }
 
@@ -410,7 +408,7 @@
         if self.attempt >= MAX_ATTEMPTS {
             return false;
         }
-        // What provably did not run may be sent elsewhere, repeatable or not.
+        // A request that has not run may be retried even if it is not repeatable.
         if ended == Ended::Refused {
             return true;
         }
@@ -439,15 +437,15 @@
         }
     }
 
-    /// What was believed of the context and what proved true, for whoever tunes the decision.
+    /// Logs the predicted and the actual reuse of cached blocks, to evaluate routing decisions.
     fn log_reuse(&self, dispatch: &Dispatch, ended: Ended) {
         let Ended::Whole(usage) = ended else { return };
         let stored_blocks =
             self.stored_prefixes.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
         let imported = dispatch.decision.import.as_ref().map_or(0, |import| import.object.blocks);
         log::debug!(
-            "event=reuse request={} target={} blocks={} kept={stored_blocks} import={imported} believed={} \
-             cached_tokens={} imported_tokens={}",
+            "event=reuse request={} target={} blocks={} kept={stored_blocks} \
+             import={imported} believed={} cached_tokens={} imported_tokens={}",
             quoted(&self.prompt.call.request_id),
             dispatch.engine(),
             self.prompt.chain.keys.len(),
@@ -457,7 +455,7 @@
         );
     }
 
-    /// A refusal as the caller gets it: `not_run` only if no dispatch may have run.
+    /// Corrects `execution` of a refusal if an earlier dispatch may have run.
     fn final_refusal(&self, mut refusal: Refusal) -> Refusal {
         if self.may_have_run {
             refusal.execution = Execution::MayHaveRun;
@@ -466,13 +464,12 @@
     }
 }
 
-/// Why relaying relay_error.
+/// Why relaying stopped.
 enum RelayError {
-    /// The stream broke; it may be resumed.
+    /// The connection failed or was idle for too long; the stream may be resumed.
     StreamBroken(String),
-    /// The stream can't be trusted.
+    /// The stream has invalid content.
     InvalidStream(StreamError),
-    /// Nobody listens any more.
     CallerDisconnected,
 }
 
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no answer.
+//! Error responses to callers.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use crate::http::{self, Response};
 
-/// Whether the request may have had an effect.
+/// Whether a request may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No byte of it reached a target, or a target proved that it ran nothing.
+    /// No part of the request reached a target, or the target confirmed that it did not run it.
     NotRun,
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     MayHaveRun,
 }
 
 impl Execution {
-    /// The word in the answer.
+    /// The value of the `execution` field.
     pub fn as_str(self) -> &'static str {
         match self {
             Execution::NotRun => "not_run",
@@ -26,49 +26,45 @@
     }
 }
 
-/// Why there is no answer. docs/OPERATIONS.md lists the codes.
+/// Why a request failed. docs/OPERATIONS.md lists the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalCode {
-    /// No bearer key, or an unknown one.
+    /// The bearer key is missing or unknown.
     InvalidKey,
-    /// The request can't be understood.
+    /// The request is malformed.
     BadRequest,
-    /// The body is too large.
     BodyTooLarge,
-    /// No such model for this account.
+    /// The configuration has no such model.
     UnknownModel,
-    /// No such kind of request.
+    /// The configuration has no such request kind.
     UnknownKind,
-    /// No such service.
+    /// The configuration has no such service.
     UnknownService,
-    /// No such interface.
+    /// There is no such endpoint.
     NotFound,
-    /// The request id was used for another request.
+    /// The request id was already used for a different request.
     IdReused,
-    /// A request with this id runs or ran, and its answer can't be given.
+    /// A request with this id is running or has run, and its answer is not available.
     AlreadyClaimed,
-    /// The queue is full.
     QueueFull,
-    /// It could not have been answered by its deadline.
+    /// The request could not be answered before its deadline.
     DeadlineExceeded,
-    /// The node is shutting down.
     ShuttingDown,
-    /// The node's freshness lease has ended.
+    /// The node's freshness lease has expired.
     NotFresh,
-    /// No leader of the replicated log could be asked.
+    /// No leader of the replicated log answered.
     NoLeader,
-    /// Targets have ended under this request.
+    /// Several targets terminated while they ran this request.
     Quarantined,
-    /// No target may take it now.
+    /// No target is available.
     NoTarget,
-    /// The target failed.
     TargetFailed,
-    /// The answer broke off and can't be continued safely.
+    /// The answer was interrupted and can't be resumed.
     AnswerIncomplete,
 }
 
 impl RefusalCode {
-    /// The word in the answer, the status, and the remedy.
+    /// The value of the `code` field, the HTTP status, and the remedy.
     pub fn code_status_remedy(self) -> (&'static str, StatusCode, &'static str) {
         use StatusCode as S;
         match self {
@@ -124,38 +120,36 @@
     }
 }
 
-/// The final answer to a request that gets no other.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
     pub code: RefusalCode,
-    /// What exactly is wrong.
+    /// The error message, without the remedy.
     pub message: String,
-    /// Whether the request may have had an effect.
     pub execution: Execution,
-    /// When a later try makes sense; `None` if none does.
+    /// Suggested delay before a retry, if any.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal before anything was sent to a target.
+    /// A refusal of a request that has not run.
     pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         Refusal { code, message: message.into(), execution: Execution::NotRun, retry_after: None }
     }
 
-    /// A refusal after something may have been sent to a target.
+    /// A refusal of a request that may have run.
     pub fn may_have_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         let execution = Execution::MayHaveRun;
         Refusal { code, message: message.into(), execution, retry_after: None }
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the suggested delay before a retry.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Refusal {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The error object, in the published shape with fields of ours.
+    /// The error object in the format of the OpenAI API, with the additional field `execution`.
     pub fn body(&self) -> serde_json::Value {
         let (code, status, remedy) = self.code.code_status_remedy();
         let error_type =
@@ -169,7 +163,7 @@
         }})
     }
 
-    /// The whole answer.
+    /// The HTTP response.
     pub fn response(&self) -> Response {
         let (_, status, _) = self.code.code_status_remedy();
         let mut response = http::json(status, &self.body());
--- a/src/http_api/relay.rs
+++ b/src/http_api/relay.rs
@@ -1,47 +1,43 @@
-//! Relays one answer: only chunks of this very dispatch, in order, to the end mark; a restarted
-//! answer goes on only where it repeats what was already sent.
+//! Checks the streams of one answer and determines which text to forward to the caller.
+//!
+//! Only chunks of the current dispatch are accepted, in order, up to `[DONE]`. After a restart,
+//! text is forwarded only if the new stream first repeats everything that was already sent.
 
 use crate::edge::chat::{Chunk, Usage};
 use crate::edge::sse;
 
-/// What the caller has and still gets of one answer.
+/// The state of one answer across its streams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Relay {
-    /// The id that each chunk must carry.
+    /// The id that each chunk of the current stream must have.
     expected_id: String,
-    /// Text that the caller has.
+    /// The text that was forwarded to the caller.
     sent_text: String,
-    /// Bytes of `sent` that the current stream has repeated so far.
-    /// Invariant: at most `sent.len()`, at a boundary of characters.
+    /// Length of the prefix of `sent_text` that the current stream has repeated.
+    /// Invariant: at most `sent_text.len()`, and on a character boundary.
     repeated_bytes: usize,
-    /// Chunks with text that came over the current generation, for resuming it.
+    /// Number of received chunks with text since the last restart.
     text_chunks: u32,
     finish: Option<String>,
     usage: Option<Usage>,
     completed: bool,
 }
 
-/// Why a stream can't be used any more.
+/// Why a stream was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// A chunk belongs to another request or attempt.
-    UnexpectedId {
-        /// The id that it carries.
-        id: String,
-    },
-    /// The restarted answer differs from what the caller has.
+    /// A chunk belongs to a different request or attempt.
+    UnexpectedId { id: String },
+    /// The restarted answer differs from the text that was already sent.
     Diverged,
-    /// A chunk can't be read, or the engine reports an error.
-    Malformed {
-        /// Why.
-        reason: String,
-    },
-    /// Something came after the end, or the end came before the answer was whole.
+    /// A chunk can't be parsed, or is an error object.
+    Malformed { reason: String },
+    /// There was data after the end, or the end came before the answer was complete.
     OutOfOrder,
 }
 
 impl Relay {
-    /// Starts a new generation under a new id. What the caller has must be repeated first.
+    /// Starts a new stream, whose chunks have a new id. It must repeat all text that was sent.
     pub fn restart(&mut self, expected_id: String) {
         self.expected_id = expected_id;
         self.repeated_bytes = 0;
@@ -50,16 +46,16 @@
         self.usage = None;
     }
 
-    /// Takes the data of one event. Returns the new text for the caller, if there is any.
+    /// Processes the data of one server-sent event. Returns the text to forward, if any.
     ///
     /// # Errors
-    /// Why the stream must be given up; nothing of this event may be sent.
+    /// Why the stream was rejected. Nothing of this event may be forwarded.
     pub fn process_event(&mut self, data: &str) -> Result<Option<String>, StreamError> {
         if self.completed {
             return Err(StreamError::OutOfOrder);
         }
         if data == sse::DONE {
-            // Whole only if all that was sent has been repeated and the end was announced.
+            // Complete only after a finish reason, and if all sent text has been repeated.
             if self.finish.is_none() || self.repeated_bytes < self.sent_text.len() {
                 return Err(StreamError::OutOfOrder);
             }
@@ -92,7 +88,7 @@
         Ok((!new_text.is_empty()).then_some(new_text))
     }
 
-    /// The part of `text` that the caller does not have.
+    /// The part of `text` that was not sent yet.
     fn strip_repeated(&mut self, text: &str) -> Result<String, StreamError> {
         let unrepeated = &self.sent_text[self.repeated_bytes..];
         let overlap = unrepeated.len().min(text.len());
@@ -103,27 +99,28 @@
         Ok(text[overlap..].to_string())
     }
 
-    /// Whether the end mark came after a whole answer.
+    /// Whether the answer was received completely, including `[DONE]`.
     pub fn is_complete(&self) -> bool {
         self.completed
     }
 
-    /// The text that the caller has.
+    /// The text that was forwarded to the caller.
     pub fn sent_text(&self) -> &str {
         &self.sent_text
     }
 
-    /// Chunks with text that came of the current generation: where to resume it.
+    /// Number of received chunks with text since the last restart. A broken stream is resumed after
+    /// them.
     pub fn text_chunks(&self) -> u32 {
         self.text_chunks
     }
 
-    /// Why the answer ended.
+    /// The finish reason, once received.
     pub fn finish(&self) -> Option<&str> {
         self.finish.as_deref()
     }
 
-    /// The usage, once the engine has told it.
+    /// The token usage, once received.
     pub fn usage(&self) -> Option<Usage> {
         self.usage
     }
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -1,4 +1,4 @@
-//! Plain services: routes a call to an instance, once if it must not repeat.
+//! Serves calls to plain services, at most once each if they are not repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::node::Node;
 use crate::node::quarantine::BrokenDispatch;
 
-/// Instances tried for one call.
+/// Limit on instances tried for one call.
 const MAX_INSTANCES_TRIED: usize = 3;
-/// When to come back if no instance may take the call.
+/// Suggested retry delay if no instance is available.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Answers a call of a plain service.
+/// Handles a call to a plain service.
 ///
 /// # Errors
-/// Why there is no answer.
+/// Why there is no answer of an instance.
 pub async fn serve(
     node: &Arc<Node>,
     request: &Request,
@@ -72,7 +72,7 @@
     let permit = call.acquire_permit(node).await?;
     let (node, call) = (node.clone(), call.clone());
     let (request, service) = (request.clone(), service.to_string());
-    // On its own task: it must come to its outcome even if the caller hangs up.
+    // Runs on its own task, so that the outcome is recorded even if the caller disconnects.
     let task = tokio::spawn(async move {
         let _permit = permit;
         run_at_most_once(&node, &call, &request, &service, held_claim).await
@@ -114,7 +114,7 @@
     Err(last_refusal)
 }
 
-/// Makes the one dispatch; another instance is tried only if nothing was run.
+/// Sends the call to instances until one of them may have run it.
 async fn run_at_most_once(
     node: &Arc<Node>,
     call: &ApiCall,
@@ -146,7 +146,7 @@
     Err(last_refusal)
 }
 
-/// An instance that broke off may have ended under a call, and others would.
+/// Reports a failed call to the quarantine, since the call may have terminated the instance.
 async fn report_broken_run(
     node: &Node,
     call: &ApiCall,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Instances that take work, in an order that differs from call to call.
+/// Available instances, rotated differently for each call to spread the load.
 fn candidate_instances(node: &Node, service: &str) -> Vec<Target> {
     let mut router = node.router.lock();
     let request_number = router.draw() as usize;
