--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -1,4 +1,5 @@
-//! Shares of accounts' limits: asks their owners for them, and grants them as an owner.
+//! Shares of client accounts' limits: requests them from the accounts' owners, and grants them as
+//! an owner.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,21 +12,21 @@
 use crate::peer::message::{Answer, Ask};
 use crate::whereabouts::{NodePlace, owners};
 
-/// A request waits no longer than this for a share.
+/// Timeout of a request for a share, for which a caller's request waits.
 const SHARE_REQUEST_TIMEOUT: Duration = Duration::from_millis(25);
-/// An owner is asked no more often than this for an account whose share is used up.
+/// Minimum interval between requests for more of an account's limit.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-/// How often shares in use are renewed.
+/// Interval at which shares in use are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
-/// A node asks for this many times its demand, so that it need not ask for each request.
+/// A node requests this multiple of its demand, so that it need not ask the owner for each request.
 const DEMAND_HEADROOM_FACTOR: u32 = 2;
 
-/// Shares that this node holds and those that it granted as an owner.
+/// The shares that this node holds, and those that it has granted as an owner.
 pub struct AccountShares {
     held: HashMap<AccountId, HeldShare>,
     granted: Shares,
-    /// Live nodes as they were known within the last lease, oldest first. An account that another
-    /// node owned by one of these may have leases of that owner outstanding.
+    /// The live nodes over the duration of a lease, oldest first. They determine previous owners,
+    /// whose grants may still be valid.
     location_history: VecDeque<(BootTime, Vec<NodePlace>)>,
 }
 
@@ -34,12 +35,12 @@
     share: u32,
     expires_at: BootTime,
     requested_at: BootTime,
-    /// The account's limit over all nodes when it was asked for.
+    /// The account's limit over all nodes when the share was requested.
     limit: u32,
 }
 
 impl AccountShares {
-    /// Nothing held, empty granted.
+    /// Creates the state of a node without shares.
     pub fn new(lease: Duration) -> AccountShares {
         AccountShares {
             held: HashMap::new(),
@@ -52,14 +53,14 @@
         if self.location_history.back().is_none_or(|(_, recorded)| *recorded != locations) {
             self.location_history.push_back((now, locations));
         }
-        // The one before the oldest change within a lease still counts.
+        // The newest entry that is older than a lease is kept, since it was valid until the next.
         let lease = self.granted.lease();
         while self.location_history.get(1).is_some_and(|(since, _)| *since + lease <= now) {
             self.location_history.pop_front();
         }
     }
 
-    /// Whether `own_id` has owned the account for a whole lease.
+    /// Whether this node has owned the account for at least the duration of a lease.
     fn is_settled_owner(&self, account: &str, own_id: NodeId, now: BootTime) -> bool {
         let root = account_key(account);
         let history_start = self.location_history.front().map_or(now, |(since, _)| *since);
@@ -67,13 +68,14 @@
             .location_history
             .iter()
             .all(|(_, recorded)| owners(root, recorded).first() == Some(&own_id));
-        // At this node's start, an earlier start of it may have granted leases.
+        // Before a restart, this node may itself have granted leases that are still valid.
         always_owner && history_start + self.granted.lease() <= now
     }
 }
 
 impl Node {
-    /// Requests of an account that this node may run now; `limit` is for all nodes together.
+    /// Number of requests of an account that this node may run. `limit` is the limit over all
+    /// nodes.
     pub async fn account_share(self: &Arc<Node>, account: &str, limit: u32) -> u32 {
         let now = boot_now();
         let demand = self.admission.demand(account) + 1;
@@ -100,7 +102,7 @@
         let locations = self.node_locations();
         let nodes = locations.len() as u32;
         let Some(owner) = owners(account_key(account), &locations).first().copied() else { return };
-        // The lease counts from here.
+        // The lease starts when the request is sent.
         let requested_at = boot_now();
         {
             let mut shares = self.account_shares.lock();
@@ -118,7 +120,8 @@
         }
     }
 
-    /// Grants a share as an owner, under this node's own freshness lease.
+    /// Grants a share as the owner of an account. Requires a freshness lease, so that an owner that
+    /// is cut off from the other nodes stops before its successor starts.
     pub(super) fn grant_share(&self, node: NodeId, demand: &Demand) -> Answer {
         if self.in_force().is_none() {
             return Answer::Unable;
@@ -133,7 +136,7 @@
         Answer::Share(shares.granted.ask(node, demand, now))
     }
 
-    /// Renews shares that are in use, and forgets the others, again and again.
+    /// Periodically renews shares that are in use and removes expired ones.
     pub(super) async fn run_share_renewal(self: Arc<Node>) {
         run_periodically(RENEW_INTERVAL, || async {
             self.renew_shares().await;
@@ -164,7 +167,7 @@
     }
 }
 
-/// Accounts are owned like contexts, by a hash of their name.
+/// The key that determines the owners of an account.
 fn account_key(account: &str) -> BlockKey {
     let mut key = [0; 16];
     key.copy_from_slice(&blake3::hash(account.as_bytes()).as_bytes()[..16]);
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -1,4 +1,4 @@
-//! AdmissionController for running requests: the shell around admission.
+//! Admission control of this node: asynchronous waiting on top of `limits::admission`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::limits::admission::Reason;
 use crate::limits::{Admission, Offer, Refused, Ticket, Wants};
 
-/// How often waiting requests are looked at for their deadlines.
+/// Interval at which waiting requests are checked for their deadlines.
 const EXPIRE_INTERVAL: Duration = Duration::from_millis(20);
-/// Capacity until the engines' reports have come.
+/// Capacity until the first reports of engines have arrived.
 const INITIAL_CAPACITY: usize = 8;
 
-/// AdmissionController for running requests.
+/// Limits the number of running requests, and queues the others.
 pub struct AdmissionController {
     inner: Arc<Mutex<Inner>>,
 }
@@ -28,13 +28,13 @@
     waiters: HashMap<Ticket, oneshot::Sender<Result<(), Refused>>>,
 }
 
-/// A place; dropping it lets the next request run.
+/// Permits a request to run. Dropping it admits the next request.
 pub struct Permit {
     inner: Arc<Mutex<Inner>>,
     account: AccountId,
 }
 
-/// Takes a request that gave up waiting out of the queue.
+/// A waiting request. Dropping it removes the request from the queue.
 struct WaitGuard {
     inner: Arc<Mutex<Inner>>,
     ticket: Ticket,
@@ -43,7 +43,7 @@
 }
 
 impl AdmissionController {
-    /// AdmissionController of an idle node in which `queue_len` requests may wait.
+    /// Creates a controller without requests, with a queue of at most `queue_len`.
     pub fn new(queue_len: usize) -> AdmissionController {
         let admission = Admission::new(INITIAL_CAPACITY, queue_len);
         AdmissionController {
@@ -51,44 +51,44 @@
         }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.inner.lock().admission.running()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.inner.lock().admission.waiting()
     }
 
-    /// When a request that is refused now should come back.
+    /// Suggested retry delay for a request that is refused now.
     pub fn retry_after(&self) -> Duration {
         self.inner.lock().admission.retry_after()
     }
 
-    /// Changes how many requests may run.
+    /// Sets the limit on running requests.
     pub fn set_capacity(&self, capacity: usize) {
         let mut inner = self.inner.lock();
         inner.admission.set_capacity(capacity);
         inner.start_next();
     }
 
-    /// Requests of an account that run or wait.
+    /// Number of running and waiting requests of an account.
     pub fn demand(&self, account: &str) -> u32 {
         self.inner.lock().admission.demand(account)
     }
 
-    /// Changes how many requests of an account may run.
+    /// Sets the limit on running requests of an account.
     pub fn set_account_limit(&self, account: &str, limit: u32) {
         let mut inner = self.inner.lock();
         inner.admission.set_account_limit(account, limit);
         inner.start_next();
     }
 
-    /// Waits for a place.
+    /// Waits until a request may run.
     ///
     /// # Errors
-    /// Why the request was given up on, at once.
+    /// If the queue is full, or if the request can't start in time.
     pub async fn acquire(&self, wants: Wants) -> Result<Permit, Refused> {
         let account = wants.account.clone();
         let permit = || Permit { inner: self.inner.clone(), account: account.clone() };
@@ -105,7 +105,7 @@
                 }
             }
         };
-        // AdmissionController may have become free between an end and this request's arrival.
+        // Capacity may have become available before the request was queued.
         self.inner.lock().start_next();
         match (&mut guard.receiver).await {
             Ok(Ok(())) => Ok(permit()),
@@ -123,7 +123,7 @@
         for ticket in inner.admission.expire(now) {
             if let Some(sender) = inner.waiters.remove(&ticket) {
                 let refused = Refused { reason: Reason::Deadline, retry_after };
-                // The caller may have hung up.
+                // Fails only if the request has been dropped.
                 let _ = sender.send(Err(refused));
             }
         }
@@ -134,7 +134,7 @@
     fn start_next(&mut self) {
         while let Some(ticket) = self.admission.start_next() {
             let Some(sender) = self.waiters.remove(&ticket) else { continue };
-            // If the caller has hung up, its guard gives the place back.
+            // If the request is dropped before it receives this, `WaitGuard` returns the permit.
             let _ = sender.send(Ok(()));
         }
     }
@@ -154,7 +154,7 @@
         inner.waiters.remove(&self.ticket);
         inner.admission.withdraw(self.ticket);
         if let Ok(Ok(())) = self.receiver.try_recv() {
-            // It had been given a place already, which nobody will take now.
+            // The request was admitted but not yet resumed; returns its permit.
             inner.admission.finish(&self.account, boot_now());
             inner.start_next();
         }
@@ -162,7 +162,7 @@
 }
 
 impl Node {
-    /// Answers waiting requests whose deadline has come, again and again.
+    /// Periodically refuses waiting requests that can no longer start in time.
     pub(super) async fn run_queue_expiry(self: Arc<Node>) {
         super::run_periodically(EXPIRE_INTERVAL, || async {
             self.admission.expire(boot_now());
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -1,5 +1,7 @@
-//! Keeps the node's freshness lease: renews it through the relay of its failure domain, or with
-//! the leader itself; and grants leases to others when this node is the relay.
+//! The node's freshness lease.
+//!
+//! Nodes renew it with the relay of their failure domain, or with the leader. The relay renews its
+//! own lease with the leader.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,15 +14,15 @@
 use crate::lease::{Grantor, Holder};
 use crate::peer::message::{Answer, Ask, Renew};
 
-/// A renewal that is not answered within this time is sent elsewhere.
+/// Timeout of a renewal, after which another node is tried.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between attempts while the lease is close to its end.
+/// Delay after a failed renewal.
 const RENEW_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a lease duration, the number under which it is granted, and how the asker gets there.
+/// The duration of a lease, the configuration number that it requires, and the update to it.
 pub type LeaseGrant = (Duration, ConfigNumber, Update);
 
-/// A node's lease, its configuration, and the leases that it granted as a relay.
+/// The lease and the configuration of a node, and the leases that it granted as a relay.
 pub struct Freshness {
     held_lease: Holder,
     book: Book,
@@ -28,7 +30,7 @@
 }
 
 impl Freshness {
-    /// A node that has just started: no lease, no configuration.
+    /// Creates the state of a node that has just started, without lease and configuration.
     pub fn new(lease: Duration, now: BootTime) -> Freshness {
         Freshness {
             held_lease: Holder::default(),
@@ -37,23 +39,25 @@
         }
     }
 
-    /// The configuration, if the lease holds.
+    /// The configuration, if the lease is valid.
     pub fn in_force(&self, now: BootTime) -> Option<Arc<Numbered>> {
         self.held_lease.is_fresh(now).then(|| self.book.newest().clone())
     }
 
-    /// The number known here, in force or not.
+    /// The newest known configuration number, whether or not it is in force.
     pub fn config_number(&self) -> ConfigNumber {
         self.book.number()
     }
 
-    /// The number that this node has, and the one that all nodes below it have.
+    /// The configuration number of this node, and the number that this node and all nodes with
+    /// leases from it have applied.
     fn own_and_acked_numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
         let has = self.book.number();
         (has, self.grantor.floor(has, now))
     }
 
-    /// Takes a grant that answers the renewal sent at `sent_at`. False if it can't be used.
+    /// Applies a grant in response to the renewal sent at `sent_at`. Returns false if it is not
+    /// usable.
     fn apply_grant(
         &mut self,
         sent_at: BootTime,
@@ -61,7 +65,7 @@
         number: ConfigNumber,
         update: &Update,
     ) -> bool {
-        // First the number, then the lease: a lease under an older number would be a lie.
+        // The update is applied first: the lease is only valid with the granted number.
         if self.book.take(update).is_err() || self.book.number() < number || duration.is_zero() {
             return false;
         }
@@ -69,7 +73,7 @@
         true
     }
 
-    /// Grants a lease as a relay; `None` if this node itself has none.
+    /// Grants a lease as a relay; `None` if this node has no valid lease itself.
     fn grant_lease(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<LeaseGrant> {
         let remaining = self.held_lease.remaining(now);
         let duration = self.grantor.grant(child, renew.acked, remaining, now);
@@ -79,7 +83,7 @@
 }
 
 impl Node {
-    /// Renews the lease for as long as the process lives.
+    /// Renews the lease until the process exits.
     pub(super) async fn run_lease_renewal(self: Arc<Node>) {
         let mut was_fresh = false;
         loop {
@@ -95,18 +99,18 @@
         }
     }
 
-    /// The configuration number known here.
+    /// The newest known configuration number, whether or not it is in force.
     pub fn config_number(&self) -> ConfigNumber {
         self.freshness.lock().config_number()
     }
 
-    /// Grants a lease to another node as the relay of its failure domain.
+    /// Grants a lease to another node as the relay of the failure domain.
     pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> Answer {
         let grant = self.freshness.lock().grant_lease(child, renew, boot_now());
         grant.map_or(Answer::Unable, |grant| self.grant_answer(grant, renew))
     }
 
-    /// The answer to a renewal, with what else the asker is to know.
+    /// The answer to a renewal, including quarantine reports.
     pub(super) fn grant_answer(
         &self,
         (duration, number, update): LeaseGrant,
@@ -130,7 +134,8 @@
     }
 
     async fn renew_with(self: &Arc<Node>, node: NodeId, as_relay: bool) -> bool {
-        // The lease counts from here, before anything has left this node.
+        // The lease starts before the renewal is sent, so that it expires before the grantor's
+        // record of it.
         let sent_at = boot_now();
         let (has, acked) = self.freshness.lock().own_and_acked_numbers(sent_at);
         let (quarantine, heard, sent_revision) = self.quarantine_reports_for(node);
@@ -152,7 +157,7 @@
         }
     }
 
-    /// The live node of this failure domain with the lowest id renews for all others in it.
+    /// The relay of this failure domain: its live node with the lowest id.
     fn lease_relay(&self) -> NodeId {
         let domain = &self.settings.failure_domain;
         let view = self.membership_view.lock();
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -1,4 +1,4 @@
-//! Asks the log's leader for decisions, wherever it is.
+//! Sends proposals and reads to the leader of the replicated log, on this or another node.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,27 +14,29 @@
 use crate::log::state::{Command, Patch, PatchAnswer, Reply};
 use crate::peer::message::{Answer, Ask};
 
-/// A leader that does not answer within this time is given up for another.
+/// Timeout of a request to one replica.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// All attempts together must end within this time.
+/// Time after which no further replica is tried.
 const TOTAL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before asking round once more.
+/// Delay before all replicas are tried again.
 const ROUND_DELAY: Duration = Duration::from_millis(50);
-/// Pause between proposals of the first configuration.
+/// Delay between proposals of the first configuration.
 const FIRST_CONFIG_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The patch id of the first configuration, the same on every node: it is accepted once.
+/// The patch id of the first configuration. It is the same on all nodes, so that the configuration
+/// is accepted only once.
 const FIRST_CONFIG_PATCH_ID: &str = "first_config";
 
-/// No leader could be asked in time. A command may or may not be decided.
+/// No leader answered in time. A proposed command may or may not be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no leader of the replicated log answered; see `kumquatpost status`"))]
 pub struct NoLeader;
 
 impl Node {
-    /// Has a command decided. The command must be one that may be proposed twice.
+    /// Proposes a command and waits until it is applied. The command may be proposed more than
+    /// once, so it must be idempotent.
     ///
     /// # Errors
-    /// If no leader answered in time; the command may be decided all the same.
+    /// If no leader answered in time. The command may still be committed.
     pub async fn propose(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
         match self.ask_leader(Ask::Propose(command)).await? {
             Answer::Decided(reply) => Ok(reply),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Reads the configuration, confirmed by a quorum, as an update to number `has`.
+    /// Performs a linearizable read of the configuration. Returns the update from number `has`.
     ///
     /// # Errors
     /// If no leader answered in time.
@@ -53,10 +55,10 @@
         }
     }
 
-    /// Changes the replicas.
+    /// Changes the members of the replicated log.
     ///
     /// # Errors
-    /// If no leader answered in time. The inner error tells why the change was not accepted.
+    /// If no leader answered in time. The inner error is the reason why the change was rejected.
     pub async fn change_replicas(
         self: &Arc<Node>,
         change: Change,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Replicas in the order in which to ask them: the one that led last first.
+    /// The replicas in the order in which to try them, starting with the last known leader.
     pub(super) fn leader_candidates(&self) -> Vec<NodeId> {
         let hint = self.leader_hint.load(Ordering::Relaxed);
         let raft_status = self.replica_status().map(|status| status.raft);
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Proposes the configuration of the settings until some configuration is accepted.
+    /// Proposes the configuration from the settings until a first configuration is committed.
     pub(super) async fn propose_first_config(self: Arc<Node>) {
         let Some(document) = self.settings.first_config.clone() else { return };
         let patch =
--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to engines while this node surely leads the log.
+//! Sends load orders to engines while this node holds the leader lease of the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::orders::{EngineState, Planned, Planner};
 use crate::replica::LeadingTerm;
 
-/// How often orders are planned.
+/// Interval at which orders are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Plans and sends orders, again and again.
+    /// Periodically plans and sends orders.
     pub(super) async fn run_load_orders(self: Arc<Node>) {
         let mut planner: Option<(Term, Planner)> = None;
         let mut interval = tokio::time::interval(PLAN_INTERVAL);
@@ -39,7 +39,7 @@
         let planned = planner.plan(&config.config.models, &self.engine_states(), boot_now());
         for Planned { engine, version } in planned {
             let order = self.fenced_order(version.clone()).await;
-            // Asked again: time has passed since the plan was made.
+            // This node may have lost the lead since the orders were planned.
             let still_leads = self.leading_term().await == Some(term);
             let url = self.engine_url(&engine);
             let (Some(order), true, Some(url)) = (order, still_leads, url) else {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One node: assembles the parts, and shuts them down gracefully.
+//! A node: starts its components and background tasks, and shuts them down gracefully.
 
 pub mod account_shares;
 pub mod admission;
@@ -49,28 +49,24 @@
 use freshness::Freshness;
 use quarantine::QuarantineState;
 
-/// How often timers of the log and of membership are looked at.
+/// Interval between ticks of the replica and membership actors.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a shutdown looks whether the last request has ended.
+/// Interval at which a shutdown checks for remaining requests.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One node.
+/// The components and shared state of a node.
 pub struct Node {
-    /// Its settings.
     pub settings: Settings,
-    /// Its metrics.
     pub metrics: Arc<Metrics>,
-    /// Its client of targets and the platform.
+    /// The HTTP client for targets and the platform.
     pub client: TargetClient,
-    /// Its connections to other nodes.
+    /// Connections to other nodes.
     pub links: Arc<Links>,
-    /// Routing state.
     pub router: Mutex<Router>,
-    /// Kept copies of the contexts that this node owns.
+    /// Locations of stored prefixes for the contexts that this node owns.
     pub catalog: Mutex<Catalog>,
-    /// Requests that run and wait.
     pub admission: AdmissionController,
-    /// Counts against the service levels.
+    /// Good and bad requests for the service-level objectives.
     pub burn: Mutex<Burn>,
     account_shares: Mutex<AccountShares>,
     quarantine: Mutex<QuarantineState>,
@@ -78,9 +74,9 @@
     membership_view: Arc<Mutex<MembershipView>>,
     membership: Address<Membership>,
     replica: Option<ReplicaHandle>,
-    /// The replica that led when last heard of; 0 for none.
+    /// The last known leader; 0 if unknown.
     leader_hint: AtomicU64,
-    /// Tells this start of the node from others.
+    /// Identifies this start of the process: its time in milliseconds since the Unix epoch.
     boot: u64,
     claim_count: AtomicU64,
     stopping: AtomicBool,
@@ -92,12 +88,10 @@
     status: watch::Receiver<ReplicaStatus>,
 }
 
-/// Where a running node listens.
+/// The addresses on which a running node listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Callers' HTTP.
     pub callers: SocketAddr,
-    /// Operators' HTTP.
     pub operators: SocketAddr,
 }
 
@@ -105,7 +99,7 @@
     /// Starts a node.
     ///
     /// # Errors
-    /// `Error::Start` if a part can't start, for example since a port is taken.
+    /// `Error::Start` if a component can't start, for example because a port is in use.
     pub async fn start(settings: Settings) -> Result<(Arc<Node>, ListenAddresses)> {
         let key = PeerKey::read(&settings.key_file)?;
         let boot = unix_ms();
@@ -158,8 +152,8 @@
         Ok((node, listen_addresses))
     }
 
-    /// Shuts down gracefully: admits nothing new, lets running requests end, bounded by
-    /// `timing.shutdown_ms`. Returns how many requests were cut off.
+    /// Shuts down gracefully: admits no new requests and waits up to `timing.shutdown_ms` for the
+    /// others. Returns the number of requests that were aborted.
     pub async fn shut_down(self: Arc<Node>) -> usize {
         self.stopping.store(true, Ordering::SeqCst);
         log::info!("event=shutdown_started running={}", self.admission.running());
@@ -169,7 +163,7 @@
         }
         let cut_off = self.admission.running() + self.admission.waiting();
         self.stopped.send_replace(true);
-        // The last bytes of ended answers are still on their way out of the HTTP server.
+        // Gives the HTTP server time to send the remaining bytes of completed responses.
         tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         log::info!("event=shutdown_ended cut_off={cut_off}");
         cut_off
@@ -180,29 +174,30 @@
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// The configuration that may be used now; `None` if the node is not fresh.
+    /// The configuration in force; `None` without a valid freshness lease.
     pub fn in_force(&self) -> Option<Arc<Numbered>> {
         self.freshness.lock().in_force(boot_now())
     }
 
-    /// Whether requests are admitted: fresh, not stopping, and some target is membership_view.
+    /// Whether the node can serve requests: it has a freshness lease and a configuration, knows a
+    /// target, and is not shutting down.
     pub fn is_ready(&self) -> bool {
         let has_targets = self.router.lock().targets().iter().next().is_some();
         !self.is_stopping() && has_targets && self.in_force().is_some_and(|c| c.number > 0)
     }
 
-    /// A new token for a claim.
+    /// Returns a unique token for a claim.
     pub fn next_claim_token(&self) -> ClaimToken {
         let count = self.claim_count.fetch_add(1, Ordering::Relaxed);
         ClaimToken { node: self.settings.node_id, boot: self.boot, count }
     }
 
-    /// Nodes that are not taken for dead, this one first.
+    /// Nodes that are not considered dead, this one first.
     pub fn live_members(&self) -> Vec<Member> {
         self.membership_view.lock().live.clone()
     }
 
-    /// Live nodes and their failure domains.
+    /// The failure domains of the live nodes.
     pub fn node_locations(&self) -> Vec<NodePlace> {
         let place = |member: &Member| NodePlace {
             node: member.node,
@@ -211,7 +206,7 @@
         self.membership_view.lock().live.iter().map(place).collect()
     }
 
-    /// Status of this node's replica, if it has one.
+    /// The status of this node's replica, if it has one.
     pub fn replica_status(&self) -> Option<ReplicaStatus> {
         self.replica.as_ref().map(|replica| replica.status.borrow().clone())
     }
@@ -242,7 +237,7 @@
     fn until_stopped(&self) -> impl Future<Output = ()> + Send + 'static {
         let mut stopped = self.stopped.subscribe();
         async move {
-            // An error means that the node is gone, which is as good.
+            // An error means that the node was dropped, which also ends serving.
             let _ = stopped.wait_for(|stopped| *stopped).await;
         }
     }
@@ -345,7 +340,7 @@
     Ok(Some(ReplicaHandle { address, status }))
 }
 
-/// Does something at a period until it returns false.
+/// Calls `work` at a fixed interval until it returns false.
 async fn run_periodically<F, W>(period: Duration, mut work: W)
 where
     W: FnMut() -> F,
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Answers other nodes.
+//! Handles messages from other nodes.
 
 use std::sync::Arc;
 
@@ -16,14 +16,15 @@
 use crate::replica::{self, ReplicaError};
 use crate::whereabouts::Seen;
 
-/// Nodes among which each dispatch is told to all others, at the most.
+/// Dispatches are announced only among at most this many nodes, since each one costs a message to
+/// every other node.
 const MAX_NODES_FOR_ANNOUNCEMENTS: usize = 16;
 
 impl PeerHandler for Node {
     fn log(&self, from: NodeId, message: Message) {
         if let Some(replica) = &self.replica {
             let sending = replica.address.send(replica::PeerMessage(from, message)).detach();
-            // An unbounded mailbox takes it at once; it is gone only when the process ends.
+            // Never waits, since the mailbox is unbounded. Fails only while the process exits.
             drop(sending.now_or_never());
         }
     }
@@ -83,8 +84,8 @@
 }
 
 impl Node {
-    /// Tells the other nodes of a dispatch, so that they don't choose the same engine for want of
-    /// news. Beyond a few nodes that costs more than it saves.
+    /// Announces a dispatch to the other nodes, so that their load estimates of the engine include
+    /// it before the engine's next report. Does nothing if there are many nodes.
     pub fn announce_dispatch(&self, dispatched: &Dispatched) {
         let others: Vec<NodeId> = {
             let view = self.membership_view.lock();
@@ -101,7 +102,7 @@
         replica::Replica: xtra::Handler<M, Return = ()>,
     {
         if let Some(replica) = &self.replica {
-            // If the actor is gone, the sender in the message is dropped, which tells the asker.
+            // If the actor has stopped, the sender in the message is dropped: the receiver fails.
             drop(replica.address.send(message).detach().await);
         }
     }
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -1,8 +1,8 @@
-//! Requests under which targets end: kept from them here, and told along the tree of leases.
+//! Quarantine of requests that terminate targets.
 //!
-//! A node tells whoever grants its lease what it has seen, and is told with the lease which requests several
-//! targets have ended under: from its failure domain's relay, which has it from the leader. Each step takes
-//! one renewal, and costs one message whatever the number of nodes.
+//! Nodes exchange reports along the tree of freshness leases. A renewal carries the node's new
+//! reports to its grantor, a relay or the leader. The grant carries back the reports of requests
+//! under which several targets have terminated.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,42 +15,41 @@
 use crate::quarantine::evidence::{BrokenRun, BrokenRuns, Finding};
 use crate::quarantine::{Fingerprint, Observed, Quarantine, Report, Revision};
 
-/// Longest time to find out whether a target still listens.
+/// Timeout of the connection attempt that checks whether a target is still listening.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What this node knows, and whom it has told.
+/// The quarantine as known to this node, and the state of the exchange with other nodes.
 pub struct QuarantineState {
     quarantine: Quarantine,
     broken_runs: BrokenRuns,
-    /// This start of the node: its revisions begin anew with each.
+    /// Identifies this start of the process. Revisions are only comparable within one start.
     boot: u64,
     grantors: HashMap<NodeId, GrantorState>,
 }
 
-/// A node that grants, or granted, this one its lease.
+/// The state of the exchange with a node that grants, or granted, leases to this one.
 #[derive(Clone, Copy, Default)]
 struct GrantorState {
-    /// The own revision up to which it was told.
+    /// The grantor has this node's reports up to this revision.
     reported_revision: Revision,
+    /// This node has the grantor's reports up to this revision.
     heard: Heard,
 }
 
-/// A run of a request that broke off at a target.
+/// A dispatch that ended without a complete answer.
 pub struct BrokenDispatch<'a> {
-    /// The target.
     pub target: &'a TargetId,
-    /// The start of it.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Its base URL.
+    /// The base URL of the target.
     pub url: &'a str,
-    /// What was asked.
+    /// Identifies the content of the request.
     pub fingerprint: Fingerprint,
-    /// When it was sent.
     pub sent_at: BootTime,
 }
 
 impl QuarantineState {
-    /// Nothing is known yet.
+    /// Creates the state of a node that has just started.
     pub fn new(boot: u64) -> QuarantineState {
         let (quarantine, broken_runs) = (Quarantine::default(), BrokenRuns::default());
         QuarantineState { quarantine, broken_runs, boot, grantors: HashMap::new() }
@@ -58,20 +57,21 @@
 }
 
 impl Node {
-    /// How much longer a request must not reach a target, if targets have ended under it.
+    /// The remaining time for which a request is quarantined, if it is.
     pub fn quarantine_remaining(&self, request: Fingerprint) -> Option<Duration> {
         self.quarantine.lock().quarantine.held_for(request, boot_now())
     }
 
-    /// A request got a whole answer.
+    /// Records that a request got a complete answer.
     pub fn record_completion(&self, request: Fingerprint) {
         self.quarantine.lock().quarantine.answered_whole(request, boot_now());
     }
 
-    /// A run broke off: finds out whether its target has ended.
+    /// Records a failed dispatch. Checks whether the target still accepts connections; if not, its
+    /// failed runs count against their requests.
     pub async fn report_broken_run(&self, broken: BrokenDispatch<'_>) {
         let BrokenDispatch { target, incarnation, url, fingerprint, sent_at } = broken;
-        // Both only name a start.
+        // Both only identify a start of the target; the value is not used as a time.
         let start = TargetStart { id: target.clone(), born_ms: Some(incarnation as i64) };
         let run = BrokenRun { fingerprint, sent_at, broke_at: boot_now() };
         let finding = self.quarantine.lock().broken_runs.broke_off(&start, run);
@@ -91,14 +91,15 @@
         log_quarantined(&observed);
     }
 
-    /// Takes what another node knows.
+    /// Merges reports of another node.
     pub(super) fn merge_quarantine_reports(&self, reports: Vec<Report>) {
         let observed = self.quarantine.lock().quarantine.observe(reports, boot_now());
         log_quarantined(&observed);
     }
 
-    /// What to tell a node that grants leases: reports, what it was heard to say, and the revision up to which it
-    /// knows all once it has answered.
+    /// What to send to a grantor with a renewal: the new reports, and the revision up to which this
+    /// node has the grantor's reports. Also returns the own revision up to which the grantor will
+    /// have all reports.
     pub(super) fn quarantine_reports_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
         let state = self.quarantine.lock();
         let GrantorState { reported_revision, heard } =
@@ -107,7 +108,7 @@
         (reports, heard, state.quarantine.revision())
     }
 
-    /// Takes what came with a lease.
+    /// Applies the reports that came with a lease.
     pub(super) fn apply_quarantine_reports(
         &self,
         grantor: NodeId,
@@ -118,7 +119,7 @@
         {
             let mut state = self.quarantine.lock();
             let grantor_state = state.grantors.entry(grantor).or_default();
-            // One that has started again knows only what it was told since.
+            // A grantor that has restarted has lost the earlier reports.
             grantor_state.reported_revision =
                 if grantor_state.heard.boot == heard.boot { sent_revision } else { 0 };
             grantor_state.heard = heard;
@@ -126,7 +127,7 @@
         self.merge_quarantine_reports(reports);
     }
 
-    /// What a node is to be told with its lease that has heard so much.
+    /// What to send with a lease to a node that has this node's reports up to `heard`.
     pub(super) fn suspect_reports_since(&self, heard: Heard) -> (Vec<Report>, Heard) {
         let state = self.quarantine.lock();
         let is_current_boot = heard.boot == state.boot;
--- a/src/node/stored_prefixes.rs
+++ b/src/node/stored_prefixes.rs
@@ -1,4 +1,5 @@
-//! Keeps contexts: looks kept copies up, exports after answers, frees, and rebuilds after loss.
+//! Stored prefixes of contexts: lookup before a prompt, export after an answer, freeing, and
+//! recovery from the stores' inventories.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,19 +14,19 @@
 use crate::telemetry::metrics::label;
 use crate::whereabouts::{ExportPlan, Kept, Seen, Written, owners};
 
-/// A lookup that is not answered within this time is done without.
+/// Timeout of a lookup. The prompt proceeds without stored prefixes afterwards.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(25);
-/// Notes to owners may take longer: nobody backlog for them.
+/// Timeout of reports to owners, for which no request waits.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often copies are freed and ownership is looked at.
+/// Interval at which copies are freed.
 const FREE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the stores' inventories are read, in free rounds.
+/// The stores' inventories are read once in this many free intervals.
 const FREE_INTERVALS_PER_INVENTORY: u64 = 10;
-/// Exports wait while the link to a store is longer behind than this: imports go first.
+/// Exports are skipped while the link to a store has a longer backlog, to give priority to imports.
 const MAX_EXPORT_BACKLOG: Duration = Duration::from_millis(50);
 
 impl Node {
-    /// What stores keep of a prompt. Owners that do not answer in time are done without.
+    /// The stored prefixes of a prompt. Empty if no owner of the context answers in time.
     pub async fn stored_prefixes(
         self: &Arc<Node>,
         chain: &Chain,
@@ -41,7 +42,8 @@
         Vec::new()
     }
 
-    /// Tells the owners that a prompt was answered by an engine, and exports if that is worth it.
+    /// Reports an answered prompt to the owner of its context, and exports the prefix that the
+    /// owner selects, if any.
     pub fn report_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
         let Some(seen) = Seen::of(chain) else { return };
         let node = self.clone();
@@ -60,7 +62,7 @@
     }
 
     async fn report_export(self: &Arc<Node>, owner: NodeId, written: Written) {
-        // If the owner is gone, its successor finds the copy in the store's inventory.
+        // Best effort: an owner that misses the report finds the copy in the store's inventory.
         drop(self.links.ask(owner, Ask::Written(written), REPORT_TIMEOUT).await);
     }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The URL of a store that can take an export now.
+    /// The URL of a store, if it can accept an export now.
     fn export_store_url(&self, store: &str) -> Option<String> {
         let now = boot_now();
         let mut router = self.router.lock();
@@ -95,7 +97,7 @@
         (view.takes_work && backlog < MAX_EXPORT_BACKLOG).then(|| view.url.clone())
     }
 
-    /// Stores that take exports and the share of each that is used.
+    /// The used fraction of each store that accepts exports.
     pub(super) fn store_used_fractions(&self) -> BTreeMap<TargetId, f64> {
         let now = boot_now();
         let router = self.router.lock();
@@ -106,7 +108,7 @@
             .collect()
     }
 
-    /// Frees copies, and rebuilds what is known from the stores' inventories, again and again.
+    /// Periodically frees copies and updates the catalog from the stores' inventories.
     pub(super) async fn run_context_maintenance(self: Arc<Node>) {
         let mut rounds: u64 = 0;
         run_periodically(FREE_INTERVAL, || {
@@ -114,8 +116,8 @@
             let node = self.clone();
             let is_inventory_due = rounds.is_multiple_of(FREE_INTERVALS_PER_INVENTORY);
             async move {
-                // An owner acts only under its own freshness lease, so that one that is cut off
-                // falls silent before its successor acts.
+                // Requires a freshness lease, so that an owner that is cut off from the other nodes
+                // stops before its successor starts.
                 if node.in_force().is_some() {
                     node.free_copies().await;
                     if is_inventory_due {
@@ -131,7 +133,7 @@
     async fn free_copies(self: &Arc<Node>) {
         let locations = self.node_locations();
         let own_id = self.settings.node_id;
-        // Only the first owner frees; the second one is ready to take its place.
+        // Only the first owner frees copies. The second owner is the standby.
         let is_first_owner = |root: BlockKey| owners(root, &locations).first() == Some(&own_id);
         let orders =
             self.catalog.lock().tick(&self.store_used_fractions(), is_first_owner, boot_now());
@@ -167,7 +169,7 @@
     }
 }
 
-/// Whether a kept object is a beginning of this very prompt.
+/// Whether a stored object is a prefix of this prompt.
 fn is_prefix_of(chain: &Chain, kept: &Kept) -> bool {
     let blocks = kept.object.blocks as usize;
     blocks > 0 && chain.keys.get(blocks - 1) == Some(&kept.object.key)
--- a/src/node/target_polling.rs
+++ b/src/node/target_polling.rs
@@ -1,4 +1,5 @@
-//! Watches targets: the platform's list, engines' loads and cache events, stores' reports.
+//! Polls the platform's list of targets, the load and cache events of engines, and the reports of
+//! stores.
 
 use std::sync::Arc;
 
@@ -11,7 +12,8 @@
 use crate::route::targets::Leaving;
 
 impl Node {
-    /// Reads the platform's list, and what other nodes saw leaving, again and again.
+    /// Periodically fetches the platform's list, and applies other nodes' announcements of leaving
+    /// targets.
     pub(super) async fn poll_platform(self: Arc<Node>) {
         let mut etag = String::new();
         let mut interval = tokio::time::interval(self.settings.timing.platform_poll);
@@ -22,7 +24,7 @@
         }
     }
 
-    /// Reads targets' reports again and again.
+    /// Periodically fetches the reports of all targets.
     pub(super) async fn poll_targets(self: Arc<Node>) {
         run_periodically(self.settings.timing.load_poll, || async {
             self.fetch_target_reports().await;
@@ -40,7 +42,8 @@
                 *etag = new_etag;
             }
             Ok(None) => {}
-            // The last list serves on; targets' own refusals and health decide meanwhile.
+            // The last list remains in use. Targets that leave or fail are detected by their
+            // refusals and their health.
             Err(error) => log::warn!("event=platform_unreadable error={:?}", error.to_string()),
         }
         for leaving in newly_leaving {
