--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,6 +1,6 @@
-//! The actor around one replica of the log: its disk, its messages, its clients.
+//! The actor that runs one replica of the log and its replicated state.
 //!
-//! Inputs that wait in the mailbox are taken together, so that one sync makes many durable.
+//! Inputs that are waiting in the mailbox are processed as a batch, which shares one disk sync.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,12 +21,12 @@
 use crate::peer::Links;
 use crate::telemetry::metrics::Metrics;
 
-/// Inputs taken before their effects are made durable, at the most.
+/// Maximum number of inputs in a batch.
 const MAX_BATCHED_INPUTS: usize = 256;
-/// Entries after which a snapshot replaces them.
+/// Number of applied entries after which the log is compacted into a snapshot.
 const SNAPSHOT_INTERVAL: Index = 4_096;
 
-/// The actor.
+/// The replica actor.
 #[derive(xtra::Actor)]
 pub struct Replica {
     driver: Driver,
@@ -34,38 +34,38 @@
     links: Arc<Links>,
     metrics: Arc<Metrics>,
     lease_duration: Duration,
-    /// Leases granted; `None` while this replica does not surely lead.
+    /// Freshness leases granted in `grantor_term`; `None` until this replica first leads.
     grantor: Option<Grantor>,
-    /// The term that `grantor` is for.
     grantor_term: Term,
     pending_proposals: BTreeMap<Index, (Term, ProposalWaiter)>,
     pending_reads: BTreeMap<ReadId, ReadWaiter>,
-    /// Accepted numbers that are not known to be in force everywhere, with their times.
+    /// Accepted configuration numbers that are not yet in force on all nodes, with the times when
+    /// they were accepted.
     awaiting_in_force: BTreeMap<ConfigNumber, BootTime>,
     in_force: ConfigNumber,
     batched_inputs: usize,
     status: watch::Sender<ReplicaStatus>,
 }
 
-/// What operators see of a replica.
+/// The status of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaStatus {
-    /// Of the log.
     pub raft: RaftStatus,
-    /// The newest number applied here.
+    /// The newest configuration number that is applied here.
     pub number: ConfigNumber,
-    /// The number in force everywhere; known only to the leader.
+    /// The newest configuration number that is known to be in force on all nodes. Only the leader
+    /// updates it.
     pub in_force: ConfigNumber,
-    /// Claims held.
+    /// Number of claims in the replicated state.
     pub claims: usize,
 }
 
-/// Why there was no decision here.
+/// Why a proposal or read failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaError {
-    /// This replica does not lead; this one may.
+    /// This replica is not the leader. Contains the leader, if known.
     NotLeader(Option<NodeId>),
-    /// Leadership was lost on the way: it may or may not be decided.
+    /// Leadership was lost; the proposal may or may not be committed.
     OutcomeUnknown,
 }
 
@@ -84,36 +84,35 @@
 /// A message from another replica.
 pub struct PeerMessage(pub NodeId, pub Message);
 
-/// Have a command decided.
+/// Proposes a command. The sender gets the reply once the command is applied.
 pub struct Propose(pub Command, pub ProposalSender);
 
-/// Read the configuration, confirmed by a quorum.
+/// Performs a linearizable read of the configuration, as an update from this number.
 pub struct ReadConfig(pub ConfigNumber, pub oneshot::Sender<Result<Update, ReplicaError>>);
 
-/// Change the replicas.
+/// Changes the members of the log.
 pub struct ChangeReplicas(pub Change, pub oneshot::Sender<Result<(), ChangeError>>);
 
-/// GrantLease a freshness lease to `child`, which has number `has` and below which all have `acked`.
+/// Grants a freshness lease to `child`.
 pub struct GrantLease {
-    /// The node that asks.
     pub child: NodeId,
-    /// The number that it has.
+    /// The configuration number of the child.
     pub known_number: ConfigNumber,
-    /// The number that all below it have.
+    /// The number that the child and all nodes with leases from it have applied.
     pub acked: ConfigNumber,
 }
 
-/// Does this replica surely lead now? In which term?
+/// Returns the term of this replica if it holds the leader lease.
 pub struct LeadingTerm;
 
-/// Time passes.
+/// Advances time.
 pub struct Tick;
 
-/// A save has ended: `Replica::save_ended` has rung.
+/// A save has completed. Sent after each notification by `Replica::save_ended`.
 pub struct SaveEnded;
 
 impl Replica {
-    /// The actor, not started yet. The receiver shows its status.
+    /// Creates the actor without starting it. The receiver gets updates of its status.
     pub fn new(
         raft: Raft,
         disk: Disk,
@@ -142,12 +141,13 @@
         (replica, receiver)
     }
 
-    /// Rings when a save has ended: send `SaveEnded` then.
+    /// Notified when a save has completed; send `SaveEnded` then.
     pub fn save_ended(&self) -> Arc<Notify> {
         self.driver.save_ended()
     }
 
-    /// Makes effects happen, unless more inputs wait that can share the sync.
+    /// Processes the effects of all inputs since the last call, unless more inputs are waiting that
+    /// can share the sync.
     fn process_batch(&mut self, context: &mut Context<Self>) {
         self.batched_inputs += 1;
         let waiting = context.mailbox().address().try_upgrade().map_or(0, |address| address.len());
@@ -188,7 +188,7 @@
                 self.complete_proposal(entry.index, entry.term, reply);
             }
             Output::Read(read) => {
-                // All that is committed has been applied above, so the state is new enough.
+                // All entries committed before the read have been applied by earlier outputs.
                 if let Some(waiter) = self.pending_reads.remove(&read) {
                     drop(
                         waiter.sender.send(Ok(self.state.book().update_since(waiter.known_number))),
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The disk has failed: nobody who waits gets an answer here.
+    /// Drops all waiters after a disk failure; their receivers fail.
     fn stop_serving(&mut self) {
         self.grantor = None;
         self.pending_proposals.clear();
@@ -225,13 +225,13 @@
             }
             ProposalWaiter::Change(sender) => {
                 let result = if expected == term { Ok(()) } else { Err(ChangeError::InProgress) };
-                // The asker may have given up waiting.
+                // Fails only if the receiver has been dropped.
                 let _ = sender.send(result);
             }
         }
     }
 
-    /// The grantor, if this replica surely leads at `now`.
+    /// The grantor of the current term, if this replica holds the leader lease at `now`.
     fn grantor_if_leader(&mut self, now: BootTime) -> Option<&mut Grantor> {
         if !self.driver.raft.holds_leader_lease(now) {
             return None;
@@ -315,7 +315,7 @@
     async fn handle(&mut self, propose: Propose, context: &mut Context<Self>) {
         let Propose(command, sender) = propose;
         let command = with_timestamp(command);
-        // Cannot fail: commands hold only types that the codec writes.
+        // Never fails, since postcard can serialize all types in commands.
         let bytes = postcard::to_stdvec(&command).unwrap_or_default();
         match self.driver.raft.propose(bytes) {
             Ok((term, index)) => {
@@ -380,7 +380,7 @@
     }
 }
 
-/// Sets the leader's time where a command needs one.
+/// Sets the leader's wall-clock time in commands that have one.
 fn with_timestamp(command: Command) -> Command {
     match command {
         Command::Claim { key, digest, token, .. } => {
