--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -87,7 +87,7 @@
         Ok(Reply::Claim(answer)) => answer,
         // The claim may have been committed. Dropping `held_claim` releases it.
         _ => {
-            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim could not be decided");
+            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim was not committed");
             return Err(refusal.with_retry_after(CLAIM_RETRY_AFTER));
         }
     };
@@ -107,11 +107,11 @@
             held_claim.skip_release();
             Err(Refusal::not_run(
                 RefusalCode::IdReused,
-                "this id belongs to a request with other content",
+                "this id was used for a request with other content",
             ))
         }
         ClaimAnswer::Withdrawn => {
-            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim came too late");
+            let refusal = Refusal::not_run(RefusalCode::NoLeader, "the claim was already released");
             Err(refusal.with_retry_after(CLAIM_RETRY_AFTER))
         }
     }
@@ -125,7 +125,7 @@
     pub fn mark_dispatched(&mut self) -> Result<(), Refusal> {
         let usable = self.node.settings.timing.claim_retention / USABLE_RETENTION_DIVISOR;
         if boot_now() >= self.requested_at + usable {
-            let message = "the claim is too old, since this node was frozen";
+            let message = "the claim has expired because this node was suspended";
             return Err(Refusal::not_run(RefusalCode::DeadlineExceeded, message)
                 .with_retry_after(CLAIM_RETRY_AFTER));
         }
@@ -177,5 +177,5 @@
         }
         tokio::time::sleep(PROPOSE_RETRY_DELAY).await;
     }
-    log::warn!("event=claim_unsettled effect=\"a resend is answered may_have_run\"");
+    log::warn!("event=claim_unsettled effect=\"a retry is answered with may_have_run\"");
 }
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -90,7 +90,7 @@
         let service = service.to_string();
         return services::serve(node, &request, &service).await;
     }
-    Err(Refusal::not_run(RefusalCode::NotFound, format!("no interface {method} {path}")))
+    Err(Refusal::not_run(RefusalCode::NotFound, format!("no endpoint {method} {path}")))
 }
 
 fn readiness(node: &Node) -> Response {
@@ -122,7 +122,7 @@
         return Err(refusal.with_retry_after(NOT_FRESH_RETRY_AFTER));
     }
     node.in_force().filter(|config| config.number > 0).ok_or_else(|| {
-        let message = "this node can't know whether its configuration is in force";
+        let message = "this node has no freshness lease, so its configuration may be outdated";
         Refusal::not_run(RefusalCode::NotFresh, message).with_retry_after(NOT_FRESH_RETRY_AFTER)
     })
 }
@@ -149,7 +149,7 @@
         let kind_id = request.header(KIND_HEADER).unwrap_or(DEFAULT_KIND).to_string();
         let Some(kind) = config.config.kind(&kind_id) else {
             let known = config.config.kinds.keys().cloned().collect::<Vec<_>>().join(", ");
-            let message = format!("no kind {kind_id:?}; there are: {known}");
+            let message = format!("unknown kind {kind_id:?}; configured kinds: {known}");
             return Err(Refusal::not_run(RefusalCode::UnknownKind, message));
         };
         let received_at = boot_now();
@@ -188,9 +188,9 @@
         };
         let permit = node.admission.acquire(wants).await.map_err(|refused| {
             let (code, message) = match refused.reason {
-                Reason::QueueFull => (RefusalCode::QueueFull, "too many requests wait already"),
+                Reason::QueueFull => (RefusalCode::QueueFull, "the queue of this node is full"),
                 Reason::Deadline => {
-                    (RefusalCode::DeadlineExceeded, "it would wait past its deadline")
+                    (RefusalCode::DeadlineExceeded, "the request can't start in time")
                 }
             };
             Refusal::not_run(code, message).with_retry_after(refused.retry_after)
@@ -209,7 +209,7 @@
         self.check_dispatch(node)?;
         if boot_now() >= self.deadline {
             let refusal =
-                Refusal::not_run(RefusalCode::DeadlineExceeded, "its deadline has passed");
+                Refusal::not_run(RefusalCode::DeadlineExceeded, "the deadline has passed");
             return Err(refusal.with_retry_after(node.admission.retry_after()));
         }
         Ok(())
@@ -222,13 +222,13 @@
     /// If the node's freshness lease has expired, or if the request is quarantined.
     pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
         if let Some(left) = node.quarantine_remaining(self.fingerprint) {
-            let message = "targets have ended under this request, one after the other";
+            let message = "several targets terminated while they ran this request";
             return Err(Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(left));
         }
         if node.in_force().is_some() {
             return Ok(());
         }
-        let message = "this node's freshness lease ended before the request was sent";
+        let message = "this node's freshness lease expired before the request was sent";
         Err(Refusal::not_run(RefusalCode::NotFresh, message)
             .with_retry_after(NOT_FRESH_RETRY_AFTER))
     }
@@ -274,7 +274,7 @@
             RefusalCode::BodyTooLarge,
             format!("the body is longer than {limit} bytes"),
         ),
-        BodyError::Broken => Refusal::not_run(RefusalCode::BadRequest, "the body broke off"),
+        BodyError::Broken => Refusal::not_run(RefusalCode::BadRequest, "the body is incomplete"),
     }
 }
 
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -35,8 +35,9 @@
         (&Method::GET, ["metrics"]) => http::text(StatusCode::OK, node.metrics.text()),
         (&Method::GET, ["health", "live"]) => http::text(StatusCode::OK, "live\n".into()),
         _ => {
-            let message = "no such interface; there are GET and PATCH /v1/config, \
-                           GET /v1/config/history, GET /v1/status, GET /v1/burn, POST /v1/replicas, GET /metrics";
+            let message = "no such endpoint; there are GET and PATCH /v1/config, \
+                           GET /v1/config/history, GET /v1/status, GET /v1/burn, POST /v1/replicas, \
+                           GET /metrics";
             error_response(StatusCode::NOT_FOUND, "not_found", message)
         }
     }
@@ -101,7 +102,7 @@
         return Err(patch_error(StatusCode::BAD_REQUEST, "if_match_invalid", message));
     };
     let Some(patch_id) = request.header("idempotency-key").filter(|id| !id.is_empty()) else {
-        let message = "send an Idempotency-Key, so that a resend gets the first answer again";
+        let message = "send an Idempotency-Key, so that a retry gets the first answer again";
         return Err(patch_error(required, "idempotency_key_missing", message.into()));
     };
     let value: Value = request.json().map_err(|reason| {
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -243,13 +243,12 @@
         let refusal = match reason {
             NoDispatch::Refused(refusal) => refusal,
             NoDispatch::NoEngine(NoEngine::NoneTakesWork) => {
-                let message =
-                    format!("no engine of model {:?} takes work now", self.prompt.model_id);
+                let message = format!("no engine of model {:?} is available", self.prompt.model_id);
                 Refusal::not_run(RefusalCode::NoTarget, message)
                     .with_retry_after(NO_TARGET_RETRY_AFTER)
             }
             NoDispatch::NoEngine(NoEngine::TooLate(late)) => {
-                let message = "no engine would give the first token by the deadline";
+                let message = "no engine can generate the first token before the deadline";
                 Refusal::not_run(RefusalCode::DeadlineExceeded, message).with_retry_after(late)
             }
         };
@@ -328,11 +327,11 @@
         match relay_error {
             RelayError::CallerDisconnected => {
                 let refusal =
-                    Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller hung up");
+                    Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller disconnected");
                 Err(DispatchError::NotRetryable(Ended::Cancelled, refusal))
             }
             RelayError::InvalidStream(StreamError::Diverged) => {
-                let message = "a restarted answer differs from what was sent already";
+                let message = "the retried answer differs from the text that was already sent";
                 let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, message);
                 Err(DispatchError::NotRetryable(Ended::Failed, refusal))
             }
@@ -343,7 +342,7 @@
                     dispatch.engine(),
                     quoted(&format!("{stream_error:?}")),
                 );
-                let message = "the target sent something else than this answer";
+                let message = "the target sent an invalid stream";
                 Err(self.retryable_if_reproducible(dispatch, message))
             }
             RelayError::StreamBroken(reason) => {
@@ -368,7 +367,7 @@
         let mut body = response.bytes_stream();
         loop {
             let bytes = match tokio::time::timeout(STREAM_IDLE_TIMEOUT, body.next()).await {
-                Err(_) => return Err(RelayError::StreamBroken("the stream fell silent".into())),
+                Err(_) => return Err(RelayError::StreamBroken("the stream was idle".into())),
                 Ok(None) => return Err(RelayError::StreamBroken("the stream ended early".into())),
                 Ok(Some(Err(error))) => return Err(RelayError::StreamBroken(error.to_string())),
                 Ok(Some(Ok(bytes))) => bytes,
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -144,12 +144,13 @@
         Shape::Text => prompt_request.prompt.is_none().then_some("prompt"),
     };
     if let Some(field) = missing {
-        return Err(bad_request(format!("{field}: is missing or empty")));
+        return Err(bad_request(format!("{field} is missing or empty")));
     }
     let models = &call.config.config.models;
     let Some(model) = models.get(&prompt_request.model).cloned() else {
         let known = models.keys().cloned().collect::<Vec<_>>().join(", ");
-        let message = format!("no model {:?}; there are: {known}", prompt_request.model);
+        let message =
+            format!("unknown model {:?}; configured models: {known}", prompt_request.model);
         return Err(Refusal::not_run(RefusalCode::UnknownModel, message));
     };
     let weight_version = {
@@ -186,7 +187,7 @@
 fn replay_outcome(format: ResponseFormat, outcome: &Outcome) -> Result<Response, Refusal> {
     let body = outcome.body.as_deref().unwrap_or_default();
     let Ok(record) = serde_json::from_slice::<RecordedAnswer>(body) else {
-        let message = "it ran before, and its answer was too long to keep";
+        let message = "the request has already run, and its answer was too long to record";
         return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
     Ok(responses::json_answer(format, record.text, record.finish, record.usage))
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -71,50 +71,48 @@
             RefusalCode::InvalidKey => {
                 ("wrong_key", S::UNAUTHORIZED, "send Authorization: Bearer KEY")
             }
-            RefusalCode::BadRequest => ("bad_request", S::BAD_REQUEST, "mend the request"),
+            RefusalCode::BadRequest => ("bad_request", S::BAD_REQUEST, "correct the request"),
             RefusalCode::BodyTooLarge => ("too_large", S::PAYLOAD_TOO_LARGE, "send a shorter body"),
             RefusalCode::UnknownModel => {
-                ("unknown_model", S::NOT_FOUND, "use a model of /v1/models")
+                ("unknown_model", S::NOT_FOUND, "use a model from /v1/models")
             }
             RefusalCode::UnknownKind => ("unknown_kind", S::BAD_REQUEST, "use a configured kind"),
             RefusalCode::UnknownService => {
                 ("unknown_service", S::NOT_FOUND, "use a configured service")
             }
-            RefusalCode::NotFound => {
-                ("not_found", S::NOT_FOUND, "see README.md for the interfaces")
-            }
+            RefusalCode::NotFound => ("not_found", S::NOT_FOUND, "see README.md for the endpoints"),
             RefusalCode::IdReused => (
                 "id_reused",
                 S::UNPROCESSABLE_ENTITY,
                 "use a new Idempotency-Key for a new request",
             ),
-            RefusalCode::AlreadyClaimed => {
-                ("already_claimed", S::CONFLICT, "find out by other means before you order again")
-            }
+            RefusalCode::AlreadyClaimed => (
+                "already_claimed",
+                S::CONFLICT,
+                "find out whether it took effect before a new order",
+            ),
             RefusalCode::QueueFull => {
-                ("queue_full", S::TOO_MANY_REQUESTS, "come back after Retry-After")
+                ("queue_full", S::TOO_MANY_REQUESTS, "retry after Retry-After")
             }
             RefusalCode::DeadlineExceeded => {
-                ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or come back later")
-            }
-            RefusalCode::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "send it again"),
-            RefusalCode::NotFresh => {
-                ("not_fresh", S::SERVICE_UNAVAILABLE, "send it to another node")
+                ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or retry later")
             }
+            RefusalCode::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "retry"),
+            RefusalCode::NotFresh => ("not_fresh", S::SERVICE_UNAVAILABLE, "retry on another node"),
             RefusalCode::NoLeader => {
-                ("no_leader", S::SERVICE_UNAVAILABLE, "come back after Retry-After")
+                ("no_leader", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
             }
             RefusalCode::Quarantined => {
-                ("held", S::SERVICE_UNAVAILABLE, "come back after Retry-After, or ask otherwise")
+                ("held", S::SERVICE_UNAVAILABLE, "retry after Retry-After, or change the request")
             }
             RefusalCode::NoTarget => {
-                ("no_target", S::SERVICE_UNAVAILABLE, "come back after Retry-After")
+                ("no_target", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
             }
             RefusalCode::TargetFailed => {
-                ("target_failed", S::BAD_GATEWAY, "send it again if it may repeat")
+                ("target_failed", S::BAD_GATEWAY, "retry if it is safe to repeat")
             }
             RefusalCode::AnswerIncomplete => {
-                ("answer_broken", S::BAD_GATEWAY, "send it again if it may repeat")
+                ("answer_broken", S::BAD_GATEWAY, "retry if it is safe to repeat")
             }
         }
     }
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -34,7 +34,7 @@
     let services = &call.config.config.services;
     let Some(configured) = services.get(service) else {
         let known = services.keys().cloned().collect::<Vec<_>>().join(", ");
-        let message = format!("no service {service:?}; there are: {known}");
+        let message = format!("unknown service {service:?}; configured services: {known}");
         return Err(Refusal::not_run(RefusalCode::UnknownService, message));
     };
     call.repeatable &= configured.repeatable;
@@ -64,7 +64,7 @@
         match at_most_once::claim(node, call, at_most_once::request_digest(&parts)).await? {
             ClaimOutcome::AlreadyRan(outcome) if outcome.body.is_some() => return Ok(outcome),
             ClaimOutcome::AlreadyRan(_) => {
-                let message = "it ran before, and its answer was too long to keep";
+                let message = "the request has already run, and its answer was too long to record";
                 return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
             }
             ClaimOutcome::Granted(held_claim) => held_claim,
@@ -197,7 +197,7 @@
     let query =
         if request.query.is_empty() { String::new() } else { format!("?{}", request.query) };
     let url = format!("{}{}{query}", instance.url, request.path);
-    let url = url.parse().map_err(|_| CallError::NotRun(format!("not a URL: {url}")))?;
+    let url = url.parse().map_err(|_| CallError::NotRun(format!("invalid URL: {url}")))?;
     let mut outgoing = reqwest::Request::new(request.method.clone(), url);
     let headers = outgoing.headers_mut();
     if let Some(content_type) = request.headers.get("content-type") {
@@ -228,7 +228,7 @@
 }
 
 fn no_instance_refusal(service: &str) -> Refusal {
-    let message = format!("no instance of service {service:?} takes work now");
+    let message = format!("no instance of service {service:?} is available");
     Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY_AFTER)
 }
 
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -139,10 +139,10 @@
 
 fn change_error_message(error: ChangeError) -> &'static str {
     match error {
-        ChangeError::NotLeader(_) => "another node leads; ask again",
-        ChangeError::InProgress => "another change is not committed yet; ask again in a moment",
-        ChangeError::NotCaughtUp => "the learner has not caught up yet; ask again in a moment",
-        ChangeError::NotApplicable => "the node is one already, or is none; see the status",
-        ChangeError::LastVoter => "the last voter can't be removed; add another one first",
+        ChangeError::NotLeader(_) => "another node is the leader; retry",
+        ChangeError::InProgress => "another change is not committed yet; retry in a moment",
+        ChangeError::NotCaughtUp => "the learner has not caught up yet; retry in a moment",
+        ChangeError::NotApplicable => "it is no replica, or has this role already; see the status",
+        ChangeError::LastVoter => "the last voter can't be removed; add another voter first",
     }
 }
