--- a/src/http_api/at_most_once.rs
+++ b/src/http_api/at_most_once.rs
@@ -40,7 +40,8 @@
     NotDispatched,
     /// The request may have run; the claim is kept.
     Dispatched,
-    /// The claim needs no release: its outcome is recorded, or it belongs to another attempt.
+    /// The claim must not be released: its outcome is being recorded, or it belongs to another
+    /// attempt.
     Settled,
 }
 
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -122,7 +122,7 @@
         return Err(refusal.with_retry_after(NOT_FRESH_RETRY_AFTER));
     }
     node.in_force().filter(|config| config.number > 0).ok_or_else(|| {
-        let message = "this node has no freshness lease, so its configuration may be outdated";
+        let message = "this node has no freshness lease, or no configuration yet";
         Refusal::not_run(RefusalCode::NotFresh, message).with_retry_after(NOT_FRESH_RETRY_AFTER)
     })
 }
@@ -221,9 +221,11 @@
     /// # Errors
     /// If the node's freshness lease has expired, or if the request is quarantined.
     pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
-        if let Some(left) = node.quarantine_remaining(self.fingerprint) {
+        if let Some(remaining) = node.quarantine_remaining(self.fingerprint) {
             let message = "several targets terminated while they ran this request";
-            return Err(Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(left));
+            return Err(
+                Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(remaining)
+            );
         }
         if node.in_force().is_some() {
             return Ok(());
@@ -239,7 +241,7 @@
         let CallSummary { result, first_token_latency, target } = summary;
         let code = result.map_or_else(|refusal| refusal.code.code_status_remedy().0, |()| "ok");
         let execution = result.map_or_else(|refusal| refusal.execution.as_str(), |()| "ran");
-        let took = boot_now().saturating_sub(self.received_at);
+        let elapsed = boot_now().saturating_sub(self.received_at);
         log::info!(
             "event=request_ended request={} account={} kind={} what={} code={code} \
              execution={execution} took_ms={}",
@@ -247,7 +249,7 @@
             quoted(&self.account),
             quoted(&self.kind_id),
             quoted(resource),
-            took.as_millis(),
+            elapsed.as_millis(),
         );
         let labels =
             [label("kind", &self.kind_id), label("account", &self.account), label("code", code)];
@@ -256,12 +258,12 @@
         if result.is_err_and(|refusal| refusal.code.code_status_remedy().1.is_client_error()) {
             return;
         }
-        let due = Duration::from_millis(self.kind.objective.first_token_ms);
+        let first_token_objective = Duration::from_millis(self.kind.objective.first_token_ms);
         let served = Served {
             kind: &self.kind_id,
             account: &self.account,
             target,
-            good: result.is_ok() && first_token_latency.unwrap_or(took) <= due,
+            good: result.is_ok() && first_token_latency.unwrap_or(elapsed) <= first_token_objective,
             objective_share: self.kind.objective.share,
         };
         node.burn.lock().record(served, boot_now());
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -393,10 +393,10 @@
     async fn send_text(&mut self, text: String) -> Result<(), RelayError> {
         let call = &self.prompt.call;
         if self.relay.sent_text().len() == text.len() {
-            let took = boot_now().saturating_sub(call.received_at);
-            self.first_token_latency = Some(took);
+            let elapsed = boot_now().saturating_sub(call.received_at);
+            self.first_token_latency = Some(elapsed);
             let labels = [label("kind", &call.kind_id)];
-            self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
+            self.node.metrics.first_token_s.record(elapsed.as_secs_f64(), &labels);
         }
         let sent = self.sender.send_timeout(AnswerEvent::Text(text), CALLER_SEND_TIMEOUT).await;
         // A non-repeatable run continues without its caller, so that its outcome is recorded.
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -94,8 +94,8 @@
                 was_fresh = is_fresh;
             }
             self.metrics.config_number.record(self.config_number(), &[]);
-            let pause = if renewed { self.settings.timing.renew } else { RENEW_RETRY_DELAY };
-            tokio::time::sleep(pause).await;
+            let delay = if renewed { self.settings.timing.renew } else { RENEW_RETRY_DELAY };
+            tokio::time::sleep(delay).await;
         }
     }
 
@@ -161,7 +161,7 @@
     fn lease_relay(&self) -> NodeId {
         let domain = &self.settings.failure_domain;
         let view = self.membership_view.lock();
-        let here = view.live.iter().filter(|member| member.failure_domain == *domain);
-        here.map(|member| member.node).min().unwrap_or(self.settings.node_id)
+        let domain_members = view.live.iter().filter(|member| member.failure_domain == *domain);
+        domain_members.map(|member| member.node).min().unwrap_or(self.settings.node_id)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -199,11 +199,11 @@
 
     /// The failure domains of the live nodes.
     pub fn node_locations(&self) -> Vec<NodePlace> {
-        let place = |member: &Member| NodePlace {
+        let location = |member: &Member| NodePlace {
             node: member.node,
             failure_domain: member.failure_domain.clone(),
         };
-        self.membership_view.lock().live.iter().map(place).collect()
+        self.membership_view.lock().live.iter().map(location).collect()
     }
 
     /// The status of this node's replica, if it has one.
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -176,7 +176,7 @@
                     return;
                 }
                 let index = snapshot.index;
-                self.pending_proposals.retain(|waiting, _| *waiting > index);
+                self.pending_proposals.retain(|proposal, _| *proposal > index);
             }
             Output::Apply(entry) => {
                 let reply = match &entry.payload {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Drops all waiters after a disk failure; their receivers fail.
+    /// Drops the grantor and all waiters after a disk failure; the receivers of the waiters fail.
     fn stop_serving(&mut self) {
         self.grantor = None;
         self.pending_proposals.clear();
@@ -251,9 +251,9 @@
         while let Some((number, accepted_at)) = self.awaiting_in_force.first_key_value()
             && *number <= min_acked
         {
-            let took = now.saturating_sub(*accepted_at);
-            log::info!("event=config_in_force number={number} took_ms={}", took.as_millis());
-            self.metrics.in_force_s.record(took.as_secs_f64(), &[]);
+            let elapsed = now.saturating_sub(*accepted_at);
+            log::info!("event=config_in_force number={number} took_ms={}", elapsed.as_millis());
+            self.metrics.in_force_s.record(elapsed.as_secs_f64(), &[]);
             self.awaiting_in_force.pop_first();
         }
     }
