--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -36,8 +36,8 @@
         (&Method::GET, ["health", "live"]) => http::text(StatusCode::OK, "live\n".into()),
         _ => {
             let message = "no such endpoint; there are GET and PATCH /v1/config, \
-                           GET /v1/config/history, GET /v1/status, GET /v1/burn, POST /v1/replicas, \
-                           GET /metrics";
+                           GET /v1/config/history, GET /v1/status, GET /v1/burn, \
+                           POST /v1/replicas, GET /metrics";
             error_response(StatusCode::NOT_FOUND, "not_found", message)
         }
     }
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -52,7 +52,6 @@
     last_target: Option<TargetId>,
 }
 
-/// A complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CompleteAnswer {
     pub text: String,
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -22,7 +22,7 @@
 /// Capacity of the channel from a run to its response. A run waits while it is full.
 const ANSWER_EVENT_BUFFER: usize = 64;
 
-/// A valid prompt.
+/// A validated prompt request.
 pub struct Prompt {
     pub call: ApiCall,
     pub shape: Shape,
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -50,7 +50,7 @@
     /// The request could not be answered before its deadline.
     DeadlineExceeded,
     ShuttingDown,
-    /// The node's freshness lease has expired.
+    /// The node has no valid freshness lease.
     NotFresh,
     /// No leader of the replicated log answered.
     NoLeader,
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -162,7 +162,7 @@
 }
 
 impl Node {
-    /// Periodically refuses waiting requests that can no longer start in time.
+    /// Periodically refuses waiting requests whose deadline has passed.
     pub(super) async fn run_queue_expiry(self: Arc<Node>) {
         super::run_periodically(EXPIRE_INTERVAL, || async {
             self.admission.expire(boot_now());
--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -39,7 +39,7 @@
         let planned = planner.plan(&config.config.models, &self.engine_states(), boot_now());
         for Planned { engine, version } in planned {
             let order = self.fenced_order(version.clone()).await;
-            // This node may have lost the lead since the orders were planned.
+            // Another replica may have become the leader since the orders were planned.
             let still_leads = self.leading_term().await == Some(term);
             let url = self.engine_url(&engine);
             let (Some(order), true, Some(url)) = (order, still_leads, url) else {
