--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -84,7 +84,7 @@
     let summary = RunSummary::of(&results, &before, &emulator.counts());
     println!("{}", summary.table());
     println!("least share that could be recomputed: {:.1} %", bound.recomputed_share * 100.0);
-    let aborted = node.close().await;
+    let aborted = node.shut_down().await;
     check_results(&summary, aborted)
 }
 
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -18,7 +18,7 @@
         let (node, addresses) = Node::start(settings).await?;
         println!("ready callers={} operators={}", addresses.callers, addresses.operators);
         super::wait_for_shutdown_signal().await?;
-        match node.close().await {
+        match node.shut_down().await {
             0 => Ok(()),
             aborted => Err(Error::Failed {
                 message: format!(
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: who asks, for what kind of request, and which interface answers.
+//! The HTTP interface for callers: routing, authentication, admission and request logging.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use warp::http::{Method, StatusCode};
 
-use super::{Code, Refusal, prompts, services};
+use super::{Refusal, RefusalCode, prompts, services};
 use crate::clock::{BootTime, boot_now};
 use crate::config::{Kind, Numbered};
 use crate::edge::chat::Shape;
@@ -16,7 +16,7 @@
 use crate::limits::AdmissionRequest;
 use crate::limits::admission::RefusalReason;
 use crate::node::Node;
-use crate::node::admission::Place;
+use crate::node::admission::Permit;
 use crate::quarantine::Fingerprint;
 use crate::telemetry::burn::FinishedRequest;
 use crate::telemetry::logs::quoted;
@@ -26,87 +26,83 @@
 const DEADLINE_HEADER: &str = "x-kumquatpost-deadline-ms";
 const REPEATABLE_HEADER: &str = "x-kumquatpost-repeatable";
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
-const MAX_ID_BYTES: usize = 256;
+const MAX_REQUEST_ID_BYTES: usize = 256;
 const DEFAULT_KIND: &str = "default";
-/// Interfaces don't depend on the name that a caller has for this node.
-const NO_HOST: &str = "";
-/// When to come back to a node that is not fresh: its lease may be renewed by then.
-const NOT_FRESH_RETRY: Duration = Duration::from_secs(1);
+/// The host part of fingerprints. The Host header is left out, since a caller may reach the same
+/// endpoint under several names.
+const FINGERPRINT_HOST: &str = "";
+/// Suggested retry delay if the node can't admit requests.
+const NOT_FRESH_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A caller's request with everything that was found out about it.
+/// An authenticated request of a caller.
 #[derive(Clone, Debug)]
-pub struct Call {
-    /// The configuration that it runs under to its end.
+pub struct ApiCall {
+    /// The configuration when the request was received. Applies until the request ends.
     pub config: Arc<Numbered>,
-    /// Whose it is.
     pub account: AccountId,
-    /// Its id, given by the caller or drawn.
+    /// The Idempotency-Key header, or a random id.
     pub request_id: RequestId,
-    /// The name of its kind.
     pub kind_id: KindId,
-    /// Its kind.
     pub kind: Kind,
-    /// Whether it may run twice without harm.
+    /// Whether the request may safely run more than once.
     pub repeatable: bool,
-    /// When it came.
-    pub came_at: BootTime,
-    /// When its first token is due.
+    pub received_at: BootTime,
+    /// When the first token is due.
     pub deadline: BootTime,
-    /// What it asks, whichever of its caller's tries it is.
+    /// Identifies the content of the request; the same for all retries by the caller.
     pub fingerprint: Fingerprint,
 }
 
-/// How a request ended.
+/// The result of a request, for logs and metrics.
 #[derive(Clone, Copy, Debug)]
-pub struct End<'a> {
-    /// With an answer or a refusal.
+pub struct CallSummary<'a> {
     pub result: Result<(), &'a Refusal>,
-    /// When its first token came, counted from its arrival; `None` if it has no tokens.
-    pub first_token: Option<Duration>,
-    /// The target that answered or failed it last.
+    /// Time from the arrival of the request to its first token; `None` if there was no token.
+    pub first_token_latency: Option<Duration>,
+    /// The target of the last dispatch.
     pub target: Option<&'a str>,
 }
 
-/// Answers one request.
+/// Handles a request on the callers' listener.
 pub async fn handle(node: Arc<Node>, request: Request) -> Response {
     match (&request.method, request.path.as_str()) {
         (&Method::GET, "/health/live") => http::text(StatusCode::OK, "live\n".into()),
-        (&Method::GET, "/health/ready") => ready(&node),
+        (&Method::GET, "/health/ready") => readiness(&node),
         (&Method::GET, "/metrics") => http::text(StatusCode::OK, node.metrics.text()),
-        _ => match served(&node, request).await {
+        _ => match handle_api_call(&node, request).await {
             Ok(response) => response,
             Err(refusal) => refusal.response(),
         },
     }
 }
 
-async fn served(node: &Arc<Node>, request: Request) -> Result<Response, Refusal> {
+async fn handle_api_call(node: &Arc<Node>, request: Request) -> Result<Response, Refusal> {
     let method = request.method.clone();
     let path = request.path.clone();
     if method == Method::GET && path == "/v1/models" {
-        return models(node, &request);
+        return list_models(node, &request);
     }
     if let Some(shape) = Shape::of_path(&path).filter(|_| method == Method::POST) {
-        let call = Call::read(node, &request)?;
+        let call = ApiCall::from_request(node, &request)?;
         return prompts::serve(node, call, &request, shape).await;
     }
     if let ["v1", "services", service, ..] = request.segments().as_slice() {
         let service = service.to_string();
         return services::serve(node, &request, &service).await;
     }
-    Err(Refusal::not_run(Code::NotFound, format!("no interface {method} {path}")))
+    Err(Refusal::not_run(RefusalCode::NotFound, format!("no endpoint {method} {path}")))
 }
 
-fn ready(node: &Node) -> Response {
+fn readiness(node: &Node) -> Response {
     if node.is_ready() {
         return http::text(StatusCode::OK, "ready\n".into());
     }
     http::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n".into())
 }
 
-fn models(node: &Node, request: &Request) -> Result<Response, Refusal> {
-    let config = admitting(node)?;
-    identify(&config, request)?;
+fn list_models(node: &Node, request: &Request) -> Result<Response, Refusal> {
+    let config = admission_config(node)?;
+    authenticate(&config, request)?;
     let models: Vec<_> = config
         .config
         .models
@@ -116,147 +112,160 @@
     Ok(http::json(StatusCode::OK, &json!({"object": "list", "data": models})))
 }
 
-/// The configuration in force, if the node admits requests.
-pub fn admitting(node: &Node) -> Result<Arc<Numbered>, Refusal> {
+/// The configuration in force.
+///
+/// # Errors
+/// If this node does not admit requests.
+pub fn admission_config(node: &Node) -> Result<Arc<Numbered>, Refusal> {
     if node.is_stopping() {
-        let refusal = Refusal::not_run(Code::ShuttingDown, "this node is shutting down");
-        return Err(refusal.after(NOT_FRESH_RETRY));
+        let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this node is shutting down");
+        return Err(refusal.with_retry_after(NOT_FRESH_RETRY_AFTER));
     }
     node.in_force().filter(|config| config.number > 0).ok_or_else(|| {
-        let message = "this node can't know whether its configuration is in force";
-        Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY)
+        let message = "this node has no freshness lease, or no configuration yet";
+        Refusal::not_run(RefusalCode::NotFresh, message).with_retry_after(NOT_FRESH_RETRY_AFTER)
     })
 }
 
-fn identify(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
+fn authenticate(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = bearer.and_then(|key| config.account_of_key(key.trim()));
-    account
-        .cloned()
-        .ok_or_else(|| Refusal::not_run(Code::WrongKey, "the bearer key is missing or unknown"))
+    account.cloned().ok_or_else(|| {
+        Refusal::not_run(RefusalCode::InvalidKey, "the bearer key is missing or unknown")
+    })
 }
 
-impl Call {
-    /// Finds out who asks and for what.
+impl ApiCall {
+    /// Authenticates a request and reads its headers.
     ///
     /// # Errors
-    /// What is wrong with the request, or that this node does not admit any.
-    pub fn read(node: &Node, request: &Request) -> Result<Call, Refusal> {
-        let config = admitting(node)?;
-        let account = identify(&config, request)?;
+    /// If the request is invalid, or if this node does not admit requests.
+    pub fn from_request(node: &Node, request: &Request) -> Result<ApiCall, Refusal> {
+        let config = admission_config(node)?;
+        let account = authenticate(&config, request)?;
         if let Err(error) = &request.body {
             return Err(body_refusal(*error));
         }
         let kind_id = request.header(KIND_HEADER).unwrap_or(DEFAULT_KIND).to_string();
         let Some(kind) = config.config.kind(&kind_id) else {
             let known = config.config.kinds.keys().cloned().collect::<Vec<_>>().join(", ");
-            let message = format!("no kind {kind_id:?}; there are: {known}");
-            return Err(Refusal::not_run(Code::UnknownKind, message));
+            let message = format!("unknown kind {kind_id:?}; configured kinds: {known}");
+            return Err(Refusal::not_run(RefusalCode::UnknownKind, message));
         };
-        let came_at = boot_now();
+        let received_at = boot_now();
         let deadline_ms = deadline_ms(request)?.unwrap_or(kind.deadline_ms);
-        // A caller can tighten whether it repeats, never loosen it.
+        // The header can only make a repeatable kind non-repeatable, not the other way round.
         let repeatable = kind.repeatable && request.header(REPEATABLE_HEADER) != Some("false");
         let (method, path) =
             (request.method.as_str(), format!("{}?{}", request.path, request.query));
         let body = request.bytes();
-        Ok(Call {
+        Ok(ApiCall {
             request_id: request_id(request)?,
-            fingerprint: Fingerprint::of(Some(&account), method, NO_HOST, &path, &body),
+            fingerprint: Fingerprint::of(Some(&account), method, FINGERPRINT_HOST, &path, &body),
             config,
             account,
             kind_id,
             kind,
             repeatable,
-            came_at,
-            deadline: came_at + Duration::from_millis(deadline_ms),
+            received_at,
+            deadline: received_at + Duration::from_millis(deadline_ms),
         })
     }
 
-    /// Waits for a place to run.
+    /// Waits until the request may run.
     ///
     /// # Errors
-    /// That it was given up on, and when to come back.
-    pub async fn take_place(&self, node: &Arc<Node>) -> Result<Place, Refusal> {
+    /// If the queue is full, or if the request can't start in time.
+    pub async fn acquire_permit(&self, node: &Arc<Node>) -> Result<Permit, Refusal> {
         let account = self.config.config.accounts.get(&self.account);
         let limit = account.map_or(1, |account| account.max_running);
         let request = AdmissionRequest {
             account: self.account.clone(),
             weight: account.map_or(1, |account| account.weight),
-            account_limit: node.share_of(&self.account, limit).await,
+            account_limit: node.account_share(&self.account, limit).await,
             priority: self.kind.priority,
             deadline: self.deadline,
         };
-        let place = node.places.take(request).await.map_err(|refused| {
+        let permit = node.admission.acquire(request).await.map_err(|refused| {
             let (code, message) = match refused.reason {
-                RefusalReason::QueueFull => (Code::QueueFull, "too many requests wait already"),
-                RefusalReason::Deadline => (Code::Deadline, "it would wait past its deadline"),
+                RefusalReason::QueueFull => {
+                    (RefusalCode::QueueFull, "the queue of this node is full")
+                }
+                RefusalReason::Deadline => {
+                    (RefusalCode::DeadlineExceeded, "the request can't start in time")
+                }
             };
-            Refusal::not_run(code, message).after(refused.retry_after)
+            Refusal::not_run(code, message).with_retry_after(refused.retry_after)
         })?;
-        // Time has passed in the queue.
-        self.still_admitted(node)?;
-        Ok(place)
+        // The node or the request may have changed state while the request was queued.
+        self.check_dispatch_in_time(node)?;
+        Ok(permit)
     }
 
-    /// Checks again, right before a dispatch, that the request may still be sent.
+    /// Checks that the request may be sent to a target before its deadline. Must be called
+    /// directly before each dispatch.
     ///
     /// # Errors
-    /// As `may_be_sent`, and if the deadline has passed.
-    pub fn still_admitted(&self, node: &Node) -> Result<(), Refusal> {
-        self.may_be_sent(node)?;
+    /// As `check_dispatch`, and if the deadline has passed.
+    pub fn check_dispatch_in_time(&self, node: &Node) -> Result<(), Refusal> {
+        self.check_dispatch(node)?;
         if boot_now() >= self.deadline {
-            let refusal = Refusal::not_run(Code::Deadline, "its deadline has passed");
-            return Err(refusal.after(node.places.retry_after()));
+            let refusal =
+                Refusal::not_run(RefusalCode::DeadlineExceeded, "the deadline has passed");
+            return Err(refusal.with_retry_after(node.admission.retry_after()));
         }
         Ok(())
     }
 
-    /// Checks, right before a dispatch, that the node may still send it.
+    /// Checks that the request may be sent to a target. Must be called directly before each
+    /// dispatch.
     ///
     /// # Errors
-    /// If the node's lease has ended, or targets have ended under the request.
-    pub fn may_be_sent(&self, node: &Node) -> Result<(), Refusal> {
-        if let Some(left) = node.held_for(self.fingerprint) {
-            let message = "targets have ended under this request, one after the other";
-            return Err(Refusal::not_run(Code::Held, message).after(left));
+    /// If the node's freshness lease has expired, or if the request is quarantined.
+    pub fn check_dispatch(&self, node: &Node) -> Result<(), Refusal> {
+        if let Some(remaining) = node.quarantine_remaining(self.fingerprint) {
+            let message = "several targets terminated while they ran this request";
+            return Err(
+                Refusal::not_run(RefusalCode::Quarantined, message).with_retry_after(remaining)
+            );
         }
         if node.in_force().is_some() {
             return Ok(());
         }
-        let message = "this node's freshness lease ended before the request was sent";
-        Err(Refusal::not_run(Code::NotFresh, message).after(NOT_FRESH_RETRY))
+        let message = "this node's freshness lease expired before the request was sent";
+        Err(Refusal::not_run(RefusalCode::NotFresh, message)
+            .with_retry_after(NOT_FRESH_RETRY_AFTER))
     }
 
-    /// Records how the request ended: in a log line, in the metrics, and against its service
-    /// level. `what` is the model or service.
-    pub fn log_end(&self, node: &Node, what: &str, end: End<'_>) {
-        let End { result, first_token, target } = end;
-        let code = result.map_or_else(|refusal| refusal.code.parts().0, |()| "ok");
+    /// Logs the result of the request and updates the metrics and the service-level objective.
+    /// `resource` is the model or service.
+    pub fn record_end(&self, node: &Node, resource: &str, summary: CallSummary<'_>) {
+        let CallSummary { result, first_token_latency, target } = summary;
+        let code = result.map_or_else(|refusal| refusal.code.code_status_remedy().0, |()| "ok");
         let execution = result.map_or_else(|refusal| refusal.execution.as_str(), |()| "ran");
-        let took = boot_now().saturating_sub(self.came_at);
+        let elapsed = boot_now().saturating_sub(self.received_at);
         log::info!(
             "event=request_ended request={} account={} kind={} what={} code={code} \
              execution={execution} took_ms={}",
             quoted(&self.request_id),
             quoted(&self.account),
             quoted(&self.kind_id),
-            quoted(what),
-            took.as_millis(),
+            quoted(resource),
+            elapsed.as_millis(),
         );
         let labels =
             [label("kind", &self.kind_id), label("account", &self.account), label("code", code)];
         node.metrics.requests.add(1, &labels);
-        // What the caller did wrong is not held against the service level.
-        if result.is_err_and(|refusal| refusal.code.parts().1.is_client_error()) {
+        // Errors of the caller don't count against the service-level objective.
+        if result.is_err_and(|refusal| refusal.code.code_status_remedy().1.is_client_error()) {
             return;
         }
-        let due = Duration::from_millis(self.kind.objective.first_token_ms);
+        let first_token_objective = Duration::from_millis(self.kind.objective.first_token_ms);
         let finished = FinishedRequest {
             kind: &self.kind_id,
             account: &self.account,
             target,
-            good: result.is_ok() && first_token.unwrap_or(took) <= due,
+            good: result.is_ok() && first_token_latency.unwrap_or(elapsed) <= first_token_objective,
             objective_share: self.kind.objective.share,
         };
         node.burn.lock().record(finished, boot_now());
@@ -265,20 +274,22 @@
 
 fn body_refusal(error: BodyError) -> Refusal {
     match error {
-        BodyError::TooLarge(limit) => {
-            Refusal::not_run(Code::TooLarge, format!("the body is longer than {limit} bytes"))
-        }
-        BodyError::Broken => Refusal::not_run(Code::BadRequest, "the body broke off"),
+        BodyError::TooLarge(limit) => Refusal::not_run(
+            RefusalCode::BodyTooLarge,
+            format!("the body is longer than {limit} bytes"),
+        ),
+        BodyError::Broken => Refusal::not_run(RefusalCode::BadRequest, "the body is incomplete"),
     }
 }
 
 fn deadline_ms(request: &Request) -> Result<Option<u64>, Refusal> {
     let Some(text) = request.header(DEADLINE_HEADER) else { return Ok(None) };
     match text.parse::<u64>() {
+        // Limited to one day.
         Ok(ms) if ms > 0 => Ok(Some(ms.min(86_400_000))),
         _ => {
             let message = format!("{DEADLINE_HEADER}: {text:?} is not a number of milliseconds");
-            Err(Refusal::not_run(Code::BadRequest, message))
+            Err(Refusal::not_run(RefusalCode::BadRequest, message))
         }
     }
 }
@@ -287,12 +298,13 @@
     let Some(text) = request.header(IDEMPOTENCY_HEADER) else {
         return Ok(format!("r-{:032x}", rand::rng().random::<u128>()));
     };
-    let plain = !text.is_empty()
-        && text.len() <= MAX_ID_BYTES
+    let is_valid = !text.is_empty()
+        && text.len() <= MAX_REQUEST_ID_BYTES
         && text.bytes().all(|byte| byte.is_ascii_graphic());
-    if plain {
+    if is_valid {
         return Ok(text.to_string());
     }
-    let message = format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_ID_BYTES} visible ASCII characters");
-    Err(Refusal::not_run(Code::BadRequest, message))
+    let message =
+        format!("{IDEMPOTENCY_HEADER}: use 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters");
+    Err(Refusal::not_run(RefusalCode::BadRequest, message))
 }
--- a/src/http_api/mod.rs
+++ b/src/http_api/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' and operators' HTTP.
+//! The HTTP interfaces for callers and operators.
 
 pub mod at_most_once;
 pub mod callers;
@@ -10,4 +10,4 @@
 pub mod responses;
 pub mod services;
 
-pub use refusal::{Code, Execution, Refusal};
+pub use refusal::{Execution, Refusal, RefusalCode};
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -1,4 +1,4 @@
-//! One prompt on its way: chooses an engine, dispatches, relays, and recovers from failures.
+//! Runs a prompt: dispatches it to an engine, relays the answer, and retries after failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use rand::RngExt;
 use tokio::sync::mpsc;
 
-use super::at_most_once::Held;
+use super::at_most_once::HeldClaim;
 use super::prompts::Prompt;
-use super::relay::{Fault, Relay};
-use super::responses::Part;
-use super::{Code, Execution, Refusal};
+use super::relay::{Relay, StreamError};
+use super::responses::AnswerEvent;
+use super::{Execution, Refusal, RefusalCode};
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{ImportOrder, KeptObject};
 use crate::edge::chat::Usage;
@@ -20,95 +20,91 @@
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
 
-use crate::node::quarantine::BrokenAt;
+use crate::node::quarantine::BrokenDispatch;
 use crate::route::{Dispatch, DispatchOutcome, NoEngine, RouteRequest};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
 
-/// Dispatches of one request, at the most.
+/// Limit on dispatches of one request.
 const MAX_ATTEMPTS: Attempt = 4;
-/// A stream that is silent for this long has broken.
-const SILENCE: Duration = Duration::from_secs(30);
-/// A caller who does not read for this long has gone.
-const CALLER_PATIENCE: Duration = Duration::from_secs(30);
-/// When to come back if no engine may take the request.
-const NO_TARGET_RETRY: Duration = Duration::from_secs(2);
+/// A stream without data for this long is considered broken.
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A caller that does not read for this long is considered disconnected.
+const CALLER_SEND_TIMEOUT: Duration = Duration::from_secs(30);
+/// Suggested retry delay if no engine is available.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// One prompt on its way.
-pub struct Run {
+/// The execution of one prompt, over all its dispatches.
+pub struct PromptRun {
     node: Arc<Node>,
     prompt: Prompt,
-    held: Option<Held>,
-    sender: mpsc::Sender<Part>,
+    held_claim: Option<HeldClaim>,
+    sender: mpsc::Sender<AnswerEvent>,
     relay: Relay,
-    /// Names the run towards engines; drawn, so that no two requests can be taken for one.
+    /// Identifies the run to engines. Unique even if callers reuse a request id.
     run_id: String,
     attempt: Attempt,
-    avoid: Vec<TargetId>,
-    kept: Vec<(TargetId, KeptObject)>,
-    /// Whether any byte of the request may have had an effect on a target.
+    excluded_engines: Vec<TargetId>,
+    stored_prefixes: Vec<(TargetId, KeptObject)>,
+    /// Whether a target may have run the request.
     may_have_run: bool,
-    /// When the first token came, counted from the request's arrival.
-    first_token: Option<Duration>,
+    /// Time from the arrival of the request to its first token.
+    first_token_latency: Option<Duration>,
     last_target: Option<TargetId>,
 }
 
-/// A whole answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Whole {
-    /// Its text.
+pub struct CompleteAnswer {
     pub text: String,
-    /// Why it ended.
+    /// The finish reason.
     pub finish: String,
-    /// Its tokens.
     pub usage: Usage,
 }
 
-/// Why there is no dispatch.
+/// Why a prompt was not dispatched.
 enum NoDispatch {
-    /// The request is no longer admitted.
+    /// The request may no longer be dispatched.
     Refused(Refusal),
-    /// No engine gets it.
+    /// No suitable engine is available.
     NoEngine(NoEngine),
 }
 
-/// Why one dispatch gave no whole answer.
-enum Broken {
-    /// The engine failed or did not run it: another one may be tried.
-    TryAnother(DispatchOutcome, Refusal),
-    /// Nothing more can be done.
-    Final(DispatchOutcome, Refusal),
+/// Why a dispatch did not result in a complete answer.
+enum DispatchError {
+    /// The request may be retried on another engine.
+    Retryable(DispatchOutcome, Refusal),
+    /// The request must not be retried.
+    NotRetryable(DispatchOutcome, Refusal),
 }
 
-impl Run {
-    /// A prompt that has a place and, if it must not repeat, a claim.
+impl PromptRun {
+    /// Creates the run of an admitted prompt. A non-repeatable prompt needs a claim.
     pub fn new(
         node: Arc<Node>,
         prompt: Prompt,
-        held: Option<Held>,
-        sender: mpsc::Sender<Part>,
-    ) -> Run {
-        // The request id is the caller's and may come twice; the drawn part never does.
+        held_claim: Option<HeldClaim>,
+        sender: mpsc::Sender<AnswerEvent>,
+    ) -> PromptRun {
         let run_id = format!("{}~{:016x}", prompt.call.request_id, rand::rng().random::<u64>());
-        Run {
+        PromptRun {
             node,
             prompt,
-            held,
+            held_claim,
             sender,
             relay: Relay::default(),
             run_id,
             attempt: 0,
-            avoid: Vec::new(),
-            kept: Vec::new(),
+            excluded_engines: Vec::new(),
+            stored_prefixes: Vec::new(),
             may_have_run: false,
-            first_token: None,
+            first_token_latency: None,
             last_target: None,
         }
     }
 
-    /// When the first token came, counted from the request's arrival.
-    pub fn first_token(&self) -> Option<Duration> {
-        self.first_token
+    /// Time from the arrival of the request to its first token.
+    pub fn first_token_latency(&self) -> Option<Duration> {
+        self.first_token_latency
     }
 
     /// The engine of the last dispatch.
@@ -116,45 +112,45 @@
         self.last_target.as_deref()
     }
 
-    /// The claim and the way to the caller.
-    pub fn into_parts(self) -> (Option<Held>, mpsc::Sender<Part>) {
-        (self.held, self.sender)
+    /// Returns the claim and the sender of the response.
+    pub fn into_parts(self) -> (Option<HeldClaim>, mpsc::Sender<AnswerEvent>) {
+        (self.held_claim, self.sender)
     }
 
-    /// Runs the prompt until its answer is whole.
+    /// Runs the prompt until its answer is complete.
     ///
     /// # Errors
-    /// Why there is no whole answer.
-    pub async fn to_end(&mut self) -> Result<Whole, Refusal> {
-        self.kept = self.node.kept_of(&self.prompt.chain).await;
+    /// Why there is no complete answer.
+    pub async fn run_to_completion(&mut self) -> Result<CompleteAnswer, Refusal> {
+        self.stored_prefixes = self.node.stored_prefixes(&self.prompt.chain).await;
         self.node.router.lock().deposit_retry();
         loop {
             self.attempt += 1;
-            let dispatch = match self.choose() {
+            let dispatch = match self.start_dispatch() {
                 Err(NoDispatch::NoEngine(NoEngine::NoneAvailable))
-                    if self.turn_to_others().await =>
+                    if self.switch_weight_version().await =>
                 {
-                    self.choose()
+                    self.start_dispatch()
                 }
-                chosen => chosen,
+                started => started,
             };
-            let dispatch = dispatch.map_err(|reason| self.no_dispatch(reason))?;
+            let dispatch = dispatch.map_err(|reason| self.no_dispatch_refusal(reason))?;
             self.last_target = Some(dispatch.engine().clone());
             let sent_at = boot_now();
-            let (ended, result) = match self.dispatch(&dispatch).await {
-                Ok(whole) => (DispatchOutcome::Completed(whole.usage), Ok(whole)),
-                Err(Broken::TryAnother(ended, refusal)) => (ended, Err((true, refusal))),
-                Err(Broken::Final(ended, refusal)) => (ended, Err((false, refusal))),
+            let (ended, result) = match self.run_dispatch(&dispatch).await {
+                Ok(answer) => (DispatchOutcome::Completed(answer.usage), Ok(answer)),
+                Err(DispatchError::Retryable(ended, refusal)) => (ended, Err((true, refusal))),
+                Err(DispatchError::NotRetryable(ended, refusal)) => (ended, Err((false, refusal))),
             };
-            self.book(&dispatch, ended);
+            self.record_dispatch_end(&dispatch, ended);
             if ended == DispatchOutcome::Failed {
-                self.examine(&dispatch, sent_at).await;
+                self.report_broken_run(&dispatch, sent_at).await;
             }
             match result {
-                Ok(whole) => {
-                    self.node.answered_whole(self.prompt.call.fingerprint);
-                    self.node.note_answered(&self.prompt.chain, dispatch.url);
-                    return Ok(whole);
+                Ok(answer) => {
+                    self.node.record_completion(self.prompt.call.fingerprint);
+                    self.node.report_answered(&self.prompt.chain, dispatch.url);
+                    return Ok(answer);
                 }
                 Err((true, refusal)) if self.may_retry(ended) => {
                     log::info!(
@@ -164,29 +160,30 @@
                         dispatch.engine(),
                         quoted(&refusal.message),
                     );
-                    self.avoid.push(dispatch.engine().clone());
+                    self.excluded_engines.push(dispatch.engine().clone());
                 }
                 Err((_, refusal)) => return Err(self.final_refusal(refusal)),
             }
         }
     }
 
-    /// The engine may have ended under this prompt, and others would.
-    async fn examine(&self, dispatch: &Dispatch, sent_at: BootTime) {
-        let news = dispatch.announcement();
-        let broken = BrokenAt {
-            target: &news.engine,
-            incarnation: news.incarnation,
+    /// Reports a failed dispatch to the quarantine: the prompt may have terminated the engine.
+    async fn report_broken_run(&self, dispatch: &Dispatch, sent_at: BootTime) {
+        let announcement = dispatch.announcement();
+        let broken = BrokenDispatch {
+            target: &announcement.engine,
+            incarnation: announcement.incarnation,
             url: &dispatch.url,
             fingerprint: self.prompt.call.fingerprint,
             sent_at,
         };
-        self.node.examine(broken).await;
+        self.node.report_broken_run(broken).await;
     }
 
-    /// Turns to the weights that engines have by now, if they are others: a prompt may have waited
-    /// while the last engine with its weights loaded the next ones. Says whether it did.
-    async fn turn_to_others(&mut self) -> bool {
+    /// Switches to the weight version that engines serve now. The last engine with the previous
+    /// version may have loaded the next one while the prompt was queued. Returns false if nothing
+    /// changed.
+    async fn switch_weight_version(&mut self) -> bool {
         if self.may_have_run {
             return false;
         }
@@ -207,18 +204,21 @@
             quoted(&self.prompt.weight_version),
             quoted(&version),
         );
-        self.prompt.turn_to(version);
-        self.kept = self.node.kept_of(&self.prompt.chain).await;
+        self.prompt.set_weight_version(version);
+        self.stored_prefixes = self.node.stored_prefixes(&self.prompt.chain).await;
         true
     }
 
-    fn choose(&self) -> Result<Dispatch, NoDispatch> {
+    fn start_dispatch(&self) -> Result<Dispatch, NoDispatch> {
         let call = &self.prompt.call;
-        let has_begun = self.first_token.is_some();
-        let admitted =
-            if has_begun { call.may_be_sent(&self.node) } else { call.still_admitted(&self.node) };
+        let has_begun = self.first_token_latency.is_some();
+        let admitted = if has_begun {
+            call.check_dispatch(&self.node)
+        } else {
+            call.check_dispatch_in_time(&self.node)
+        };
         admitted.map_err(NoDispatch::Refused)?;
-        // The deadline is for the first token: an answer that has begun runs to its end.
+        // The deadline applies only to the first token.
         let deadline = if has_begun { BootTime::MAX } else { call.deadline };
         let now = boot_now();
         let mut router = self.node.router.lock();
@@ -227,38 +227,39 @@
             model: &self.prompt.model_id,
             weight_version: &self.prompt.weight_version,
             chain: &self.prompt.chain,
-            stored_prefixes: &self.kept,
-            excluded_engines: &self.avoid,
+            stored_prefixes: &self.stored_prefixes,
+            excluded_engines: &self.excluded_engines,
             request_number,
         };
         let prices = &call.config.config.prices;
         let begun = router.start_dispatch(self.prompt.policy, prices, &request, deadline, now);
         drop(router);
         let dispatch = begun.map_err(NoDispatch::NoEngine)?;
-        self.node.tell_dispatched(&dispatch.announcement());
+        self.node.announce_dispatch(&dispatch.announcement());
         Ok(dispatch)
     }
 
-    fn no_dispatch(&self, reason: NoDispatch) -> Refusal {
+    fn no_dispatch_refusal(&self, reason: NoDispatch) -> Refusal {
         let refusal = match reason {
             NoDispatch::Refused(refusal) => refusal,
             NoDispatch::NoEngine(NoEngine::NoneAvailable) => {
-                let message =
-                    format!("no engine of model {:?} takes work now", self.prompt.model_id);
-                Refusal::not_run(Code::NoTarget, message).after(NO_TARGET_RETRY)
+                let message = format!("no engine of model {:?} is available", self.prompt.model_id);
+                Refusal::not_run(RefusalCode::NoTarget, message)
+                    .with_retry_after(NO_TARGET_RETRY_AFTER)
             }
             NoDispatch::NoEngine(NoEngine::DeadlineExceeded(late)) => {
-                let message = "no engine would give the first token by the deadline";
-                Refusal::not_run(Code::Deadline, message).after(late)
+                let message = "no engine can generate the first token before the deadline";
+                Refusal::not_run(RefusalCode::DeadlineExceeded, message).with_retry_after(late)
             }
         };
         self.final_refusal(refusal)
     }
 
-    async fn dispatch(&mut self, dispatch: &Dispatch) -> Result<Whole, Broken> {
-        let refused = |refusal| Broken::Final(DispatchOutcome::Cancelled, refusal);
-        if let Some(held) = &mut self.held {
-            held.dispatch().map_err(refused)?;
+    async fn run_dispatch(&mut self, dispatch: &Dispatch) -> Result<CompleteAnswer, DispatchError> {
+        let not_dispatched =
+            |refusal| DispatchError::NotRetryable(DispatchOutcome::Cancelled, refusal);
+        if let Some(held_claim) = &mut self.held_claim {
+            held_claim.mark_dispatched().map_err(not_dispatched)?;
         }
         let run_id = self.run_id.clone();
         let stream = StreamRef { request_id: &run_id, attempt: self.attempt };
@@ -278,38 +279,39 @@
         let response = match sent.await {
             Ok(response) => response,
             Err(CallError::NotRun(reason)) => {
-                if let Some(held) = &mut self.held {
-                    held.not_run();
+                if let Some(held_claim) = &mut self.held_claim {
+                    held_claim.mark_not_run();
                 }
-                let refusal = Refusal::not_run(Code::TargetFailed, reason).after(NO_TARGET_RETRY);
-                return Err(Broken::TryAnother(DispatchOutcome::Refused, refusal));
+                let refusal = Refusal::not_run(RefusalCode::TargetFailed, reason)
+                    .with_retry_after(NO_TARGET_RETRY_AFTER);
+                return Err(DispatchError::Retryable(DispatchOutcome::Refused, refusal));
             }
             Err(CallError::Rejected(reason)) => {
                 self.may_have_run = true;
-                let refusal = Refusal::may_have_run(Code::BadRequest, reason);
-                return Err(Broken::Final(DispatchOutcome::Cancelled, refusal));
+                let refusal = Refusal::may_have_run(RefusalCode::BadRequest, reason);
+                return Err(DispatchError::NotRetryable(DispatchOutcome::Cancelled, refusal));
             }
             Err(CallError::MayHaveRun(reason)) => {
                 self.may_have_run = true;
-                let refusal = Refusal::may_have_run(Code::TargetFailed, reason);
-                return Err(Broken::TryAnother(DispatchOutcome::Failed, refusal));
+                let refusal = Refusal::may_have_run(RefusalCode::TargetFailed, reason);
+                return Err(DispatchError::Retryable(DispatchOutcome::Failed, refusal));
             }
         };
         self.may_have_run = true;
-        self.relay_to_end(dispatch, stream, response).await
+        self.relay_answer(dispatch, stream, response).await
     }
 
-    /// Relays a stream; if it breaks, goes on with it once where it broke.
-    async fn relay_to_end(
+    /// Relays a stream, and resumes it once if it breaks.
+    async fn relay_answer(
         &mut self,
         dispatch: &Dispatch,
         stream: StreamRef<'_>,
         response: reqwest::Response,
-    ) -> Result<Whole, Broken> {
+    ) -> Result<CompleteAnswer, DispatchError> {
         let first = self.relay_stream(response).await;
         let result = match first {
-            Err(Stopped::Broke(_)) => {
-                let from = self.relay.chunks();
+            Err(RelayError::StreamBroken(_)) => {
+                let from = self.relay.text_chunks();
                 match self.node.client.resume(&dispatch.url, stream, from).await {
                     Ok(response) => self.relay_stream(response).await,
                     Err(_) => first,
@@ -317,96 +319,103 @@
             }
             other => other,
         };
-        let Err(stopped) = result else {
+        let Err(relay_error) = result else {
             let usage = self.relay.usage().unwrap_or_default();
             let finish = self.relay.finish().unwrap_or("stop").to_string();
-            return Ok(Whole { text: self.relay.text().to_string(), finish, usage });
+            return Ok(CompleteAnswer { text: self.relay.sent_text().to_string(), finish, usage });
         };
         self.node.client.cancel(&dispatch.url, stream).await;
-        match stopped {
-            Stopped::CallerGone => {
-                let refusal = Refusal::may_have_run(Code::AnswerBroken, "the caller hung up");
-                Err(Broken::Final(DispatchOutcome::Cancelled, refusal))
+        match relay_error {
+            RelayError::CallerDisconnected => {
+                let refusal =
+                    Refusal::may_have_run(RefusalCode::AnswerIncomplete, "the caller disconnected");
+                Err(DispatchError::NotRetryable(DispatchOutcome::Cancelled, refusal))
             }
-            Stopped::Fault(Fault::Diverged) => {
-                let message = "a restarted answer differs from what was sent already";
-                let refusal = Refusal::may_have_run(Code::AnswerBroken, message);
-                Err(Broken::Final(DispatchOutcome::Failed, refusal))
+            RelayError::InvalidStream(StreamError::Diverged) => {
+                let message = "the retried answer differs from the text that was already sent";
+                let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, message);
+                Err(DispatchError::NotRetryable(DispatchOutcome::Failed, refusal))
             }
-            Stopped::Fault(fault) => {
+            RelayError::InvalidStream(stream_error) => {
                 log::warn!(
                     "event=answer_refused request={} target={} fault={}",
                     quoted(&self.prompt.call.request_id),
                     dispatch.engine(),
-                    quoted(&format!("{fault:?}")),
+                    quoted(&format!("{stream_error:?}")),
                 );
-                let message = "the target sent something else than this answer";
-                Err(self.try_another(dispatch, message))
+                let message = "the target sent an invalid stream";
+                Err(self.retryable_if_reproducible(dispatch, message))
+            }
+            RelayError::StreamBroken(reason) => {
+                Err(self.retryable_if_reproducible(dispatch, &reason))
             }
-            Stopped::Broke(reason) => Err(self.try_another(dispatch, &reason)),
         }
     }
 
-    /// What the caller has must be repeated by the next engine, so that is tried only where
-    /// equal requests give equal answers.
-    fn try_another(&self, dispatch: &Dispatch, reason: &str) -> Broken {
-        let refusal = Refusal::may_have_run(Code::AnswerBroken, reason);
-        if self.relay.text().is_empty() || dispatch.reproducible {
-            Broken::TryAnother(DispatchOutcome::Failed, refusal)
+    /// After text was sent, a retry can succeed only if the next engine generates the same text, so
+    /// the error is retryable only on engines with reproducible answers.
+    fn retryable_if_reproducible(&self, dispatch: &Dispatch, reason: &str) -> DispatchError {
+        let refusal = Refusal::may_have_run(RefusalCode::AnswerIncomplete, reason);
+        if self.relay.sent_text().is_empty() || dispatch.reproducible {
+            DispatchError::Retryable(DispatchOutcome::Failed, refusal)
         } else {
-            Broken::Final(DispatchOutcome::Failed, refusal)
+            DispatchError::NotRetryable(DispatchOutcome::Failed, refusal)
         }
     }
 
-    async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), Stopped> {
+    async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), RelayError> {
         let mut events = Events::default();
         let mut body = response.bytes_stream();
         loop {
-            let bytes = match tokio::time::timeout(SILENCE, body.next()).await {
-                Err(_) => return Err(Stopped::Broke("the stream fell silent".into())),
-                Ok(None) => return Err(Stopped::Broke("the stream ended early".into())),
-                Ok(Some(Err(error))) => return Err(Stopped::Broke(error.to_string())),
+            let bytes = match tokio::time::timeout(STREAM_IDLE_TIMEOUT, body.next()).await {
+                Err(_) => return Err(RelayError::StreamBroken("the stream was idle".into())),
+                Ok(None) => return Err(RelayError::StreamBroken("the stream ended early".into())),
+                Ok(Some(Err(error))) => return Err(RelayError::StreamBroken(error.to_string())),
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let received = events.push(&bytes).map_err(|Oversized| {
-                Stopped::Fault(Fault::Unreadable { reason: "an event is too large".into() })
+                RelayError::InvalidStream(StreamError::Malformed {
+                    reason: "an event is too large".into(),
+                })
             })?;
             for data in received {
-                if let Some(text) = self.relay.take(&data).map_err(Stopped::Fault)? {
+                if let Some(text) =
+                    self.relay.process_event(&data).map_err(RelayError::InvalidStream)?
+                {
                     self.send_text(text).await?;
                 }
-                if self.relay.is_whole() {
+                if self.relay.is_complete() {
                     return Ok(());
                 }
             }
         }
     }
 
-    async fn send_text(&mut self, text: String) -> Result<(), Stopped> {
+    async fn send_text(&mut self, text: String) -> Result<(), RelayError> {
         let call = &self.prompt.call;
-        if self.relay.text().len() == text.len() {
-            let took = boot_now().saturating_sub(call.came_at);
-            self.first_token = Some(took);
+        if self.relay.sent_text().len() == text.len() {
+            let elapsed = boot_now().saturating_sub(call.received_at);
+            self.first_token_latency = Some(elapsed);
             let labels = [label("kind", &call.kind_id)];
-            self.node.metrics.first_token_s.record(took.as_secs_f64(), &labels);
+            self.node.metrics.first_token_s.record(elapsed.as_secs_f64(), &labels);
         }
-        let sent = self.sender.send_timeout(Part::Text(text), CALLER_PATIENCE).await;
-        // A run that must not repeat goes on to its outcome even if nobody listens.
-        if sent.is_err() && call.repeatable { Err(Stopped::CallerGone) } else { Ok(()) }
+        let sent = self.sender.send_timeout(AnswerEvent::Text(text), CALLER_SEND_TIMEOUT).await;
+        // A non-repeatable run continues without its caller, so that its outcome is recorded.
+        if sent.is_err() && call.repeatable { Err(RelayError::CallerDisconnected) } else { Ok(()) }
     }
 
     fn may_retry(&self, ended: DispatchOutcome) -> bool {
         if self.attempt >= MAX_ATTEMPTS {
             return false;
         }
-        // What provably did not run may be sent elsewhere, repeatable or not.
+        // A request that has not run may be retried even if it is not repeatable.
         if ended == DispatchOutcome::Refused {
             return true;
         }
         self.prompt.call.repeatable && self.node.router.lock().try_spend_retry()
     }
 
-    fn book(&self, dispatch: &Dispatch, ended: DispatchOutcome) {
+    fn record_dispatch_end(&self, dispatch: &Dispatch, ended: DispatchOutcome) {
         self.node.router.lock().finish_dispatch(dispatch, &self.prompt.chain, ended, boot_now());
         let outcome = match ended {
             DispatchOutcome::Completed(usage) => {
@@ -428,14 +437,15 @@
         }
     }
 
-    /// What was believed of the context and what proved true, for whoever tunes the decision.
+    /// Logs the predicted and the actual reuse of cached blocks, to evaluate routing decisions.
     fn log_reuse(&self, dispatch: &Dispatch, ended: DispatchOutcome) {
         let DispatchOutcome::Completed(usage) = ended else { return };
-        let kept = self.kept.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
+        let stored_blocks =
+            self.stored_prefixes.iter().map(|(_, object)| object.blocks).max().unwrap_or(0);
         let imported = dispatch.decision.import.as_ref().map_or(0, |import| import.object.blocks);
         log::debug!(
-            "event=reuse request={} target={} blocks={} kept={kept} import={imported} believed={} \
-             cached_tokens={} imported_tokens={}",
+            "event=reuse request={} target={} blocks={} kept={stored_blocks} \
+             import={imported} believed={} cached_tokens={} imported_tokens={}",
             quoted(&self.prompt.call.request_id),
             dispatch.engine(),
             self.prompt.chain.keys.len(),
@@ -445,7 +455,7 @@
         );
     }
 
-    /// A refusal as the caller gets it: `not_run` only if no dispatch may have run.
+    /// Corrects `execution` of a refusal if an earlier dispatch may have run.
     fn final_refusal(&self, mut refusal: Refusal) -> Refusal {
         if self.may_have_run {
             refusal.execution = Execution::MayHaveRun;
@@ -455,13 +465,12 @@
 }
 
 /// Why relaying stopped.
-enum Stopped {
-    /// The stream broke; it may be resumed.
-    Broke(String),
-    /// The stream can't be trusted.
-    Fault(Fault),
-    /// Nobody listens any more.
-    CallerGone,
+enum RelayError {
+    /// The connection failed or was idle for too long; the stream may be resumed.
+    StreamBroken(String),
+    /// The stream has invalid content.
+    InvalidStream(StreamError),
+    CallerDisconnected,
 }
 
 fn import_order(dispatch: &Dispatch) -> Option<ImportOrder> {
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -1,55 +1,52 @@
-//! Prompts: reads the request, finds what is kept of its context, runs it, and answers.
+//! Serves the prompt endpoints: parses the request, starts the run, and responds.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc;
 
-use super::at_most_once::{self, Claimed, Held};
-use super::callers::{Call, End};
-use super::prompt_run::Run;
-use super::responses::{self, Part, Wanted};
-use super::{Code, Refusal};
+use super::at_most_once::{self, ClaimOutcome, HeldClaim};
+use super::callers::{ApiCall, CallSummary};
+use super::prompt_run::PromptRun;
+use super::responses::{self, AnswerEvent, ResponseFormat};
+use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::config::Policy;
 use crate::edge::chat::{PromptRequest, Shape, Usage};
 use crate::http::{Request, Response};
 use crate::ids::WeightVersion;
 use crate::node::Node;
-use crate::node::admission::Place;
+use crate::node::admission::Permit;
 use crate::prompt::{Chain, Owner};
 
-/// Parts that wait for a slow caller; the run waits when there are more.
-const PARTS_WAITING: usize = 64;
+/// Capacity of the channel from a run to its response. A run waits while it is full.
+const ANSWER_EVENT_BUFFER: usize = 64;
 
-/// A prompt that was read and checked.
+/// A validated prompt request.
 pub struct Prompt {
-    /// Who asks and for what kind.
-    pub call: Call,
-    /// The interface.
+    pub call: ApiCall,
     pub shape: Shape,
-    /// The body as it came.
+    /// The body of the request.
     pub body: serde_json::Value,
-    /// How it is routed.
+    /// The routing policy of the model.
     pub policy: Policy,
-    /// The weight version that answers it, to its end.
+    /// The weight version that must generate the whole answer.
     pub weight_version: WeightVersion,
-    /// The model's name.
     pub model_id: String,
-    /// The prompt in blocks. Invariant: named for `weight_version`.
+    /// The blocks of the prompt. Invariant: its keys are those of `weight_version`.
     pub chain: Chain,
-    text: String,
+    prompt_text: String,
 }
 
 impl Prompt {
-    /// Has it answered by other weights. Only before any engine may have begun with it.
-    pub fn turn_to(&mut self, weight_version: WeightVersion) {
-        self.chain = chain(&self.call, &self.model_id, &weight_version, &self.text);
+    /// Changes the weight version. Must not be called after the prompt may have been dispatched.
+    pub fn set_weight_version(&mut self, weight_version: WeightVersion) {
+        self.chain = build_chain(&self.call, &self.model_id, &weight_version, &self.prompt_text);
         self.weight_version = weight_version;
     }
 }
 
-fn chain(call: &Call, model: &str, weight_version: &str, text: &str) -> Chain {
+fn build_chain(call: &ApiCall, model: &str, weight_version: &str, text: &str) -> Chain {
     let owner = Owner {
         account: call.account.clone(),
         model: model.to_string(),
@@ -59,126 +56,132 @@
     Chain::new(&owner, text)
 }
 
-/// The answer of a prompt marked not repeatable, as it is recorded.
+/// The recorded outcome of a non-repeatable prompt.
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct RecordedAnswer {
     text: String,
     finish: String,
     usage: Usage,
 }
 
-/// Answers a prompt.
+/// Handles a prompt request.
 ///
 /// # Errors
-/// Why there is no answer.
+/// A refusal that was determined before the run was started.
 pub async fn serve(
     node: &Arc<Node>,
-    call: Call,
+    call: ApiCall,
     request: &Request,
     shape: Shape,
 ) -> Result<Response, Refusal> {
-    let (prompt, wanted) = read(node, call, request, shape)?;
-    let mut held = None;
+    let (prompt, format) = parse_prompt(node, call, request, shape)?;
+    let mut held_claim = None;
     if !prompt.call.repeatable {
-        let digest = at_most_once::digest(&[shape.path().as_bytes(), &request.bytes()]);
+        let digest = at_most_once::request_digest(&[shape.path().as_bytes(), &request.bytes()]);
         match at_most_once::claim(node, &prompt.call, digest).await? {
-            Claimed::Mine(claim) => held = Some(claim),
-            Claimed::Ran(outcome) => return recorded(wanted, &outcome),
+            ClaimOutcome::Granted(claim) => held_claim = Some(claim),
+            ClaimOutcome::AlreadyRan(outcome) => return replay_outcome(format, &outcome),
         }
     }
-    let place = prompt.call.take_place(node).await.inspect_err(|refusal| {
-        let end = End { result: Err(refusal), first_token: None, target: None };
-        prompt.call.log_end(node, &prompt.model_id, end);
+    let permit = prompt.call.acquire_permit(node).await.inspect_err(|refusal| {
+        let summary = CallSummary { result: Err(refusal), first_token_latency: None, target: None };
+        prompt.call.record_end(node, &prompt.model_id, summary);
     })?;
-    let (sender, parts) = mpsc::channel(PARTS_WAITING);
-    tokio::spawn(run(node.clone(), prompt, held, place, sender));
-    Ok(responses::respond(wanted, parts).await)
+    let (sender, events) = mpsc::channel(ANSWER_EVENT_BUFFER);
+    tokio::spawn(run_prompt(node.clone(), prompt, held_claim, permit, sender));
+    Ok(responses::respond(format, events).await)
 }
 
-/// Runs a prompt to its end, whether or not the caller stays.
-async fn run(
+/// Runs a prompt on its own task, so that it completes even if the response is dropped.
+async fn run_prompt(
     node: Arc<Node>,
     prompt: Prompt,
-    held: Option<Held>,
-    place: Place,
-    sender: mpsc::Sender<Part>,
+    held_claim: Option<HeldClaim>,
+    permit: Permit,
+    sender: mpsc::Sender<AnswerEvent>,
 ) {
     let call = prompt.call.clone();
     let model_id = prompt.model_id.clone();
-    let mut run = Run::new(node.clone(), prompt, held, sender);
-    let result = run.to_end().await;
-    let end = End {
+    let mut run = PromptRun::new(node.clone(), prompt, held_claim, sender);
+    let result = run.run_to_completion().await;
+    let summary = CallSummary {
         result: result.as_ref().map(|_| ()),
-        first_token: run.first_token(),
+        first_token_latency: run.first_token_latency(),
         target: run.last_target(),
     };
-    call.log_end(&node, &model_id, end);
-    let (held, sender) = run.into_parts();
+    call.record_end(&node, &model_id, summary);
+    let (held_claim, sender) = run.into_parts();
     match result {
-        Ok(whole) => {
-            let (finish, usage) = (whole.finish.clone(), whole.usage);
-            if let Some(held) = held {
-                let record = Record { text: whole.text, finish: whole.finish, usage };
-                held.record(outcome(&record)).await;
+        Ok(answer) => {
+            let (finish, usage) = (answer.finish.clone(), answer.usage);
+            if let Some(held_claim) = held_claim {
+                let record = RecordedAnswer { text: answer.text, finish: answer.finish, usage };
+                held_claim.record_outcome(to_outcome(&record)).await;
             }
-            // The caller may have hung up; then nobody needs the end.
-            let _ = sender.send(Part::End { finish, usage }).await;
+            // Fails only if the caller has disconnected.
+            let _ = sender.send(AnswerEvent::End { finish, usage }).await;
         }
         Err(refusal) => {
-            let _ = sender.send(Part::Failed(refusal)).await;
+            let _ = sender.send(AnswerEvent::Failed(refusal)).await;
         }
     }
-    drop(place);
+    drop(permit);
 }
 
-fn read(
+fn parse_prompt(
     node: &Node,
-    call: Call,
+    call: ApiCall,
     request: &Request,
     shape: Shape,
-) -> Result<(Prompt, Wanted), Refusal> {
-    let bad = |message: String| Refusal::not_run(Code::BadRequest, message);
+) -> Result<(Prompt, ResponseFormat), Refusal> {
+    let bad_request = |message: String| Refusal::not_run(RefusalCode::BadRequest, message);
     let body: serde_json::Value =
-        request.json().map_err(|reason| bad(format!("the body is not JSON: {reason}")))?;
-    let asked: PromptRequest = serde_json::from_value(body.clone())
-        .map_err(|reason| bad(format!("the body is not a prompt: {reason}")))?;
+        request.json().map_err(|reason| bad_request(format!("the body is not JSON: {reason}")))?;
+    let prompt_request: PromptRequest = serde_json::from_value(body.clone())
+        .map_err(|reason| bad_request(format!("the body is not a prompt: {reason}")))?;
     let missing = match shape {
-        Shape::Chat => asked.messages.is_empty().then_some("messages"),
-        Shape::Text => asked.prompt.is_none().then_some("prompt"),
+        Shape::Chat => prompt_request.messages.is_empty().then_some("messages"),
+        Shape::Text => prompt_request.prompt.is_none().then_some("prompt"),
     };
     if let Some(field) = missing {
-        return Err(bad(format!("{field}: is missing or empty")));
+        return Err(bad_request(format!("{field} is missing or empty")));
     }
     let models = &call.config.config.models;
-    let Some(model) = models.get(&asked.model).cloned() else {
+    let Some(model) = models.get(&prompt_request.model).cloned() else {
         let known = models.keys().cloned().collect::<Vec<_>>().join(", ");
-        let message = format!("no model {:?}; there are: {known}", asked.model);
-        return Err(Refusal::not_run(Code::UnknownModel, message));
+        let message =
+            format!("unknown model {:?}; configured models: {known}", prompt_request.model);
+        return Err(Refusal::not_run(RefusalCode::UnknownModel, message));
     };
     let weight_version = {
         let mut router = node.router.lock();
         let request_number = router.next_request_number();
-        router.choose_weight_version(&asked.model, &model, request_number, call.came_at)
+        router.choose_weight_version(
+            &prompt_request.model,
+            &model,
+            request_number,
+            call.received_at,
+        )
     };
     let prefix = match shape {
         Shape::Chat => "chatcmpl",
         Shape::Text => "cmpl",
     };
-    let wanted = Wanted {
+    let format = ResponseFormat {
         shape,
-        model: asked.model.clone(),
+        model: prompt_request.model.clone(),
         id: format!("{prefix}-{}", call.request_id),
-        stream: asked.stream,
-        usage: asked.wants_usage(),
+        stream: prompt_request.stream,
+        include_usage: prompt_request.wants_usage(),
     };
-    let text = asked.prompt_text();
-    let chain = chain(&call, &asked.model, &weight_version, &text);
-    let model_id = asked.model;
+    let prompt_text = prompt_request.prompt_text();
+    let chain = build_chain(&call, &prompt_request.model, &weight_version, &prompt_text);
+    let model_id = prompt_request.model;
     let policy = model.policy;
-    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, text }, wanted))
+    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, prompt_text }, format))
 }
 
-fn outcome(record: &Record) -> Outcome {
+fn to_outcome(record: &RecordedAnswer) -> Outcome {
     Outcome {
         status: 200,
         content_type: "application/json".into(),
@@ -186,11 +189,11 @@
     }
 }
 
-fn recorded(wanted: Wanted, outcome: &Outcome) -> Result<Response, Refusal> {
+fn replay_outcome(format: ResponseFormat, outcome: &Outcome) -> Result<Response, Refusal> {
     let body = outcome.body.as_deref().unwrap_or_default();
-    let Ok(record) = serde_json::from_slice::<Record>(body) else {
-        let message = "it ran before, and its answer was too long to keep";
-        return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
+    let Ok(record) = serde_json::from_slice::<RecordedAnswer>(body) else {
+        let message = "the request has already run, and its answer was too long to record";
+        return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
     };
-    Ok(responses::recorded(wanted, record.text, record.finish, record.usage))
+    Ok(responses::json_answer(format, record.text, record.finish, record.usage))
 }
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when there is no answer.
+//! Error responses to callers.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 use crate::http::{self, Response};
 
-/// Whether the request may have had an effect.
+/// Whether a request may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// No byte of it reached a target, or a target proved that it ran nothing.
+    /// No part of the request reached a target, or the target confirmed that it did not run it.
     NotRun,
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     MayHaveRun,
 }
 
 impl Execution {
-    /// The word in the answer.
+    /// The value of the `execution` field.
     pub fn as_str(self) -> &'static str {
         match self {
             Execution::NotRun => "not_run",
@@ -26,135 +26,144 @@
     }
 }
 
-/// Why there is no answer. docs/OPERATIONS.md lists the codes.
+/// Why a request failed. docs/OPERATIONS.md lists the codes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Code {
-    /// No bearer key, or an unknown one.
-    WrongKey,
-    /// The request can't be understood.
+pub enum RefusalCode {
+    /// The bearer key is missing or unknown.
+    InvalidKey,
+    /// The request is malformed.
     BadRequest,
-    /// The body is too large.
-    TooLarge,
-    /// No such model for this account.
+    BodyTooLarge,
+    /// The configuration has no such model.
     UnknownModel,
-    /// No such kind of request.
+    /// The configuration has no such request kind.
     UnknownKind,
-    /// No such service.
+    /// The configuration has no such service.
     UnknownService,
-    /// No such interface.
+    /// There is no such endpoint.
     NotFound,
-    /// The request id was used for another request.
+    /// The request id was already used for a different request.
     IdReused,
-    /// A request with this id runs or ran, and its answer can't be given.
+    /// A request with this id is running or has run, and its answer is not available.
     AlreadyClaimed,
-    /// The queue is full.
     QueueFull,
-    /// It could not have been answered by its deadline.
-    Deadline,
-    /// The node is shutting down.
+    /// The request could not be answered before its deadline.
+    DeadlineExceeded,
     ShuttingDown,
-    /// The node's freshness lease has ended.
+    /// The node has no valid freshness lease.
     NotFresh,
-    /// No leader of the replicated log could be asked.
+    /// No leader of the replicated log answered.
     NoLeader,
-    /// Targets have ended under this request.
-    Held,
-    /// No target may take it now.
+    /// Several targets terminated while they ran this request.
+    Quarantined,
+    /// No target is available.
     NoTarget,
-    /// The target failed.
     TargetFailed,
-    /// The answer broke off and can't be continued safely.
-    AnswerBroken,
+    /// The answer was interrupted and can't be resumed.
+    AnswerIncomplete,
 }
 
-impl Code {
-    /// The word in the answer, the status, and the remedy.
-    pub fn parts(self) -> (&'static str, StatusCode, &'static str) {
+impl RefusalCode {
+    /// The value of the `code` field, the HTTP status, and the remedy.
+    pub fn code_status_remedy(self) -> (&'static str, StatusCode, &'static str) {
         use StatusCode as S;
         match self {
-            Code::WrongKey => ("wrong_key", S::UNAUTHORIZED, "send Authorization: Bearer KEY"),
-            Code::BadRequest => ("bad_request", S::BAD_REQUEST, "mend the request"),
-            Code::TooLarge => ("too_large", S::PAYLOAD_TOO_LARGE, "send a shorter body"),
-            Code::UnknownModel => ("unknown_model", S::NOT_FOUND, "use a model of /v1/models"),
-            Code::UnknownKind => ("unknown_kind", S::BAD_REQUEST, "use a configured kind"),
-            Code::UnknownService => ("unknown_service", S::NOT_FOUND, "use a configured service"),
-            Code::NotFound => ("not_found", S::NOT_FOUND, "see README.md for the interfaces"),
-            Code::IdReused => (
+            RefusalCode::InvalidKey => {
+                ("wrong_key", S::UNAUTHORIZED, "send Authorization: Bearer KEY")
+            }
+            RefusalCode::BadRequest => ("bad_request", S::BAD_REQUEST, "correct the request"),
+            RefusalCode::BodyTooLarge => ("too_large", S::PAYLOAD_TOO_LARGE, "send a shorter body"),
+            RefusalCode::UnknownModel => {
+                ("unknown_model", S::NOT_FOUND, "use a model from /v1/models")
+            }
+            RefusalCode::UnknownKind => ("unknown_kind", S::BAD_REQUEST, "use a configured kind"),
+            RefusalCode::UnknownService => {
+                ("unknown_service", S::NOT_FOUND, "use a configured service")
+            }
+            RefusalCode::NotFound => ("not_found", S::NOT_FOUND, "see README.md for the endpoints"),
+            RefusalCode::IdReused => (
                 "id_reused",
                 S::UNPROCESSABLE_ENTITY,
                 "use a new Idempotency-Key for a new request",
             ),
-            Code::AlreadyClaimed => {
-                ("already_claimed", S::CONFLICT, "find out by other means before you order again")
+            RefusalCode::AlreadyClaimed => (
+                "already_claimed",
+                S::CONFLICT,
+                "find out whether it took effect before a new order",
+            ),
+            RefusalCode::QueueFull => {
+                ("queue_full", S::TOO_MANY_REQUESTS, "retry after Retry-After")
+            }
+            RefusalCode::DeadlineExceeded => {
+                ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or retry later")
+            }
+            RefusalCode::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "retry"),
+            RefusalCode::NotFresh => ("not_fresh", S::SERVICE_UNAVAILABLE, "retry on another node"),
+            RefusalCode::NoLeader => {
+                ("no_leader", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
             }
-            Code::QueueFull => ("queue_full", S::TOO_MANY_REQUESTS, "come back after Retry-After"),
-            Code::Deadline => {
-                ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or come back later")
+            RefusalCode::Quarantined => {
+                ("held", S::SERVICE_UNAVAILABLE, "retry after Retry-After, or change the request")
             }
-            Code::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "send it again"),
-            Code::NotFresh => ("not_fresh", S::SERVICE_UNAVAILABLE, "send it to another node"),
-            Code::NoLeader => ("no_leader", S::SERVICE_UNAVAILABLE, "come back after Retry-After"),
-            Code::Held => {
-                ("held", S::SERVICE_UNAVAILABLE, "come back after Retry-After, or ask otherwise")
+            RefusalCode::NoTarget => {
+                ("no_target", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
             }
-            Code::NoTarget => ("no_target", S::SERVICE_UNAVAILABLE, "come back after Retry-After"),
-            Code::TargetFailed => {
-                ("target_failed", S::BAD_GATEWAY, "send it again if it may repeat")
+            RefusalCode::TargetFailed => {
+                ("target_failed", S::BAD_GATEWAY, "retry if it is safe to repeat")
             }
-            Code::AnswerBroken => {
-                ("answer_broken", S::BAD_GATEWAY, "send it again if it may repeat")
+            RefusalCode::AnswerIncomplete => {
+                ("answer_broken", S::BAD_GATEWAY, "retry if it is safe to repeat")
             }
         }
     }
 }
 
-/// The final answer to a request that gets no other.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
-    pub code: Code,
-    /// What exactly is wrong.
+    pub code: RefusalCode,
+    /// The error message, without the remedy.
     pub message: String,
-    /// Whether the request may have had an effect.
     pub execution: Execution,
-    /// When a later try makes sense; `None` if none does.
+    /// Suggested delay before a retry, if any.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal before anything was sent to a target.
-    pub fn not_run(code: Code, message: impl Into<String>) -> Refusal {
+    /// A refusal of a request that has not run.
+    pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         Refusal { code, message: message.into(), execution: Execution::NotRun, retry_after: None }
     }
 
-    /// A refusal after something may have been sent to a target.
-    pub fn may_have_run(code: Code, message: impl Into<String>) -> Refusal {
+    /// A refusal of a request that may have run.
+    pub fn may_have_run(code: RefusalCode, message: impl Into<String>) -> Refusal {
         let execution = Execution::MayHaveRun;
         Refusal { code, message: message.into(), execution, retry_after: None }
     }
 
-    /// Tells the caller when to come back.
-    pub fn after(mut self, retry_after: Duration) -> Refusal {
+    /// Sets the suggested delay before a retry.
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Refusal {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The error object, in the published shape with fields of ours.
+    /// The error object in the format of the OpenAI API, with the additional field `execution`.
     pub fn body(&self) -> serde_json::Value {
-        let (code, status, remedy) = self.code.parts();
-        let kind = if status.is_client_error() { "invalid_request_error" } else { "server_error" };
+        let (code, status, remedy) = self.code.code_status_remedy();
+        let error_type =
+            if status.is_client_error() { "invalid_request_error" } else { "server_error" };
         json!({"error": {
             "message": format!("{}; {remedy}", self.message),
-            "type": kind,
+            "type": error_type,
             "param": null,
             "code": code,
             "execution": self.execution.as_str(),
         }})
     }
 
-    /// The whole answer.
+    /// The HTTP response.
     pub fn response(&self) -> Response {
-        let (_, status, _) = self.code.parts();
+        let (_, status, _) = self.code.code_status_remedy();
         let mut response = http::json(status, &self.body());
         if let Some(after) = self.retry_after {
             let seconds = after.as_millis().div_ceil(1_000).max(1);
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -1,148 +1,155 @@
-//! Plain services: routes a call to an instance, once if it must not repeat.
+//! Serves calls to plain services, at most once each if they are not repeatable.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use warp::http::StatusCode;
 
-use super::at_most_once::{self, Claimed, Held};
-use super::callers::{Call, End};
-use super::{Code, Refusal};
+use super::at_most_once::{self, ClaimOutcome, HeldClaim};
+use super::callers::{ApiCall, CallSummary};
+use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
 use crate::edge::api::{OWNER_HEADER, REQUEST_HEADER, Target};
 use crate::edge::client::CallError;
 use crate::http::{self, Request, Response};
 use crate::node::Node;
-use crate::node::quarantine::BrokenAt;
+use crate::node::quarantine::BrokenDispatch;
 
-/// Instances tried for one call.
-const MAX_ATTEMPTS: usize = 3;
-/// When to come back if no instance may take the call.
-const NO_TARGET_RETRY: Duration = Duration::from_secs(2);
+/// Limit on instances tried for one call.
+const MAX_INSTANCES_TRIED: usize = 3;
+/// Suggested retry delay if no instance is available.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Answers a call of a plain service.
+/// Handles a call to a plain service.
 ///
 /// # Errors
-/// Why there is no answer.
+/// Why there is no answer of an instance.
 pub async fn serve(
     node: &Arc<Node>,
     request: &Request,
     service: &str,
 ) -> Result<Response, Refusal> {
-    let mut call = Call::read(node, request)?;
+    let mut call = ApiCall::from_request(node, request)?;
     let services = &call.config.config.services;
     let Some(configured) = services.get(service) else {
         let known = services.keys().cloned().collect::<Vec<_>>().join(", ");
-        let message = format!("no service {service:?}; there are: {known}");
-        return Err(Refusal::not_run(Code::UnknownService, message));
+        let message = format!("unknown service {service:?}; configured services: {known}");
+        return Err(Refusal::not_run(RefusalCode::UnknownService, message));
     };
     call.repeatable &= configured.repeatable;
-    let result = answer(node, &call, request, service).await;
-    let end = End { result: result.as_ref().map(|_| ()), first_token: None, target: None };
-    call.log_end(node, service, end);
-    result.map(|outcome| response(&outcome))
+    let result = run_call(node, &call, request, service).await;
+    let summary = CallSummary {
+        result: result.as_ref().map(|_| ()),
+        first_token_latency: None,
+        target: None,
+    };
+    call.record_end(node, service, summary);
+    result.map(|outcome| outcome_response(&outcome))
 }
 
-async fn answer(
+async fn run_call(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
     if call.repeatable {
-        let _place = call.take_place(node).await?;
-        return repeat(node, call, request, service).await;
+        let _permit = call.acquire_permit(node).await?;
+        return run_repeatable(node, call, request, service).await;
     }
     let method = request.method.as_str().as_bytes();
     let parts = [method, request.path.as_bytes(), request.query.as_bytes(), &request.bytes()];
-    let held = match at_most_once::claim(node, call, at_most_once::digest(&parts)).await? {
-        Claimed::Ran(outcome) if outcome.body.is_some() => return Ok(outcome),
-        Claimed::Ran(_) => {
-            let message = "it ran before, and its answer was too long to keep";
-            return Err(Refusal::may_have_run(Code::AlreadyClaimed, message));
-        }
-        Claimed::Mine(held) => held,
-    };
-    let place = call.take_place(node).await?;
+    let held_claim =
+        match at_most_once::claim(node, call, at_most_once::request_digest(&parts)).await? {
+            ClaimOutcome::AlreadyRan(outcome) if outcome.body.is_some() => return Ok(outcome),
+            ClaimOutcome::AlreadyRan(_) => {
+                let message = "the request has already run, and its answer was too long to record";
+                return Err(Refusal::may_have_run(RefusalCode::AlreadyClaimed, message));
+            }
+            ClaimOutcome::Granted(held_claim) => held_claim,
+        };
+    let permit = call.acquire_permit(node).await?;
     let (node, call) = (node.clone(), call.clone());
     let (request, service) = (request.clone(), service.to_string());
-    // On its own task: it must come to its outcome even if the caller hangs up.
-    let running = tokio::spawn(async move {
-        let _place = place;
-        run_once(&node, &call, &request, &service, held).await
+    // Runs on its own task, so that the outcome is recorded even if the caller disconnects.
+    let task = tokio::spawn(async move {
+        let _permit = permit;
+        run_at_most_once(&node, &call, &request, &service, held_claim).await
     });
-    running.await.unwrap_or_else(|_| {
-        Err(Refusal::may_have_run(Code::TargetFailed, "the call ended without an outcome"))
+    task.await.unwrap_or_else(|_| {
+        Err(Refusal::may_have_run(RefusalCode::TargetFailed, "the call ended without an outcome"))
     })
 }
 
-async fn repeat(
+async fn run_repeatable(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
 ) -> Result<Outcome, Refusal> {
     let mut may_have_run = false;
-    let mut last = no_instance(service);
-    for instance in instances(node, service) {
-        call.still_admitted(node)?;
+    let mut last_refusal = no_instance_refusal(service);
+    for instance in candidate_instances(node, service) {
+        call.check_dispatch_in_time(node)?;
         let sent_at = boot_now();
-        match send(node, call, request, &instance, false).await {
+        match send_call(node, call, request, &instance, false).await {
             Ok(outcome) => {
-                answered(node, call, &outcome);
+                record_completion(node, call, &outcome);
                 return Ok(outcome);
             }
-            Err(CallError::NotRun(reason)) => last = failed(&instance, &reason, may_have_run),
+            Err(CallError::NotRun(reason)) => {
+                last_refusal = target_failure(&instance, &reason, may_have_run)
+            }
             Err(error @ (CallError::Rejected(_) | CallError::MayHaveRun(_))) => {
                 may_have_run = true;
-                last = failed(&instance, error.reason(), may_have_run);
-                examine(node, call, &instance, sent_at, &error).await;
+                last_refusal = target_failure(&instance, error.reason(), may_have_run);
+                report_broken_run(node, call, &instance, sent_at, &error).await;
                 if !node.router.lock().try_spend_retry() {
                     break;
                 }
             }
         }
     }
-    Err(last)
+    Err(last_refusal)
 }
 
-/// Makes the one dispatch; another instance is tried only if nothing was run.
-async fn run_once(
+/// Sends the call to instances until one of them may have run it.
+async fn run_at_most_once(
     node: &Arc<Node>,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     service: &str,
-    mut held: Held,
+    mut held_claim: HeldClaim,
 ) -> Result<Outcome, Refusal> {
-    let mut last = no_instance(service);
-    for instance in instances(node, service) {
-        call.still_admitted(node)?;
-        held.dispatch()?;
+    let mut last_refusal = no_instance_refusal(service);
+    for instance in candidate_instances(node, service) {
+        call.check_dispatch_in_time(node)?;
+        held_claim.mark_dispatched()?;
         let sent_at = boot_now();
-        match send(node, call, request, &instance, true).await {
+        match send_call(node, call, request, &instance, true).await {
             Ok(outcome) => {
-                answered(node, call, &outcome);
-                held.record(outcome.clone()).await;
+                record_completion(node, call, &outcome);
+                held_claim.record_outcome(outcome.clone()).await;
                 return Ok(outcome);
             }
             Err(CallError::NotRun(reason)) => {
-                held.not_run();
-                last = failed(&instance, &reason, false);
+                held_claim.mark_not_run();
+                last_refusal = target_failure(&instance, &reason, false);
             }
             Err(error @ (CallError::Rejected(_) | CallError::MayHaveRun(_))) => {
-                examine(node, call, &instance, sent_at, &error).await;
-                return Err(failed(&instance, error.reason(), true));
+                report_broken_run(node, call, &instance, sent_at, &error).await;
+                return Err(target_failure(&instance, error.reason(), true));
             }
         }
     }
-    Err(last)
+    Err(last_refusal)
 }
 
-/// An instance that broke off may have ended under a call, and others would.
-async fn examine(
+/// Reports a failed call to the quarantine, since the call may have terminated the instance.
+async fn report_broken_run(
     node: &Node,
-    call: &Call,
+    call: &ApiCall,
     instance: &Target,
     sent_at: BootTime,
     error: &CallError,
@@ -150,39 +157,39 @@
     if !matches!(error, CallError::MayHaveRun(_)) {
         return;
     }
-    let broken = BrokenAt {
+    let broken = BrokenDispatch {
         target: &instance.id,
         incarnation: instance.incarnation,
         url: &instance.url,
         fingerprint: call.fingerprint,
         sent_at,
     };
-    node.examine(broken).await;
+    node.report_broken_run(broken).await;
 }
 
-fn answered(node: &Node, call: &Call, outcome: &Outcome) {
+fn record_completion(node: &Node, call: &ApiCall, outcome: &Outcome) {
     if (200..300).contains(&outcome.status) {
-        node.answered_whole(call.fingerprint);
+        node.record_completion(call.fingerprint);
     }
 }
 
-/// Instances that take work, in an order that differs from call to call.
-fn instances(node: &Node, service: &str) -> Vec<Target> {
+/// Available instances, rotated differently for each call to spread the load.
+fn candidate_instances(node: &Node, service: &str) -> Vec<Target> {
     let mut router = node.router.lock();
-    let turn = router.next_request_number() as usize;
+    let request_number = router.next_request_number() as usize;
     let mut instances: Vec<Target> =
         router.targets().instances(service).into_iter().cloned().collect();
     if !instances.is_empty() {
-        let middle = turn % instances.len();
-        instances.rotate_left(middle);
+        let start = request_number % instances.len();
+        instances.rotate_left(start);
     }
-    instances.truncate(MAX_ATTEMPTS);
+    instances.truncate(MAX_INSTANCES_TRIED);
     instances
 }
 
-async fn send(
+async fn send_call(
     node: &Node,
-    call: &Call,
+    call: &ApiCall,
     request: &Request,
     instance: &Target,
     once: bool,
@@ -190,7 +197,7 @@
     let query =
         if request.query.is_empty() { String::new() } else { format!("?{}", request.query) };
     let url = format!("{}{}{query}", instance.url, request.path);
-    let url = url.parse().map_err(|_| CallError::NotRun(format!("not a URL: {url}")))?;
+    let url = url.parse().map_err(|_| CallError::NotRun(format!("invalid URL: {url}")))?;
     let mut outgoing = reqwest::Request::new(request.method.clone(), url);
     let headers = outgoing.headers_mut();
     if let Some(content_type) = request.headers.get("content-type") {
@@ -215,21 +222,21 @@
     Ok(Outcome { status: status.as_u16(), content_type, body: Some(body.to_vec()) })
 }
 
-fn response(outcome: &Outcome) -> Response {
+fn outcome_response(outcome: &Outcome) -> Response {
     let status = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::BAD_GATEWAY);
     http::body(status, &outcome.content_type, outcome.body.clone().unwrap_or_default())
 }
 
-fn no_instance(service: &str) -> Refusal {
-    let message = format!("no instance of service {service:?} takes work now");
-    Refusal::not_run(Code::NoTarget, message).after(NO_TARGET_RETRY)
+fn no_instance_refusal(service: &str) -> Refusal {
+    let message = format!("no instance of service {service:?} is available");
+    Refusal::not_run(RefusalCode::NoTarget, message).with_retry_after(NO_TARGET_RETRY_AFTER)
 }
 
-fn failed(instance: &Target, reason: &str, may_have_run: bool) -> Refusal {
+fn target_failure(instance: &Target, reason: &str, may_have_run: bool) -> Refusal {
     let message = format!("{}: {reason}", instance.id);
     if may_have_run {
-        Refusal::may_have_run(Code::TargetFailed, message)
+        Refusal::may_have_run(RefusalCode::TargetFailed, message)
     } else {
-        Refusal::not_run(Code::TargetFailed, message).after(NO_TARGET_RETRY)
+        Refusal::not_run(RefusalCode::TargetFailed, message).with_retry_after(NO_TARGET_RETRY_AFTER)
     }
 }
--- a/src/node/admission.rs
+++ b/src/node/admission.rs
@@ -1,4 +1,4 @@
-//! Places for running requests: the shell around admission.
+//! Admission control of this node: asynchronous waiting on top of `limits::admission`.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,100 +13,102 @@
 use crate::limits::admission::RefusalReason;
 use crate::limits::{Admission, AdmissionRefusal, AdmissionRequest, AdmissionResult, Ticket};
 
-/// How often waiting requests are looked at for their deadlines.
-const EXPIRE_PERIOD: Duration = Duration::from_millis(20);
-/// Capacity until the engines' reports have come.
-const FIRST_CAPACITY: usize = 8;
+/// Interval at which waiting requests are checked for their deadlines.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity until the first reports of engines have arrived.
+const INITIAL_CAPACITY: usize = 8;
 
-/// Places for running requests.
-pub struct Places {
+/// Limits the number of running requests, and queues the others.
+pub struct AdmissionController {
     inner: Arc<Mutex<Inner>>,
 }
 
 struct Inner {
     admission: Admission,
-    waiting: HashMap<Ticket, oneshot::Sender<Result<(), AdmissionRefusal>>>,
+    waiters: HashMap<Ticket, oneshot::Sender<Result<(), AdmissionRefusal>>>,
 }
 
-/// A place; dropping it lets the next request run.
-pub struct Place {
+/// Permits a request to run. Dropping it admits the next request.
+pub struct Permit {
     inner: Arc<Mutex<Inner>>,
     account: AccountId,
 }
 
-/// Takes a request that gave up waiting out of the queue.
-struct Waiting {
+/// A waiting request. Dropping it removes the request from the queue.
+struct WaitGuard {
     inner: Arc<Mutex<Inner>>,
     ticket: Ticket,
     account: AccountId,
     receiver: oneshot::Receiver<Result<(), AdmissionRefusal>>,
 }
 
-impl Places {
-    /// Places of an idle node in which `queue_len` requests may wait.
-    pub fn new(queue_len: usize) -> Places {
-        let admission = Admission::new(FIRST_CAPACITY, queue_len);
-        Places { inner: Arc::new(Mutex::new(Inner { admission, waiting: HashMap::new() })) }
+impl AdmissionController {
+    /// Creates a controller without requests, with a queue of at most `queue_len`.
+    pub fn new(queue_len: usize) -> AdmissionController {
+        let admission = Admission::new(INITIAL_CAPACITY, queue_len);
+        AdmissionController {
+            inner: Arc::new(Mutex::new(Inner { admission, waiters: HashMap::new() })),
+        }
     }
 
-    /// Requests that run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.inner.lock().admission.running()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.inner.lock().admission.waiting()
     }
 
-    /// When a request that is refused now should come back.
+    /// Suggested retry delay for a request that is refused now.
     pub fn retry_after(&self) -> Duration {
         self.inner.lock().admission.retry_after()
     }
 
-    /// Changes how many requests may run.
+    /// Sets the limit on running requests.
     pub fn set_capacity(&self, capacity: usize) {
         let mut inner = self.inner.lock();
         inner.admission.set_capacity(capacity);
         inner.start_next();
     }
 
-    /// Requests of an account that run or wait.
+    /// Number of running and waiting requests of an account.
     pub fn demand(&self, account: &str) -> u32 {
         self.inner.lock().admission.demand(account)
     }
 
-    /// Changes how many requests of an account may run.
+    /// Sets the limit on running requests of an account.
     pub fn set_account_limit(&self, account: &str, limit: u32) {
         let mut inner = self.inner.lock();
         inner.admission.set_account_limit(account, limit);
         inner.start_next();
     }
 
-    /// Waits for a place.
+    /// Waits until a request may run.
     ///
     /// # Errors
-    /// Why the request was given up on, at once.
-    pub async fn take(&self, request: AdmissionRequest) -> Result<Place, AdmissionRefusal> {
+    /// If the queue is full, or if the request can't start in time.
+    pub async fn acquire(&self, request: AdmissionRequest) -> Result<Permit, AdmissionRefusal> {
         let account = request.account.clone();
-        let place = || Place { inner: self.inner.clone(), account: account.clone() };
-        let mut waiting = {
+        let permit = || Permit { inner: self.inner.clone(), account: account.clone() };
+        let mut guard = {
             let mut inner = self.inner.lock();
             match inner.admission.admit(request, boot_now()) {
-                AdmissionResult::Run => return Ok(place()),
+                AdmissionResult::Run => return Ok(permit()),
                 AdmissionResult::Refused(refused) => return Err(refused),
                 AdmissionResult::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
-                    inner.waiting.insert(ticket, sender);
+                    inner.waiters.insert(ticket, sender);
                     let (inner, account) = (self.inner.clone(), account.clone());
-                    Waiting { inner, ticket, account, receiver }
+                    WaitGuard { inner, ticket, account, receiver }
                 }
             }
         };
-        // Places may have become free between an end and this request's arrival.
+        // Capacity may have become available before the request was queued.
         self.inner.lock().start_next();
-        match (&mut waiting.receiver).await {
-            Ok(Ok(())) => Ok(place()),
+        match (&mut guard.receiver).await {
+            Ok(Ok(())) => Ok(permit()),
             Ok(Err(refused)) => Err(refused),
             Err(_) => {
                 let retry_after = self.retry_after();
@@ -119,10 +121,10 @@
         let mut inner = self.inner.lock();
         let retry_after = inner.admission.retry_after();
         for ticket in inner.admission.expire(now) {
-            if let Some(waiting) = inner.waiting.remove(&ticket) {
+            if let Some(sender) = inner.waiters.remove(&ticket) {
                 let refused = AdmissionRefusal { reason: RefusalReason::Deadline, retry_after };
-                // The caller may have hung up.
-                let _ = waiting.send(Err(refused));
+                // Fails only if the request has been dropped.
+                let _ = sender.send(Err(refused));
             }
         }
     }
@@ -131,14 +133,14 @@
 impl Inner {
     fn start_next(&mut self) {
         while let Some(ticket) = self.admission.start_next() {
-            let Some(waiting) = self.waiting.remove(&ticket) else { continue };
-            // If the caller has hung up, its guard gives the place back.
-            let _ = waiting.send(Ok(()));
+            let Some(sender) = self.waiters.remove(&ticket) else { continue };
+            // If the request is dropped before it receives this, `WaitGuard` returns the permit.
+            let _ = sender.send(Ok(()));
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for Permit {
     fn drop(&mut self) {
         let mut inner = self.inner.lock();
         inner.admission.finish(&self.account, boot_now());
@@ -146,13 +148,13 @@
     }
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut inner = self.inner.lock();
-        inner.waiting.remove(&self.ticket);
+        inner.waiters.remove(&self.ticket);
         inner.admission.cancel(self.ticket);
         if let Ok(Ok(())) = self.receiver.try_recv() {
-            // It had been given a place already, which nobody will take now.
+            // The request was admitted but not yet resumed; returns its permit.
             inner.admission.finish(&self.account, boot_now());
             inner.start_next();
         }
@@ -160,10 +162,10 @@
 }
 
 impl Node {
-    /// Answers waiting requests whose deadline has come, again and again.
-    pub(super) async fn expire_waiting(self: Arc<Node>) {
-        super::every(EXPIRE_PERIOD, || async {
-            self.places.expire(boot_now());
+    /// Periodically refuses waiting requests whose deadline has passed.
+    pub(super) async fn run_queue_expiry(self: Arc<Node>) {
+        super::run_periodically(EXPIRE_INTERVAL, || async {
+            self.admission.expire(boot_now());
             true
         })
         .await;
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -1,5 +1,7 @@
-//! Keeps the node's freshness lease: renews it through the relay of its failure domain, or with
-//! the leader itself; and grants leases to others when this node is the relay.
+//! The node's freshness lease.
+//!
+//! Nodes renew it with the relay of their failure domain, or with the leader. The relay renews its
+//! own lease with the leader.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -12,108 +14,114 @@
 use crate::lease::{HeldLease, LeaseGrantor};
 use crate::peer::message::{Answer, Ask, Renew};
 
-/// A renewal that is not answered within this time is sent elsewhere.
+/// Timeout of a renewal, after which another node is tried.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between attempts while the lease is close to its end.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed renewal.
+const RENEW_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How long a lease lasts, the number under which it is granted, and how the asker gets there.
-pub type Grant = (Duration, ConfigNumber, Update);
+/// The duration of a lease, the configuration number that it requires, and the update to it.
+pub type LeaseGrant = (Duration, ConfigNumber, Update);
 
-/// A node's lease, its configuration, and the leases that it granted as a relay.
-pub struct Fresh {
-    holder: HeldLease,
+/// The lease and the configuration of a node, and the leases that it granted as a relay.
+pub struct Freshness {
+    held_lease: HeldLease,
     book: Book,
     grantor: LeaseGrantor,
 }
 
-impl Fresh {
-    /// A node that has just started: no lease, no configuration.
-    pub fn new(lease: Duration, now: BootTime) -> Fresh {
-        Fresh {
-            holder: HeldLease::default(),
+impl Freshness {
+    /// Creates the state of a node that has just started, without lease and configuration.
+    pub fn new(lease: Duration, now: BootTime) -> Freshness {
+        Freshness {
+            held_lease: HeldLease::default(),
             book: Book::default(),
             grantor: LeaseGrantor::new(lease, now),
         }
     }
 
-    /// The configuration, if the lease holds.
+    /// The configuration, if the lease is valid.
     pub fn in_force(&self, now: BootTime) -> Option<Arc<Numbered>> {
-        self.holder.is_fresh(now).then(|| self.book.newest().clone())
+        self.held_lease.is_fresh(now).then(|| self.book.newest().clone())
     }
 
-    /// The number known here, in force or not.
-    pub fn number(&self) -> ConfigNumber {
+    /// The newest known configuration number, whether or not it is in force.
+    pub fn config_number(&self) -> ConfigNumber {
         self.book.number()
     }
 
-    /// The number that this node has, and the one that all nodes below it have.
-    fn numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
+    /// The configuration number of this node, and the number that this node and all nodes with
+    /// leases from it have applied.
+    fn own_and_acked_numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
         let has = self.book.number();
         (has, self.grantor.min_acked(has, now))
     }
 
-    /// Takes a grant that answers the renewal sent at `sent_at`. False if it can't be used.
-    fn take(
+    /// Applies a grant in response to the renewal sent at `sent_at`. Returns false if it is not
+    /// usable.
+    fn apply_grant(
         &mut self,
         sent_at: BootTime,
-        lasts: Duration,
+        duration: Duration,
         number: ConfigNumber,
         update: &Update,
     ) -> bool {
-        // First the number, then the lease: a lease under an older number would be a lie.
-        if self.book.take(update).is_err() || self.book.number() < number || lasts.is_zero() {
+        // The update is applied first: the lease is only valid with the granted number.
+        if self.book.take(update).is_err() || self.book.number() < number || duration.is_zero() {
             return false;
         }
-        self.holder.extend(sent_at, lasts);
+        self.held_lease.extend(sent_at, duration);
         true
     }
 
-    /// Grants a lease as a relay; `None` if this node itself has none.
-    fn grant(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<Grant> {
-        let remaining = self.holder.remaining(now);
-        let lasts = self.grantor.grant(child, renew.acked, remaining, now);
+    /// Grants a lease as a relay; `None` if this node has no valid lease itself.
+    fn grant_lease(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<LeaseGrant> {
+        let remaining = self.held_lease.remaining(now);
+        let duration = self.grantor.grant(child, renew.acked, remaining, now);
         let update = || self.book.update_since(renew.has);
-        (!lasts.is_zero()).then(|| (lasts, self.book.number(), update()))
+        (!duration.is_zero()).then(|| (duration, self.book.number(), update()))
     }
 }
 
 impl Node {
-    /// Renews the lease for as long as the process lives.
-    pub(super) async fn keep_fresh(self: Arc<Node>) {
+    /// Renews the lease until the process exits.
+    pub(super) async fn run_lease_renewal(self: Arc<Node>) {
         let mut was_fresh = false;
         loop {
             let renewed = self.renew().await;
             let is_fresh = self.in_force().is_some();
             if is_fresh != was_fresh {
-                log::info!("event=freshness fresh={is_fresh} number={}", self.number());
+                log::info!("event=freshness fresh={is_fresh} number={}", self.config_number());
                 was_fresh = is_fresh;
             }
-            self.metrics.config_number.record(self.number(), &[]);
-            let pause = if renewed { self.settings.timing.renew } else { RETRY_PAUSE };
-            tokio::time::sleep(pause).await;
+            self.metrics.config_number.record(self.config_number(), &[]);
+            let delay = if renewed { self.settings.timing.renew } else { RENEW_RETRY_DELAY };
+            tokio::time::sleep(delay).await;
         }
     }
 
-    /// The configuration number known here.
-    pub fn number(&self) -> ConfigNumber {
-        self.fresh.lock().number()
+    /// The newest known configuration number, whether or not it is in force.
+    pub fn config_number(&self) -> ConfigNumber {
+        self.freshness.lock().config_number()
     }
 
-    /// Grants a lease to another node as the relay of its failure domain.
+    /// Grants a lease to another node as the relay of the failure domain.
     pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> Answer {
-        let grant = self.fresh.lock().grant(child, renew, boot_now());
-        grant.map_or(Answer::Unable, |grant| self.granted(grant, renew))
+        let grant = self.freshness.lock().grant_lease(child, renew, boot_now());
+        grant.map_or(Answer::Unable, |grant| self.grant_answer(grant, renew))
     }
 
-    /// The answer to a renewal, with what else the asker is to know.
-    pub(super) fn granted(&self, (lasts, number, update): Grant, renew: &Renew) -> Answer {
-        let (quarantine, told) = self.quarantine_news(renew.heard);
-        Answer::Granted { lasts_ms: lasts.as_millis() as u64, number, update, quarantine, told }
+    /// The answer to a renewal, including quarantine reports.
+    pub(super) fn grant_answer(
+        &self,
+        (duration, number, update): LeaseGrant,
+        renew: &Renew,
+    ) -> Answer {
+        let (quarantine, told) = self.suspect_reports_since(renew.heard);
+        Answer::Granted { lasts_ms: duration.as_millis() as u64, number, update, quarantine, told }
     }
 
     async fn renew(self: &Arc<Node>) -> bool {
-        let relay = self.relay();
+        let relay = self.lease_relay();
         if relay != self.settings.node_id && self.renew_with(relay, true).await {
             return true;
         }
@@ -126,19 +134,20 @@
     }
 
     async fn renew_with(self: &Arc<Node>, node: NodeId, as_relay: bool) -> bool {
-        // The lease counts from here, before anything has left this node.
+        // The lease starts before the renewal is sent, so that it expires before the grantor's
+        // record of it.
         let sent_at = boot_now();
-        let (has, acked) = self.fresh.lock().numbers(sent_at);
-        let (quarantine, heard, telling) = self.quarantine_for(node);
+        let (has, acked) = self.freshness.lock().own_and_acked_numbers(sent_at);
+        let (quarantine, heard, sent_revision) = self.quarantine_reports_for(node);
         let renew = Renew { has, acked, as_relay, quarantine, heard };
         match self.links.ask(node, Ask::Renew(renew), RENEW_TIMEOUT).await {
             Ok(Answer::Granted { lasts_ms, number, update, quarantine, told }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
-                self.hear_quarantine(node, quarantine, told, telling);
-                let lasts = Duration::from_millis(lasts_ms);
-                self.fresh.lock().take(sent_at, lasts, number, &update)
+                self.apply_quarantine_reports(node, quarantine, told, sent_revision);
+                let duration = Duration::from_millis(lasts_ms);
+                self.freshness.lock().apply_grant(sent_at, duration, number, &update)
             }
             Ok(Answer::NotLeader(Some(leader))) => {
                 self.leader_hint.store(leader, Ordering::Relaxed);
@@ -148,11 +157,11 @@
         }
     }
 
-    /// The live node of this failure domain with the lowest id renews for all others in it.
-    fn relay(&self) -> NodeId {
+    /// The relay of this failure domain: its live node with the lowest id.
+    fn lease_relay(&self) -> NodeId {
         let domain = &self.settings.failure_domain;
-        let known = self.known.lock();
-        let here = known.live.iter().filter(|member| member.failure_domain == *domain);
-        here.map(|member| member.node).min().unwrap_or(self.settings.node_id)
+        let view = self.membership_view.lock();
+        let domain_members = view.live.iter().filter(|member| member.failure_domain == *domain);
+        domain_members.map(|member| member.node).min().unwrap_or(self.settings.node_id)
     }
 }
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -1,4 +1,4 @@
-//! Asks the log's leader for decisions, wherever it is.
+//! Sends proposals and reads to the leader of the replicated log, on this or another node.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -14,35 +14,37 @@
 use crate::log::state::{Command, Patch, PatchAnswer, Reply};
 use crate::peer::message::{Answer, Ask};
 
-/// A leader that does not answer within this time is given up for another.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// All attempts together must end within this time.
-const DECIDE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before asking round once more.
-const ROUND_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between proposals of the first configuration.
-const FIRST_CONFIG_PAUSE: Duration = Duration::from_millis(200);
-/// The patch id of the first configuration, the same on every node: it is accepted once.
-const FIRST_CONFIG_ID: &str = "first_config";
+/// Timeout of a request to one replica.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time after which no further replica is tried.
+const TOTAL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before all replicas are tried again.
+const ROUND_DELAY: Duration = Duration::from_millis(50);
+/// Delay between proposals of the first configuration.
+const FIRST_CONFIG_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The patch id of the first configuration. It is the same on all nodes, so that the configuration
+/// is accepted only once.
+const FIRST_CONFIG_PATCH_ID: &str = "first_config";
 
-/// No leader could be asked in time. A command may or may not be decided.
+/// No leader answered in time. A proposed command may or may not be committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("no leader of the replicated log answered; see `kumquatpost status`"))]
 pub struct NoLeader;
 
 impl Node {
-    /// Has a command decided. The command must be one that may be proposed twice.
+    /// Proposes a command and waits until it is applied. The command may be proposed more than
+    /// once, so it must be idempotent.
     ///
     /// # Errors
-    /// If no leader answered in time; the command may be decided all the same.
-    pub async fn decide(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
+    /// If no leader answered in time. The command may still be committed.
+    pub async fn propose(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
         match self.ask_leader(Ask::Propose(command)).await? {
             Answer::Decided(reply) => Ok(reply),
             _ => Err(NoLeader),
         }
     }
 
-    /// Reads the configuration, confirmed by a quorum, as an update to number `has`.
+    /// Performs a linearizable read of the configuration. Returns the update from number `has`.
     ///
     /// # Errors
     /// If no leader answered in time.
@@ -53,10 +55,10 @@
         }
     }
 
-    /// Changes the replicas.
+    /// Changes the members of the replicated log.
     ///
     /// # Errors
-    /// If no leader answered in time. The inner error tells why the change was not accepted.
+    /// If no leader answered in time. The inner error is the reason why the change was rejected.
     pub async fn change_replicas(
         self: &Arc<Node>,
         change: Change,
@@ -67,23 +69,23 @@
         }
     }
 
-    /// Replicas in the order in which to ask them: the one that led last first.
+    /// The replicas in the order in which to try them, starting with the last known leader.
     pub(super) fn leader_candidates(&self) -> Vec<NodeId> {
         let hint = self.leader_hint.load(Ordering::Relaxed);
-        let known = self.replica_status().map(|status| status.raft);
-        let own_view = known.as_ref().and_then(|raft| raft.leader).unwrap_or(0);
-        let members = known.map(|raft| raft.members.voters.into_iter().collect());
-        let replicas: Vec<NodeId> = members.unwrap_or_else(|| self.settings.replicas());
-        let first = if own_view != 0 { own_view } else { hint };
+        let raft_status = self.replica_status().map(|status| status.raft);
+        let known_leader = raft_status.as_ref().and_then(|raft| raft.leader).unwrap_or(0);
+        let voters = raft_status.map(|raft| raft.members.voters.into_iter().collect());
+        let replicas: Vec<NodeId> = voters.unwrap_or_else(|| self.settings.replicas());
+        let first = if known_leader != 0 { known_leader } else { hint };
         let others = replicas.into_iter().filter(|node| *node != first);
         std::iter::once(first).filter(|node| *node != 0).chain(others).collect()
     }
 
     async fn ask_leader(self: &Arc<Node>, ask: Ask) -> Result<Answer, NoLeader> {
-        let end = boot_now() + DECIDE_TIMEOUT;
+        let deadline = boot_now() + TOTAL_TIMEOUT;
         loop {
             for node in self.leader_candidates() {
-                match self.links.ask(node, ask.clone(), ASK_TIMEOUT).await {
+                match self.links.ask(node, ask.clone(), REQUEST_TIMEOUT).await {
                     Ok(Answer::NotLeader(leader)) => {
                         self.leader_hint.store(leader.unwrap_or(0), Ordering::Relaxed);
                     }
@@ -95,26 +97,27 @@
                         return Ok(answer);
                     }
                 }
-                if boot_now() >= end {
+                if boot_now() >= deadline {
                     return Err(NoLeader);
                 }
             }
-            tokio::time::sleep(ROUND_PAUSE).await;
+            tokio::time::sleep(ROUND_DELAY).await;
         }
     }
 
-    /// Proposes the configuration of the settings until some configuration is accepted.
+    /// Proposes the configuration from the settings until a first configuration is committed.
     pub(super) async fn propose_first_config(self: Arc<Node>) {
         let Some(document) = self.settings.first_config.clone() else { return };
-        let patch = Patch { patch_id: FIRST_CONFIG_ID.into(), base: 0, text: document.to_string() };
+        let patch =
+            Patch { patch_id: FIRST_CONFIG_PATCH_ID.into(), base: 0, text: document.to_string() };
         loop {
-            match self.decide(Command::Patch(patch.clone())).await {
+            match self.propose(Command::Patch(patch.clone())).await {
                 Ok(Reply::Patch(PatchAnswer::Invalid(problems))) => {
                     log::error!("event=first_config_invalid problems={problems:?}");
                     return;
                 }
                 Ok(_) => return,
-                Err(NoLeader) => tokio::time::sleep(FIRST_CONFIG_PAUSE).await,
+                Err(NoLeader) => tokio::time::sleep(FIRST_CONFIG_RETRY_DELAY).await,
             }
         }
     }
--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders to engines while this node surely leads the log.
+//! Sends load orders to engines while this node holds the leader lease of the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::log::Term;
 use crate::log::state::{Command, Reply};
 use crate::orders::{EngineState, LoadOrder, Planner};
-use crate::replica::Leads;
+use crate::replica::LeadingTerm;
 
-/// How often orders are planned.
-const PLAN_PERIOD: Duration = Duration::from_millis(300);
+/// Interval at which orders are planned.
+const PLAN_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Node {
-    /// Plans and sends orders, again and again.
-    pub(super) async fn keep_ordering(self: Arc<Node>) {
+    /// Periodically plans and sends orders.
+    pub(super) async fn run_load_orders(self: Arc<Node>) {
         let mut planner: Option<(Term, Planner)> = None;
-        let mut interval = tokio::time::interval(PLAN_PERIOD);
+        let mut interval = tokio::time::interval(PLAN_INTERVAL);
         loop {
             interval.tick().await;
             let Some(term) = self.leading_term().await else {
@@ -29,17 +29,17 @@
                 planner = Some((term, Planner::new(self.settings.timing.election, boot_now())));
             }
             if let Some((_, planner)) = &mut planner {
-                self.order(planner, term).await;
+                self.send_load_orders(planner, term).await;
             }
         }
     }
 
-    async fn order(self: &Arc<Node>, planner: &mut Planner, term: Term) {
+    async fn send_load_orders(self: &Arc<Node>, planner: &mut Planner, term: Term) {
         let Some(config) = self.in_force() else { return };
         let planned = planner.plan(&config.config.models, &self.engine_states(), boot_now());
         for LoadOrder { engine, version } in planned {
-            let order = self.fenced(version.clone()).await;
-            // Asked again: time has passed since the plan was made.
+            let order = self.fenced_order(version.clone()).await;
+            // Another replica may have become the leader since the orders were planned.
             let still_leads = self.leading_term().await == Some(term);
             let url = self.engine_url(&engine);
             let (Some(order), true, Some(url)) = (order, still_leads, url) else {
@@ -58,21 +58,21 @@
         }
     }
 
-    async fn fenced(self: &Arc<Node>, load_version: String) -> Option<EngineOrder> {
-        match self.decide(Command::Fence).await {
+    async fn fenced_order(self: &Arc<Node>, load_version: String) -> Option<EngineOrder> {
+        match self.propose(Command::Fence).await {
             Ok(Reply::Fence(fencing)) => Some(EngineOrder { fencing, load_version }),
             _ => None,
         }
     }
 
     async fn leading_term(&self) -> Option<Term> {
-        self.replica.as_ref()?.address.send(Leads).await.ok().flatten()
+        self.replica.as_ref()?.address.send(LeadingTerm).await.ok().flatten()
     }
 
     fn engine_states(&self) -> Vec<EngineState> {
         let now = boot_now();
         let router = self.router.lock();
-        let known = router.view().engines.iter().filter_map(|(id, engine)| {
+        let states = router.view().engines.iter().filter_map(|(id, engine)| {
             let report = engine.fresh_report(now)?;
             Some(EngineState {
                 id: id.clone(),
@@ -83,7 +83,7 @@
                 checks_fencing: router.targets().get(id).is_some_and(|t| t.checks_fencing),
             })
         });
-        known.collect()
+        states.collect()
     }
 
     fn engine_url(&self, engine: &str) -> Option<String> {
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -1,4 +1,4 @@
-//! Answers other nodes.
+//! Handles messages from other nodes.
 
 use std::sync::Arc;
 
@@ -14,16 +14,17 @@
 use crate::peer::PeerHandler;
 use crate::peer::message::{Answer, Ask, Dispatched, Renew};
 use crate::prefix_catalog::AnsweredPrompt;
-use crate::replica::{self, Undecided};
+use crate::replica::{self, ReplicaError};
 
-/// Nodes among which each dispatch is told to all others, at the most.
-const NODES_TOLD: usize = 16;
+/// Dispatches are announced only among at most this many nodes, since each one costs a message to
+/// every other node.
+const MAX_NODES_FOR_ANNOUNCEMENTS: usize = 16;
 
 impl PeerHandler for Node {
     fn log(&self, from: NodeId, message: Message) {
         if let Some(replica) = &self.replica {
-            let sending = replica.address.send(replica::FromPeer(from, message)).detach();
-            // An unbounded mailbox takes it at once; it is gone only when the process ends.
+            let sending = replica.address.send(replica::PeerMessage(from, message)).detach();
+            // Never waits, since the mailbox is unbounded. Fails only while the process exits.
             drop(sending.now_or_never());
         }
     }
@@ -36,30 +37,30 @@
         async move {
             match ask {
                 Ask::Renew(mut renew) => {
-                    self.observe_quarantine(std::mem::take(&mut renew.quarantine));
+                    self.merge_quarantine_reports(std::mem::take(&mut renew.quarantine));
                     match renew.as_relay {
                         true => self.grant_as_relay(from, &renew),
                         false => self.grant_as_leader(from, &renew).await,
                     }
                 }
                 Ask::Propose(command) => {
-                    let (sender, decided) = oneshot::channel();
-                    self.tell_replica(replica::Propose(command, sender)).await;
-                    decision(decided.await.ok(), Answer::Decided)
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::Propose(command, sender)).await;
+                    answer_from_result(receiver.await.ok(), Answer::Decided)
                 }
                 Ask::ReadConfig { has } => {
-                    let (sender, read) = oneshot::channel();
-                    self.tell_replica(replica::ReadConfig(has, sender)).await;
-                    decision(read.await.ok(), Answer::Config)
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::ReadConfig(has, sender)).await;
+                    answer_from_result(receiver.await.ok(), Answer::Config)
                 }
                 Ask::ChangeReplicas(change) => {
-                    let (sender, changed) = oneshot::channel();
-                    self.tell_replica(replica::ChangeReplicas(change, sender)).await;
-                    match changed.await {
+                    let (sender, receiver) = oneshot::channel();
+                    self.send_to_replica(replica::ChangeReplicas(change, sender)).await;
+                    match receiver.await {
                         Ok(Err(ChangeError::NotLeader(other))) => Answer::NotLeader(other.leader),
-                        Ok(result) => {
-                            Answer::ReplicasChanged(result.map_err(|error| remedy(error).into()))
-                        }
+                        Ok(result) => Answer::ReplicasChanged(
+                            result.map_err(|error| change_error_message(error).into()),
+                        ),
                         Err(_) => Answer::Unable,
                     }
                 }
@@ -69,7 +70,7 @@
                     }
                     Answer::Kept(self.catalog.lock().lookup(root, boot_now()))
                 }
-                Ask::Seen(seen) => self.take_seen(&seen),
+                Ask::Seen(seen) => self.record_answered_prompt(&seen),
                 Ask::Written(written) => {
                     self.catalog.lock().record_export(&written, boot_now());
                     Answer::Done
@@ -83,62 +84,65 @@
 }
 
 impl Node {
-    /// Tells the other nodes of a dispatch, so that they don't choose the same engine for want of
-    /// news. Beyond a few nodes that costs more than it saves.
-    pub fn tell_dispatched(&self, dispatched: &Dispatched) {
+    /// Announces a dispatch to the other nodes, so that their load estimates of the engine include
+    /// it before the engine's next report. Does nothing if there are many nodes.
+    pub fn announce_dispatch(&self, dispatched: &Dispatched) {
         let others: Vec<NodeId> = {
-            let known = self.known.lock();
-            known.live.iter().skip(1).map(|member| member.node).collect()
+            let view = self.membership_view.lock();
+            view.live.iter().skip(1).map(|member| member.node).collect()
         };
-        if others.len() < NODES_TOLD {
+        if others.len() < MAX_NODES_FOR_ANNOUNCEMENTS {
             others.iter().for_each(|node| self.links.tell(*node, dispatched.clone()));
         }
     }
 
-    async fn tell_replica<M>(&self, message: M)
+    async fn send_to_replica<M>(&self, message: M)
     where
         M: Send + 'static,
         replica::Replica: xtra::Handler<M, Return = ()>,
     {
         if let Some(replica) = &self.replica {
-            // If the actor is gone, the sender in the message is dropped, which tells the asker.
+            // If the actor has stopped, the sender in the message is dropped: the receiver fails.
             drop(replica.address.send(message).detach().await);
         }
     }
 
     async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> Answer {
         let Some(replica) = &self.replica else { return Answer::NotLeader(None) };
-        let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
+        let grant = replica::GrantLease { child, known_number: renew.has, acked: renew.acked };
         match replica.address.send(grant).await {
-            Ok(Ok(grant)) => self.granted(grant, renew),
+            Ok(Ok(grant)) => self.grant_answer(grant, renew),
             Ok(Err(leader)) => Answer::NotLeader(leader),
             Err(_) => Answer::Unable,
         }
     }
 
-    fn take_seen(&self, seen: &AnsweredPrompt) -> Answer {
+    fn record_answered_prompt(&self, seen: &AnsweredPrompt) -> Answer {
         if self.in_force().is_none() {
             return Answer::Unable;
         }
-        let fills = self.store_fills();
+        let fills = self.store_used_fractions();
         Answer::Export(self.catalog.lock().record_answer(seen, &fills, boot_now()))
     }
 }
 
-fn decision<T>(result: Option<Result<T, Undecided>>, answer: impl Fn(T) -> Answer) -> Answer {
+fn answer_from_result<T>(
+    result: Option<Result<T, ReplicaError>>,
+    answer: impl Fn(T) -> Answer,
+) -> Answer {
     match result {
         Some(Ok(value)) => answer(value),
-        Some(Err(Undecided::NotLeader(leader))) => Answer::NotLeader(leader),
-        Some(Err(Undecided::Unknown)) | None => Answer::Unable,
+        Some(Err(ReplicaError::NotLeader(leader))) => Answer::NotLeader(leader),
+        Some(Err(ReplicaError::OutcomeUnknown)) | None => Answer::Unable,
     }
 }
 
-fn remedy(error: ChangeError) -> &'static str {
+fn change_error_message(error: ChangeError) -> &'static str {
     match error {
-        ChangeError::NotLeader(_) => "another node leads; ask again",
-        ChangeError::InProgress => "another change is not committed yet; ask again in a moment",
-        ChangeError::NotCaughtUp => "the learner has not caught up yet; ask again in a moment",
-        ChangeError::NotApplicable => "the node is one already, or is none; see the status",
-        ChangeError::LastVoter => "the last voter can't be removed; add another one first",
+        ChangeError::NotLeader(_) => "another node is the leader; retry",
+        ChangeError::InProgress => "another change is not committed yet; retry in a moment",
+        ChangeError::NotCaughtUp => "the learner has not caught up yet; retry in a moment",
+        ChangeError::NotApplicable => "it is no replica, or has this role already; see the status",
+        ChangeError::LastVoter => "the last voter can't be removed; add another voter first",
     }
 }
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -1,8 +1,8 @@
-//! Requests under which targets end: kept from them here, and told along the tree of leases.
+//! Quarantine of requests that terminate targets.
 //!
-//! A node tells whoever grants its lease what it has seen, and is told with the lease which requests several
-//! targets have ended under: from its failure domain's relay, which has it from the leader. Each step takes
-//! one renewal, and costs one message whatever the number of nodes.
+//! Nodes exchange reports along the tree of freshness leases. A renewal carries the node's new
+//! reports to its grantor, a relay or the leader. The grant carries back the reports of requests
+//! under which several targets have terminated.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,135 +15,137 @@
 use crate::quarantine::broken_runs::{BrokenRun, BrokenRuns, TargetCheck};
 use crate::quarantine::{Fingerprint, MergeResult, Quarantine, Report, Revision};
 
-/// Longest time to find out whether a target still listens.
-const EXAMINE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Timeout of the connection attempt that checks whether a target is still listening.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What this node knows, and whom it has told.
-pub struct Quarantining {
-    known: Quarantine,
-    broken: BrokenRuns,
-    /// This start of the node: its revisions begin anew with each.
+/// The quarantine as known to this node, and the state of the exchange with other nodes.
+pub struct QuarantineState {
+    quarantine: Quarantine,
+    broken_runs: BrokenRuns,
+    /// Identifies this start of the process. Revisions are only comparable within one start.
     boot: u64,
-    grantors: HashMap<NodeId, Grantor>,
+    grantors: HashMap<NodeId, GrantorState>,
 }
 
-/// A node that grants, or granted, this one its lease.
+/// The state of the exchange with a node that grants, or granted, leases to this one.
 #[derive(Clone, Copy, Default)]
-struct Grantor {
-    /// The own revision up to which it was told.
-    told: Revision,
+struct GrantorState {
+    /// The grantor has this node's reports up to this revision.
+    reported_revision: Revision,
+    /// This node has the grantor's reports up to this revision.
     heard: Heard,
 }
 
-/// A run of a request that broke off at a target.
-pub struct BrokenAt<'a> {
-    /// The target.
+/// A dispatch that ended without a complete answer.
+pub struct BrokenDispatch<'a> {
     pub target: &'a TargetId,
-    /// The start of it.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Its base URL.
+    /// The base URL of the target.
     pub url: &'a str,
-    /// What was asked.
+    /// Identifies the content of the request.
     pub fingerprint: Fingerprint,
-    /// When it was sent.
     pub sent_at: BootTime,
 }
 
-impl Quarantining {
-    /// Nothing is known yet.
-    pub fn new(boot: u64) -> Quarantining {
-        let (known, broken) = (Quarantine::default(), BrokenRuns::default());
-        Quarantining { known, broken, boot, grantors: HashMap::new() }
+impl QuarantineState {
+    /// Creates the state of a node that has just started.
+    pub fn new(boot: u64) -> QuarantineState {
+        let (quarantine, broken_runs) = (Quarantine::default(), BrokenRuns::default());
+        QuarantineState { quarantine, broken_runs, boot, grantors: HashMap::new() }
     }
 }
 
 impl Node {
-    /// How much longer a request must not reach a target, if targets have ended under it.
-    pub fn held_for(&self, request: Fingerprint) -> Option<Duration> {
-        self.quarantining.lock().known.held_for(request, boot_now())
+    /// The remaining time for which a request is quarantined, if it is.
+    pub fn quarantine_remaining(&self, request: Fingerprint) -> Option<Duration> {
+        self.quarantine.lock().quarantine.held_for(request, boot_now())
     }
 
-    /// A request got a whole answer.
-    pub fn answered_whole(&self, request: Fingerprint) {
-        self.quarantining.lock().known.record_completion(request, boot_now());
+    /// Records that a request got a complete answer.
+    pub fn record_completion(&self, request: Fingerprint) {
+        self.quarantine.lock().quarantine.record_completion(request, boot_now());
     }
 
-    /// A run broke off: finds out whether its target has ended.
-    pub async fn examine(&self, broken: BrokenAt<'_>) {
-        let BrokenAt { target, incarnation, url, fingerprint, sent_at } = broken;
-        // Both only name a start.
+    /// Records a failed dispatch. Checks whether the target still accepts connections; if not, its
+    /// failed runs count against their requests.
+    pub async fn report_broken_run(&self, broken: BrokenDispatch<'_>) {
+        let BrokenDispatch { target, incarnation, url, fingerprint, sent_at } = broken;
+        // Both only identify a start of the target; the value is not used as a time.
         let start = TargetStart { id: target.clone(), born_ms: Some(incarnation as i64) };
         let run = BrokenRun { fingerprint, sent_at, broke_at: boot_now() };
-        let check = self.quarantining.lock().broken.record_broken_run(&start, run);
+        let check = self.quarantine.lock().broken_runs.record_broken_run(&start, run);
         if check != TargetCheck::TargetEnded && !refuses_connections(url).await {
-            self.quarantining.lock().broken.mark_listening(&start);
+            self.quarantine.lock().broken_runs.mark_listening(&start);
             return;
         }
         let merged = {
-            let mut quarantining = self.quarantining.lock();
-            let mut runs = quarantining.broken.mark_ended(&start, boot_now());
+            let mut state = self.quarantine.lock();
+            let mut runs = state.broken_runs.mark_ended(&start, boot_now());
             if check == TargetCheck::TargetEnded {
                 runs.push(run);
             }
             log::warn!("event=target_ended target={start} runs={}", runs.len());
-            quarantining.known.record_target_end(&runs, &start, boot_now())
+            state.quarantine.record_target_end(&runs, &start, boot_now())
         };
-        log_held(&merged);
+        log_quarantined(&merged);
     }
 
-    /// Takes what another node knows.
-    pub(super) fn observe_quarantine(&self, reports: Vec<Report>) {
-        let merged = self.quarantining.lock().known.merge_reports(reports, boot_now());
-        log_held(&merged);
+    /// Merges reports of another node.
+    pub(super) fn merge_quarantine_reports(&self, reports: Vec<Report>) {
+        let merged = self.quarantine.lock().quarantine.merge_reports(reports, boot_now());
+        log_quarantined(&merged);
     }
 
-    /// What to tell a node that grants leases: news, what it was heard to say, and the revision up to which it
-    /// knows all once it has answered.
-    pub(super) fn quarantine_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
-        let quarantining = self.quarantining.lock();
-        let Grantor { told, heard } =
-            quarantining.grantors.get(&grantor).copied().unwrap_or_default();
-        let news = quarantining.known.reports_since(told, boot_now());
-        (news, heard, quarantining.known.revision())
+    /// What to send to a grantor with a renewal: the new reports, and the revision up to which this
+    /// node has the grantor's reports. Also returns the own revision up to which the grantor will
+    /// have all reports.
+    pub(super) fn quarantine_reports_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
+        let state = self.quarantine.lock();
+        let GrantorState { reported_revision, heard } =
+            state.grantors.get(&grantor).copied().unwrap_or_default();
+        let reports = state.quarantine.reports_since(reported_revision, boot_now());
+        (reports, heard, state.quarantine.revision())
     }
 
-    /// Takes what came with a lease.
-    pub(super) fn hear_quarantine(
+    /// Applies the reports that came with a lease.
+    pub(super) fn apply_quarantine_reports(
         &self,
         grantor: NodeId,
         reports: Vec<Report>,
         heard: Heard,
-        telling: Revision,
+        sent_revision: Revision,
     ) {
         {
-            let mut quarantining = self.quarantining.lock();
-            let known = quarantining.grantors.entry(grantor).or_default();
-            // One that has started again knows only what it was told since.
-            known.told = if known.heard.boot == heard.boot { telling } else { 0 };
-            known.heard = heard;
+            let mut state = self.quarantine.lock();
+            let grantor_state = state.grantors.entry(grantor).or_default();
+            // A grantor that has restarted has lost the earlier reports.
+            grantor_state.reported_revision =
+                if grantor_state.heard.boot == heard.boot { sent_revision } else { 0 };
+            grantor_state.heard = heard;
         }
-        self.observe_quarantine(reports);
+        self.merge_quarantine_reports(reports);
     }
 
-    /// What a node is to be told with its lease that has heard so much.
-    pub(super) fn quarantine_news(&self, heard: Heard) -> (Vec<Report>, Heard) {
-        let quarantining = self.quarantining.lock();
-        let is_of_this_start = heard.boot == quarantining.boot;
-        let since = if is_of_this_start { heard.revision } else { Revision::default() };
-        let told = Heard { boot: quarantining.boot, revision: quarantining.known.revision() };
-        (quarantining.known.suspect_reports_since(since, boot_now()), told)
+    /// What to send with a lease to a node that has this node's reports up to `heard`.
+    pub(super) fn suspect_reports_since(&self, heard: Heard) -> (Vec<Report>, Heard) {
+        let state = self.quarantine.lock();
+        let is_current_boot = heard.boot == state.boot;
+        let since = if is_current_boot { heard.revision } else { Revision::default() };
+        let reported = Heard { boot: state.boot, revision: state.quarantine.revision() };
+        (state.quarantine.suspect_reports_since(since, boot_now()), reported)
     }
 }
 
 async fn refuses_connections(url: &str) -> bool {
     let Ok(url) = reqwest::Url::parse(url) else { return false };
     match (url.host_str(), url.port_or_known_default()) {
-        (Some(host), Some(port)) => net::refuses_connections(host, port, EXAMINE_TIMEOUT).await,
+        (Some(host), Some(port)) => net::refuses_connections(host, port, PROBE_TIMEOUT).await,
         _ => false,
     }
 }
 
-fn log_held(merged: &MergeResult) {
+fn log_quarantined(merged: &MergeResult) {
     for fingerprint in &merged.held {
         log::warn!("event=request_held fingerprint={fingerprint}");
     }
--- a/src/node/stored_prefixes.rs
+++ b/src/node/stored_prefixes.rs
@@ -1,10 +1,11 @@
-//! Keeps contexts: looks kept copies up, exports after answers, frees, and rebuilds after loss.
+//! Stored prefixes of contexts: lookup before a prompt, export after an answer, freeing, and
+//! recovery from the stores' inventories.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Node, every};
+use super::{Node, run_periodically};
 use crate::clock::boot_now;
 use crate::edge::api::ExportOrder;
 use crate::ids::{BlockKey, NodeId, TargetId};
@@ -13,63 +14,64 @@
 use crate::prompt::Chain;
 use crate::telemetry::metrics::label;
 
-/// A lookup that is not answered within this time is done without.
+/// Timeout of a lookup. The prompt proceeds without stored prefixes afterwards.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(25);
-/// Notes to owners may take longer: nobody waits for them.
-const NOTE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often copies are freed and ownership is looked at.
-const FREE_PERIOD: Duration = Duration::from_millis(500);
-/// How often the stores' inventories are read, in free periods.
-const INVENTORY_EVERY: u64 = 10;
-/// Exports wait while the link to a store is longer behind than this: imports go first.
-const EXPORT_BACKLOG: Duration = Duration::from_millis(50);
+/// Timeout of reports to owners, for which no request waits.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval at which copies are freed.
+const FREE_INTERVAL: Duration = Duration::from_millis(500);
+/// The stores' inventories are read once in this many free intervals.
+const FREE_INTERVALS_PER_INVENTORY: u64 = 10;
+/// Exports are skipped while the link to a store has a longer backlog, to give priority to imports.
+const MAX_EXPORT_BACKLOG: Duration = Duration::from_millis(50);
 
 impl Node {
-    /// What stores keep of a prompt. Owners that do not answer in time are done without.
-    pub async fn kept_of(
+    /// The stored prefixes of a prompt. Empty if no owner of the context answers in time.
+    pub async fn stored_prefixes(
         self: &Arc<Node>,
         chain: &Chain,
     ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
-        for owner in owners(root, &self.node_places()) {
-            let asked = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
-            if let Ok(Answer::Kept(kept)) = asked {
-                let usable = kept.into_iter().filter(|kept| is_of(chain, kept));
+        for owner in owners(root, &self.node_locations()) {
+            let answer = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
+            if let Ok(Answer::Kept(kept)) = answer {
+                let usable = kept.into_iter().filter(|kept| is_prefix_of(chain, kept));
                 return usable.map(|kept| (kept.store, kept.object)).collect();
             }
         }
         Vec::new()
     }
 
-    /// Tells the owners that a prompt was answered by an engine, and exports if that is worth it.
-    pub fn note_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
+    /// Reports an answered prompt to the owner of its context, and exports the prefix that the
+    /// owner selects, if any.
+    pub fn report_answered(self: &Arc<Node>, chain: &Chain, engine_url: String) {
         let Some(seen) = AnsweredPrompt::from_chain(chain) else { return };
         let node = self.clone();
-        tokio::spawn(async move { node.tell_owners(seen, engine_url).await });
+        tokio::spawn(async move { node.report_to_owner(seen, engine_url).await });
     }
 
-    async fn tell_owners(self: Arc<Node>, seen: AnsweredPrompt, engine_url: String) {
-        let owners = owners(seen.root, &self.node_places());
+    async fn report_to_owner(self: Arc<Node>, seen: AnsweredPrompt, engine_url: String) {
+        let owners = owners(seen.root, &self.node_locations());
         let Some(first) = owners.first() else { return };
-        let told = self.links.ask(*first, Ask::Seen(seen.clone()), NOTE_TIMEOUT).await;
-        let Ok(Answer::Export(Some(plan))) = told else { return };
-        let kept = self.export(&plan, &engine_url).await;
+        let answer = self.links.ask(*first, Ask::Seen(seen.clone()), REPORT_TIMEOUT).await;
+        let Ok(Answer::Export(Some(plan))) = answer else { return };
+        let kept = self.export_prefix(&plan, &engine_url).await;
         let written = ExportOutcome {
             root: plan.root,
             key: plan.position.key,
             generation: plan.generation,
             kept,
         };
-        self.tell_written(*first, written).await;
+        self.report_export(*first, written).await;
     }
 
-    async fn tell_written(self: &Arc<Node>, owner: NodeId, written: ExportOutcome) {
-        // If the owner is gone, its successor finds the copy in the store's inventory.
-        drop(self.links.ask(owner, Ask::Written(written), NOTE_TIMEOUT).await);
+    async fn report_export(self: &Arc<Node>, owner: NodeId, written: ExportOutcome) {
+        // Best effort: an owner that misses the report finds the copy in the store's inventory.
+        drop(self.links.ask(owner, Ask::Written(written), REPORT_TIMEOUT).await);
     }
 
-    async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<PrefixLocation> {
-        let store_url = self.export_url(&plan.store)?;
+    async fn export_prefix(&self, plan: &ExportPlan, engine_url: &str) -> Option<PrefixLocation> {
+        let store_url = self.export_store_url(&plan.store)?;
         let order = ExportOrder {
             store_url,
             root: plan.root,
@@ -90,17 +92,17 @@
         }
     }
 
-    /// The URL of a store that can take an export now.
-    fn export_url(&self, store: &str) -> Option<String> {
+    /// The URL of a store, if it can accept an export now.
+    fn export_store_url(&self, store: &str) -> Option<String> {
         let now = boot_now();
         let mut router = self.router.lock();
         let view = router.store_mut(store)?;
-        let waits = view.transfer_time(0, now)?;
-        (view.takes_work && waits < EXPORT_BACKLOG).then(|| view.url.clone())
+        let backlog = view.transfer_time(0, now)?;
+        (view.takes_work && backlog < MAX_EXPORT_BACKLOG).then(|| view.url.clone())
     }
 
-    /// Stores that take exports and the share of each that is used.
-    pub(super) fn store_fills(&self) -> BTreeMap<TargetId, f64> {
+    /// The used fraction of each store that accepts exports.
+    pub(super) fn store_used_fractions(&self) -> BTreeMap<TargetId, f64> {
         let now = boot_now();
         let router = self.router.lock();
         let stores = router.view().stores.iter();
@@ -110,20 +112,20 @@
             .collect()
     }
 
-    /// Frees copies, and rebuilds what is known from the stores' inventories, again and again.
-    pub(super) async fn keep_contexts(self: Arc<Node>) {
-        let mut periods: u64 = 0;
-        every(FREE_PERIOD, || {
-            periods += 1;
+    /// Periodically frees copies and updates the catalog from the stores' inventories.
+    pub(super) async fn run_context_maintenance(self: Arc<Node>) {
+        let mut rounds: u64 = 0;
+        run_periodically(FREE_INTERVAL, || {
+            rounds += 1;
             let node = self.clone();
-            let inventory = periods.is_multiple_of(INVENTORY_EVERY);
+            let is_inventory_due = rounds.is_multiple_of(FREE_INTERVALS_PER_INVENTORY);
             async move {
-                // An owner acts only under its own freshness lease, so that one that is cut off
-                // falls silent before its successor acts.
+                // Requires a freshness lease, so that an owner that is cut off from the other nodes
+                // stops before its successor starts.
                 if node.in_force().is_some() {
                     node.free_copies().await;
-                    if inventory {
-                        node.rebuild().await;
+                    if is_inventory_due {
+                        node.rebuild_catalog().await;
                     }
                 }
                 true
@@ -133,12 +135,15 @@
     }
 
     async fn free_copies(self: &Arc<Node>) {
-        let places = self.node_places();
-        let me = self.settings.node_id;
-        // Only the first owner frees; the second one is ready to take its place.
-        let is_first_owner = |root: BlockKey| owners(root, &places).first() == Some(&me);
-        let orders =
-            self.catalog.lock().free_orders(&self.store_fills(), is_first_owner, boot_now());
+        let locations = self.node_locations();
+        let own_id = self.settings.node_id;
+        // Only the first owner frees copies. The second owner is the standby.
+        let is_first_owner = |root: BlockKey| owners(root, &locations).first() == Some(&own_id);
+        let orders = self.catalog.lock().free_orders(
+            &self.store_used_fractions(),
+            is_first_owner,
+            boot_now(),
+        );
         for order in orders {
             let Some(url) = self.store_url(&order.store) else { continue };
             let freed =
@@ -150,10 +155,10 @@
         }
     }
 
-    async fn rebuild(self: &Arc<Node>) {
-        let places = self.node_places();
-        let me = self.settings.node_id;
-        let owns = |root: BlockKey| owners(root, &places).contains(&me);
+    async fn rebuild_catalog(self: &Arc<Node>) {
+        let locations = self.node_locations();
+        let own_id = self.settings.node_id;
+        let owns = |root: BlockKey| owners(root, &locations).contains(&own_id);
         self.catalog.lock().remove_unowned(owns);
         let stores: Vec<(TargetId, String)> = {
             let router = self.router.lock();
@@ -171,8 +176,8 @@
     }
 }
 
-/// Whether a kept object is a beginning of this very prompt.
-fn is_of(chain: &Chain, kept: &PrefixLocation) -> bool {
+/// Whether a stored object is a prefix of this prompt.
+fn is_prefix_of(chain: &Chain, kept: &PrefixLocation) -> bool {
     let blocks = kept.object.blocks as usize;
     blocks > 0 && chain.keys.get(blocks - 1) == Some(&kept.object.key)
 }
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,7 +1,7 @@
 //! Relaying an answer: only chunks of the current attempt, in order, up to the end mark.
 
 use kumquatpost::edge::chat::{Chunk, Shape, Usage};
-use kumquatpost::http_api::relay::{Fault, Relay};
+use kumquatpost::http_api::relay::{Relay, StreamError};
 
 fn text_event(id: &str, text: &str) -> String {
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
@@ -20,10 +20,10 @@
 const DONE: &str = "[DONE]";
 
 /// Feeds events until the first fault; returns the text sent to the caller, and the fault.
-fn feed(relay: &mut Relay, events: &[String]) -> (String, Option<Fault>) {
+fn feed(relay: &mut Relay, events: &[String]) -> (String, Option<StreamError>) {
     let mut sent = String::new();
     for event in events {
-        match relay.take(event) {
+        match relay.process_event(event) {
             Ok(new) => sent.push_str(&new.unwrap_or_default()),
             Err(fault) => return (sent, Some(fault)),
         }
@@ -33,8 +33,8 @@
 
 #[test]
 fn incomplete_or_interleaved_streams_are_detected() {
-    let wrong_id = |id: &str| Some(Fault::Crossed { id: id.into() });
-    type Case = (&'static str, Vec<String>, &'static str, Option<Fault>, bool);
+    let wrong_id = |id: &str| Some(StreamError::UnexpectedId { id: id.into() });
+    type Case = (&'static str, Vec<String>, &'static str, Option<StreamError>, bool);
     let cases: Vec<Case> = vec![
         (
             "whole",
@@ -55,7 +55,7 @@
             "end mark too early",
             vec![text_event("r.1", "a "), DONE.into()],
             "a ",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             false,
         ),
         (
@@ -70,14 +70,14 @@
             "more after its end",
             vec![final_event("r.1", "a"), text_event("r.1", "b")],
             "a",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             false,
         ),
         (
             "more after the end mark",
             vec![final_event("r.1", "a"), DONE.into(), text_event("r.1", "b")],
             "a",
-            Some(Fault::OutOfOrder),
+            Some(StreamError::OutOfOrder),
             true,
         ),
     ];
@@ -85,12 +85,15 @@
         let mut relay = Relay::default();
         relay.restart("r.1".into());
         assert_eq!(feed(&mut relay, &events), (sent.to_string(), fault), "{case_name}");
-        assert_eq!(relay.is_whole(), whole, "{case_name}");
+        assert_eq!(relay.is_complete(), whole, "{case_name}");
     }
     let mut relay = Relay::default();
     relay.restart("r.1".into());
-    assert!(matches!(relay.take("{"), Err(Fault::Unreadable { .. })));
-    assert!(matches!(relay.take(r#"{"error": {"message": "x"}}"#), Err(Fault::Unreadable { .. })));
+    assert!(matches!(relay.process_event("{"), Err(StreamError::Malformed { .. })));
+    assert!(matches!(
+        relay.process_event(r#"{"error": {"message": "x"}}"#),
+        Err(StreamError::Malformed { .. })
+    ));
 }
 
 #[test]
@@ -106,13 +109,13 @@
         let mut relay = Relay::default();
         relay.restart("r.1".into());
         feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
-        assert_eq!(relay.chunks(), 2);
+        assert_eq!(relay.text_chunks(), 2);
         relay.restart("r.2".into());
         let events: Vec<String> = chunks.iter().map(|chunk| text_event("r.2", chunk)).collect();
         let (sent, fault) = feed(&mut relay, &events);
         assert_eq!(sent, expected, "{case_name}");
         assert_eq!(fault.is_none(), repeats, "{case_name}");
-        assert!(fault.is_none() || fault == Some(Fault::Diverged), "{case_name}");
+        assert!(fault.is_none() || fault == Some(StreamError::Diverged), "{case_name}");
     }
 }
 
@@ -123,8 +126,8 @@
     feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
     relay.restart("r.2".into());
     let (sent, fault) = feed(&mut relay, &[final_event("r.2", "one "), DONE.into()]);
-    assert_eq!((sent.as_str(), fault), ("", Some(Fault::OutOfOrder)));
-    assert!(!relay.is_whole());
+    assert_eq!((sent.as_str(), fault), ("", Some(StreamError::OutOfOrder)));
+    assert!(!relay.is_complete());
 }
 
 #[test]
@@ -134,6 +137,6 @@
     feed(&mut relay, &[text_event("r.1", "one "), text_event("r.1", "two ")]);
     let rest = [final_event("r.1", "three"), usage_event("r.1"), DONE.into()];
     assert_eq!(feed(&mut relay, &rest), ("three".into(), None));
-    assert!(relay.is_whole());
-    assert_eq!(relay.text(), "one two three");
+    assert!(relay.is_complete());
+    assert_eq!(relay.sent_text(), "one two three");
 }
