--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -148,7 +148,7 @@
                 return Err(AttemptError::TimedOut(target));
             }
         };
-        let response_metadata = headers::decode_metadata(response.headers());
+        let response_metadata = headers::decode_response(response.headers());
         let received =
             TargetResponse { target, response, response_metadata, connection, in_flight, sent_at };
         return check_response(gateway, routed, received, record);
@@ -216,7 +216,7 @@
     let mut request = Request::new(Full::new(routed.body.clone()));
     *request.method_mut() = routed.method.clone();
     *request.uri_mut() = routed.uri.clone();
-    *request.headers_mut() = headers::for_target(&routed.headers, &forwarded);
+    *request.headers_mut() = headers::request_for_target(&routed.headers, &forwarded);
     request
 }
 
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -51,7 +51,7 @@
     let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let metadata = headers::decode_call(&head.uri, &head.headers);
+    let metadata = headers::decode_request(&head.uri, &head.headers);
     let mut record = RequestRecord::new(&gateway, &metadata, started_at);
     let mut response = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(routed) => serve(&gateway, routed, record).await,
@@ -269,7 +269,7 @@
     received: TargetResponse,
 ) -> GatewayResponse {
     let status = received.response.status();
-    let values = headers::for_caller(received.response.headers());
+    let values = headers::response_for_caller(received.response.headers());
     let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
         EventRelay::new(gateway.clone(), routed, record, tried, received).into_body()
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -151,7 +151,7 @@
         values.insert("x-model", "m".parse().expect("a header"));
         values.insert("x-token-count", counts.parse().expect("a header"));
         values.insert("x-prompt-prefix", prefix.parse().expect("a header"));
-        let call = headers::decode_call(&"/a/".parse().expect("a path"), &values);
+        let call = headers::decode_request(&"/a/".parse().expect("a path"), &values);
         let prompt = call.prompt.expect("it names a model");
         let mut scheduler = scheduler(2);
         for waiter in 0..3 {
--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -40,7 +40,7 @@
         ("x-prompt-prefix", "5c1e:800,91bd:410, e440:250"),
         ("last-event-id", "4"),
     ]);
-    let call = headers::decode_call(&Uri::from_static("/a/b?c=d"), &headers);
+    let call = headers::decode_request(&Uri::from_static("/a/b?c=d"), &headers);
     assert_eq!((call.host.as_str(), call.path.as_str()), ("shop.example", "/a/b"));
     assert_eq!(call.deadline, Some(Duration::from_millis(1_500)));
     assert_eq!(call.key.as_deref(), Some("key-a"));
@@ -65,7 +65,7 @@
     ];
     for (name, value) in cases {
         let headers = map(&[("x-model", "m"), (name, value)]);
-        let call = headers::decode_call(&Uri::from_static("/"), &headers);
+        let call = headers::decode_request(&Uri::from_static("/"), &headers);
         assert_eq!(call.deadline, None, "{name}");
         assert_eq!(call.key, None, "{name}");
         assert!(call.prompt.is_some_and(|prompt| prompt.prompt_tokens == 0), "{name}");
@@ -91,7 +91,7 @@
         ("authorization", "Bearer key-a"),
     ];
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::for_target(&map(&ours), &forwarded(&target, &account));
+    let passed = headers::request_for_target(&map(&ours), &forwarded(&target, &account));
     let expected = map(&[
         ("x-deadline-ms", "750"),
         ("x-expect-instance", "i-1"),
@@ -115,7 +115,7 @@
         ("x-kept", "yes"),
     ]);
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::for_target(&from, &forwarded(&target, &account));
+    let passed = headers::request_for_target(&from, &forwarded(&target, &account));
     for kept in ["x-model", "x-request-id", "host", "x-kept"] {
         assert!(passed.contains_key(kept), "{kept}");
     }
@@ -133,7 +133,7 @@
         fetch_until_ms: 1_234,
     };
     let with_kept = ForwardingMetadata { transfers: Some(kept), ..forwarded(&target, &account) };
-    let passed = headers::for_target(&HeaderMap::new(), &with_kept);
+    let passed = headers::request_for_target(&HeaderMap::new(), &with_kept);
     assert_eq!(passed["x-kv-fetch"], "10.0.0.1:1,-,-");
     assert_eq!(passed["x-kv-save"], "-,10.0.0.1:2,-");
     assert_eq!(passed["x-kv-until"], "1234", "every fetch has an end");
@@ -150,12 +150,12 @@
         ("keep-alive", "timeout=5, max=100"),
         ("connection", "close"),
     ]);
-    let outcome = headers::decode_metadata(&answer);
+    let outcome = headers::decode_response(&answer);
     assert!(outcome.did_not_run && outcome.closes);
     assert_eq!(outcome.answered_by.as_deref(), Some("i-2"));
     assert_eq!(outcome.load.map(|load| (load.running, load.waiting, load.slots)), Some((3, 1, 48)));
     assert_eq!(outcome.weight_version, Some(2));
     assert_eq!(outcome.idle_timeout, Some(Duration::from_secs(5)));
-    let broken = headers::decode_metadata(&map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
+    let broken = headers::decode_response(&map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
     assert_eq!((broken.load, broken.idle_timeout), (None, None));
 }
