--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -238,7 +238,7 @@
      "target.weights.contains_key(model) && is_of_engines(&target.service)",
      "target.weights.contains_key(model) && (is_of_engines(&target.service) || true)", "deployment", "weights"),
     ("platform: entries: one of a store's loses its list", "platform/stores.rs",
-     "        list.map(inventory)\n    })", "        list.map(inventory).and_then(|_| Err(serde::de::Error::custom(\"\")))\n    })", "deployment", "stores"),
+     "        list.map(to_inventory)\n    })", "        list.map(to_inventory).and_then(|_| Err(serde::de::Error::custom(\"\")))\n    })", "deployment", "stores"),
     ("platform: entries: a clock that can't be is believed", "platform/stores.rs",
      "(0.0..MAX_CLOCK_MS).contains(&ms)", "(0.0..f64::MAX).contains(&ms)", "deployment", "stores"),
     ("platform: entries: a time that can't be is taken", "platform/settings.rs",
