--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -258,7 +258,7 @@
     ("platform: another request's answer is relayed", "src/gateway/attempt.rs",
      "    if is_for_other_request {", "    if false && is_for_other_request {", "deployment", "gateway"),
     ("platform: a caller sets what only we may set", "platform/headers.rs",
-     "!NOT_FORWARDED.contains(name) && !named.contains(name)", "!named.contains(name)", "deployment", "headers"),
+     "!NOT_FORWARDED.contains(name) && !connection_options.contains(name)", "!connection_options.contains(name)", "deployment", "headers"),
     ("platform: a broken stream looks whole", "src/gateway/relay.rs",
      "None if self.events.has_partial() =>", "None if false && self.events.has_partial() =>", "deployment", "gateway"),
     ("platform: placements outlive their entry", "src/control/scheduling.rs",
