--- a/src/control/operators.rs
+++ b/src/control/operators.rs
@@ -22,7 +22,7 @@
 use crate::deployment::{Deployment, validate};
 use crate::ids::ModelId;
 use crate::net;
-use crate::platform::operator::{self, Refused};
+use crate::platform::operator::{self, RejectedCall};
 use crate::telemetry::metrics::label;
 use crate::telemetry::roles::ReplicaMetrics;
 
@@ -58,14 +58,14 @@
 ///
 /// # Errors
 /// Everything that is wrong with it, one line each.
-pub fn checked(call: OperatorCall) -> Result<OperatorCall, Refused> {
+pub fn checked(call: OperatorCall) -> Result<OperatorCall, RejectedCall> {
     let OperatorCall::Publish { deployment, .. } = &call else { return Ok(call) };
     let problems = validate::problems(deployment);
     if problems.is_empty() {
         return Ok(call);
     }
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
-    Err(Refused { status: StatusCode::BAD_REQUEST, message: lines.join("\n") })
+    Err(RejectedCall { status: StatusCode::BAD_REQUEST, message: lines.join("\n") })
 }
 
 type Answer = Response<Full<Bytes>>;
--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -33,7 +33,7 @@
     })
 }
 
-fn put(document: &Value) -> Result<OperatorCall, operator::Refused> {
+fn put(document: &Value) -> Result<OperatorCall, operator::RejectedCall> {
     operator::decode(&Method::PUT, "/config", document.to_string().as_bytes()).and_then(checked)
 }
 
