--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -3,7 +3,7 @@
 use http::{Method, StatusCode};
 use kumquatpost::control::operators::{OperatorCall, checked};
 use kumquatpost::deployment::{RunPolicy, ServiceRole};
-use kumquatpost::platform::{documents, operator};
+use kumquatpost::platform::{deployment_document, operator};
 use serde_json::{Value, json};
 
 use crate::fixtures::ms;
@@ -40,7 +40,7 @@
 #[test]
 fn fields_become_what_they_hold() {
     let text = document().to_string();
-    let deployment = documents::decode(text.as_bytes()).expect("it is valid");
+    let deployment = deployment_document::decode(text.as_bytes()).expect("it is valid");
     assert_eq!(deployment.version, 7);
     let route = &deployment.routes[0];
     assert_eq!(route.policy, RunPolicy::StreamResumable);
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -8,7 +8,9 @@
 use kumquatpost::control::state::ControlState;
 use kumquatpost::deployment::validate;
 use kumquatpost::fleet::{Listing, Roster};
-use kumquatpost::platform::{documents, engines, headers, instances, operator, settings, stores};
+use kumquatpost::platform::{
+    deployment_document, engines, headers, instances, operator, settings, stores,
+};
 use kumquatpost::scheduler::PlacementRequest;
 use proptest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +34,7 @@
 
 /// Decodes bytes as everything that comes from the platform, and from other processes of ours.
 fn decode_all(bytes: &[u8]) {
-    let _ = documents::decode(bytes).map(|deployment| validate::problems(&deployment));
+    let _ = deployment_document::decode(bytes).map(|deployment| validate::problems(&deployment));
     let _ = instances::decode(bytes).map(|page| {
         let mut listing = Listing::default();
         page.entries.into_iter().for_each(|entry| listing.add(entry));
