--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -23,7 +23,7 @@
     /// Client accounts; `None` if callers need no key.
     pub accounts: Option<Vec<Account>>,
     /// What a caller may send.
-    pub bounds: Bounds,
+    pub request_limits: RequestLimits,
 }
 
 /// Where requests of one host and path prefix go.
@@ -156,7 +156,7 @@
 
 /// What a caller may send, and how long it may take.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// Largest head of a request.
     pub head_bytes: usize,
     /// Largest body.
@@ -167,10 +167,10 @@
     pub idle_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for RequestLimits {
     /// In force only where a deployment names none: common defaults of HTTP servers.
-    fn default() -> Bounds {
-        Bounds {
+    fn default() -> RequestLimits {
+        RequestLimits {
             head_bytes: 16 << 10,
             body_bytes: 4 << 20,
             head_timeout: Duration::from_secs(5),
--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -5,7 +5,7 @@
 pub mod validate;
 
 pub use document::{
-    Account, Bounds, Deployment, EngineTraits, Route, RunPolicy, Service, ServiceRole, Share,
-    StoreTraits,
+    Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    Share, StoreTraits,
 };
 pub use table::{Rejection, RouteMatch, Table};
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -79,7 +79,8 @@
         Err(refusal) => return Err((refusal, metadata.id)),
     };
     let mut routed = route_request(&table, head, metadata, arrived, record)?;
-    let (version, max_bytes) = (table.deployment().version, table.deployment().bounds.body_bytes);
+    let (version, max_bytes) =
+        (table.deployment().version, table.deployment().request_limits.body_bytes);
     drop(table);
     gateway.wait_for_service(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
     routed.body = match read_body(body, max_bytes).await {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -48,7 +48,8 @@
     if let Err(error) = net::notice_silence(&stream, UNACKNOWLEDGED_TIMEOUT) {
         log::debug!("event=connection_not_set reason={:?}", error.to_string());
     }
-    let bounds = gateway.table().map(|table| table.deployment().bounds.clone()).unwrap_or_default();
+    let limits =
+        gateway.table().map(|table| table.deployment().request_limits.clone()).unwrap_or_default();
     let last_used = Rc::new(Cell::new(boot_now()));
     let service = {
         let last_used = last_used.clone();
@@ -63,7 +64,7 @@
         })
     };
     let connection = http1::Builder::new()
-        .max_buf_size(bounds.head_bytes.max(MIN_HEAD_BYTES))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let mut is_closing = *closing.borrow();
@@ -72,7 +73,7 @@
     }
     loop {
         let idle_left =
-            bounds.idle_timeout.saturating_sub(boot_now().saturating_sub(last_used.get()));
+            limits.idle_timeout.saturating_sub(boot_now().saturating_sub(last_used.get()));
         tokio::select! {
             ended = connection.as_mut() => {
                 if let Err(error) = ended {
@@ -87,7 +88,7 @@
                 }
             }
             () = tokio::time::sleep(idle_left.max(MIN_IDLE_CHECK)), if !is_closing => {
-                if boot_now().saturating_sub(last_used.get()) >= bounds.idle_timeout {
+                if boot_now().saturating_sub(last_used.get()) >= limits.idle_timeout {
                     is_closing = true;
                     connection.as_mut().graceful_shutdown();
                 }
--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -53,7 +53,7 @@
     assert_eq!(store.first_byte, std::time::Duration::from_micros(500));
     let accounts = deployment.accounts.expect("accounts");
     assert!(accounts[0].is_isolated && !accounts[1].is_isolated);
-    assert_eq!(deployment.bounds.idle_timeout, ms(15_000));
+    assert_eq!(deployment.request_limits.idle_timeout, ms(15_000));
 }
 
 #[test]
--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -154,7 +154,7 @@
 fn an_entry_that_no_replica_confirms_refuses_no_long_body_for_good() {
     run(async {
         let mut strict = unhurried();
-        strict.bounds.body_bytes = 3;
+        strict.request_limits.body_bytes = 3;
         let entry = entry(strict, vec![target("i-1", "app", address(1))]).await;
         may_come_back(&entry.call("/safe/", "r1").await, "a body of four bytes");
         entry.is_confirmed();
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::{
-    Account, Bounds, Deployment, EngineTraits, Route, RunPolicy, Service, ServiceRole, Share,
-    StoreTraits,
+    Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    Share, StoreTraits,
 };
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::ids::TargetStart;
@@ -88,7 +88,7 @@
             ("store".to_string(), service(store)),
         ]),
         accounts: Some(vec![account("alpha", "key-a", false), account("beta", "key-b", true)]),
-        bounds: Bounds::default(),
+        request_limits: RequestLimits::default(),
     }
 }
 
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -444,7 +444,7 @@
 fn a_body_beyond_the_bound_is_refused_and_nothing_passes_on() {
     run(async {
         let mut small = unhurried();
-        small.bounds.body_bytes = 3;
+        small.request_limits.body_bytes = 3;
         let one = StandIn::start(vec![]).await;
         let entry = entry(small, vec![target("i-1", "app", one.address)]).await;
         entry.is_confirmed();
