--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -1,11 +1,11 @@
 //! The whole deployment as operators publish it: routes, services, client accounts and bounds.
 
 pub mod document;
-pub mod table;
+pub mod routing_table;
 pub mod validate;
 
 pub use document::{
     Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
     Share, StoreTraits,
 };
-pub use table::{Rejection, RouteMatch, Table};
+pub use routing_table::{Rejection, RouteMatch, RoutingTable};
--- a/src/deployment/table.rs
+++ b/src/deployment/routing_table.rs
@@ -8,7 +8,7 @@
 
 /// A deployment, indexed for lookups.
 #[derive(Debug)]
-pub struct Table {
+pub struct RoutingTable {
     deployment: Arc<Deployment>,
     /// Routes of each host, those with the longest prefix first.
     by_host: HashMap<String, Vec<usize>>,
@@ -34,9 +34,9 @@
     pub account: Option<&'a Account>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Indexes a deployment.
-    pub fn new(deployment: Arc<Deployment>) -> Table {
+    pub fn new(deployment: Arc<Deployment>) -> RoutingTable {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (at, route) in deployment.routes.iter().enumerate() {
             by_host.entry(route.host.to_ascii_lowercase()).or_default().push(at);
@@ -48,7 +48,7 @@
         for (at, account) in deployment.accounts.iter().flatten().enumerate() {
             by_key.extend(account.keys.iter().map(|key| (key.clone(), at)));
         }
-        Table { deployment, by_host, by_key }
+        RoutingTable { deployment, by_host, by_key }
     }
 
     /// The deployment.
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -23,7 +23,7 @@
 use super::target_selection::NoTarget;
 use super::termination;
 use crate::clock::boot_now;
-use crate::deployment::{Rejection, RunPolicy, Table};
+use crate::deployment::{Rejection, RoutingTable, RunPolicy};
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
@@ -101,7 +101,7 @@
     gateway: &Gateway,
     metadata: &RequestMetadata,
     record: &mut RequestRecord,
-) -> Result<Rc<Table>, Refusal> {
+) -> Result<Rc<RoutingTable>, Refusal> {
     loop {
         let table = gateway.table().ok_or(Refusal::NotReady)?;
         let version = table.deployment().version;
@@ -126,7 +126,7 @@
 
 /// Finds the route, account and service of a request. The body is added later.
 fn route_request(
-    table: &Table,
+    table: &RoutingTable,
     head: http::request::Parts,
     metadata: RequestMetadata,
     arrived: Instant,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -20,7 +20,7 @@
 use crate::control::frames::{ConfirmId, NumberedRoster, RosterName, Update};
 use crate::control::pieces::{Assembly, Piece, PieceError};
 use crate::deployment::document::DeploymentVersion;
-use crate::deployment::{Deployment, Table};
+use crate::deployment::{Deployment, RoutingTable};
 use crate::fleet::budget::{RetryRule, RetryShare};
 use crate::fleet::compact::NameMissing;
 use crate::fleet::{Dispatch, FleetView, Listed, Presence, RosterChange};
@@ -78,7 +78,7 @@
     /// Settings of the host.
     pub host: HostSettings,
     /// Routing table of the newest known deployment. Its version never decreases.
-    table: RefCell<Option<Rc<Table>>>,
+    table: RefCell<Option<Rc<RoutingTable>>>,
     /// All known targets.
     pub fleet: RefCell<FleetView>,
     /// This entry's share of the retry budget.
@@ -183,7 +183,7 @@
     }
 
     /// Routing table of the newest known deployment.
-    pub fn table(&self) -> Option<Rc<Table>> {
+    pub fn table(&self) -> Option<Rc<RoutingTable>> {
         self.table.borrow().clone()
     }
 
@@ -427,7 +427,7 @@
                 deployment.version,
                 deployment.routes.len()
             );
-            *table = Some(Rc::new(Table::new(deployment)));
+            *table = Some(Rc::new(RoutingTable::new(deployment)));
             self.state_changed.notify_waiters();
         }
     }
--- a/tests/deployment/table.rs
+++ b/tests/deployment/table.rs
@@ -2,19 +2,19 @@
 
 use std::sync::Arc;
 
-use kumquatpost::deployment::{Rejection, RunPolicy, Share, Table};
+use kumquatpost::deployment::{Rejection, RoutingTable, RunPolicy, Share};
 use kumquatpost::gateway::priority::Priority;
 
 use crate::fixtures::{account, deployment, route};
 
-fn table() -> Table {
+fn table() -> RoutingTable {
     let mut deployment = deployment(1);
     let mut deeper = route("safe", RunPolicy::Idempotent, "app");
     deeper.name = "deeper".to_string();
     deeper.path_prefix = "/safe/deep/".to_string();
     deeper.is_public = true;
     deployment.routes.push(deeper);
-    Table::new(Arc::new(deployment))
+    RoutingTable::new(Arc::new(deployment))
 }
 
 #[test]
@@ -41,7 +41,7 @@
 fn without_accounts_no_key_is_needed() {
     let mut open = deployment(1);
     open.accounts = None;
-    let table = Table::new(Arc::new(open));
+    let table = RoutingTable::new(Arc::new(open));
     assert!(table.find("shop.example", "/safe/x", None).is_ok());
 }
 
