--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -44,7 +44,7 @@
     /// Rank among routes, 0 first.
     pub priority: u8,
     /// Services and their weights. Invariant of a valid route: the weights' sum is above 0.
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedService>,
     /// Most targets to which one request may be sent.
     pub attempts: u32,
     /// Whether callers need no key.
@@ -82,7 +82,7 @@
 
 /// One service of a split.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
     /// Its part of the requests, relative to the others'.
--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -6,6 +6,6 @@
 
 pub use document::{
     Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
-    Share, StoreTraits,
+    StoreTraits, WeightedService,
 };
 pub use routing_table::{Rejection, RouteMatch, RoutingTable};
--- a/src/deployment/routing_table.rs
+++ b/src/deployment/routing_table.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::document::{Account, Deployment, Route, Share};
+use super::document::{Account, Deployment, Route, WeightedService};
 use crate::ids::ServiceId;
 
 /// A deployment, indexed for lookups.
@@ -38,15 +38,17 @@
     /// Indexes a deployment.
     pub fn new(deployment: Arc<Deployment>) -> RoutingTable {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, route) in deployment.routes.iter().enumerate() {
-            by_host.entry(route.host.to_ascii_lowercase()).or_default().push(at);
+        for (index, route) in deployment.routes.iter().enumerate() {
+            by_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
         for routes in by_host.values_mut() {
-            routes.sort_by_key(|at| std::cmp::Reverse(deployment.routes[*at].path_prefix.len()));
+            routes.sort_by_key(|index| {
+                std::cmp::Reverse(deployment.routes[*index].path_prefix.len())
+            });
         }
         let mut by_key = HashMap::new();
-        for (at, account) in deployment.accounts.iter().flatten().enumerate() {
-            by_key.extend(account.keys.iter().map(|key| (key.clone(), at)));
+        for (index, account) in deployment.accounts.iter().flatten().enumerate() {
+            by_key.extend(account.keys.iter().map(|key| (key.clone(), index)));
         }
         RoutingTable { deployment, by_host, by_key }
     }
@@ -82,25 +84,25 @@
         };
         routes
             .iter()
-            .map(|at| &self.deployment.routes[*at])
+            .map(|index| &self.deployment.routes[*index])
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
     fn account(&self, key: &str) -> Option<&Account> {
-        let at = *self.by_key.get(key)?;
-        self.deployment.accounts.as_ref()?.get(at)
+        let index = *self.by_key.get(key)?;
+        self.deployment.accounts.as_ref()?.get(index)
     }
 }
 
 impl Route {
     /// The service for a request, by a number that is drawn evenly from `0..1`.
-    pub fn pick(&self, drawn: f64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, fraction: f64) -> Option<&ServiceId> {
         let total: f64 = self.split.iter().map(|share| f64::from(share.weight)).sum();
-        let mut left = drawn * total;
-        let weighted = |share: &&Share| share.weight > 0;
+        let mut remaining = fraction * total;
+        let weighted = |share: &&WeightedService| share.weight > 0;
         for share in self.split.iter().filter(weighted) {
-            left -= f64::from(share.weight);
-            if left < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -141,7 +141,7 @@
     let priority = Priority::of(found.account, &route);
     record.set_route(&route.name, priority);
     let mut random = rand::rng();
-    let Some(service) = route.pick(random.random()).cloned() else {
+    let Some(service) = route.pick_service(random.random()).cloned() else {
         return Err((Refusal::NoTarget, metadata.id));
     };
     let isolated = found.account.filter(|account| account.is_isolated);
@@ -221,8 +221,8 @@
                 };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(AttemptError::Held(left)) => {
-                let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
+            Err(AttemptError::Held(remaining)) => {
+                let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(remaining) };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
             Err(AttemptError::TooLate) => {
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -6,7 +6,7 @@
 
 use kumquatpost::deployment::{
     Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
-    Share, StoreTraits,
+    StoreTraits, WeightedService,
 };
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::ids::TargetStart;
@@ -48,7 +48,7 @@
         timeout: ms(2_000),
         objective: ms(400),
         priority: 1,
-        split: vec![Share { service: service.to_string(), weight: 1 }],
+        split: vec![WeightedService { service: service.to_string(), weight: 1 }],
         attempts: 2,
         is_public: false,
         is_sticky: policy.is_stream(),
--- a/tests/deployment/table.rs
+++ b/tests/deployment/table.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kumquatpost::deployment::{Rejection, RoutingTable, RunPolicy, Share};
+use kumquatpost::deployment::{Rejection, RoutingTable, RunPolicy, WeightedService};
 use kumquatpost::gateway::priority::Priority;
 
 use crate::fixtures::{account, deployment, route};
@@ -48,15 +48,20 @@
 #[test]
 fn weights_share_the_requests() {
     let mut split = route("safe", RunPolicy::Idempotent, "a");
-    let share = |service: &str, weight| Share { service: service.to_string(), weight };
+    let share = |service: &str, weight| WeightedService { service: service.to_string(), weight };
     split.split = vec![share("a", 90), share("b", 10), share("none", 0)];
     let picks = |service: &str| {
-        (0..1_000).filter(|n| split.pick(f64::from(*n) / 1_000.0).unwrap() == service).count()
+        (0..1_000)
+            .filter(|n| split.pick_service(f64::from(*n) / 1_000.0).unwrap() == service)
+            .count()
     };
     assert_eq!((picks("a"), picks("b"), picks("none")), (900, 100, 0));
-    assert_eq!(split.pick(1.0).unwrap(), "b", "also at the end of the range");
+    assert_eq!(split.pick_service(1.0).unwrap(), "b", "also at the end of the range");
     split.split = vec![share("a", u32::MAX), share("b", u32::MAX)];
-    assert_eq!((split.pick(0.4).unwrap().as_str(), split.pick(0.6).unwrap().as_str()), ("a", "b"));
+    assert_eq!(
+        (split.pick_service(0.4).unwrap().as_str(), split.pick_service(0.6).unwrap().as_str()),
+        ("a", "b")
+    );
 }
 
 /// All accounts have the same rank, as on the deployed sites: what the operator says of routes must
