--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -102,16 +102,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServiceRole {
     /// Model engines.
-    Engines(EngineTraits),
+    Engines(EngineSpec),
     /// A store of kept KV cache.
-    Store(StoreTraits),
+    Store(StoreSpec),
     /// Anything else.
     Plain,
 }
 
 /// What all engines of a service have in common.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EngineTraits {
+pub struct EngineSpec {
     /// Requests that run at once.
     pub slots: u32,
     /// Tokens that fit in memory, of running requests and kept parts together.
@@ -126,7 +126,7 @@
 
 /// A store of kept KV cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StoreTraits {
+pub struct StoreSpec {
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its failure domain.
--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -5,7 +5,7 @@
 pub mod validate;
 
 pub use document::{
-    Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
-    StoreTraits, WeightedService,
+    Account, Deployment, EngineSpec, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    StoreSpec, WeightedService,
 };
 pub use routing_table::{Rejection, RouteMatch, RoutingTable};
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -10,7 +10,7 @@
 use super::source::{Source, Transfer, sources};
 use super::store::{Store, part_key};
 use crate::clock::BootTime;
-use crate::deployment::EngineTraits;
+use crate::deployment::EngineSpec;
 
 /// What a prompt that an engine already runs delays the next one, beside what it must still read.
 const DELAY_PER_RUNNING_MS: f64 = 2.0;
@@ -107,7 +107,7 @@
     pub fn candidate(
         &self,
         engine: &Engine,
-        traits: &EngineTraits,
+        traits: &EngineSpec,
         pace: &Pace,
         now: BootTime,
     ) -> Option<Candidate> {
@@ -171,7 +171,7 @@
         &self,
         at: usize,
         engine: &Engine,
-        traits: &EngineTraits,
+        traits: &EngineSpec,
         now: BootTime,
     ) -> Option<(SocketAddr, Transfer)> {
         let size_bytes = (self.ask.parts[at].tokens * traits.token_bytes) as f64;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -19,7 +19,7 @@
 use super::store::{FETCH_LASTS, FREE_LASTS, Store};
 use super::weights::Weights;
 use crate::clock::BootTime;
-use crate::deployment::EngineTraits;
+use crate::deployment::EngineSpec;
 use crate::fleet::{Fault, Presence};
 use crate::gateway::metadata::Part;
 use crate::ids::{ServiceId, TargetStart};
@@ -68,7 +68,7 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetStart, Engine>,
-    traits: HashMap<ServiceId, EngineTraits>,
+    traits: HashMap<ServiceId, EngineSpec>,
     stores: BTreeMap<SocketAddr, Store>,
     paces: HashMap<ServiceId, Pace>,
     /// Recent delay of first tokens beyond what was expected: queueing delay at engines, which must not
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -12,7 +12,7 @@
 use super::link::Link;
 use super::memory::PartKey;
 use crate::clock::BootTime;
-use crate::deployment::StoreTraits;
+use crate::deployment::StoreSpec;
 use crate::gateway::metadata::Part;
 use crate::ids::{BirthMs, may_be_same_birth};
 
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     /// As the deployment names it.
-    pub traits: StoreTraits,
+    pub traits: StoreSpec,
     /// This start of it; `None` until its inventory is known.
     start: Option<StoreStart>,
     parts: FxHashMap<PartKey, Kept>,
@@ -147,7 +147,7 @@
 
 impl Store {
     /// A store of which nothing is known yet.
-    pub fn new(traits: StoreTraits) -> Store {
+    pub fn new(traits: StoreSpec) -> Store {
         let link = Link::new(traits.link_mbps);
         Store {
             traits,
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::{
-    Account, Deployment, EngineTraits, RequestLimits, Route, RunPolicy, Service, ServiceRole,
-    StoreTraits, WeightedService,
+    Account, Deployment, EngineSpec, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    StoreSpec, WeightedService,
 };
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::ids::TargetStart;
@@ -58,14 +58,14 @@
 
 /// Routes of each policy before engines `llm`, a plain service `app` and one store.
 pub fn deployment(version: u64) -> Deployment {
-    let engines = ServiceRole::Engines(EngineTraits {
+    let engines = ServiceRole::Engines(EngineSpec {
         slots: 48,
         capacity_tokens: 100_000,
         token_bytes: 131_072,
         link_mbps: 1_100_000.0,
         models: vec!["m".to_string()],
     });
-    let store = ServiceRole::Store(StoreTraits {
+    let store = ServiceRole::Store(StoreSpec {
         address: address(9_000),
         failure_domain: "a".to_string(),
         capacity_tokens: 100_000,
--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use kumquatpost::deployment::StoreTraits;
+use kumquatpost::deployment::StoreSpec;
 use kumquatpost::gateway::metadata::Part;
 use kumquatpost::platform::stores;
 use kumquatpost::scheduler::store::{
@@ -16,7 +16,7 @@
 const SALT: &str = "all/m/1";
 
 fn store(capacity_tokens: u64) -> Store {
-    let mut store = Store::new(StoreTraits {
+    let mut store = Store::new(StoreSpec {
         address: address(9_000),
         failure_domain: "a".to_string(),
         capacity_tokens,
