--- a/src/deployment/validate.rs
+++ b/src/deployment/validate.rs
@@ -14,17 +14,17 @@
 }
 
 fn check_routes(deployment: &Deployment, problems: &mut Vec<Problem>) {
-    let mut places = BTreeSet::new();
-    for (at, route) in deployment.routes.iter().enumerate() {
+    let mut seen_prefixes = BTreeSet::new();
+    for (index, route) in deployment.routes.iter().enumerate() {
         let mut report = |field: &str, message: String, remedy: &str| {
-            let path = format!("routes[{at}].{field}");
+            let path = format!("routes[{index}].{field}");
             problems.push(Problem { path, message, remedy: remedy.to_string() });
         };
-        if !places.insert((&route.host, &route.path_prefix)) {
+        if !seen_prefixes.insert((&route.host, &route.path_prefix)) {
             let message = format!("{}{} is routed twice", route.host, route.path_prefix);
             report("path_prefix", message, "keep one of the two routes");
         }
-        if !is_prefix(&route.path_prefix) {
+        if !is_valid_prefix(&route.path_prefix) {
             let message = format!("{:?} is no prefix", route.path_prefix);
             report("path_prefix", message, "begin and end it with a slash");
         }
@@ -43,19 +43,19 @@
     }
 }
 
-fn is_prefix(prefix: &str) -> bool {
+fn is_valid_prefix(prefix: &str) -> bool {
     prefix.starts_with('/') && prefix.ends_with('/')
 }
 
 fn check_keys(deployment: &Deployment, problems: &mut Vec<Problem>) {
-    let mut holders = BTreeMap::new();
-    for (at, account) in deployment.accounts.iter().flatten().enumerate() {
+    let mut key_owners = BTreeMap::new();
+    for (index, account) in deployment.accounts.iter().flatten().enumerate() {
         for key in &account.keys {
-            if let Some(other) = holders.insert(key, at)
-                && other != at
+            if let Some(other) = key_owners.insert(key, index)
+                && other != index
             {
                 problems.push(Problem {
-                    path: format!("accounts[{at}].keys"),
+                    path: format!("accounts[{index}].keys"),
                     message: format!("shares a key with accounts[{other}]"),
                     remedy: "give each account keys of its own".into(),
                 });
