--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -52,7 +52,7 @@
     /// Whether requests share prompt parts, so that it matters which engine runs them.
     pub is_sticky: bool,
     /// The longest pause between events for an answer to be on time.
-    pub gap_target: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
 }
 
 /// What of a request may be repeated.
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -159,7 +159,7 @@
             return None;
         }
         let max_gap =
-            self.routed.route.gap_target.map_or(DEFAULT_MAX_GAP, |gap| gap * GAPS_BEFORE_RESUME);
+            self.routed.route.max_event_gap.map_or(DEFAULT_MAX_GAP, |gap| gap * GAPS_BEFORE_RESUME);
         Some(max_gap.max(self.routed.route.objective))
     }
 
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -52,7 +52,7 @@
         attempts: 2,
         is_public: false,
         is_sticky: policy.is_stream(),
-        gap_target: policy.is_stream().then(|| ms(300)),
+        max_event_gap: policy.is_stream().then(|| ms(300)),
     }
 }
 
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -38,7 +38,7 @@
     for route in &mut unhurried.routes {
         route.timeout = LONG;
         route.objective = LONG;
-        route.gap_target = route.gap_target.map(|_| LONG);
+        route.max_event_gap = route.max_event_gap.map(|_| LONG);
     }
     unhurried
 }
