--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -221,8 +221,8 @@
                 };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
-            Err(AttemptError::Held(remaining)) => {
-                let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(remaining) };
+            Err(AttemptError::Held(left)) => {
+                let refusal = if may_have_run { Refusal::Broken } else { Refusal::Held(left) };
                 return refuse(refusal, &routed.metadata.id, &record);
             }
             Err(AttemptError::TooLate) => {
