--- a/src/config/book.rs
+++ b/src/config/book.rs
@@ -16,7 +16,7 @@
 
 /// One number of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Numbered {
+pub struct NumberedConfig {
     /// The number. 0 is the empty configuration, before the first patch.
     pub number: ConfigNumber,
     /// The document.
@@ -27,13 +27,13 @@
     accounts_by_key: HashMap<String, AccountId>,
 }
 
-impl Numbered {
+impl NumberedConfig {
     /// Numbers a checked document.
-    pub fn new(number: ConfigNumber, document: Value, config: Config) -> Numbered {
+    pub fn new(number: ConfigNumber, document: Value, config: Config) -> NumberedConfig {
         let by_key =
             |(id, account): (&AccountId, &Account)| (account.key_blake3.clone(), id.clone());
         let accounts_by_key = config.accounts.iter().map(by_key).collect();
-        Numbered { number, document, config, accounts_by_key }
+        NumberedConfig { number, document, config, accounts_by_key }
     }
 
     /// The account that a bearer key belongs to.
@@ -47,7 +47,7 @@
 /// Invariant: the number never falls.
 #[derive(Clone, Debug)]
 pub struct Book {
-    newest: Arc<Numbered>,
+    newest: Arc<NumberedConfig>,
     /// The last patches, each with the number that it made; consecutive, the last is the newest.
     patches: VecDeque<(ConfigNumber, String)>,
 }
@@ -74,14 +74,15 @@
 
 impl Default for Book {
     fn default() -> Book {
-        let empty = Numbered { document: Value::Object(Map::new()), ..Numbered::default() };
+        let empty =
+            NumberedConfig { document: Value::Object(Map::new()), ..NumberedConfig::default() };
         Book { newest: Arc::new(empty), patches: VecDeque::new() }
     }
 }
 
 impl Book {
     /// The newest configuration.
-    pub fn newest(&self) -> &Arc<Numbered> {
+    pub fn newest(&self) -> &Arc<NumberedConfig> {
         &self.newest
     }
 
@@ -99,15 +100,15 @@
     ///
     /// # Errors
     /// Everything that is wrong with the result.
-    pub fn patched(&self, change: &Value) -> Result<Numbered, Vec<Problem>> {
+    pub fn patched(&self, change: &Value) -> Result<NumberedConfig, Vec<Problem>> {
         let mut document = self.newest.document.clone();
         patch::merge(&mut document, change);
         let config = Config::from_value(&document)?;
-        Ok(Numbered::new(self.number() + 1, document, config))
+        Ok(NumberedConfig::new(self.number() + 1, document, config))
     }
 
     /// Makes a patched document the newest.
-    pub fn accept(&mut self, next: Numbered, patch_text: String) {
+    pub fn accept(&mut self, next: NumberedConfig, patch_text: String) {
         debug_assert_eq!(next.number, self.number() + 1);
         self.patches.push_back((next.number, patch_text));
         while self.patches.len() > PATCHES_KEPT {
@@ -174,7 +175,7 @@
         }
         let document: Value = serde_json::from_str(text).map_err(|_| Unusable::Broken)?;
         let config = Config::from_value(&document).map_err(|_| Unusable::Broken)?;
-        self.newest = Arc::new(Numbered::new(number, document, config));
+        self.newest = Arc::new(NumberedConfig::new(number, document, config));
         self.patches.clear();
         Ok(())
     }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -4,5 +4,5 @@
 pub mod document;
 pub mod patch;
 
-pub use book::{Book, Numbered, Update};
+pub use book::{Book, NumberedConfig, Update};
 pub use document::{Account, Config, Kind, Model, Objective, Policy, Prices, Service};
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -9,7 +9,7 @@
 
 use super::{Code, Refusal, prompts, services};
 use crate::clock::{BootTime, boot_now};
-use crate::config::{Kind, Numbered};
+use crate::config::{Kind, NumberedConfig};
 use crate::edge::chat::Shape;
 use crate::http::{self, BodyError, Request, Response};
 use crate::ids::{AccountId, KindId, RequestId};
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The configuration that it runs under to its end.
-    pub config: Arc<Numbered>,
+    pub config: Arc<NumberedConfig>,
     /// Whose it is.
     pub account: AccountId,
     /// Its id, given by the caller or drawn.
@@ -117,7 +117,7 @@
 }
 
 /// The configuration in force, if the node admits requests.
-pub fn admitting(node: &Node) -> Result<Arc<Numbered>, Refusal> {
+pub fn admitting(node: &Node) -> Result<Arc<NumberedConfig>, Refusal> {
     if node.is_stopping() {
         let refusal = Refusal::not_run(Code::ShuttingDown, "this node is shutting down");
         return Err(refusal.after(NOT_FRESH_RETRY));
@@ -128,7 +128,7 @@
     })
 }
 
-fn identify(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
+fn identify(config: &NumberedConfig, request: &Request) -> Result<AccountId, Refusal> {
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = bearer.and_then(|key| config.account_of_key(key.trim()));
     account
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::claims::{Claim, ClaimAnswer, ClaimKey, ClaimToken, Claims, Digest, Outcome};
-use crate::config::{Book, Numbered, Update};
+use crate::config::{Book, NumberedConfig, Update};
 use crate::ids::ConfigNumber;
 
 /// Number of patches whose answers are kept, so that a resent patch gets its first answer.
@@ -121,7 +121,7 @@
     }
 
     /// The newest configuration.
-    pub fn config(&self) -> &Arc<Numbered> {
+    pub fn config(&self) -> &Arc<NumberedConfig> {
         self.book.newest()
     }
 
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -7,7 +7,7 @@
 
 use super::Node;
 use crate::clock::{BootTime, boot_now};
-use crate::config::{Book, Numbered, Update};
+use crate::config::{Book, NumberedConfig, Update};
 use crate::ids::{ConfigNumber, NodeId};
 use crate::lease::{Grantor, Holder};
 use crate::peer::message::{Answer, Ask, Renew};
@@ -38,7 +38,7 @@
     }
 
     /// The configuration, if the lease holds.
-    pub fn in_force(&self, now: BootTime) -> Option<Arc<Numbered>> {
+    pub fn in_force(&self, now: BootTime) -> Option<Arc<NumberedConfig>> {
         self.holder.is_fresh(now).then(|| self.book.newest().clone())
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::claims::ClaimToken;
 use crate::clock::{boot_now, unix_ms};
-use crate::config::Numbered;
+use crate::config::NumberedConfig;
 use crate::edge::client::TargetClient;
 use crate::entry;
 use crate::error::{Error, Result};
@@ -181,7 +181,7 @@
     }
 
     /// The configuration that may be used now; `None` if the node is not fresh.
-    pub fn in_force(&self) -> Option<Arc<Numbered>> {
+    pub fn in_force(&self) -> Option<Arc<NumberedConfig>> {
         self.fresh.lock().in_force(boot_now())
     }
 
