--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -11,7 +11,7 @@
 use super::slopes::Point;
 use crate::claims::{ClaimKey, ClaimToken, Outcome};
 use crate::config::document::key_hash;
-use crate::config::{Book, Policy, Prices, Update};
+use crate::config::{ConfigHistory, Policy, Prices, Update};
 use crate::edge::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
@@ -294,15 +294,15 @@
 }
 
 pub(super) fn patch_us(accounts: usize) -> f64 {
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     let document = document(accounts);
-    if let Ok(next) = book.patched(&document) {
-        book.accept(next, document.to_string());
+    if let Ok(next) = history.patched(&document) {
+        history.accept(next, document.to_string());
     }
     median_us(5, 4, |number| {
         let change = json!({"accounts": {"account-1": {"max_running": 1 + number}}});
-        if let Ok(next) = book.patched(&change) {
-            book.accept(next, change.to_string());
+        if let Ok(next) = history.patched(&change) {
+            history.accept(next, change.to_string());
         }
     })
 }
@@ -435,12 +435,12 @@
 }
 
 pub(super) fn plan_us(engines: usize) -> f64 {
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     let document = document(1);
-    if let Ok(next) = book.patched(&document) {
-        book.accept(next, document.to_string());
+    if let Ok(next) = history.patched(&document) {
+        history.accept(next, document.to_string());
     }
-    let models = book.newest().config.models.clone();
+    let models = history.newest().config.models.clone();
     let states: Vec<EngineState> = (0..engines)
         .map(|number| EngineState {
             id: format!("engine-{number}"),
--- a/src/config/book.rs
+++ b/src/config/history.rs
@@ -46,7 +46,7 @@
 ///
 /// Invariant: the number never falls.
 #[derive(Clone, Debug)]
-pub struct Book {
+pub struct ConfigHistory {
     newest: Arc<NumberedConfig>,
     /// The last patches, each with the number that it made; consecutive, the last is the newest.
     patches: VecDeque<(ConfigNumber, String)>,
@@ -72,15 +72,15 @@
     Broken,
 }
 
-impl Default for Book {
-    fn default() -> Book {
+impl Default for ConfigHistory {
+    fn default() -> ConfigHistory {
         let empty =
             NumberedConfig { document: Value::Object(Map::new()), ..NumberedConfig::default() };
-        Book { newest: Arc::new(empty), patches: VecDeque::new() }
+        ConfigHistory { newest: Arc::new(empty), patches: VecDeque::new() }
     }
 }
 
-impl Book {
+impl ConfigHistory {
     /// The newest configuration.
     pub fn newest(&self) -> &Arc<NumberedConfig> {
         &self.newest
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -8,7 +8,7 @@
 use warp::http::{Method, StatusCode};
 
 use crate::clock::boot_now;
-use crate::config::{Book, Update};
+use crate::config::{ConfigHistory, Update};
 use crate::http::{self, Request, Response};
 use crate::ids::NodeId;
 use crate::log::raft::Change;
@@ -47,9 +47,11 @@
         return local_config(node);
     }
     // From number 0, since the reader has none of it.
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     match node.read_config(0).await {
-        Ok(update) if book.take(&update).is_ok() => config(book.number(), &book.newest().document),
+        Ok(update) if history.take(&update).is_ok() => {
+            config(history.number(), &history.newest().document)
+        }
         _ => no_leader(),
     }
 }
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use crate::claims::{Claim, ClaimAnswer, ClaimKey, ClaimToken, Claims, Digest, Outcome};
-use crate::config::{Book, NumberedConfig, Update};
+use crate::config::{ConfigHistory, NumberedConfig, Update};
 use crate::ids::ConfigNumber;
 
 /// Number of patches whose answers are kept, so that a resent patch gets its first answer.
@@ -91,7 +91,7 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    book: Book,
+    history: ConfigHistory,
     answers: BTreeMap<String, (Patch, PatchAnswer)>,
     /// Patch ids, oldest answer first. Invariant: the same ids as the keys of `answers`.
     answer_order: VecDeque<String>,
@@ -122,12 +122,12 @@
 
     /// The newest configuration.
     pub fn config(&self) -> &Arc<NumberedConfig> {
-        self.book.newest()
+        self.history.newest()
     }
 
     /// The configuration and the patches that led to it.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn history(&self) -> &ConfigHistory {
+        &self.history
     }
 
     /// The claims.
@@ -157,8 +157,8 @@
     pub fn snapshot(&self) -> Vec<u8> {
         let answers = self.answer_order.iter().filter_map(|id| self.answers.get(id)).cloned();
         let contents = SnapshotContents {
-            config: self.book.whole(),
-            patches: self.book.patches().cloned().collect(),
+            config: self.history.whole(),
+            patches: self.history.patches().cloned().collect(),
             answers: answers.collect(),
             claims: self.claims.iter().map(|(key, claim)| (key.clone(), claim.clone())).collect(),
             now_ms: self.claims.now_ms(),
@@ -175,10 +175,10 @@
     pub fn restore(&mut self, bytes: &[u8]) -> Result<(), InvalidSnapshot> {
         let contents: SnapshotContents =
             postcard::from_bytes(bytes).map_err(|_| InvalidSnapshot)?;
-        let mut book = Book::default();
-        book.take(&contents.config).map_err(|_| InvalidSnapshot)?;
-        book.remember(contents.patches);
-        self.book = book;
+        let mut history = ConfigHistory::default();
+        history.take(&contents.config).map_err(|_| InvalidSnapshot)?;
+        history.remember(contents.patches);
+        self.history = history;
         self.answer_order =
             contents.answers.iter().map(|(patch, _)| patch.patch_id.clone()).collect();
         self.answers = contents
@@ -208,18 +208,18 @@
     }
 
     fn try_patch(&mut self, patch: &Patch) -> PatchAnswer {
-        if patch.base != self.book.number() {
-            return PatchAnswer::BaseMismatch(self.book.number());
+        if patch.base != self.history.number() {
+            return PatchAnswer::BaseMismatch(self.history.number());
         }
         let Ok(change) = serde_json::from_str::<Value>(&patch.text) else {
             return PatchAnswer::Invalid(vec![
                 "patch: not valid JSON; send a JSON merge patch".into(),
             ]);
         };
-        match self.book.patched(&change) {
+        match self.history.patched(&change) {
             Ok(next) => {
                 let number = next.number;
-                self.book.accept(next, patch.text.clone());
+                self.history.accept(next, patch.text.clone());
                 PatchAnswer::Accepted(number)
             }
             Err(problems) => {
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -7,7 +7,7 @@
 
 use super::Node;
 use crate::clock::{BootTime, boot_now};
-use crate::config::{Book, NumberedConfig, Update};
+use crate::config::{ConfigHistory, NumberedConfig, Update};
 use crate::ids::{ConfigNumber, NodeId};
 use crate::lease::{Grantor, Holder};
 use crate::peer::message::{Answer, Ask, Renew};
@@ -23,7 +23,7 @@
 /// A node's lease, its configuration, and the leases that it granted as a relay.
 pub struct Fresh {
     holder: Holder,
-    book: Book,
+    history: ConfigHistory,
     grantor: Grantor,
 }
 
@@ -32,24 +32,24 @@
     pub fn new(lease: Duration, now: BootTime) -> Fresh {
         Fresh {
             holder: Holder::default(),
-            book: Book::default(),
+            history: ConfigHistory::default(),
             grantor: Grantor::new(lease, now),
         }
     }
 
     /// The configuration, if the lease holds.
     pub fn in_force(&self, now: BootTime) -> Option<Arc<NumberedConfig>> {
-        self.holder.is_fresh(now).then(|| self.book.newest().clone())
+        self.holder.is_fresh(now).then(|| self.history.newest().clone())
     }
 
     /// The number known here, in force or not.
     pub fn number(&self) -> ConfigNumber {
-        self.book.number()
+        self.history.number()
     }
 
     /// The number that this node has, and the one that all nodes below it have.
     fn numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
-        let has = self.book.number();
+        let has = self.history.number();
         (has, self.grantor.floor(has, now))
     }
 
@@ -62,7 +62,7 @@
         update: &Update,
     ) -> bool {
         // First the number, then the lease: a lease under an older number would be a lie.
-        if self.book.take(update).is_err() || self.book.number() < number || lasts.is_zero() {
+        if self.history.take(update).is_err() || self.history.number() < number || lasts.is_zero() {
             return false;
         }
         self.holder.granted(sent_at, lasts);
@@ -73,8 +73,8 @@
     fn grant(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<Grant> {
         let remaining = self.holder.remaining(now);
         let lasts = self.grantor.grant(child, renew.acked, remaining, now);
-        let update = || self.book.update_since(renew.has);
-        (!lasts.is_zero()).then(|| (lasts, self.book.number(), update()))
+        let update = || self.history.update_since(renew.has);
+        (!lasts.is_zero()).then(|| (lasts, self.history.number(), update()))
     }
 }
 
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -190,7 +190,7 @@
             Output::Read(read) => {
                 // All that is committed has been applied above, so the state is new enough.
                 if let Some(waiter) = self.reads.remove(&read) {
-                    drop(waiter.sender.send(Ok(self.state.book().update_since(waiter.has))));
+                    drop(waiter.sender.send(Ok(self.state.history().update_since(waiter.has))));
                 }
             }
         }
@@ -363,7 +363,7 @@
         let now = boot_now();
         let leader = self.driver.raft.status().leader;
         let number = self.state.config().number;
-        let update = self.state.book().update_since(grant.has);
+        let update = self.state.history().update_since(grant.has);
         let lease = self.lease;
         let Some(grantor) = self.leading_grantor(now) else { return Err(leader) };
         Ok((grantor.grant(grant.child, grant.acked, lease, now), number, update))
--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -1,7 +1,7 @@
 //! The numbered configuration: races, resends, news, and what is invalid.
 
-use kumquatpost::config::book::Unusable;
-use kumquatpost::config::{Book, Config, Update};
+use kumquatpost::config::history::Unusable;
+use kumquatpost::config::{Config, ConfigHistory, Update};
 use kumquatpost::log::state::{Command, Patch, PatchAnswer, Reply, State};
 use serde_json::{Value, json};
 
@@ -86,15 +86,15 @@
 #[test]
 fn news_lead_from_any_number_to_the_newest_and_never_back() {
     let mut state = State::new(1_000);
-    let mut copies = vec![Book::default()];
+    let mut copies = vec![ConfigHistory::default()];
     for number in 0..400 {
         patch(&mut state, &number.to_string(), number, &kind(number % 8));
         let mut copy = copies[copies.len() - 1].clone();
-        copy.take(&state.book().update_since(number)).expect("one patch");
+        copy.take(&state.history().update_since(number)).expect("one patch");
         copies.push(copy);
     }
     for copy in &mut copies {
-        let update = state.book().update_since(copy.number());
+        let update = state.history().update_since(copy.number());
         let far_behind = copy.number() < 400 - 256;
         assert_eq!(matches!(update, Update::Whole(..)), far_behind, "from {}", copy.number());
         copy.take(&update).expect("an update");
