--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -110,7 +110,7 @@
     ("answers are not in the snapshot", "src/log/state.rs",
      "answers: answers.collect(),", "answers: answers.take(0).collect(),", "logic", "configuration"),
     ("a lower number is applied", "src/config/history.rs",
-     "        if number < self.number() {\n            return Err(Unusable::Older);\n        }", "", "logic", "configuration"),
+     "        if number < self.number() {\n            return Err(UpdateError::OlderNumber);\n        }", "", "logic", "configuration"),
     ("a lease counts from its answer", "src/lease.rs",
      "self.ends = self.ends.max(sent_at + safe);", "self.ends = self.ends.max(sent_at + safe * 2);", "logic", "lease"),
     ("a relay's leases outlast its own", "src/lease.rs",
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -60,16 +60,16 @@
     /// Patches as JSON text, each with the number that it makes, in order.
     Patches(Vec<(ConfigNumber, String)>),
     /// The whole document as JSON text.
-    Whole(ConfigNumber, String),
+    Full(ConfigNumber, String),
 }
 
 /// An update can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum UpdateError {
     /// It leads to a lower number than the one known here.
-    Older,
+    OlderNumber,
     /// It does not follow on the number known here, or is damaged.
-    Broken,
+    Invalid,
 }
 
 impl Default for ConfigHistory {
@@ -124,7 +124,7 @@
         }
         let first = self.patches.front().map_or(ConfigNumber::MAX, |(number, _)| *number);
         if first > has + 1 {
-            return self.whole();
+            return self.full_update();
         }
         let missing = self.patches.iter().filter(|(number, _)| *number > has);
         Update::Patches(missing.cloned().collect())
@@ -138,28 +138,29 @@
     }
 
     /// The whole newest document as an update.
-    pub fn whole(&self) -> Update {
-        Update::Whole(self.number(), self.newest.document.to_string())
+    pub fn full_update(&self) -> Update {
+        Update::Full(self.number(), self.newest.document.to_string())
     }
 
     /// Takes an update.
     ///
     /// # Errors
     /// If it must not or can't be used; nothing has changed then.
-    pub fn take(&mut self, update: &Update) -> Result<(), Unusable> {
+    pub fn take(&mut self, update: &Update) -> Result<(), UpdateError> {
         match update {
             Update::None => Ok(()),
-            Update::Whole(number, text) => self.replace(*number, text),
+            Update::Full(number, text) => self.replace(*number, text),
             Update::Patches(patches) => {
                 let mut next = self.clone();
                 for (number, text) in patches {
                     if *number <= next.number() {
                         continue;
                     }
-                    let change: Value = serde_json::from_str(text).map_err(|_| Unusable::Broken)?;
-                    let made = next.patched(&change).map_err(|_| Unusable::Broken)?;
+                    let change: Value =
+                        serde_json::from_str(text).map_err(|_| UpdateError::Invalid)?;
+                    let made = next.patched(&change).map_err(|_| UpdateError::Invalid)?;
                     if made.number != *number {
-                        return Err(Unusable::Broken);
+                        return Err(UpdateError::Invalid);
                     }
                     next.accept(made, text.clone());
                 }
@@ -169,12 +170,12 @@
         }
     }
 
-    fn replace(&mut self, number: ConfigNumber, text: &str) -> Result<(), Unusable> {
+    fn replace(&mut self, number: ConfigNumber, text: &str) -> Result<(), UpdateError> {
         if number < self.number() {
-            return Err(Unusable::Older);
+            return Err(UpdateError::OlderNumber);
         }
-        let document: Value = serde_json::from_str(text).map_err(|_| Unusable::Broken)?;
-        let config = Config::from_value(&document).map_err(|_| Unusable::Broken)?;
+        let document: Value = serde_json::from_str(text).map_err(|_| UpdateError::Invalid)?;
+        let config = Config::from_value(&document).map_err(|_| UpdateError::Invalid)?;
         self.newest = Arc::new(NumberedConfig::new(number, document, config));
         self.patches.clear();
         Ok(())
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -149,7 +149,7 @@
                 json!({"number": number, "patch": patch})
             })
             .collect(),
-        Ok(Update::Whole(number, text)) => {
+        Ok(Update::Full(number, text)) => {
             let document: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
             vec![json!({"number": number, "document": document})]
         }
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -157,7 +157,7 @@
     pub fn snapshot(&self) -> Vec<u8> {
         let answers = self.answer_order.iter().filter_map(|id| self.answers.get(id)).cloned();
         let contents = SnapshotContents {
-            config: self.history.whole(),
+            config: self.history.full_update(),
             patches: self.history.patches().cloned().collect(),
             answers: answers.collect(),
             claims: self.claims.iter().map(|(key, claim)| (key.clone(), claim.clone())).collect(),
--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -1,6 +1,6 @@
 //! The numbered configuration: races, resends, news, and what is invalid.
 
-use kumquatpost::config::history::Unusable;
+use kumquatpost::config::history::UpdateError;
 use kumquatpost::config::{Config, ConfigHistory, Update};
 use kumquatpost::log::state::{Command, Patch, PatchAnswer, Reply, State};
 use serde_json::{Value, json};
@@ -96,14 +96,14 @@
     for copy in &mut copies {
         let update = state.history().update_since(copy.number());
         let far_behind = copy.number() < 400 - 256;
-        assert_eq!(matches!(update, Update::Whole(..)), far_behind, "from {}", copy.number());
+        assert_eq!(matches!(update, Update::Full(..)), far_behind, "from {}", copy.number());
         copy.take(&update).expect("an update");
         assert_eq!(copy.newest(), state.config());
     }
-    let old = Update::Whole(3, "{}".into());
-    assert_eq!(copies[0].take(&old), Err(Unusable::Older));
+    let old = Update::Full(3, "{}".into());
+    assert_eq!(copies[0].take(&old), Err(UpdateError::OlderNumber));
     let gap = Update::Patches(vec![(402, "{}".into())]);
-    assert_eq!(copies[0].take(&gap), Err(Unusable::Broken));
+    assert_eq!(copies[0].take(&gap), Err(UpdateError::Invalid));
     let seen = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
     assert_eq!(copies[0].take(&seen), Ok(()), "what is known already is passed over");
     assert_eq!(copies[0].newest(), state.config());
