--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -296,13 +296,13 @@
 pub(super) fn patch_us(accounts: usize) -> f64 {
     let mut history = ConfigHistory::default();
     let document = document(accounts);
-    if let Ok(next) = history.patched(&document) {
-        history.accept(next, document.to_string());
+    if let Ok(next) = history.preview_patch(&document) {
+        history.append(next, document.to_string());
     }
     median_us(5, 4, |number| {
         let change = json!({"accounts": {"account-1": {"max_running": 1 + number}}});
-        if let Ok(next) = history.patched(&change) {
-            history.accept(next, change.to_string());
+        if let Ok(next) = history.preview_patch(&change) {
+            history.append(next, change.to_string());
         }
     })
 }
@@ -437,8 +437,8 @@
 pub(super) fn plan_us(engines: usize) -> f64 {
     let mut history = ConfigHistory::default();
     let document = document(1);
-    if let Ok(next) = history.patched(&document) {
-        history.accept(next, document.to_string());
+    if let Ok(next) = history.preview_patch(&document) {
+        history.append(next, document.to_string());
     }
     let models = history.newest().config.models.clone();
     let states: Vec<EngineState> = (0..engines)
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -12,7 +12,7 @@
 use crate::ids::{AccountId, ConfigNumber};
 
 /// Patches kept so that a node that is a little behind gets only those.
-const PATCHES_KEPT: usize = 256;
+const MAX_PATCHES: usize = 256;
 
 /// One number of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -100,7 +100,7 @@
     ///
     /// # Errors
     /// Everything that is wrong with the result.
-    pub fn patched(&self, change: &Value) -> Result<NumberedConfig, Vec<Problem>> {
+    pub fn preview_patch(&self, change: &Value) -> Result<NumberedConfig, Vec<Problem>> {
         let mut document = self.newest.document.clone();
         patch::merge(&mut document, change);
         let config = Config::from_value(&document)?;
@@ -108,10 +108,10 @@
     }
 
     /// Makes a patched document the newest.
-    pub fn accept(&mut self, next: NumberedConfig, patch_text: String) {
+    pub fn append(&mut self, next: NumberedConfig, patch_text: String) {
         debug_assert_eq!(next.number, self.number() + 1);
         self.patches.push_back((next.number, patch_text));
-        while self.patches.len() > PATCHES_KEPT {
+        while self.patches.len() > MAX_PATCHES {
             self.patches.pop_front();
         }
         self.newest = Arc::new(next);
@@ -131,7 +131,7 @@
     }
 
     /// Takes over kept patches, the last of which made the newest number.
-    pub fn remember(&mut self, patches: Vec<(ConfigNumber, String)>) {
+    pub fn restore_patches(&mut self, patches: Vec<(ConfigNumber, String)>) {
         if patches.last().is_none_or(|(number, _)| *number == self.number()) {
             self.patches = patches.into();
         }
@@ -146,10 +146,10 @@
     ///
     /// # Errors
     /// If it must not or can't be used; nothing has changed then.
-    pub fn take(&mut self, update: &Update) -> Result<(), UpdateError> {
+    pub fn apply_update(&mut self, update: &Update) -> Result<(), UpdateError> {
         match update {
             Update::None => Ok(()),
-            Update::Full(number, text) => self.replace(*number, text),
+            Update::Full(number, text) => self.apply_full_update(*number, text),
             Update::Patches(patches) => {
                 let mut next = self.clone();
                 for (number, text) in patches {
@@ -158,11 +158,11 @@
                     }
                     let change: Value =
                         serde_json::from_str(text).map_err(|_| UpdateError::Invalid)?;
-                    let made = next.patched(&change).map_err(|_| UpdateError::Invalid)?;
+                    let made = next.preview_patch(&change).map_err(|_| UpdateError::Invalid)?;
                     if made.number != *number {
                         return Err(UpdateError::Invalid);
                     }
-                    next.accept(made, text.clone());
+                    next.append(made, text.clone());
                 }
                 *self = next;
                 Ok(())
@@ -170,7 +170,7 @@
         }
     }
 
-    fn replace(&mut self, number: ConfigNumber, text: &str) -> Result<(), UpdateError> {
+    fn apply_full_update(&mut self, number: ConfigNumber, text: &str) -> Result<(), UpdateError> {
         if number < self.number() {
             return Err(UpdateError::OlderNumber);
         }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -49,7 +49,7 @@
     // From number 0, since the reader has none of it.
     let mut history = ConfigHistory::default();
     match node.read_config(0).await {
-        Ok(update) if history.take(&update).is_ok() => {
+        Ok(update) if history.apply_update(&update).is_ok() => {
             config(history.number(), &history.newest().document)
         }
         _ => no_leader(),
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -176,8 +176,8 @@
         let contents: SnapshotContents =
             postcard::from_bytes(bytes).map_err(|_| InvalidSnapshot)?;
         let mut history = ConfigHistory::default();
-        history.take(&contents.config).map_err(|_| InvalidSnapshot)?;
-        history.remember(contents.patches);
+        history.apply_update(&contents.config).map_err(|_| InvalidSnapshot)?;
+        history.restore_patches(contents.patches);
         self.history = history;
         self.answer_order =
             contents.answers.iter().map(|(patch, _)| patch.patch_id.clone()).collect();
@@ -216,10 +216,10 @@
                 "patch: not valid JSON; send a JSON merge patch".into(),
             ]);
         };
-        match self.history.patched(&change) {
+        match self.history.preview_patch(&change) {
             Ok(next) => {
                 let number = next.number;
-                self.history.accept(next, patch.text.clone());
+                self.history.append(next, patch.text.clone());
                 PatchAnswer::Accepted(number)
             }
             Err(problems) => {
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -62,7 +62,10 @@
         update: &Update,
     ) -> bool {
         // First the number, then the lease: a lease under an older number would be a lie.
-        if self.history.take(update).is_err() || self.history.number() < number || lasts.is_zero() {
+        if self.history.apply_update(update).is_err()
+            || self.history.number() < number
+            || lasts.is_zero()
+        {
             return false;
         }
         self.holder.granted(sent_at, lasts);
--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -90,22 +90,22 @@
     for number in 0..400 {
         patch(&mut state, &number.to_string(), number, &kind(number % 8));
         let mut copy = copies[copies.len() - 1].clone();
-        copy.take(&state.history().update_since(number)).expect("one patch");
+        copy.apply_update(&state.history().update_since(number)).expect("one patch");
         copies.push(copy);
     }
     for copy in &mut copies {
         let update = state.history().update_since(copy.number());
         let far_behind = copy.number() < 400 - 256;
         assert_eq!(matches!(update, Update::Full(..)), far_behind, "from {}", copy.number());
-        copy.take(&update).expect("an update");
+        copy.apply_update(&update).expect("an update");
         assert_eq!(copy.newest(), state.config());
     }
     let old = Update::Full(3, "{}".into());
-    assert_eq!(copies[0].take(&old), Err(UpdateError::OlderNumber));
+    assert_eq!(copies[0].apply_update(&old), Err(UpdateError::OlderNumber));
     let gap = Update::Patches(vec![(402, "{}".into())]);
-    assert_eq!(copies[0].take(&gap), Err(UpdateError::Invalid));
+    assert_eq!(copies[0].apply_update(&gap), Err(UpdateError::Invalid));
     let seen = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
-    assert_eq!(copies[0].take(&seen), Ok(()), "what is known already is passed over");
+    assert_eq!(copies[0].apply_update(&seen), Ok(()), "what is known already is passed over");
     assert_eq!(copies[0].newest(), state.config());
 }
 
