--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -85,7 +85,7 @@
     #[serde(default = "default_floor")]
     pub floor: u32,
     /// Engines that may load this model's weights at the same time.
-    #[serde(default = "default_loads")]
+    #[serde(default = "default_concurrent_loads")]
     pub concurrent_loads: u32,
 }
 
@@ -155,7 +155,7 @@
     1
 }
 
-fn default_loads() -> u32 {
+fn default_concurrent_loads() -> u32 {
     2
 }
 
@@ -201,14 +201,14 @@
         let mut report = |path: String, message: String, remedy: &str| {
             problems.push(Problem { path, message, remedy: remedy.into() });
         };
-        let mut holders: BTreeMap<&str, &str> = BTreeMap::new();
+        let mut key_owners: BTreeMap<&str, &str> = BTreeMap::new();
         for (id, account) in &self.accounts {
             let path = format!("accounts.{id}");
             if account.key_blake3.len() != 64 {
                 let message = "is not 64 hex digits".into();
                 report(format!("{path}.key_blake3"), message, "give BLAKE3 of the key in hex");
             }
-            if let Some(other) = holders.insert(&account.key_blake3, id) {
+            if let Some(other) = key_owners.insert(&account.key_blake3, id) {
                 let message = format!("is the key of account {other:?} as well");
                 report(format!("{path}.key_blake3"), message, "give each account its own key");
             }
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -117,16 +117,16 @@
         self.newest = Arc::new(next);
     }
 
-    /// What somebody with number `has` needs to get to the newest one.
-    pub fn update_since(&self, has: ConfigNumber) -> Update {
-        if has >= self.number() {
+    /// What somebody with number `known_number` needs to get to the newest one.
+    pub fn update_since(&self, known_number: ConfigNumber) -> Update {
+        if known_number >= self.number() {
             return Update::None;
         }
-        let first = self.patches.front().map_or(ConfigNumber::MAX, |(number, _)| *number);
-        if first > has + 1 {
+        let first_kept = self.patches.front().map_or(ConfigNumber::MAX, |(number, _)| *number);
+        if first_kept > known_number + 1 {
             return self.full_update();
         }
-        let missing = self.patches.iter().filter(|(number, _)| *number > has);
+        let missing = self.patches.iter().filter(|(number, _)| *number > known_number);
         Update::Patches(missing.cloned().collect())
     }
 
@@ -158,11 +158,11 @@
                     }
                     let change: Value =
                         serde_json::from_str(text).map_err(|_| UpdateError::Invalid)?;
-                    let made = next.preview_patch(&change).map_err(|_| UpdateError::Invalid)?;
-                    if made.number != *number {
+                    let patched = next.preview_patch(&change).map_err(|_| UpdateError::Invalid)?;
+                    if patched.number != *number {
                         return Err(UpdateError::Invalid);
                     }
-                    next.append(made, text.clone());
+                    next.append(patched, text.clone());
                 }
                 *self = next;
                 Ok(())
