--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -11,7 +11,7 @@
 use crate::clock::boot_now;
 use crate::ids::NodeId;
 use crate::peer::Links;
-use crate::peer::auth::{DatagramOpener, DatagramSealer};
+use crate::peer::auth::{DatagramSigner, DatagramVerifier};
 use crate::route::targets::Leaving;
 
 /// Size of the receive buffer; longer datagrams are truncated, and then fail to open.
@@ -31,8 +31,8 @@
 pub struct Membership {
     swim: Swim,
     socket: Arc<UdpSocket>,
-    sealer: DatagramSealer,
-    opener: DatagramOpener,
+    signer: DatagramSigner,
+    verifier: DatagramVerifier,
     links: Arc<Links>,
     view: Arc<Mutex<MembershipView>>,
 }
@@ -51,12 +51,12 @@
     pub fn new(
         swim: Swim,
         socket: Arc<UdpSocket>,
-        sealer: DatagramSealer,
-        opener: DatagramOpener,
+        signer: DatagramSigner,
+        verifier: DatagramVerifier,
         links: Arc<Links>,
         view: Arc<Mutex<MembershipView>>,
     ) -> Membership {
-        Membership { swim, socket, sealer, opener, links, view }
+        Membership { swim, socket, signer, verifier, links, view }
     }
 
     async fn send_all(&mut self, packets: Vec<(NodeId, Packet)>) {
@@ -66,7 +66,7 @@
             let address = addresses.iter().find(|(node, _)| *node == to).map(|(_, a)| *a);
             let Some(address) = address.filter(|_| !self.links.is_cut(to)) else { continue };
             let Ok(body) = postcard::to_stdvec(&packet) else { continue };
-            let datagram = self.sealer.seal(to, &body);
+            let datagram = self.signer.sign(to, &body);
             // A send error is treated like a lost datagram.
             drop(self.socket.send_to(&datagram, address).await);
         }
@@ -101,7 +101,7 @@
     type Return = ();
 
     async fn handle(&mut self, datagram: Datagram, _context: &mut Context<Self>) {
-        let Ok((from, body)) = self.opener.open(&datagram.0) else { return };
+        let Ok((from, body)) = self.verifier.verify(&datagram.0) else { return };
         if self.links.is_cut(from) {
             return;
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -36,7 +36,7 @@
 use crate::log::state::State;
 use crate::membership::actor::{Membership, MembershipView};
 use crate::membership::{Member, Status, Swim, SwimTiming, actor};
-use crate::peer::auth::{DatagramOpener, DatagramSealer};
+use crate::peer::auth::{DatagramSigner, DatagramVerifier};
 use crate::peer::{Links, PeerKey};
 use crate::replica::{self, Replica, ReplicaStatus};
 use crate::route::Router;
@@ -285,9 +285,10 @@
     let timing = SwimTiming { probe_interval: settings.timing.probe };
     let swim = Swim::new(me, seeds, timing, rand::rng().random(), boot_now());
     known.lock().live = swim.live();
-    let sealer = DatagramSealer::new(key.clone(), settings.node_id, boot);
-    let opener = DatagramOpener::new(key, settings.node_id);
-    let actor = Membership::new(swim, socket.clone(), sealer, opener, links.clone(), known.clone());
+    let signer = DatagramSigner::new(key.clone(), settings.node_id, boot);
+    let verifier = DatagramVerifier::new(key, settings.node_id);
+    let actor =
+        Membership::new(swim, socket.clone(), signer, verifier, links.clone(), known.clone());
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
     tokio::spawn(actor::read_datagrams(socket, address.clone()));
     let ticking = address.clone();
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -84,7 +84,7 @@
 
 impl Stream {
     /// The code of the next frame.
-    pub fn seal(&mut self, body: &[u8]) -> [u8; CODE_BYTES] {
+    pub fn sign(&mut self, body: &[u8]) -> [u8; CODE_BYTES] {
         let hash = self.code(body);
         self.next += 1;
         short(&hash)
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// If it is not what the other side sent at this place.
-    pub fn open(&mut self, body: &[u8], code: &[u8; CODE_BYTES]) -> Result<(), NotAuthentic> {
+    pub fn verify(&mut self, body: &[u8], code: &[u8; CODE_BYTES]) -> Result<(), NotAuthentic> {
         if !equal(&short(&self.code(body)), code) {
             return Err(NotAuthentic);
         }
@@ -111,21 +111,21 @@
 }
 
 /// Seals datagrams of one start of a node.
-pub struct DatagramSealer {
+pub struct DatagramSigner {
     key: PeerKey,
     node: NodeId,
     boot: u64,
     next: u64,
 }
 
-impl DatagramSealer {
+impl DatagramSigner {
     /// `boot` must be greater than at any earlier start of the node.
-    pub fn new(key: PeerKey, node: NodeId, boot: u64) -> DatagramSealer {
-        DatagramSealer { key, node, boot, next: 1 }
+    pub fn new(key: PeerKey, node: NodeId, boot: u64) -> DatagramSigner {
+        DatagramSigner { key, node, boot, next: 1 }
     }
 
     /// A datagram for one node.
-    pub fn seal(&mut self, to: NodeId, body: &[u8]) -> Vec<u8> {
+    pub fn sign(&mut self, to: NodeId, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(DATAGRAM_HEADER_BYTES + body.len() + CODE_BYTES);
         for number in [self.node, to, self.boot, self.next] {
             bytes.extend_from_slice(&number.to_le_bytes());
@@ -139,7 +139,7 @@
 }
 
 /// Opens datagrams; each is taken once.
-pub struct DatagramOpener {
+pub struct DatagramVerifier {
     key: PeerKey,
     node: NodeId,
     senders: HashMap<NodeId, Seen>,
@@ -153,17 +153,17 @@
     taken: u64,
 }
 
-impl DatagramOpener {
+impl DatagramVerifier {
     /// Opens datagrams that are for `node`.
-    pub fn new(key: PeerKey, node: NodeId) -> DatagramOpener {
-        DatagramOpener { key, node, senders: HashMap::new() }
+    pub fn new(key: PeerKey, node: NodeId) -> DatagramVerifier {
+        DatagramVerifier { key, node, senders: HashMap::new() }
     }
 
     /// The sender and body of a datagram.
     ///
     /// # Errors
     /// If it is damaged, forged, for another node, or was taken before.
-    pub fn open<'b>(&mut self, bytes: &'b [u8]) -> Result<(NodeId, &'b [u8]), NotAuthentic> {
+    pub fn verify<'b>(&mut self, bytes: &'b [u8]) -> Result<(NodeId, &'b [u8]), NotAuthentic> {
         let Some(length) = bytes.len().checked_sub(CODE_BYTES) else { return Err(NotAuthentic) };
         if length < DATAGRAM_HEADER_BYTES {
             return Err(NotAuthentic);
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -306,7 +306,7 @@
         let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
         let mut bytes = Vec::with_capacity(4 + CODE_BYTES + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
-        bytes.extend_from_slice(&self.stream.seal(&body));
+        bytes.extend_from_slice(&self.stream.sign(&body));
         bytes.extend_from_slice(&body);
         self.links.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         self.write.write_all(&bytes).await
@@ -346,7 +346,7 @@
         self.read.read_exact(&mut code).await?;
         let mut body = vec![0; length];
         self.read.read_exact(&mut body).await?;
-        self.stream.open(&body, &code).map_err(|_| std::io::Error::other("not authentic"))?;
+        self.stream.verify(&body, &code).map_err(|_| std::io::Error::other("not authentic"))?;
         self.is_known = true;
         postcard::from_bytes(&body).map_err(std::io::Error::other)
     }
