--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -157,7 +157,7 @@
     ("leaving is taken back", "src/route/targets.rs",
      "self.leaving.get(&target.id).is_none_or(|leaving| *leaving < target.incarnation)", "target.presence == Presence::Live", "logic", "targets"),
     ("a datagram is taken twice", "src/peer/auth.rs",
-     "if behind >= WINDOW || self.taken & (1 << behind) != 0 {", "if behind >= WINDOW {", "logic", "auth"),
+     "if behind >= REPLAY_WINDOW || self.received & (1 << behind) != 0 {", "if behind >= REPLAY_WINDOW {", "logic", "auth"),
     ("frames may be moved", "src/peer/auth.rs",
      "hasher.update(&self.next_number.to_le_bytes()).update(", "hasher.update(", "logic", "auth"),
     ("the queue has no bound", "src/limits/admission.rs",
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -15,9 +15,9 @@
 /// Length of an authentication code.
 pub const TAG_BYTES: usize = 16;
 /// Fewest bytes of key material.
-const LEAST_KEY_BYTES: usize = 32;
+const MIN_KEY_BYTES: usize = 32;
 /// Datagrams that may overtake each other.
-const WINDOW: u64 = 64;
+const REPLAY_WINDOW: u64 = 64;
 /// Sender, receiver, sender's start, number.
 const DATAGRAM_HEADER_BYTES: usize = 32;
 
@@ -39,7 +39,7 @@
         let bytes =
             std::fs::read(path).map_err(|source| Error::start("key_file", source, remedy))?;
         let material = bytes.trim_ascii();
-        if material.len() < LEAST_KEY_BYTES {
+        if material.len() < MIN_KEY_BYTES {
             let reason = format!("{} bytes are too few", material.len());
             return Err(Error::start("key_file", reason, remedy));
         }
@@ -87,7 +87,7 @@
     pub fn sign(&mut self, body: &[u8]) -> [u8; TAG_BYTES] {
         let hash = self.next_tag(body);
         self.next_number += 1;
-        short(&hash)
+        truncate(&hash)
     }
 
     /// Checks the next frame.
@@ -99,7 +99,7 @@
         body: &[u8],
         tag: &[u8; TAG_BYTES],
     ) -> Result<(), AuthenticationError> {
-        if !equal(&short(&self.next_tag(body)), tag) {
+        if !constant_time_eq(&truncate(&self.next_tag(body)), tag) {
             return Err(AuthenticationError);
         }
         self.next_number += 1;
@@ -136,7 +136,7 @@
         }
         self.next_number += 1;
         bytes.extend_from_slice(body);
-        let tag = short(&self.key.datagram_tag(&bytes));
+        let tag = truncate(&self.key.datagram_tag(&bytes));
         bytes.extend_from_slice(&tag);
         bytes
     }
@@ -146,15 +146,15 @@
 pub struct DatagramVerifier {
     key: PeerKey,
     node: NodeId,
-    senders: HashMap<NodeId, Seen>,
+    senders: HashMap<NodeId, ReplayWindow>,
 }
 
 #[derive(Default)]
-struct Seen {
+struct ReplayWindow {
     boot: u64,
     highest: u64,
     /// Bit `n`: the number `highest - n` was taken.
-    taken: u64,
+    received: u64,
 }
 
 impl DatagramVerifier {
@@ -178,7 +178,7 @@
             return Err(AuthenticationError);
         }
         let (signed, tag) = bytes.split_at(length);
-        if !equal(&short(&self.key.datagram_tag(signed)), tag) {
+        if !constant_time_eq(&truncate(&self.key.datagram_tag(signed)), tag) {
             return Err(AuthenticationError);
         }
         let number = |position: usize| {
@@ -188,7 +188,7 @@
         };
         let from = number(0);
         if number(1) != self.node
-            || !self.senders.entry(from).or_default().take(number(2), number(3))
+            || !self.senders.entry(from).or_default().accept(number(2), number(3))
         {
             return Err(AuthenticationError);
         }
@@ -196,37 +196,37 @@
     }
 }
 
-impl Seen {
-    fn take(&mut self, boot: u64, number: u64) -> bool {
+impl ReplayWindow {
+    fn accept(&mut self, boot: u64, number: u64) -> bool {
         if boot < self.boot {
             return false;
         }
         if boot > self.boot {
-            *self = Seen { boot, highest: number, taken: 1 };
+            *self = ReplayWindow { boot, highest: number, received: 1 };
             return true;
         }
         if number > self.highest {
             let ahead = number - self.highest;
-            self.taken = if ahead < WINDOW { self.taken << ahead | 1 } else { 1 };
+            self.received = if ahead < REPLAY_WINDOW { self.received << ahead | 1 } else { 1 };
             self.highest = number;
             return true;
         }
         let behind = self.highest - number;
-        if behind >= WINDOW || self.taken & (1 << behind) != 0 {
+        if behind >= REPLAY_WINDOW || self.received & (1 << behind) != 0 {
             return false;
         }
-        self.taken |= 1 << behind;
+        self.received |= 1 << behind;
         true
     }
 }
 
-fn short(hash: &blake3::Hash) -> [u8; TAG_BYTES] {
+fn truncate(hash: &blake3::Hash) -> [u8; TAG_BYTES] {
     let mut tag = [0; TAG_BYTES];
     tag.copy_from_slice(&hash.as_bytes()[..TAG_BYTES]);
     tag
 }
 
 /// Compares in constant time.
-fn equal(a: &[u8], b: &[u8]) -> bool {
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differs, (x, y)| differs | (x ^ y)) == 0
 }
