--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -21,7 +21,7 @@
 use crate::log::Message;
 
 /// Frames that wait for one connection; more are dropped, as on a lost network.
-const QUEUE_LEN: usize = 4_096;
+const MAX_QUEUED_FRAMES: usize = 4_096;
 /// Largest frame.
 const MAX_FRAME_BYTES: usize = 256 << 20;
 /// Largest first frame: until it has been checked, anybody may be sending it.
@@ -29,9 +29,9 @@
 /// Connecting and shaking hands must end within this time.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause before a failed connection is tried again.
-const RECONNECT: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 /// Questions that are answered at a time, over all connections.
-const ANSWERED_AT_ONCE: usize = 4_096;
+const MAX_CONCURRENT_REQUESTS: usize = 4_096;
 
 /// What a node does with frames of others. The edge between transport and node.
 pub trait PeerHandler: Send + Sync {
@@ -59,7 +59,7 @@
 
 /// All connections of a node.
 pub struct Links {
-    me: NodeId,
+    own_id: NodeId,
     key: PeerKey,
     addresses: RwLock<HashMap<NodeId, SocketAddr>>,
     outgoing: Mutex<HashMap<NodeId, mpsc::Sender<Frame>>>,
@@ -74,16 +74,16 @@
 }
 
 impl Links {
-    /// Connections of `me`, none open yet.
-    pub fn new(me: NodeId, key: PeerKey, addresses: HashMap<NodeId, SocketAddr>) -> Arc<Links> {
+    /// Connections of `own_id`, none open yet.
+    pub fn new(own_id: NodeId, key: PeerKey, addresses: HashMap<NodeId, SocketAddr>) -> Arc<Links> {
         Arc::new(Links {
-            me,
+            own_id,
             key,
             addresses: RwLock::new(addresses),
             outgoing: Mutex::new(HashMap::new()),
             waiting: Mutex::new(HashMap::new()),
             next_ask: AtomicU64::new(1),
-            answering: Semaphore::new(ANSWERED_AT_ONCE),
+            answering: Semaphore::new(MAX_CONCURRENT_REQUESTS),
             handler: OnceLock::new(),
             cut: RwLock::new(BTreeSet::new()),
             sent_bytes: AtomicU64::new(0),
@@ -121,12 +121,12 @@
 
     /// Sends a message between replicas. It may be lost.
     pub fn send(self: &Arc<Links>, to: NodeId, message: Message) {
-        self.queue(to, Frame::Log(message));
+        self.enqueue(to, Frame::Log(message));
     }
 
     /// Tells a node of a dispatch. It may be lost.
     pub fn tell(self: &Arc<Links>, to: NodeId, dispatched: Dispatched) {
-        self.queue(to, Frame::Dispatched(dispatched));
+        self.enqueue(to, Frame::Dispatched(dispatched));
     }
 
     /// Asks a node; this node itself is asked without a connection.
@@ -139,9 +139,9 @@
         ask: Ask,
         timeout: Duration,
     ) -> Result<Answer, AskError> {
-        if to == self.me {
+        if to == self.own_id {
             let handler = self.handler.get().cloned().ok_or(AskError::Unknown)?;
-            let answer = tokio::time::timeout(timeout, handler.answer(self.me, ask)).await;
+            let answer = tokio::time::timeout(timeout, handler.answer(self.own_id, ask)).await;
             return answer.map_err(|_| AskError::Timeout);
         }
         if !self.addresses.read().contains_key(&to) {
@@ -150,7 +150,7 @@
         let number = self.next_ask.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         self.waiting.lock().insert(number, (to, sender));
-        self.queue(to, Frame::Ask(number, ask));
+        self.enqueue(to, Frame::Ask(number, ask));
         let answer = tokio::time::timeout(timeout, receiver).await;
         self.waiting.lock().remove(&number);
         match answer {
@@ -169,48 +169,48 @@
                 }
                 Err(error) => {
                     log::warn!("event=peer_accept_failed error={:?}", error.to_string());
-                    tokio::time::sleep(RECONNECT).await;
+                    tokio::time::sleep(RECONNECT_DELAY).await;
                 }
             }
         }
     }
 
-    fn queue(self: &Arc<Links>, to: NodeId, frame: Frame) {
+    fn enqueue(self: &Arc<Links>, to: NodeId, frame: Frame) {
         if self.is_cut(to) {
             return;
         }
         let mut outgoing = self.outgoing.lock();
         let sender = outgoing.entry(to).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE_LEN);
-            tokio::spawn(self.clone().keep_connected(to, receiver));
+            let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
+            tokio::spawn(self.clone().send_frames(to, receiver));
             sender
         });
         // A full queue loses the frame; whoever needs an answer asks again.
         drop(sender.try_send(frame));
     }
 
-    async fn keep_connected(self: Arc<Links>, to: NodeId, mut frames: mpsc::Receiver<Frame>) {
+    async fn send_frames(self: Arc<Links>, to: NodeId, mut frames: mpsc::Receiver<Frame>) {
         while let Some(first) = frames.recv().await {
-            let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.connect(to)).await;
+            let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.open_connection(to)).await;
             if let Ok(Ok((read, write, incoming, outgoing))) = connected {
-                let mut writer = Writer { links: self.clone(), write, stream: outgoing };
-                let reader = tokio::spawn(self.clone().read_answers(to, read, incoming));
+                let mut writer = Writer { links: self.clone(), write, authenticator: outgoing };
+                let reader = tokio::spawn(self.clone().read_responses(to, read, incoming));
                 if writer.send(&first).await.is_ok() {
                     writer.send_all(to, &mut frames).await;
                 }
                 reader.abort();
-                self.fail_questions(to);
+                self.fail_pending_requests(to);
             } else {
-                self.fail_questions(to);
-                tokio::time::sleep(RECONNECT).await;
+                self.fail_pending_requests(to);
+                tokio::time::sleep(RECONNECT_DELAY).await;
                 // What waited is stale by now.
                 while frames.try_recv().is_ok() {}
-                self.fail_questions(to);
+                self.fail_pending_requests(to);
             }
         }
     }
 
-    async fn connect(
+    async fn open_connection(
         &self,
         to: NodeId,
     ) -> std::io::Result<(OwnedReadHalf, OwnedWriteHalf, FrameAuthenticator, FrameAuthenticator)>
@@ -221,21 +221,22 @@
         stream.set_nodelay(true)?;
         let (mut read, mut write) = stream.into_split();
         let nonce: [u8; NONCE_BYTES] = rand::rng().random();
-        write.write_u64_le(self.me).await?;
+        write.write_u64_le(self.own_id).await?;
         write.write_all(&nonce).await?;
-        let mut theirs = [0; NONCE_BYTES];
-        read.read_exact(&mut theirs).await?;
-        let (outgoing, incoming) = self.key.session_keys(&nonce, &theirs, (self.me, to));
+        let mut peer_nonce = [0; NONCE_BYTES];
+        read.read_exact(&mut peer_nonce).await?;
+        let (outgoing, incoming) = self.key.session_keys(&nonce, &peer_nonce, (self.own_id, to));
         Ok((read, write, incoming, outgoing))
     }
 
     async fn serve(self: Arc<Links>, stream: TcpStream) {
-        let shaken = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.shake(stream)).await;
-        let Ok(Ok((from, read, write, incoming, outgoing))) = shaken else { return };
-        let (answers, queue) = mpsc::channel(QUEUE_LEN);
-        let writer = Writer { links: self.clone(), write, stream: outgoing };
+        let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.accept_handshake(stream)).await;
+        let Ok(Ok((from, read, write, incoming, outgoing))) = accepted else { return };
+        let (answers, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let writer = Writer { links: self.clone(), write, authenticator: outgoing };
         let writing = tokio::spawn(writer.send_queue(from, queue));
-        let mut reader = Reader { read: BufReader::new(read), stream: incoming, is_known: false };
+        let mut reader =
+            Reader { read: BufReader::new(read), authenticator: incoming, is_peer_verified: false };
         while let Ok(frame) = reader.next().await {
             if self.is_cut(from) {
                 continue;
@@ -258,7 +259,7 @@
         writing.abort();
     }
 
-    async fn shake(
+    async fn accept_handshake(
         &self,
         stream: TcpStream,
     ) -> std::io::Result<(
@@ -271,21 +272,22 @@
         stream.set_nodelay(true)?;
         let (mut read, mut write) = stream.into_split();
         let from = read.read_u64_le().await?;
-        let mut theirs = [0; NONCE_BYTES];
-        read.read_exact(&mut theirs).await?;
+        let mut peer_nonce = [0; NONCE_BYTES];
+        read.read_exact(&mut peer_nonce).await?;
         let nonce: [u8; NONCE_BYTES] = rand::rng().random();
         write.write_all(&nonce).await?;
-        let (incoming, outgoing) = self.key.session_keys(&theirs, &nonce, (from, self.me));
+        let (incoming, outgoing) = self.key.session_keys(&peer_nonce, &nonce, (from, self.own_id));
         Ok((from, read, write, incoming, outgoing))
     }
 
-    async fn read_answers(
+    async fn read_responses(
         self: Arc<Links>,
         from: NodeId,
         read: OwnedReadHalf,
-        stream: FrameAuthenticator,
+        authenticator: FrameAuthenticator,
     ) {
-        let mut reader = Reader { read: BufReader::new(read), stream, is_known: false };
+        let mut reader =
+            Reader { read: BufReader::new(read), authenticator, is_peer_verified: false };
         while let Ok(frame) = reader.next().await {
             if self.is_cut(from) {
                 continue;
@@ -297,20 +299,20 @@
         }
         // The next frame opens a new connection.
         self.outgoing.lock().remove(&from);
-        self.fail_questions(from);
+        self.fail_pending_requests(from);
     }
 
     /// Whoever waits for an answer of a node is told at once that none will come. A lease that is renewed
     /// with one node after the other runs out if each that has ended takes a whole timeout.
-    fn fail_questions(&self, to: NodeId) {
-        self.waiting.lock().retain(|_, (asked, _)| *asked != to);
+    fn fail_pending_requests(&self, to: NodeId) {
+        self.waiting.lock().retain(|_, (peer, _)| *peer != to);
     }
 }
 
 struct Writer {
     links: Arc<Links>,
     write: OwnedWriteHalf,
-    stream: FrameAuthenticator,
+    authenticator: FrameAuthenticator,
 }
 
 impl Writer {
@@ -318,7 +320,7 @@
         let body = postcard::to_stdvec(frame).map_err(std::io::Error::other)?;
         let mut bytes = Vec::with_capacity(4 + TAG_BYTES + body.len());
         bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
-        bytes.extend_from_slice(&self.stream.sign(&body));
+        bytes.extend_from_slice(&self.authenticator.sign(&body));
         bytes.extend_from_slice(&body);
         self.links.sent_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         self.write.write_all(&bytes).await
@@ -342,15 +344,15 @@
 
 struct Reader {
     read: BufReader<OwnedReadHalf>,
-    stream: FrameAuthenticator,
+    authenticator: FrameAuthenticator,
     /// Whether a frame has been checked already.
-    is_known: bool,
+    is_peer_verified: bool,
 }
 
 impl Reader {
     async fn next(&mut self) -> std::io::Result<Frame> {
         let length = self.read.read_u32_le().await? as usize;
-        let limit = if self.is_known { MAX_FRAME_BYTES } else { MAX_FIRST_FRAME_BYTES };
+        let limit = if self.is_peer_verified { MAX_FRAME_BYTES } else { MAX_FIRST_FRAME_BYTES };
         if length > limit {
             return Err(std::io::Error::other("frame too large"));
         }
@@ -358,8 +360,10 @@
         self.read.read_exact(&mut tag).await?;
         let mut body = vec![0; length];
         self.read.read_exact(&mut body).await?;
-        self.stream.verify(&body, &tag).map_err(|_| std::io::Error::other("not authentic"))?;
-        self.is_known = true;
+        self.authenticator
+            .verify(&body, &tag)
+            .map_err(|_| std::io::Error::other("not authentic"))?;
+        self.is_peer_verified = true;
         postcard::from_bytes(&body).map_err(std::io::Error::other)
     }
 }
