--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -416,7 +416,7 @@
     ("held: nodes tell their grantors nothing", "src/node/quarantining.rs",
      "let news = quarantining.known.changed_since(told, boot_now());", "let news = quarantining.known.changed_since(told.max(u64::MAX), boot_now());", "process", "ending_prompts"),
     ("links: a question to a dead node waits", "src/peer/links.rs",
-     "self.waiting.lock().retain(|_, (peer, _)| *peer != to);", "let _ = to;", "logic", "links::"),
+     "self.pending.lock().retain(|_, (peer, _)| *peer != to);", "let _ = to;", "logic", "links::"),
 ]
 
 
--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -23,7 +23,7 @@
 use crate::membership::{Member, Packet, Status, Swim, SwimTiming};
 use crate::orders::{EngineState, Planner};
 use crate::peer::auth::TAG_BYTES;
-use crate::peer::message::{Answer, Ask, Frame, Heard, Renew};
+use crate::peer::message::{Frame, Heard, PeerRequest, PeerResponse, Renew};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MOST_BLOCKS;
 use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
@@ -195,10 +195,10 @@
     let seen = seen(7, blocks as u32);
     let kept = Kept { store: "store-0".into(), object: object(&seen, 1) };
     let frames = [
-        Frame::Ask(1_000_000, Ask::Lookup { root: seen.root }),
-        Frame::Answer(1_000_000, Answer::Kept(vec![kept])),
-        Frame::Ask(1_000_001, Ask::Seen(seen)),
-        Frame::Answer(1_000_001, Answer::Export(None)),
+        Frame::Request(1_000_000, PeerRequest::Lookup { root: seen.root }),
+        Frame::Response(1_000_000, PeerResponse::Kept(vec![kept])),
+        Frame::Request(1_000_001, PeerRequest::Seen(seen)),
+        Frame::Response(1_000_001, PeerResponse::Export(None)),
     ];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
 }
@@ -332,14 +332,15 @@
         quarantine: Vec::new(),
         heard: told,
     };
-    let granted = Answer::Granted {
+    let granted = PeerResponse::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
         told,
     };
-    let frames = [Frame::Ask(1_000_000, Ask::Renew(renew)), Frame::Answer(1_000_000, granted)];
+    let frames =
+        [Frame::Request(1_000_000, PeerRequest::Renew(renew)), Frame::Response(1_000_000, granted)];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
 }
 
@@ -476,8 +477,10 @@
 pub(super) fn share_wire_bytes(asks: usize) -> f64 {
     let demand = Demand { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
     let share = Share { share: 20, lasts: Duration::from_secs(3) };
-    let frames =
-        [Frame::Ask(1_000_000, Ask::Share(demand)), Frame::Answer(1_000_000, Answer::Share(share))];
+    let frames = [
+        Frame::Request(1_000_000, PeerRequest::Share(demand)),
+        Frame::Response(1_000_000, PeerResponse::Share(share)),
+    ];
     (frames.iter().map(wire_bytes).sum::<usize>() * asks) as f64
 }
 
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -12,7 +12,7 @@
 use crate::log::Message;
 use crate::log::raft::ChangeError;
 use crate::peer::PeerHandler;
-use crate::peer::message::{Answer, Ask, Dispatched, Renew};
+use crate::peer::message::{Dispatched, PeerRequest, PeerResponse, Renew};
 use crate::replica::{self, Undecided};
 use crate::whereabouts::Seen;
 
@@ -32,50 +32,52 @@
         self.router.lock().take_dispatched(dispatched, boot_now());
     }
 
-    fn answer(self: Arc<Node>, from: NodeId, ask: Ask) -> BoxFuture<'static, Answer> {
+    fn answer(self: Arc<Node>, from: NodeId, ask: PeerRequest) -> BoxFuture<'static, PeerResponse> {
         async move {
             match ask {
-                Ask::Renew(mut renew) => {
+                PeerRequest::Renew(mut renew) => {
                     self.observe_quarantine(std::mem::take(&mut renew.quarantine));
                     match renew.as_relay {
                         true => self.grant_as_relay(from, &renew),
                         false => self.grant_as_leader(from, &renew).await,
                     }
                 }
-                Ask::Propose(command) => {
+                PeerRequest::Propose(command) => {
                     let (sender, decided) = oneshot::channel();
                     self.tell_replica(replica::Propose(command, sender)).await;
-                    decision(decided.await.ok(), Answer::Decided)
+                    decision(decided.await.ok(), PeerResponse::Decided)
                 }
-                Ask::ReadConfig { has } => {
+                PeerRequest::ReadConfig { has } => {
                     let (sender, read) = oneshot::channel();
                     self.tell_replica(replica::ReadConfig(has, sender)).await;
-                    decision(read.await.ok(), Answer::Config)
+                    decision(read.await.ok(), PeerResponse::Config)
                 }
-                Ask::ChangeReplicas(change) => {
+                PeerRequest::ChangeReplicas(change) => {
                     let (sender, changed) = oneshot::channel();
                     self.tell_replica(replica::ChangeReplicas(change, sender)).await;
                     match changed.await {
-                        Ok(Err(ChangeError::NotLeader(other))) => Answer::NotLeader(other.leader),
-                        Ok(result) => {
-                            Answer::ReplicasChanged(result.map_err(|error| remedy(error).into()))
+                        Ok(Err(ChangeError::NotLeader(other))) => {
+                            PeerResponse::NotLeader(other.leader)
                         }
-                        Err(_) => Answer::Unable,
+                        Ok(result) => PeerResponse::ReplicasChanged(
+                            result.map_err(|error| remedy(error).into()),
+                        ),
+                        Err(_) => PeerResponse::Unable,
                     }
                 }
-                Ask::Lookup { root } => {
+                PeerRequest::Lookup { root } => {
                     if self.in_force().is_none() {
-                        return Answer::Unable;
+                        return PeerResponse::Unable;
                     }
-                    Answer::Kept(self.catalog.lock().lookup(root, boot_now()))
+                    PeerResponse::Kept(self.catalog.lock().lookup(root, boot_now()))
                 }
-                Ask::Seen(seen) => self.take_seen(&seen),
-                Ask::Written(written) => {
+                PeerRequest::Seen(seen) => self.take_seen(&seen),
+                PeerRequest::Written(written) => {
                     self.catalog.lock().written(&written, boot_now());
-                    Answer::Done
+                    PeerResponse::Done
                 }
-                Ask::Share(demand) => self.grant_share(from, &demand),
-                Ask::Status => Answer::Status(self.status_json().to_string()),
+                PeerRequest::Share(demand) => self.grant_share(from, &demand),
+                PeerRequest::Status => PeerResponse::Status(self.status_json().to_string()),
             }
         }
         .boxed()
@@ -106,30 +108,33 @@
         }
     }
 
-    async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> Answer {
-        let Some(replica) = &self.replica else { return Answer::NotLeader(None) };
+    async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> PeerResponse {
+        let Some(replica) = &self.replica else { return PeerResponse::NotLeader(None) };
         let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
         match replica.address.send(grant).await {
             Ok(Ok(grant)) => self.granted(grant, renew),
-            Ok(Err(leader)) => Answer::NotLeader(leader),
-            Err(_) => Answer::Unable,
+            Ok(Err(leader)) => PeerResponse::NotLeader(leader),
+            Err(_) => PeerResponse::Unable,
         }
     }
 
-    fn take_seen(&self, seen: &Seen) -> Answer {
+    fn take_seen(&self, seen: &Seen) -> PeerResponse {
         if self.in_force().is_none() {
-            return Answer::Unable;
+            return PeerResponse::Unable;
         }
         let fills = self.store_fills();
-        Answer::Export(self.catalog.lock().seen(seen, &fills, boot_now()))
+        PeerResponse::Export(self.catalog.lock().seen(seen, &fills, boot_now()))
     }
 }
 
-fn decision<T>(result: Option<Result<T, Undecided>>, answer: impl Fn(T) -> Answer) -> Answer {
+fn decision<T>(
+    result: Option<Result<T, Undecided>>,
+    answer: impl Fn(T) -> PeerResponse,
+) -> PeerResponse {
     match result {
         Some(Ok(value)) => answer(value),
-        Some(Err(Undecided::NotLeader(leader))) => Answer::NotLeader(leader),
-        Some(Err(Undecided::Unknown)) | None => Answer::Unable,
+        Some(Err(Undecided::NotLeader(leader))) => PeerResponse::NotLeader(leader),
+        Some(Err(Undecided::Unknown)) | None => PeerResponse::Unable,
     }
 }
 
--- a/src/node/decisions.rs
+++ b/src/node/decisions.rs
@@ -12,7 +12,7 @@
 use crate::ids::{ConfigNumber, NodeId};
 use crate::log::raft::Change;
 use crate::log::state::{Command, Patch, PatchAnswer, Reply};
-use crate::peer::message::{Answer, Ask};
+use crate::peer::message::{PeerRequest, PeerResponse};
 
 /// A leader that does not answer within this time is given up for another.
 const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -36,8 +36,8 @@
     /// # Errors
     /// If no leader answered in time; the command may be decided all the same.
     pub async fn decide(self: &Arc<Node>, command: Command) -> Result<Reply, NoLeader> {
-        match self.ask_leader(Ask::Propose(command)).await? {
-            Answer::Decided(reply) => Ok(reply),
+        match self.ask_leader(PeerRequest::Propose(command)).await? {
+            PeerResponse::Decided(reply) => Ok(reply),
             _ => Err(NoLeader),
         }
     }
@@ -47,8 +47,8 @@
     /// # Errors
     /// If no leader answered in time.
     pub async fn read_config(self: &Arc<Node>, has: ConfigNumber) -> Result<Update, NoLeader> {
-        match self.ask_leader(Ask::ReadConfig { has }).await? {
-            Answer::Config(update) => Ok(update),
+        match self.ask_leader(PeerRequest::ReadConfig { has }).await? {
+            PeerResponse::Config(update) => Ok(update),
             _ => Err(NoLeader),
         }
     }
@@ -61,8 +61,8 @@
         self: &Arc<Node>,
         change: Change,
     ) -> Result<Result<(), String>, NoLeader> {
-        match self.ask_leader(Ask::ChangeReplicas(change)).await? {
-            Answer::ReplicasChanged(result) => Ok(result),
+        match self.ask_leader(PeerRequest::ChangeReplicas(change)).await? {
+            PeerResponse::ReplicasChanged(result) => Ok(result),
             _ => Err(NoLeader),
         }
     }
@@ -79,15 +79,15 @@
         std::iter::once(first).filter(|node| *node != 0).chain(others).collect()
     }
 
-    async fn ask_leader(self: &Arc<Node>, ask: Ask) -> Result<Answer, NoLeader> {
+    async fn ask_leader(self: &Arc<Node>, ask: PeerRequest) -> Result<PeerResponse, NoLeader> {
         let end = boot_now() + DECIDE_TIMEOUT;
         loop {
             for node in self.leader_candidates() {
                 match self.links.ask(node, ask.clone(), ASK_TIMEOUT).await {
-                    Ok(Answer::NotLeader(leader)) => {
+                    Ok(PeerResponse::NotLeader(leader)) => {
                         self.leader_hint.store(leader.unwrap_or(0), Ordering::Relaxed);
                     }
-                    Ok(Answer::Unable) | Err(_) => {
+                    Ok(PeerResponse::Unable) | Err(_) => {
                         self.leader_hint.store(0, Ordering::Relaxed);
                     }
                     Ok(answer) => {
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -10,7 +10,7 @@
 use crate::config::{ConfigHistory, NumberedConfig, Update};
 use crate::ids::{ConfigNumber, NodeId};
 use crate::lease::{Grantor, Holder};
-use crate::peer::message::{Answer, Ask, Renew};
+use crate::peer::message::{PeerRequest, PeerResponse, Renew};
 
 /// A renewal that is not answered within this time is sent elsewhere.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
@@ -104,15 +104,21 @@
     }
 
     /// Grants a lease to another node as the relay of its failure domain.
-    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> Answer {
+    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> PeerResponse {
         let grant = self.fresh.lock().grant(child, renew, boot_now());
-        grant.map_or(Answer::Unable, |grant| self.granted(grant, renew))
+        grant.map_or(PeerResponse::Unable, |grant| self.granted(grant, renew))
     }
 
     /// The answer to a renewal, with what else the asker is to know.
-    pub(super) fn granted(&self, (lasts, number, update): Grant, renew: &Renew) -> Answer {
+    pub(super) fn granted(&self, (lasts, number, update): Grant, renew: &Renew) -> PeerResponse {
         let (quarantine, told) = self.quarantine_news(renew.heard);
-        Answer::Granted { lasts_ms: lasts.as_millis() as u64, number, update, quarantine, told }
+        PeerResponse::Granted {
+            lasts_ms: lasts.as_millis() as u64,
+            number,
+            update,
+            quarantine,
+            told,
+        }
     }
 
     async fn renew(self: &Arc<Node>) -> bool {
@@ -134,8 +140,8 @@
         let (has, acked) = self.fresh.lock().numbers(sent_at);
         let (quarantine, heard, telling) = self.quarantine_for(node);
         let renew = Renew { has, acked, as_relay, quarantine, heard };
-        match self.links.ask(node, Ask::Renew(renew), RENEW_TIMEOUT).await {
-            Ok(Answer::Granted { lasts_ms, number, update, quarantine, told }) => {
+        match self.links.ask(node, PeerRequest::Renew(renew), RENEW_TIMEOUT).await {
+            Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, told }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
@@ -143,7 +149,7 @@
                 let lasts = Duration::from_millis(lasts_ms);
                 self.fresh.lock().take(sent_at, lasts, number, &update)
             }
-            Ok(Answer::NotLeader(Some(leader))) => {
+            Ok(PeerResponse::NotLeader(Some(leader))) => {
                 self.leader_hint.store(leader, Ordering::Relaxed);
                 false
             }
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -8,7 +8,7 @@
 use crate::clock::boot_now;
 use crate::edge::api::ExportOrder;
 use crate::ids::{BlockKey, NodeId, TargetId};
-use crate::peer::message::{Answer, Ask};
+use crate::peer::message::{PeerRequest, PeerResponse};
 use crate::prompt::Chain;
 use crate::telemetry::metrics::label;
 use crate::whereabouts::{ExportPlan, Kept, Seen, Written, owners};
@@ -32,8 +32,8 @@
     ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
         for owner in owners(root, &self.node_places()) {
-            let asked = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
-            if let Ok(Answer::Kept(kept)) = asked {
+            let asked = self.links.ask(owner, PeerRequest::Lookup { root }, LOOKUP_TIMEOUT).await;
+            if let Ok(PeerResponse::Kept(kept)) = asked {
                 let usable = kept.into_iter().filter(|kept| is_of(chain, kept));
                 return usable.map(|kept| (kept.store, kept.object)).collect();
             }
@@ -51,8 +51,8 @@
     async fn tell_owners(self: Arc<Node>, seen: Seen, engine_url: String) {
         let owners = owners(seen.root, &self.node_places());
         let Some(first) = owners.first() else { return };
-        let told = self.links.ask(*first, Ask::Seen(seen.clone()), NOTE_TIMEOUT).await;
-        let Ok(Answer::Export(Some(plan))) = told else { return };
+        let told = self.links.ask(*first, PeerRequest::Seen(seen.clone()), NOTE_TIMEOUT).await;
+        let Ok(PeerResponse::Export(Some(plan))) = told else { return };
         let kept = self.export(&plan, &engine_url).await;
         let written =
             Written { root: plan.root, key: plan.position.key, generation: plan.generation, kept };
@@ -61,7 +61,7 @@
 
     async fn tell_written(self: &Arc<Node>, owner: NodeId, written: Written) {
         // If the owner is gone, its successor finds the copy in the store's inventory.
-        drop(self.links.ask(owner, Ask::Written(written), NOTE_TIMEOUT).await);
+        drop(self.links.ask(owner, PeerRequest::Written(written), NOTE_TIMEOUT).await);
     }
 
     async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<Kept> {
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -8,7 +8,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{AccountId, BlockKey, NodeId};
 use crate::limits::shares::{Demand, Share, Shares, base};
-use crate::peer::message::{Answer, Ask};
+use crate::peer::message::{PeerRequest, PeerResponse};
 use crate::whereabouts::{NodePlace, owners};
 
 /// A request waits no longer than this for a share.
@@ -101,8 +101,8 @@
         }
         let demand = demand.saturating_mul(HEADROOM);
         let ask = Demand { account: account.to_string(), demand, limit, nodes };
-        if let Ok(Answer::Share(Share { share, lasts })) =
-            self.links.ask(owner, Ask::Share(ask), ASK_TIMEOUT).await
+        if let Ok(PeerResponse::Share(Share { share, lasts })) =
+            self.links.ask(owner, PeerRequest::Share(ask), ASK_TIMEOUT).await
         {
             let held = Held { share, ends: asked_at + lasts, asked_at, limit };
             self.sharing.lock().held.insert(account.to_string(), held);
@@ -111,18 +111,18 @@
     }
 
     /// Grants a share as an owner, under this node's own freshness lease.
-    pub(super) fn grant_share(&self, node: NodeId, demand: &Demand) -> Answer {
+    pub(super) fn grant_share(&self, node: NodeId, demand: &Demand) -> PeerResponse {
         if self.in_force().is_none() {
-            return Answer::Unable;
+            return PeerResponse::Unable;
         }
         let now = boot_now();
         let places = self.node_places();
         let mut sharing = self.sharing.lock();
         sharing.note_places(places, now);
         if !sharing.is_settled_owner(&demand.account, self.settings.node_id, now) {
-            return Answer::Unable;
+            return PeerResponse::Unable;
         }
-        Answer::Share(sharing.granted.ask(node, demand, now))
+        PeerResponse::Share(sharing.granted.ask(node, demand, now))
     }
 
     /// Renews shares that are in use, and forgets the others, again and again.
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 
 use super::auth::{FrameAuthenticator, NONCE_BYTES, PeerKey, TAG_BYTES};
-use super::message::{Answer, Ask, Dispatched, Frame};
+use super::message::{Dispatched, Frame, PeerRequest, PeerResponse};
 use crate::ids::NodeId;
 use crate::log::Message;
 
@@ -40,12 +40,12 @@
     /// Takes news of a dispatch by another node.
     fn dispatched(&self, dispatched: &Dispatched);
     /// Answers a question.
-    fn answer(self: Arc<Self>, from: NodeId, ask: Ask) -> BoxFuture<'static, Answer>;
+    fn answer(self: Arc<Self>, from: NodeId, ask: PeerRequest) -> BoxFuture<'static, PeerResponse>;
 }
 
 /// Why there is no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum AskError {
+pub enum PeerRequestError {
     /// No answer came in time. The question may have had its effect.
     #[snafu(display("no answer in time; check that the node runs and can be reached"))]
     Timeout,
@@ -64,8 +64,8 @@
     addresses: RwLock<HashMap<NodeId, SocketAddr>>,
     outgoing: Mutex<HashMap<NodeId, mpsc::Sender<Frame>>>,
     /// Questions that wait for an answer, with the node that was asked.
-    waiting: Mutex<HashMap<u64, (NodeId, oneshot::Sender<Answer>)>>,
-    next_ask: AtomicU64,
+    pending: Mutex<HashMap<u64, (NodeId, oneshot::Sender<PeerResponse>)>>,
+    next_request: AtomicU64,
     answering: Semaphore,
     handler: OnceLock<Arc<dyn PeerHandler>>,
     /// Nodes that a test has cut off from this one.
@@ -81,8 +81,8 @@
             key,
             addresses: RwLock::new(addresses),
             outgoing: Mutex::new(HashMap::new()),
-            waiting: Mutex::new(HashMap::new()),
-            next_ask: AtomicU64::new(1),
+            pending: Mutex::new(HashMap::new()),
+            next_request: AtomicU64::new(1),
             answering: Semaphore::new(MAX_CONCURRENT_REQUESTS),
             handler: OnceLock::new(),
             cut: RwLock::new(BTreeSet::new()),
@@ -136,27 +136,27 @@
     pub async fn ask(
         self: &Arc<Links>,
         to: NodeId,
-        ask: Ask,
+        ask: PeerRequest,
         timeout: Duration,
-    ) -> Result<Answer, AskError> {
+    ) -> Result<PeerResponse, PeerRequestError> {
         if to == self.own_id {
-            let handler = self.handler.get().cloned().ok_or(AskError::Unknown)?;
+            let handler = self.handler.get().cloned().ok_or(PeerRequestError::Unknown)?;
             let answer = tokio::time::timeout(timeout, handler.answer(self.own_id, ask)).await;
-            return answer.map_err(|_| AskError::Timeout);
+            return answer.map_err(|_| PeerRequestError::Timeout);
         }
         if !self.addresses.read().contains_key(&to) {
-            return Err(AskError::Unknown);
+            return Err(PeerRequestError::Unknown);
         }
-        let number = self.next_ask.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
-        self.waiting.lock().insert(number, (to, sender));
-        self.enqueue(to, Frame::Ask(number, ask));
+        self.pending.lock().insert(number, (to, sender));
+        self.enqueue(to, Frame::Request(number, ask));
         let answer = tokio::time::timeout(timeout, receiver).await;
-        self.waiting.lock().remove(&number);
+        self.pending.lock().remove(&number);
         match answer {
             Ok(Ok(answer)) => Ok(answer),
-            Ok(Err(_)) => Err(AskError::Unreachable),
-            Err(_) => Err(AskError::Timeout),
+            Ok(Err(_)) => Err(PeerRequestError::Unreachable),
+            Err(_) => Err(PeerRequestError::Timeout),
         }
     }
 
@@ -245,15 +245,15 @@
             match frame {
                 Frame::Log(message) => handler.log(from, message),
                 Frame::Dispatched(dispatched) => handler.dispatched(&dispatched),
-                Frame::Ask(number, ask) => {
+                Frame::Request(number, ask) => {
                     let (links, answers) = (self.clone(), answers.clone());
                     tokio::spawn(async move {
                         let Ok(_permit) = links.answering.acquire().await else { return };
                         let answer = handler.answer(from, ask).await;
-                        drop(answers.send(Frame::Answer(number, answer)).await);
+                        drop(answers.send(Frame::Response(number, answer)).await);
                     });
                 }
-                Frame::Answer(..) => break,
+                Frame::Response(..) => break,
             }
         }
         writing.abort();
@@ -292,9 +292,9 @@
             if self.is_cut(from) {
                 continue;
             }
-            let Frame::Answer(number, answer) = frame else { break };
-            if let Some((_, waiting)) = self.waiting.lock().remove(&number) {
-                drop(waiting.send(answer));
+            let Frame::Response(number, answer) = frame else { break };
+            if let Some((_, pending)) = self.pending.lock().remove(&number) {
+                drop(pending.send(answer));
             }
         }
         // The next frame opens a new connection.
@@ -305,7 +305,7 @@
     /// Whoever waits for an answer of a node is told at once that none will come. A lease that is renewed
     /// with one node after the other runs out if each that has ended takes a whole timeout.
     fn fail_pending_requests(&self, to: NodeId) {
-        self.waiting.lock().retain(|_, (peer, _)| *peer != to);
+        self.pending.lock().retain(|_, (peer, _)| *peer != to);
     }
 }
 
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -19,9 +19,9 @@
     /// News of a dispatch; no answer.
     Dispatched(Dispatched),
     /// A question.
-    Ask(u64, Ask),
+    Request(u64, PeerRequest),
     /// The answer to the question with this number.
-    Answer(u64, Answer),
+    Response(u64, PeerResponse),
 }
 
 /// A node sent a request to an engine, which the engine's next report can't show yet.
@@ -48,7 +48,7 @@
 
 /// A question.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Renews a freshness lease.
     Renew(Renew),
     /// Has a command decided. Only the leader does.
@@ -101,7 +101,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum PeerResponse {
     /// A freshness lease, counted from when the asker sent its renewal.
     Granted {
         /// How long it lasts.
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -5,5 +5,5 @@
 pub mod message;
 
 pub use auth::PeerKey;
-pub use links::{AskError, Links, PeerHandler};
-pub use message::{Answer, Ask, Frame};
+pub use links::{Links, PeerHandler, PeerRequestError};
+pub use message::{Frame, PeerRequest, PeerResponse};
--- a/tests/logic/links.rs
+++ b/tests/logic/links.rs
@@ -14,8 +14,8 @@
 use futures::future::BoxFuture;
 use kumquatpost::ids::NodeId;
 use kumquatpost::log::Message;
-use kumquatpost::peer::message::{Answer, Ask, Dispatched};
-use kumquatpost::peer::{AskError, Links, PeerHandler, PeerKey};
+use kumquatpost::peer::message::{Dispatched, PeerRequest, PeerResponse};
+use kumquatpost::peer::{Links, PeerHandler, PeerKey, PeerRequestError};
 use tokio::net::TcpListener;
 
 /// Longer than any test takes: no outcome depends on how busy the machine is.
@@ -29,7 +29,11 @@
 
     fn dispatched(&self, _dispatched: &Dispatched) {}
 
-    fn answer(self: Arc<Self>, _from: NodeId, _ask: Ask) -> BoxFuture<'static, Answer> {
+    fn answer(
+        self: Arc<Self>,
+        _from: NodeId,
+        _ask: PeerRequest,
+    ) -> BoxFuture<'static, PeerResponse> {
         std::future::pending().boxed()
     }
 }
@@ -50,8 +54,8 @@
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let begun = Instant::now();
-    let answer = links(address).ask(2, Ask::Status, LONG).await;
-    assert_eq!(answer, Err(AskError::Unreachable));
+    let answer = links(address).ask(2, PeerRequest::Status, LONG).await;
+    assert_eq!(answer, Err(PeerRequestError::Unreachable));
     assert!(begun.elapsed() < LONG / 4, "{:?}", begun.elapsed());
 }
 
@@ -70,10 +74,10 @@
     runtime.spawn(other.accept(listener));
     let asking = links(address);
     let begun = Instant::now();
-    let asked = tokio::spawn(async move { asking.ask(2, Ask::Status, LONG).await });
+    let asked = tokio::spawn(async move { asking.ask(2, PeerRequest::Status, LONG).await });
     // It has been sent by then, or fails for the other reason.
     tokio::time::sleep(Duration::from_millis(300)).await;
     runtime.shutdown_background();
-    assert_eq!(asked.await.expect("no panic"), Err(AskError::Unreachable));
+    assert_eq!(asked.await.expect("no panic"), Err(PeerRequestError::Unreachable));
     assert!(begun.elapsed() < LONG / 4, "{:?}", begun.elapsed());
 }
