--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -199,7 +199,7 @@
     match request.json::<Faults>() {
         Ok(faults) => {
             log::warn!("event=fault_set cut_off_from={:?}", faults.cut_off_from);
-            node.links.set_cut(faults.cut_off_from);
+            node.links.set_blocked_peers(faults.cut_off_from);
             http::json(StatusCode::OK, &json!({"set": true}))
         }
         Err(reason) => error(StatusCode::BAD_REQUEST, "fault_invalid", &reason),
--- a/src/membership/actor.rs
+++ b/src/membership/actor.rs
@@ -64,7 +64,7 @@
             self.swim.members().map(|member| (member.node, member.address)).collect();
         for (to, packet) in packets {
             let address = addresses.iter().find(|(node, _)| *node == to).map(|(_, a)| *a);
-            let Some(address) = address.filter(|_| !self.links.is_cut(to)) else { continue };
+            let Some(address) = address.filter(|_| !self.links.is_blocked(to)) else { continue };
             let Ok(body) = postcard::to_stdvec(&packet) else { continue };
             let datagram = self.signer.sign(to, &body);
             // A send error is treated like a lost datagram.
@@ -102,7 +102,7 @@
 
     async fn handle(&mut self, datagram: Datagram, _context: &mut Context<Self>) {
         let Ok((from, body)) = self.verifier.verify(&datagram.0) else { return };
-        if self.links.is_cut(from) {
+        if self.links.is_blocked(from) {
             return;
         }
         let Ok(packet) = postcard::from_bytes::<Packet>(body) else { return };
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -20,7 +20,7 @@
 const NODES_TOLD: usize = 16;
 
 impl PeerHandler for Node {
-    fn log(&self, from: NodeId, message: Message) {
+    fn handle_log_message(&self, from: NodeId, message: Message) {
         if let Some(replica) = &self.replica {
             let sending = replica.address.send(replica::FromPeer(from, message)).detach();
             // An unbounded mailbox takes it at once; it is gone only when the process ends.
@@ -28,11 +28,15 @@
         }
     }
 
-    fn dispatched(&self, dispatched: &Dispatched) {
+    fn handle_dispatched(&self, dispatched: &Dispatched) {
         self.router.lock().take_dispatched(dispatched, boot_now());
     }
 
-    fn answer(self: Arc<Node>, from: NodeId, ask: PeerRequest) -> BoxFuture<'static, PeerResponse> {
+    fn handle_request(
+        self: Arc<Node>,
+        from: NodeId,
+        ask: PeerRequest,
+    ) -> BoxFuture<'static, PeerResponse> {
         async move {
             match ask {
                 PeerRequest::Renew(mut renew) => {
@@ -93,7 +97,7 @@
             known.live.iter().skip(1).map(|member| member.node).collect()
         };
         if others.len() < NODES_TOLD {
-            others.iter().for_each(|node| self.links.tell(*node, dispatched.clone()));
+            others.iter().for_each(|node| self.links.send_dispatched(*node, dispatched.clone()));
         }
     }
 
--- a/src/node/decisions.rs
+++ b/src/node/decisions.rs
@@ -83,7 +83,7 @@
         let end = boot_now() + DECIDE_TIMEOUT;
         loop {
             for node in self.leader_candidates() {
-                match self.links.ask(node, ask.clone(), ASK_TIMEOUT).await {
+                match self.links.request(node, ask.clone(), ASK_TIMEOUT).await {
                     Ok(PeerResponse::NotLeader(leader)) => {
                         self.leader_hint.store(leader.unwrap_or(0), Ordering::Relaxed);
                     }
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -140,7 +140,7 @@
         let (has, acked) = self.fresh.lock().numbers(sent_at);
         let (quarantine, heard, telling) = self.quarantine_for(node);
         let renew = Renew { has, acked, as_relay, quarantine, heard };
-        match self.links.ask(node, PeerRequest::Renew(renew), RENEW_TIMEOUT).await {
+        match self.links.request(node, PeerRequest::Renew(renew), RENEW_TIMEOUT).await {
             Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, told }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -32,7 +32,8 @@
     ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
         for owner in owners(root, &self.node_places()) {
-            let asked = self.links.ask(owner, PeerRequest::Lookup { root }, LOOKUP_TIMEOUT).await;
+            let asked =
+                self.links.request(owner, PeerRequest::Lookup { root }, LOOKUP_TIMEOUT).await;
             if let Ok(PeerResponse::Kept(kept)) = asked {
                 let usable = kept.into_iter().filter(|kept| is_of(chain, kept));
                 return usable.map(|kept| (kept.store, kept.object)).collect();
@@ -51,7 +52,7 @@
     async fn tell_owners(self: Arc<Node>, seen: Seen, engine_url: String) {
         let owners = owners(seen.root, &self.node_places());
         let Some(first) = owners.first() else { return };
-        let told = self.links.ask(*first, PeerRequest::Seen(seen.clone()), NOTE_TIMEOUT).await;
+        let told = self.links.request(*first, PeerRequest::Seen(seen.clone()), NOTE_TIMEOUT).await;
         let Ok(PeerResponse::Export(Some(plan))) = told else { return };
         let kept = self.export(&plan, &engine_url).await;
         let written =
@@ -61,7 +62,7 @@
 
     async fn tell_written(self: &Arc<Node>, owner: NodeId, written: Written) {
         // If the owner is gone, its successor finds the copy in the store's inventory.
-        drop(self.links.ask(owner, PeerRequest::Written(written), NOTE_TIMEOUT).await);
+        drop(self.links.request(owner, PeerRequest::Written(written), NOTE_TIMEOUT).await);
     }
 
     async fn export(&self, plan: &ExportPlan, engine_url: &str) -> Option<Kept> {
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -102,7 +102,7 @@
         let demand = demand.saturating_mul(HEADROOM);
         let ask = Demand { account: account.to_string(), demand, limit, nodes };
         if let Ok(PeerResponse::Share(Share { share, lasts })) =
-            self.links.ask(owner, PeerRequest::Share(ask), ASK_TIMEOUT).await
+            self.links.request(owner, PeerRequest::Share(ask), ASK_TIMEOUT).await
         {
             let held = Held { share, ends: asked_at + lasts, asked_at, limit };
             self.sharing.lock().held.insert(account.to_string(), held);
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -36,11 +36,15 @@
 /// What a node does with frames of others. The edge between transport and node.
 pub trait PeerHandler: Send + Sync {
     /// Takes a message between replicas.
-    fn log(&self, from: NodeId, message: Message);
+    fn handle_log_message(&self, from: NodeId, message: Message);
     /// Takes news of a dispatch by another node.
-    fn dispatched(&self, dispatched: &Dispatched);
+    fn handle_dispatched(&self, dispatched: &Dispatched);
     /// Answers a question.
-    fn answer(self: Arc<Self>, from: NodeId, ask: PeerRequest) -> BoxFuture<'static, PeerResponse>;
+    fn handle_request(
+        self: Arc<Self>,
+        from: NodeId,
+        request: PeerRequest,
+    ) -> BoxFuture<'static, PeerResponse>;
 }
 
 /// Why there is no answer.
@@ -66,10 +70,10 @@
     /// Questions that wait for an answer, with the node that was asked.
     pending: Mutex<HashMap<u64, (NodeId, oneshot::Sender<PeerResponse>)>>,
     next_request: AtomicU64,
-    answering: Semaphore,
+    request_permits: Semaphore,
     handler: OnceLock<Arc<dyn PeerHandler>>,
     /// Nodes that a test has cut off from this one.
-    cut: RwLock<BTreeSet<NodeId>>,
+    blocked: RwLock<BTreeSet<NodeId>>,
     sent_bytes: AtomicU64,
 }
 
@@ -83,9 +87,9 @@
             outgoing: Mutex::new(HashMap::new()),
             pending: Mutex::new(HashMap::new()),
             next_request: AtomicU64::new(1),
-            answering: Semaphore::new(MAX_CONCURRENT_REQUESTS),
+            request_permits: Semaphore::new(MAX_CONCURRENT_REQUESTS),
             handler: OnceLock::new(),
-            cut: RwLock::new(BTreeSet::new()),
+            blocked: RwLock::new(BTreeSet::new()),
             sent_bytes: AtomicU64::new(0),
         })
     }
@@ -105,13 +109,13 @@
     }
 
     /// Cuts this node off from others, in both directions. For tests.
-    pub fn set_cut(&self, nodes: BTreeSet<NodeId>) {
-        *self.cut.write() = nodes;
+    pub fn set_blocked_peers(&self, nodes: BTreeSet<NodeId>) {
+        *self.blocked.write() = nodes;
     }
 
     /// Whether a test has cut `node` off.
-    pub fn is_cut(&self, node: NodeId) -> bool {
-        self.cut.read().contains(&node)
+    pub fn is_blocked(&self, node: NodeId) -> bool {
+        self.blocked.read().contains(&node)
     }
 
     /// Bytes sent to other nodes so far.
@@ -125,7 +129,7 @@
     }
 
     /// Tells a node of a dispatch. It may be lost.
-    pub fn tell(self: &Arc<Links>, to: NodeId, dispatched: Dispatched) {
+    pub fn send_dispatched(self: &Arc<Links>, to: NodeId, dispatched: Dispatched) {
         self.enqueue(to, Frame::Dispatched(dispatched));
     }
 
@@ -133,16 +137,17 @@
     ///
     /// # Errors
     /// If no answer came within `timeout`, or none can come.
-    pub async fn ask(
+    pub async fn request(
         self: &Arc<Links>,
         to: NodeId,
-        ask: PeerRequest,
+        request: PeerRequest,
         timeout: Duration,
     ) -> Result<PeerResponse, PeerRequestError> {
         if to == self.own_id {
             let handler = self.handler.get().cloned().ok_or(PeerRequestError::Unknown)?;
-            let answer = tokio::time::timeout(timeout, handler.answer(self.own_id, ask)).await;
-            return answer.map_err(|_| PeerRequestError::Timeout);
+            let response =
+                tokio::time::timeout(timeout, handler.handle_request(self.own_id, request)).await;
+            return response.map_err(|_| PeerRequestError::Timeout);
         }
         if !self.addresses.read().contains_key(&to) {
             return Err(PeerRequestError::Unknown);
@@ -150,11 +155,11 @@
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let (sender, receiver) = oneshot::channel();
         self.pending.lock().insert(number, (to, sender));
-        self.enqueue(to, Frame::Request(number, ask));
-        let answer = tokio::time::timeout(timeout, receiver).await;
+        self.enqueue(to, Frame::Request(number, request));
+        let response = tokio::time::timeout(timeout, receiver).await;
         self.pending.lock().remove(&number);
-        match answer {
-            Ok(Ok(answer)) => Ok(answer),
+        match response {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(_)) => Err(PeerRequestError::Unreachable),
             Err(_) => Err(PeerRequestError::Timeout),
         }
@@ -176,7 +181,7 @@
     }
 
     fn enqueue(self: &Arc<Links>, to: NodeId, frame: Frame) {
-        if self.is_cut(to) {
+        if self.is_blocked(to) {
             return;
         }
         let mut outgoing = self.outgoing.lock();
@@ -232,25 +237,25 @@
     async fn serve(self: Arc<Links>, stream: TcpStream) {
         let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.accept_handshake(stream)).await;
         let Ok(Ok((from, read, write, incoming, outgoing))) = accepted else { return };
-        let (answers, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let (responses, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
         let writer = Writer { links: self.clone(), write, authenticator: outgoing };
         let writing = tokio::spawn(writer.send_queue(from, queue));
         let mut reader =
             Reader { read: BufReader::new(read), authenticator: incoming, is_peer_verified: false };
         while let Ok(frame) = reader.next().await {
-            if self.is_cut(from) {
+            if self.is_blocked(from) {
                 continue;
             }
             let Some(handler) = self.handler.get().cloned() else { break };
             match frame {
-                Frame::Log(message) => handler.log(from, message),
-                Frame::Dispatched(dispatched) => handler.dispatched(&dispatched),
-                Frame::Request(number, ask) => {
-                    let (links, answers) = (self.clone(), answers.clone());
+                Frame::Log(message) => handler.handle_log_message(from, message),
+                Frame::Dispatched(dispatched) => handler.handle_dispatched(&dispatched),
+                Frame::Request(number, request) => {
+                    let (links, responses) = (self.clone(), responses.clone());
                     tokio::spawn(async move {
-                        let Ok(_permit) = links.answering.acquire().await else { return };
-                        let answer = handler.answer(from, ask).await;
-                        drop(answers.send(Frame::Response(number, answer)).await);
+                        let Ok(_permit) = links.request_permits.acquire().await else { return };
+                        let response = handler.handle_request(from, request).await;
+                        drop(responses.send(Frame::Response(number, response)).await);
                     });
                 }
                 Frame::Response(..) => break,
@@ -289,12 +294,12 @@
         let mut reader =
             Reader { read: BufReader::new(read), authenticator, is_peer_verified: false };
         while let Ok(frame) = reader.next().await {
-            if self.is_cut(from) {
+            if self.is_blocked(from) {
                 continue;
             }
-            let Frame::Response(number, answer) = frame else { break };
+            let Frame::Response(number, response) = frame else { break };
             if let Some((_, pending)) = self.pending.lock().remove(&number) {
-                drop(pending.send(answer));
+                drop(pending.send(response));
             }
         }
         // The next frame opens a new connection.
@@ -328,7 +333,7 @@
 
     async fn send_all(&mut self, to: NodeId, frames: &mut mpsc::Receiver<Frame>) {
         while let Some(frame) = frames.recv().await {
-            if self.links.is_cut(to) {
+            if self.links.is_blocked(to) {
                 continue;
             }
             if self.send(&frame).await.is_err() {
--- a/tests/logic/links.rs
+++ b/tests/logic/links.rs
@@ -25,11 +25,11 @@
 struct Mute;
 
 impl PeerHandler for Mute {
-    fn log(&self, _from: NodeId, _message: Message) {}
+    fn handle_log_message(&self, _from: NodeId, _message: Message) {}
 
-    fn dispatched(&self, _dispatched: &Dispatched) {}
+    fn handle_dispatched(&self, _dispatched: &Dispatched) {}
 
-    fn answer(
+    fn handle_request(
         self: Arc<Self>,
         _from: NodeId,
         _ask: PeerRequest,
@@ -54,7 +54,7 @@
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let begun = Instant::now();
-    let answer = links(address).ask(2, PeerRequest::Status, LONG).await;
+    let answer = links(address).request(2, PeerRequest::Status, LONG).await;
     assert_eq!(answer, Err(PeerRequestError::Unreachable));
     assert!(begun.elapsed() < LONG / 4, "{:?}", begun.elapsed());
 }
@@ -74,7 +74,7 @@
     runtime.spawn(other.accept(listener));
     let asking = links(address);
     let begun = Instant::now();
-    let asked = tokio::spawn(async move { asking.ask(2, PeerRequest::Status, LONG).await });
+    let asked = tokio::spawn(async move { asking.request(2, PeerRequest::Status, LONG).await });
     // It has been sent by then, or fails for the other reason.
     tokio::time::sleep(Duration::from_millis(300)).await;
     runtime.shutdown_background();
