--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -23,7 +23,7 @@
 use crate::membership::{Member, Packet, Status, Swim, SwimTiming};
 use crate::orders::{EngineState, Planner};
 use crate::peer::auth::TAG_BYTES;
-use crate::peer::message::{Frame, Heard, PeerRequest, PeerResponse, Renew};
+use crate::peer::message::{Frame, PeerRequest, PeerResponse, QuarantineCursor, RenewLease};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MOST_BLOCKS;
 use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
@@ -324,23 +324,25 @@
     let patches: Vec<(u64, String)> =
         (0..patches as u64).map(|n| (1_000_000 + n, text.clone())).collect();
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
-    let told = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
-    let renew = Renew {
+    let quarantine_sent = QuarantineCursor { boot: 1_790_000_000_000, revision: 1_000_000 };
+    let renew = RenewLease {
         has: 1_000_000,
         acked: 1_000_000,
         as_relay: true,
         quarantine: Vec::new(),
-        heard: told,
+        quarantine_received: quarantine_sent,
     };
     let granted = PeerResponse::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
-        told,
+        quarantine_sent,
     };
-    let frames =
-        [Frame::Request(1_000_000, PeerRequest::Renew(renew)), Frame::Response(1_000_000, granted)];
+    let frames = [
+        Frame::Request(1_000_000, PeerRequest::RenewLease(renew)),
+        Frame::Response(1_000_000, granted),
+    ];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
 }
 
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -12,7 +12,7 @@
 use crate::log::Message;
 use crate::log::raft::ChangeError;
 use crate::peer::PeerHandler;
-use crate::peer::message::{Dispatched, PeerRequest, PeerResponse, Renew};
+use crate::peer::message::{Dispatched, PeerRequest, PeerResponse, RenewLease};
 use crate::replica::{self, Undecided};
 use crate::whereabouts::Seen;
 
@@ -39,7 +39,7 @@
     ) -> BoxFuture<'static, PeerResponse> {
         async move {
             match ask {
-                PeerRequest::Renew(mut renew) => {
+                PeerRequest::RenewLease(mut renew) => {
                     self.observe_quarantine(std::mem::take(&mut renew.quarantine));
                     match renew.as_relay {
                         true => self.grant_as_relay(from, &renew),
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> PeerResponse {
+    async fn grant_as_leader(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
         let Some(replica) = &self.replica else { return PeerResponse::NotLeader(None) };
         let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
         match replica.address.send(grant).await {
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -10,7 +10,7 @@
 use crate::config::{ConfigHistory, NumberedConfig, Update};
 use crate::ids::{ConfigNumber, NodeId};
 use crate::lease::{Grantor, Holder};
-use crate::peer::message::{PeerRequest, PeerResponse, Renew};
+use crate::peer::message::{PeerRequest, PeerResponse, RenewLease};
 
 /// A renewal that is not answered within this time is sent elsewhere.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
@@ -73,7 +73,7 @@
     }
 
     /// Grants a lease as a relay; `None` if this node itself has none.
-    fn grant(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<Grant> {
+    fn grant(&mut self, child: NodeId, renew: &RenewLease, now: BootTime) -> Option<Grant> {
         let remaining = self.holder.remaining(now);
         let lasts = self.grantor.grant(child, renew.acked, remaining, now);
         let update = || self.history.update_since(renew.has);
@@ -104,20 +104,24 @@
     }
 
     /// Grants a lease to another node as the relay of its failure domain.
-    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> PeerResponse {
+    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
         let grant = self.fresh.lock().grant(child, renew, boot_now());
         grant.map_or(PeerResponse::Unable, |grant| self.granted(grant, renew))
     }
 
     /// The answer to a renewal, with what else the asker is to know.
-    pub(super) fn granted(&self, (lasts, number, update): Grant, renew: &Renew) -> PeerResponse {
-        let (quarantine, told) = self.quarantine_news(renew.heard);
+    pub(super) fn granted(
+        &self,
+        (lasts, number, update): Grant,
+        renew: &RenewLease,
+    ) -> PeerResponse {
+        let (quarantine, quarantine_sent) = self.quarantine_news(renew.quarantine_received);
         PeerResponse::Granted {
             lasts_ms: lasts.as_millis() as u64,
             number,
             update,
             quarantine,
-            told,
+            quarantine_sent,
         }
     }
 
@@ -138,14 +142,14 @@
         // The lease counts from here, before anything has left this node.
         let sent_at = boot_now();
         let (has, acked) = self.fresh.lock().numbers(sent_at);
-        let (quarantine, heard, telling) = self.quarantine_for(node);
-        let renew = Renew { has, acked, as_relay, quarantine, heard };
-        match self.links.request(node, PeerRequest::Renew(renew), RENEW_TIMEOUT).await {
-            Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, told }) => {
+        let (quarantine, quarantine_received, telling) = self.quarantine_for(node);
+        let renew = RenewLease { has, acked, as_relay, quarantine, quarantine_received };
+        match self.links.request(node, PeerRequest::RenewLease(renew), RENEW_TIMEOUT).await {
+            Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, quarantine_sent }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
-                self.hear_quarantine(node, quarantine, told, telling);
+                self.hear_quarantine(node, quarantine, quarantine_sent, telling);
                 let lasts = Duration::from_millis(lasts_ms);
                 self.fresh.lock().take(sent_at, lasts, number, &update)
             }
--- a/src/node/quarantining.rs
+++ b/src/node/quarantining.rs
@@ -11,7 +11,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{Incarnation, NodeId, TargetId, TargetStart};
 use crate::net;
-use crate::peer::message::Heard;
+use crate::peer::message::QuarantineCursor;
 use crate::quarantine::evidence::{BrokenRun, BrokenRuns, Finding};
 use crate::quarantine::{Fingerprint, Observed, Quarantine, Report, Revision};
 
@@ -32,7 +32,7 @@
 struct Grantor {
     /// The own revision up to which it was told.
     told: Revision,
-    heard: Heard,
+    heard: QuarantineCursor,
 }
 
 /// A run of a request that broke off at a target.
@@ -99,7 +99,10 @@
 
     /// What to tell a node that grants leases: news, what it was heard to say, and the revision up to which it
     /// knows all once it has answered.
-    pub(super) fn quarantine_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
+    pub(super) fn quarantine_for(
+        &self,
+        grantor: NodeId,
+    ) -> (Vec<Report>, QuarantineCursor, Revision) {
         let quarantining = self.quarantining.lock();
         let Grantor { told, heard } =
             quarantining.grantors.get(&grantor).copied().unwrap_or_default();
@@ -112,7 +115,7 @@
         &self,
         grantor: NodeId,
         reports: Vec<Report>,
-        heard: Heard,
+        heard: QuarantineCursor,
         telling: Revision,
     ) {
         {
@@ -126,11 +129,15 @@
     }
 
     /// What a node is to be told with its lease that has heard so much.
-    pub(super) fn quarantine_news(&self, heard: Heard) -> (Vec<Report>, Heard) {
+    pub(super) fn quarantine_news(
+        &self,
+        heard: QuarantineCursor,
+    ) -> (Vec<Report>, QuarantineCursor) {
         let quarantining = self.quarantining.lock();
         let is_of_this_start = heard.boot == quarantining.boot;
         let since = if is_of_this_start { heard.revision } else { Revision::default() };
-        let told = Heard { boot: quarantining.boot, revision: quarantining.known.revision() };
+        let told =
+            QuarantineCursor { boot: quarantining.boot, revision: quarantining.known.revision() };
         (quarantining.known.suspects_since(since, boot_now()), told)
     }
 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -50,7 +50,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Renews a freshness lease.
-    Renew(Renew),
+    RenewLease(RenewLease),
     /// Has a command decided. Only the leader does.
     Propose(Command),
     /// Reads the configuration, confirmed by a quorum. Only the leader does.
@@ -77,7 +77,7 @@
 
 /// Renews a freshness lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Renew {
+pub struct RenewLease {
     /// The number that the asker has.
     pub has: ConfigNumber,
     /// The number that all nodes below the asker have.
@@ -87,12 +87,12 @@
     /// What the asker knows of requests under which targets have ended, and the asked node may not.
     pub quarantine: Vec<Report>,
     /// What the asker was told of them by the asked node.
-    pub heard: Heard,
+    pub quarantine_received: QuarantineCursor,
 }
 
 /// What one node was told by another of requests under which targets have ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct QuarantineCursor {
     /// The teller's start; 0 if nothing was told.
     pub boot: u64,
     /// All changes of the teller's book up to this one.
@@ -113,7 +113,7 @@
         /// Requests under which several targets have ended, as far as the asker was not told.
         quarantine: Vec<Report>,
         /// What the asker has been told of them by now.
-        told: Heard,
+        quarantine_sent: QuarantineCursor,
     },
     /// The command was decided.
     Decided(Reply),
