--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -34,12 +34,12 @@
     /// Tokens that it must prefill.
     pub prefill_tokens: u64,
     /// What it imports first.
-    pub import: Option<Importing>,
+    pub import: Option<StoreImport>,
 }
 
 /// An import that uses a store's link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Importing {
+pub struct StoreImport {
     /// The store.
     pub store: TargetId,
     /// Bytes moved.
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -12,7 +12,7 @@
 use crate::edge::api::{CacheEvents, LoadReport, Role, StoreReport, Target, TargetList};
 use crate::edge::chat::Usage;
 use crate::ids::{Incarnation, NodeId, TargetId, WeightVersion};
-use crate::peer::message::{Dispatched, Importing};
+use crate::peer::message::{Dispatched, StoreImport};
 use crate::prompt::{BLOCK_TOKENS, Chain};
 
 /// Blocks remembered for all engines together: about 93 bytes each.
@@ -145,7 +145,7 @@
         {
             engine.note_dispatch(dispatched.prefill_tokens, now);
         }
-        if let Some(Importing { store, size_bytes }) = &dispatched.import
+        if let Some(StoreImport { store, size_bytes }) = &dispatched.import
             && let Some(store) = self.view.stores.get_mut(store)
         {
             store.note_transfer(*size_bytes, now);
@@ -352,7 +352,7 @@
             engine: self.decision.engine.clone(),
             incarnation: self.incarnation,
             prefill_tokens: self.decision.prefill_tokens,
-            import: self.decision.import.as_ref().map(|import| Importing {
+            import: self.decision.import.as_ref().map(|import| StoreImport {
                 store: import.store.clone(),
                 size_bytes: import.object.size_bytes,
             }),
