--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -326,8 +326,8 @@
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
     let quarantine_sent = QuarantineCursor { boot: 1_790_000_000_000, revision: 1_000_000 };
     let renew = RenewLease {
-        has: 1_000_000,
-        acked: 1_000_000,
+        known_number: 1_000_000,
+        subtree_number: 1_000_000,
         as_relay: true,
         quarantine: Vec::new(),
         quarantine_received: quarantine_sent,
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -51,9 +51,9 @@
                     self.tell_replica(replica::Propose(command, sender)).await;
                     decision(decided.await.ok(), PeerResponse::Decided)
                 }
-                PeerRequest::ReadConfig { has } => {
+                PeerRequest::ReadConfig { known_number } => {
                     let (sender, read) = oneshot::channel();
-                    self.tell_replica(replica::ReadConfig(has, sender)).await;
+                    self.tell_replica(replica::ReadConfig(known_number, sender)).await;
                     decision(read.await.ok(), PeerResponse::Config)
                 }
                 PeerRequest::ChangeReplicas(change) => {
@@ -114,7 +114,7 @@
 
     async fn grant_as_leader(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
         let Some(replica) = &self.replica else { return PeerResponse::NotLeader(None) };
-        let grant = replica::Grant { child, has: renew.has, acked: renew.acked };
+        let grant = replica::Grant { child, has: renew.known_number, acked: renew.subtree_number };
         match replica.address.send(grant).await {
             Ok(Ok(grant)) => self.granted(grant, renew),
             Ok(Err(leader)) => PeerResponse::NotLeader(leader),
--- a/src/node/decisions.rs
+++ b/src/node/decisions.rs
@@ -42,12 +42,15 @@
         }
     }
 
-    /// Reads the configuration, confirmed by a quorum, as an update to number `has`.
+    /// Reads the configuration, confirmed by a quorum, as an update to number `known_number`.
     ///
     /// # Errors
     /// If no leader answered in time.
-    pub async fn read_config(self: &Arc<Node>, has: ConfigNumber) -> Result<Update, NoLeader> {
-        match self.ask_leader(PeerRequest::ReadConfig { has }).await? {
+    pub async fn read_config(
+        self: &Arc<Node>,
+        known_number: ConfigNumber,
+    ) -> Result<Update, NoLeader> {
+        match self.ask_leader(PeerRequest::ReadConfig { known_number }).await? {
             PeerResponse::Config(update) => Ok(update),
             _ => Err(NoLeader),
         }
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -49,8 +49,8 @@
 
     /// The number that this node has, and the one that all nodes below it have.
     fn numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
-        let has = self.history.number();
-        (has, self.grantor.floor(has, now))
+        let known_number = self.history.number();
+        (known_number, self.grantor.floor(known_number, now))
     }
 
     /// Takes a grant that answers the renewal sent at `sent_at`. False if it can't be used.
@@ -75,8 +75,8 @@
     /// Grants a lease as a relay; `None` if this node itself has none.
     fn grant(&mut self, child: NodeId, renew: &RenewLease, now: BootTime) -> Option<Grant> {
         let remaining = self.holder.remaining(now);
-        let lasts = self.grantor.grant(child, renew.acked, remaining, now);
-        let update = || self.history.update_since(renew.has);
+        let lasts = self.grantor.grant(child, renew.subtree_number, remaining, now);
+        let update = || self.history.update_since(renew.known_number);
         (!lasts.is_zero()).then(|| (lasts, self.history.number(), update()))
     }
 }
@@ -141,9 +141,10 @@
     async fn renew_with(self: &Arc<Node>, node: NodeId, as_relay: bool) -> bool {
         // The lease counts from here, before anything has left this node.
         let sent_at = boot_now();
-        let (has, acked) = self.fresh.lock().numbers(sent_at);
+        let (known_number, subtree_number) = self.fresh.lock().numbers(sent_at);
         let (quarantine, quarantine_received, telling) = self.quarantine_for(node);
-        let renew = RenewLease { has, acked, as_relay, quarantine, quarantine_received };
+        let renew =
+            RenewLease { known_number, subtree_number, as_relay, quarantine, quarantine_received };
         match self.links.request(node, PeerRequest::RenewLease(renew), RENEW_TIMEOUT).await {
             Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, quarantine_sent }) => {
                 if !as_relay {
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -56,7 +56,7 @@
     /// Reads the configuration, confirmed by a quorum. Only the leader does.
     ReadConfig {
         /// The number that the asker has.
-        has: ConfigNumber,
+        known_number: ConfigNumber,
     },
     /// Changes the replicas. Only the leader does.
     ChangeReplicas(Change),
@@ -79,9 +79,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewLease {
     /// The number that the asker has.
-    pub has: ConfigNumber,
+    pub known_number: ConfigNumber,
     /// The number that all nodes below the asker have.
-    pub acked: ConfigNumber,
+    pub subtree_number: ConfigNumber,
     /// Whether the asked node shall grant as a relay; else it must be the leader.
     pub as_relay: bool,
     /// What the asker knows of requests under which targets have ended, and the asked node may not.
