--- a/src/control/operators.rs
+++ b/src/control/operators.rs
@@ -84,11 +84,11 @@
     /// Accepts connections for as long as the process lives.
     pub async fn accept(self: Rc<Operators>, listener: TcpListener) {
         let take = |stream| drop(tokio::task::spawn_local(self.clone().serve(stream)));
-        net::accept_each(listener, take).await;
+        net::for_each_connection(listener, take).await;
     }
 
     async fn serve(self: Rc<Operators>, stream: TcpStream) {
-        if let Err(error) = net::notice_silence(&stream, UNACKNOWLEDGED) {
+        if let Err(error) = net::set_ack_timeout(&stream, UNACKNOWLEDGED) {
             log::warn!("event=connection_not_set reason={:?}", error.to_string());
         }
         let service = service_fn(move |request| {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -54,7 +54,7 @@
             }
         });
     };
-    net::accept_each(listener, take).await;
+    net::for_each_connection(listener, take).await;
 }
 
 async fn serve(
@@ -62,7 +62,7 @@
     scheduling: Rc<Scheduling>,
     inputs: mpsc::Sender<Input>,
 ) -> std::io::Result<()> {
-    net::notice_silence(&stream, UNACKNOWLEDGED)?;
+    net::set_ack_timeout(&stream, UNACKNOWLEDGED)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::new(read);
     let introduction = frames::read(&mut read);
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -41,11 +41,11 @@
             open_connections.set(open_connections.get() - 1);
         });
     };
-    net::accept_each(listener, take).await;
+    net::for_each_connection(listener, take).await;
 }
 
 async fn serve(gateway: Rc<Gateway>, stream: TcpStream, mut closing: watch::Receiver<bool>) {
-    if let Err(error) = net::notice_silence(&stream, UNACKNOWLEDGED_TIMEOUT) {
+    if let Err(error) = net::set_ack_timeout(&stream, UNACKNOWLEDGED_TIMEOUT) {
         log::debug!("event=connection_not_set reason={:?}", error.to_string());
     }
     let limits =
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -17,7 +17,7 @@
 /// An answer's body is not read beyond this: the inventory of a store with some ten thousand parts.
 const MAX_BODY_BYTES: usize = 8 << 20;
 /// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A call.
 #[derive(Clone, Debug)]
@@ -141,7 +141,7 @@
 }
 
 async fn connect(to: SocketAddr, timeout: Duration) -> Result<Connected, CallError> {
-    let stream = super::connect(to, timeout, UNACKNOWLEDGED).await?;
+    let stream = super::connect(to, timeout, ACK_TIMEOUT).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let driving = tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,34 +11,34 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Pause after a failed accept: descriptors may be short.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Hands out each connection that comes, for as long as the process lives.
-pub async fn accept_each(listener: TcpListener, take: impl Fn(TcpStream)) {
+pub async fn for_each_connection(listener: TcpListener, handle: impl Fn(TcpStream)) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => take(stream),
+            Ok((stream, _)) => handle(stream),
             Err(error) => {
                 log::warn!("event=accept_failed reason={:?}", error.to_string());
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Opens a connection within `timeout`. It fails once bytes stay unacknowledged for
-/// `unacknowledged`.
+/// `ack_timeout`.
 ///
 /// # Errors
 /// Those of the operating system, and `TimedOut`.
 pub async fn connect(
     to: SocketAddr,
     timeout: Duration,
-    unacknowledged: Duration,
+    ack_timeout: Duration,
 ) -> io::Result<TcpStream> {
     let connecting = tokio::time::timeout(timeout, TcpStream::connect(to));
     let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
-    notice_silence(&stream, unacknowledged)?;
+    set_ack_timeout(&stream, ack_timeout)?;
     Ok(stream)
 }
 
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Those of the operating system.
-pub fn notice_silence(stream: &TcpStream, unacknowledged: Duration) -> io::Result<()> {
+pub fn set_ack_timeout(stream: &TcpStream, ack_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(unacknowledged))
+    SockRef::from(stream).set_tcp_user_timeout(Some(ack_timeout))
 }
--- a/src/net/text_server.rs
+++ b/src/net/text_server.rs
@@ -11,16 +11,16 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Answers for as long as the process lives, each time with what `answer` gives then.
-pub async fn serve(listener: TcpListener, answer: impl Fn() -> (StatusCode, String) + 'static) {
-    let answer = Rc::new(answer);
-    let take = |stream| drop(tokio::task::spawn_local(serve_one(stream, answer.clone())));
-    super::accept_each(listener, take).await;
+/// Answers for as long as the process lives, each time with what `respond` gives then.
+pub async fn serve(listener: TcpListener, respond: impl Fn() -> (StatusCode, String) + 'static) {
+    let respond = Rc::new(respond);
+    let handle = |stream| drop(tokio::task::spawn_local(serve_connection(stream, respond.clone())));
+    super::for_each_connection(listener, handle).await;
 }
 
-async fn serve_one(stream: TcpStream, answer: Rc<impl Fn() -> (StatusCode, String)>) {
+async fn serve_connection(stream: TcpStream, respond: Rc<impl Fn() -> (StatusCode, String)>) {
     let service = service_fn(|_| {
-        let (status, text) = answer();
+        let (status, text) = respond();
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         async move { Ok::<_, Infallible>(response) }
