--- a/src/control/memory_reader.rs
+++ b/src/control/memory_reader.rs
@@ -12,7 +12,7 @@
 use crate::clock::boot_now;
 use crate::ids::TargetStart;
 use crate::log::Term;
-use crate::net::http::{CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, fetch};
 use crate::platform::stores::{self, Events};
 
 /// How long a call for events may wait for some. Shorter waits are priced as health checks.
@@ -59,7 +59,7 @@
 }
 
 async fn read(engine: &TargetStart, address: SocketAddr) -> Result<Events, CallError> {
-    let call = Exchange::new(address, Method::GET, &stores::events_path(0))
+    let call = HttpCall::new(address, Method::GET, &stores::events_path(0))
         .with_header(stores::WAIT_HEADER, &WAIT.as_millis().to_string());
     let answer = fetch(call, TIMEOUT).await?;
     match answer.status {
--- a/src/control/ordering.rs
+++ b/src/control/ordering.rs
@@ -21,7 +21,7 @@
 use crate::fleet::Listed;
 use crate::ids::{ServiceId, TargetStart};
 use crate::log::Term;
-use crate::net::http::{Exchange, fetch};
+use crate::net::http::{HttpCall, fetch};
 use crate::platform::engines;
 
 /// How often the leader looks for engines that lag.
@@ -302,8 +302,8 @@
             fencing,
             orders_accepted: report.orders_accepted,
         };
-        let call = Exchange::new(target.address, Method::POST, engines::ORDER_PATH)
-            .expecting(&target.start.id)
+        let call = HttpCall::new(target.address, Method::POST, engines::ORDER_PATH)
+            .with_expected_target(&target.start.id)
             .with_json(engines::encode_order(&order));
         let answer = fetch(call, ORDER_TIMEOUT).await;
         let status = answer.as_ref().map(|answer| answer.status);
--- a/src/control/report.rs
+++ b/src/control/report.rs
@@ -7,7 +7,7 @@
 
 use super::weights::EngineReport;
 use crate::ids::TargetStart;
-use crate::net::http::{CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, fetch};
 use crate::platform::engines;
 
 /// Longest time for a report.
@@ -16,7 +16,7 @@
 /// An engine's report; `None` if it is gone or cut off, or another start of it answers, which the list
 /// tells before long.
 pub async fn read(engine: &TargetStart, address: SocketAddr) -> Option<EngineReport> {
-    let answer = fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), TIMEOUT).await;
+    let answer = fetch(HttpCall::new(address, Method::GET, engines::REPORT_PATH), TIMEOUT).await;
     let report = answer.and_then(|answer| match answer.status {
         StatusCode::OK => of_start(engine, engines::decode_report(&answer.body)?),
         status => Err(format!("the engine answers {status}").into()),
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -17,7 +17,7 @@
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Listing, RosterChange};
 use crate::ids::ServiceId;
-use crate::net::http::{Answer, CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, HttpResponse, fetch};
 use crate::platform::instances::{self, Page};
 use crate::telemetry::roles::ReplicaMetrics;
 
@@ -171,8 +171,8 @@
     }
 
     /// Fetches a page, and has others read if it takes long.
-    async fn fetch_page(&self, token: Option<&str>) -> Result<Answer, CallError> {
-        let call = Exchange::new(self.list, Method::GET, &instances::page_path(token));
+    async fn fetch_page(&self, token: Option<&str>) -> Result<HttpResponse, CallError> {
+        let call = HttpCall::new(self.list, Method::GET, &instances::page_path(token));
         let mut fetching = pin!(fetch(call, PAGE_TIMEOUT));
         match tokio::time::timeout(LATE_AFTER, &mut fetching).await {
             Ok(answer) => answer,
--- a/src/control/scheduling.rs
+++ b/src/control/scheduling.rs
@@ -17,7 +17,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::TargetStart;
 use crate::log::Term;
-use crate::net::http::{Exchange, fetch};
+use crate::net::http::{HttpCall, fetch};
 use crate::platform::stores;
 use crate::scheduler::store::{FREE_LASTS, FreePlan};
 use crate::scheduler::weights::OldWeights;
@@ -177,7 +177,7 @@
     }
 
     async fn free(&self, plan: FreePlan, until_ms: u64) {
-        let call = Exchange::new(plan.store, Method::POST, stores::FREE_PATH)
+        let call = HttpCall::new(plan.store, Method::POST, stores::FREE_PATH)
             .with_json(stores::encode_free(&plan, until_ms));
         let answer = fetch(call, FREE_TIMEOUT).await;
         let status = answer.as_ref().map(|answer| answer.status);
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -9,7 +9,7 @@
 use super::scheduling::Scheduling;
 use crate::clock::boot_now;
 use crate::log::Term;
-use crate::net::http::{CallError, Exchange, Session};
+use crate::net::http::{CallError, HttpCall, Session};
 use crate::platform::stores;
 
 /// How long a call for events may wait for some. Shorter waits are priced as health checks.
@@ -59,7 +59,7 @@
 /// Reads the inventory, and then events until the inventory is due again.
 async fn follow(scheduling: &Scheduling, store: SocketAddr, term: Term) -> Result<(), Lost> {
     let mut session = Session::new(store);
-    let list = Exchange::new(store, Method::GET, stores::LIST_PATH);
+    let list = HttpCall::new(store, Method::GET, stores::LIST_PATH);
     let text = answer_of(&mut session, list).await?;
     let (inventory, clock_ms) =
         stores::decode_list(&text).map_err(|source| Lost::Unreadable { source })?;
@@ -76,7 +76,7 @@
     });
     let due = tokio::time::Instant::now() + INVENTORY_EVERY;
     while scheduling.is_active(term) && tokio::time::Instant::now() < due {
-        let call = Exchange::new(store, Method::GET, &stores::events_path(next))
+        let call = HttpCall::new(store, Method::GET, &stores::events_path(next))
             .with_header(stores::WAIT_HEADER, &WAIT.as_millis().to_string());
         let text = answer_of(&mut session, call).await?;
         let page = stores::decode_events(&text).map_err(|source| Lost::Unreadable { source })?;
@@ -95,7 +95,7 @@
     Ok(())
 }
 
-async fn answer_of(session: &mut Session, call: Exchange) -> Result<bytes::Bytes, Lost> {
+async fn answer_of(session: &mut Session, call: HttpCall) -> Result<bytes::Bytes, Lost> {
     let answer = session.fetch(call, WAIT + ANSWER_TIMEOUT).await;
     let answer = answer.map_err(|source| Lost::Unreachable { source })?;
     match answer.status {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -21,7 +21,7 @@
 
 /// A call.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct HttpCall {
     to: SocketAddr,
     method: Method,
     path: String,
@@ -31,7 +31,7 @@
 
 /// Its answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
     /// The whole body.
@@ -41,26 +41,26 @@
 /// Why there is no answer.
 pub type CallError = Box<dyn std::error::Error + Send + Sync>;
 
-impl Exchange {
+impl HttpCall {
     /// A call without a body.
-    pub fn new(to: SocketAddr, method: Method, path: &str) -> Exchange {
-        Exchange { to, method, path: path.to_string(), headers: Vec::new(), json: None }
+    pub fn new(to: SocketAddr, method: Method, path: &str) -> HttpCall {
+        HttpCall { to, method, path: path.to_string(), headers: Vec::new(), json: None }
     }
 
     /// Any target but this one must refuse it.
-    pub fn expecting(mut self, target: &TargetId) -> Exchange {
+    pub fn with_expected_target(mut self, target: &TargetId) -> HttpCall {
         self.headers.push((headers::EXPECT_INSTANCE, target.clone()));
         self
     }
 
     /// Adds a header.
-    pub fn with_header(mut self, name: &'static str, value: &str) -> Exchange {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> HttpCall {
         self.headers.push((HeaderName::from_static(name), value.to_string()));
         self
     }
 
     /// Sends a JSON text.
-    pub fn with_json(mut self, json: Vec<u8>) -> Exchange {
+    pub fn with_json(mut self, json: Vec<u8>) -> HttpCall {
         self.headers.push((CONTENT_TYPE, "application/json".to_string()));
         self.json = Some(json);
         self
@@ -79,15 +79,15 @@
 /// Calls to one address, one after another on one connection for as long as it lasts.
 pub struct Session {
     to: SocketAddr,
-    connection: Option<Connected>,
+    connection: Option<Connection>,
 }
 
-struct Connected {
+struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Connected {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
@@ -105,30 +105,30 @@
     /// If there is none in time. The next call uses a new connection then.
     pub async fn fetch(
         &mut self,
-        exchange: Exchange,
+        call: HttpCall,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
-        let connected = self.connection.take().filter(|known| known.sender.is_ready());
-        let answered = tokio::time::timeout(timeout, async {
-            let mut connected = match connected {
-                Some(connected) => connected,
+    ) -> Result<HttpResponse, CallError> {
+        let connection = self.connection.take().filter(|open| open.sender.is_ready());
+        let result = tokio::time::timeout(timeout, async {
+            let mut connection = match connection {
+                Some(connection) => connection,
                 None => connect(self.to, timeout).await?,
             };
-            let answer = connected.call(exchange).await?;
-            Ok::<_, CallError>((answer, connected))
+            let response = connection.call(call).await?;
+            Ok::<_, CallError>((response, connection))
         });
-        let (answer, connected) = answered.await??;
-        self.connection = Some(connected);
-        Ok(answer)
+        let (response, connection) = result.await??;
+        self.connection = Some(connection);
+        Ok(response)
     }
 }
 
-impl Connected {
-    async fn call(&mut self, exchange: Exchange) -> Result<Answer, CallError> {
-        let answer = self.sender.send_request(exchange.into_request()?).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await?.to_bytes();
-        Ok(Answer { status, body })
+impl Connection {
+    async fn call(&mut self, call: HttpCall) -> Result<HttpResponse, CallError> {
+        let response = self.sender.send_request(call.into_request()?).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await?.to_bytes();
+        Ok(HttpResponse { status, body })
     }
 }
 
@@ -136,17 +136,17 @@
 ///
 /// # Errors
 /// If there is none in time.
-pub async fn fetch(exchange: Exchange, timeout: Duration) -> Result<Answer, CallError> {
-    Session::new(exchange.to).fetch(exchange, timeout).await
+pub async fn fetch(call: HttpCall, timeout: Duration) -> Result<HttpResponse, CallError> {
+    Session::new(call.to).fetch(call, timeout).await
 }
 
-async fn connect(to: SocketAddr, timeout: Duration) -> Result<Connected, CallError> {
+async fn connect(to: SocketAddr, timeout: Duration) -> Result<Connection, CallError> {
     let stream = super::connect(to, timeout, ACK_TIMEOUT).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    let driving = tokio::task::spawn_local(async move {
+    let driver = tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
             log::debug!("event=connection_ended reason={:?}", error.to_string());
         }
     });
-    Ok(Connected { sender, driver: driving.abort_handle() })
+    Ok(Connection { sender, driver: driver.abort_handle() })
 }
