--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -12,7 +12,6 @@
 use crate::claims::{ClaimKey, ClaimToken, Outcome};
 use crate::config::document::key_hash;
 use crate::config::{ConfigHistory, Policy, Prices, Update};
-use crate::edge::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
 use crate::lease::Grantor;
@@ -27,6 +26,7 @@
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MOST_BLOCKS;
 use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
+use crate::upstream::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
 use crate::whereabouts::{Catalog, Kept, Position, Seen, Written};
 
 /// Length and code before each frame.
--- a/src/emulator/cache.rs
+++ b/src/emulator/cache.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::edge::api::CacheChange;
 use crate::ids::BlockKey;
+use crate::upstream::api::CacheChange;
 
 /// A bounded cache of prefix blocks.
 pub struct PrefixCache {
--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -20,15 +20,15 @@
 use super::store;
 use super::stream::{Generation, Parts, Progress, Step, StreamId};
 use super::transfer;
-use crate::edge::api::{
+use crate::http::{self, Request, Response};
+use crate::ids::{BlockKey, Incarnation};
+use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
+use crate::upstream::api::{
     ATTEMPT_HEADER, CacheChange, CacheEvent, CacheEvents, CancelOrder, EngineOrder, ExportOrder,
     ImportOrder, KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER,
     REQUEST_HEADER, VERSION_HEADER,
 };
-use crate::edge::chat::{PromptDetails, PromptRequest, Shape, Usage};
-use crate::http::{self, Request, Response};
-use crate::ids::{BlockKey, Incarnation};
-use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
+use crate::upstream::chat::{PromptDetails, PromptRequest, Shape, Usage};
 
 /// How often a load sample is taken for the lagging report.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(20);
--- a/src/emulator/host.rs
+++ b/src/emulator/host.rs
@@ -18,10 +18,10 @@
 use super::service::Service;
 use super::settings::{EmulatorSettings, EngineSettings, ServiceSettings, StoreSettings};
 use super::store::Store;
-use crate::edge::api::{Presence, Role, Target};
 use crate::error::{Error, Result};
 use crate::http::{self, Request, Response};
 use crate::ids::{Incarnation, TargetId};
+use crate::upstream::api::{Presence, Role, Target};
 
 /// Bodies that stand-ins accept.
 const BODY_LIMIT_BYTES: usize = 64 << 20;
--- a/src/emulator/platform.rs
+++ b/src/emulator/platform.rs
@@ -5,8 +5,8 @@
 
 use parking_lot::Mutex;
 
-use crate::edge::api::{Presence, Target, TargetList};
 use crate::ids::TargetId;
+use crate::upstream::api::{Presence, Target, TargetList};
 
 /// The list as it is and as it is shown.
 pub struct Platform {
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -10,8 +10,8 @@
 use super::knobs::Faults;
 use super::ledger::Ledger;
 use super::settings::ServiceSettings;
-use crate::edge::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 use crate::http::{self, Request, Response};
+use crate::upstream::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 
 /// A stand-in instance of a plain service.
 pub struct Service {
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -11,9 +11,9 @@
 use super::knobs::Faults;
 use super::ledger::Ledger;
 use super::settings::StoreSettings;
-use crate::edge::api::{BeginWrite, CommitWrite, Inventory, KeptObject, StoreReport};
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
+use crate::upstream::api::{BeginWrite, CommitWrite, Inventory, KeptObject, StoreReport};
 
 /// Bytes of stand-in content for each block; the link is charged for the real size.
 const CONTENT_BYTES_PER_BLOCK: usize = 16;
--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -6,8 +6,8 @@
 use tokio::sync::watch;
 
 use super::answer::Answer;
-use crate::edge::chat::{Chunk, Shape, Usage};
-use crate::edge::sse;
+use crate::upstream::chat::{Chunk, Shape, Usage};
+use crate::upstream::sse;
 
 /// Names a stream: request id, a dot, the attempt.
 pub(super) type StreamId = String;
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -4,7 +4,7 @@
 use warp::http::StatusCode;
 
 use super::store;
-use crate::edge::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
+use crate::upstream::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
 
 /// Reads an object. `None` if it could not be had whole, in this very generation.
 pub(super) async fn fetch(client: &Client, store_url: &str, object: &KeptObject) -> Option<()> {
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -6,9 +6,9 @@
 
 use super::refusal::{Code, Refusal};
 use crate::clock::unix_ms;
-use crate::edge::chat::{self, Chunk, Shape, Usage};
-use crate::edge::sse;
 use crate::http::{self, Response};
+use crate::upstream::chat::{self, Chunk, Shape, Usage};
+use crate::upstream::sse;
 
 /// A part of an answer on its way to the caller.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -10,7 +10,6 @@
 use super::{Code, Refusal, prompts, services};
 use crate::clock::{BootTime, boot_now};
 use crate::config::{Kind, NumberedConfig};
-use crate::edge::chat::Shape;
 use crate::http::{self, BodyError, Request, Response};
 use crate::ids::{AccountId, KindId, RequestId};
 use crate::limits::Wants;
@@ -21,6 +20,7 @@
 use crate::telemetry::burn::Served;
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
+use crate::upstream::chat::Shape;
 
 const KIND_HEADER: &str = "x-kumquatpost-kind";
 const DEADLINE_HEADER: &str = "x-kumquatpost-deadline-ms";
--- a/src/entry/prompts.rs
+++ b/src/entry/prompts.rs
@@ -12,12 +12,12 @@
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::config::Policy;
-use crate::edge::chat::{PromptRequest, Shape, Usage};
 use crate::http::{Request, Response};
 use crate::ids::WeightVersion;
 use crate::node::Node;
 use crate::node::places::Place;
 use crate::prompt::{Chain, Owner};
+use crate::upstream::chat::{PromptRequest, Shape, Usage};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
 const PARTS_WAITING: usize = 64;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,8 +1,8 @@
 //! Relays one answer: only chunks of this very dispatch, in order, to the end mark; a restarted
 //! answer goes on only where it repeats what was already sent.
 
-use crate::edge::chat::{Chunk, Usage};
-use crate::edge::sse;
+use crate::upstream::chat::{Chunk, Usage};
+use crate::upstream::sse;
 
 /// What the caller has and still gets of one answer.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -13,16 +13,16 @@
 use super::relay::{Fault, Relay};
 use super::{Code, Execution, Refusal};
 use crate::clock::{BootTime, boot_now};
-use crate::edge::api::{ImportOrder, KeptObject};
-use crate::edge::chat::Usage;
-use crate::edge::client::{CallError, PromptCall, StreamRef};
-use crate::edge::sse::{Events, Oversized};
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
 use crate::node::quarantining::BrokenAt;
 use crate::route::{Ask, Dispatch, Ended, NoEngine};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
+use crate::upstream::api::{ImportOrder, KeptObject};
+use crate::upstream::chat::Usage;
+use crate::upstream::client::{CallError, PromptCall, StreamRef};
+use crate::upstream::sse::{Events, Oversized};
 
 /// Dispatches of one request, at the most.
 const MAX_ATTEMPTS: Attempt = 4;
--- a/src/entry/services.rs
+++ b/src/entry/services.rs
@@ -10,11 +10,11 @@
 use super::{Code, Refusal};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
-use crate::edge::api::{OWNER_HEADER, REQUEST_HEADER, Target};
-use crate::edge::client::CallError;
 use crate::http::{self, Request, Response};
 use crate::node::Node;
 use crate::node::quarantining::BrokenAt;
+use crate::upstream::api::{OWNER_HEADER, REQUEST_HEADER, Target};
+use crate::upstream::client::CallError;
 
 /// Instances tried for one call.
 const MAX_ATTEMPTS: usize = 3;
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use crate::edge::chat::Usage;
 use crate::emulator::ledger::Counts;
+use crate::upstream::chat::Usage;
 
 /// One request and how it ended.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -9,10 +9,10 @@
 use super::deployment::account_key;
 use super::report::{Outcome, Sample};
 use super::workload::{Arrival, Call, owner};
-use crate::edge::chat::{Chunk, Usage};
-use crate::edge::sse::{DONE, Events};
 use crate::emulator::answer::Answer;
 use crate::error::{Error, Result};
+use crate::upstream::chat::{Chunk, Usage};
+use crate::upstream::sse::{DONE, Events};
 
 /// An answer that takes longer is counted as lost.
 const LOST_AFTER: Duration = Duration::from_secs(60);
--- a/src/load/workload.rs
+++ b/src/load/workload.rs
@@ -7,8 +7,8 @@
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use serde_json::{Value, json};
 
-use crate::edge::chat::PromptRequest;
 use crate::prompt::Owner;
+use crate::upstream::chat::PromptRequest;
 
 /// Accounts of a workload; a few are large.
 pub const ACCOUNTS: usize = 10;
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -6,11 +6,11 @@
 
 use super::{Node, every};
 use crate::clock::boot_now;
-use crate::edge::api::ExportOrder;
 use crate::ids::{BlockKey, NodeId, TargetId};
 use crate::peer::message::{PeerRequest, PeerResponse};
 use crate::prompt::Chain;
 use crate::telemetry::metrics::label;
+use crate::upstream::api::ExportOrder;
 use crate::whereabouts::{ExportPlan, Kept, Seen, Written, owners};
 
 /// A lookup that is not answered within this time is done without.
@@ -29,7 +29,7 @@
     pub async fn kept_of(
         self: &Arc<Node>,
         chain: &Chain,
-    ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
+    ) -> Vec<(TargetId, crate::upstream::api::KeptObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
         for owner in owners(root, &self.node_places()) {
             let asked =
--- a/src/node/ordering.rs
+++ b/src/node/ordering.rs
@@ -5,11 +5,11 @@
 
 use super::Node;
 use crate::clock::boot_now;
-use crate::edge::api::EngineOrder;
 use crate::log::Term;
 use crate::log::state::{Command, Reply};
 use crate::orders::{EngineState, Planned, Planner};
 use crate::replica::Leads;
+use crate::upstream::api::EngineOrder;
 
 /// How often orders are planned.
 const PLAN_PERIOD: Duration = Duration::from_millis(300);
--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -5,9 +5,9 @@
 use super::view::{EngineView, View};
 use crate::clock::BootTime;
 use crate::config::{Policy, Prices};
-use crate::edge::api::KeptObject;
 use crate::ids::{TargetId, WeightVersion};
 use crate::prompt::{BLOCK_TOKENS, Chain};
+use crate::upstream::api::KeptObject;
 
 /// Engines whose cost differs by less than this count as equal; one of them is drawn.
 const EQUAL_WITHIN: Duration = Duration::from_micros(500);
--- a/src/route/residency.rs
+++ b/src/route/residency.rs
@@ -4,8 +4,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::edge::api::{CacheChange, CacheEvents};
 use crate::ids::{BlockKey, Incarnation};
+use crate::upstream::api::{CacheChange, CacheEvents};
 
 /// Blocks remembered for one engine, at the most; the longest unused go first.
 pub const MOST_BLOCKS: usize = 16_384;
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -9,11 +9,11 @@
 use super::view::{EngineView, StoreView, View};
 use crate::clock::BootTime;
 use crate::config::{Model, Policy, Prices};
-use crate::edge::api::{CacheEvents, LoadReport, Role, StoreReport, Target, TargetList};
-use crate::edge::chat::Usage;
 use crate::ids::{Incarnation, NodeId, TargetId, WeightVersion};
 use crate::peer::message::{Dispatched, StoreImport};
 use crate::prompt::{BLOCK_TOKENS, Chain};
+use crate::upstream::api::{CacheEvents, LoadReport, Role, StoreReport, Target, TargetList};
+use crate::upstream::chat::Usage;
 
 /// Blocks remembered for all engines together: about 93 bytes each.
 const ALL_BLOCKS: usize = 131_072;
--- a/src/route/targets.rs
+++ b/src/route/targets.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::edge::api::{Presence, Role, Target, TargetList};
 use crate::ids::{Incarnation, TargetId};
+use crate::upstream::api::{Presence, Role, Target, TargetList};
 
 /// A target that some node saw leaving.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -7,8 +7,8 @@
 use super::health::Health;
 use super::residency::Residency;
 use crate::clock::BootTime;
-use crate::edge::api::{LoadReport, StoreReport};
 use crate::ids::{DomainId, Incarnation, ModelId, TargetId};
+use crate::upstream::api::{LoadReport, StoreReport};
 
 /// A load report older than this says nothing any more.
 pub const REPORT_VALID: Duration = Duration::from_secs(3);
--- a/src/whereabouts/catalog.rs
+++ b/src/whereabouts/catalog.rs
@@ -8,8 +8,8 @@
 
 use super::{ExportPlan, Kept, Position, Seen, Written};
 use crate::clock::BootTime;
-use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
+use crate::upstream::api::KeptObject;
 
 /// How long a copy that was handed out is not freed: longer than a reader may take.
 pub const PIN: Duration = Duration::from_secs(30);
--- a/src/whereabouts/mod.rs
+++ b/src/whereabouts/mod.rs
@@ -8,9 +8,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
 use crate::prompt::Chain;
+use crate::upstream::api::KeptObject;
 
 pub use catalog::{Catalog, FreeOrder};
 pub use owners::{NodePlace, owners};
--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use kumquatpost::edge::api::KeptObject;
 use kumquatpost::ids::BlockKey;
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
+use kumquatpost::upstream::api::KeptObject;
 use kumquatpost::whereabouts::catalog::{PIN, WRITE_TIMEOUT};
 use kumquatpost::whereabouts::{
     Catalog, ExportPlan, Kept, NodePlace, Position, Seen, Written, owners,
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use kumquatpost::config::{Policy, Prices};
-use kumquatpost::edge::api::{
-    KeptObject, LoadReport, Presence, Role, StoreReport, Target, TargetList,
-};
 use kumquatpost::peer::message::Dispatched;
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
 use kumquatpost::route::{Ask, Decision, EngineView, Router, StoreView, View, decide};
+use kumquatpost::upstream::api::{
+    KeptObject, LoadReport, Presence, Role, StoreReport, Target, TargetList,
+};
 
 const NOW: Duration = Duration::from_secs(100);
 const BLOCKS: usize = 20;
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,7 +1,7 @@
 //! Relaying an answer: only its own chunks, in order, to the end mark, never two mixed.
 
-use kumquatpost::edge::chat::{Chunk, Shape, Usage};
 use kumquatpost::entry::relay::{Fault, Relay};
+use kumquatpost::upstream::chat::{Chunk, Shape, Usage};
 
 fn text(id: &str, text: &str) -> String {
     Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
--- a/tests/logic/targets.rs
+++ b/tests/logic/targets.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use kumquatpost::edge::api::{
-    CacheChange, CacheEvent, CacheEvents, Presence, Role, Target, TargetList,
-};
 use kumquatpost::route::health::Fault;
 use kumquatpost::route::targets::Leaving;
 use kumquatpost::route::{Health, Residency, RetryBudget, Targets};
+use kumquatpost::upstream::api::{
+    CacheChange, CacheEvent, CacheEvents, Presence, Role, Target, TargetList,
+};
 
 fn target(id: &str, incarnation: u64, presence: Presence) -> Target {
     Target {
