--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -28,7 +28,7 @@
     ImportOrder, KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER,
     REQUEST_HEADER, VERSION_HEADER,
 };
-use crate::upstream::chat::{PromptDetails, PromptRequest, Shape, Usage};
+use crate::upstream::chat::{ApiFormat, PromptDetails, PromptRequest, Usage};
 
 /// How often a load sample is taken for the lagging report.
 const SAMPLE_PERIOD: Duration = Duration::from_millis(20);
@@ -126,8 +126,8 @@
     pub async fn handle(self: Arc<Engine>, request: Request) -> Response {
         let segments = request.segments();
         match segments.as_slice() {
-            ["v1", "chat", "completions"] => self.generate(&request, Shape::Chat),
-            ["v1", "completions"] => self.generate(&request, Shape::Text),
+            ["v1", "chat", "completions"] => self.generate(&request, ApiFormat::Chat),
+            ["v1", "completions"] => self.generate(&request, ApiFormat::Text),
             ["streams", id] => self.resume(&request, id),
             ["load"] => http::json(StatusCode::OK, &self.load()),
             ["kv", "events"] => http::json(StatusCode::OK, &self.events_after(&request)),
@@ -138,7 +138,7 @@
         }
     }
 
-    fn generate(self: &Arc<Engine>, request: &Request, shape: Shape) -> Response {
+    fn generate(self: &Arc<Engine>, request: &Request, format: ApiFormat) -> Response {
         let Ok(prompt) = request.json::<PromptRequest>() else {
             return refusal(StatusCode::BAD_REQUEST, "the body is not a prompt request");
         };
@@ -167,7 +167,7 @@
             .and_then(|body| serde_json::from_value(body.get("kv_import")?.clone()).ok());
         let generation = Arc::new(Generation {
             answer: Answer::new(&owner, &text, prompt.token_limit().max(1)),
-            shape,
+            format,
             progress: watch::Sender::new(Progress::default()),
         });
         self.ledger.started(&self.settings.id, &request_id);
--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 
 use super::answer::Answer;
-use crate::upstream::chat::{Chunk, Shape, Usage};
+use crate::upstream::chat::{ApiFormat, Chunk, Usage};
 use crate::upstream::sse;
 
 /// Names a stream: request id, a dot, the attempt.
@@ -15,7 +15,7 @@
 /// One answer while and after it is generated.
 pub(super) struct Generation {
     pub(super) answer: Answer,
-    pub(super) shape: Shape,
+    pub(super) format: ApiFormat,
     pub(super) progress: watch::Sender<Progress>,
 }
 
@@ -96,6 +96,6 @@
     }
 
     fn write(&self, chunk: Chunk) -> Result<String, std::io::Error> {
-        Ok(chunk.write(self.generation.shape, &self.model, 0))
+        Ok(chunk.write(self.generation.format, &self.model, 0))
     }
 }
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -7,7 +7,7 @@
 use super::refusal::{Code, Refusal};
 use crate::clock::unix_ms;
 use crate::http::{self, Response};
-use crate::upstream::chat::{self, Chunk, Shape, Usage};
+use crate::upstream::chat::{self, ApiFormat, Chunk, Usage};
 use crate::upstream::sse;
 
 /// A part of an answer on its way to the caller.
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wanted {
     /// The interface.
-    pub shape: Shape,
+    pub format: ApiFormat,
     /// The model, as the caller named it.
     pub model: String,
     /// The id that the caller sees.
@@ -53,7 +53,7 @@
 /// A whole answer that is known already.
 pub fn recorded(wanted: Wanted, text: String, finish: String, usage: Usage) -> Response {
     let chunk = Chunk { id: wanted.id.clone(), text, finish: Some(finish), usage: Some(usage) };
-    let value = chat::whole(wanted.shape, &wanted.id, &wanted.model, unix_ms() / 1_000, &chunk);
+    let value = chat::whole(wanted.format, &wanted.id, &wanted.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
 }
 
@@ -85,7 +85,7 @@
 }
 
 fn events(wanted: &Wanted, part: Part, created_s: u64) -> String {
-    let write = |chunk: Chunk| sse::event(&chunk.write(wanted.shape, &wanted.model, created_s));
+    let write = |chunk: Chunk| sse::event(&chunk.write(wanted.format, &wanted.model, created_s));
     let empty = Chunk { id: wanted.id.clone(), ..Chunk::default() };
     match part {
         Part::Text(text) => write(Chunk { text, ..empty }),
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -20,7 +20,7 @@
 use crate::telemetry::burn::Served;
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
-use crate::upstream::chat::Shape;
+use crate::upstream::chat::ApiFormat;
 
 const KIND_HEADER: &str = "x-kumquatpost-kind";
 const DEADLINE_HEADER: &str = "x-kumquatpost-deadline-ms";
@@ -86,9 +86,9 @@
     if method == Method::GET && path == "/v1/models" {
         return models(node, &request);
     }
-    if let Some(shape) = Shape::of_path(&path).filter(|_| method == Method::POST) {
+    if let Some(format) = ApiFormat::of_path(&path).filter(|_| method == Method::POST) {
         let call = Call::read(node, &request)?;
-        return prompts::serve(node, call, &request, shape).await;
+        return prompts::serve(node, call, &request, format).await;
     }
     if let ["v1", "services", service, ..] = request.segments().as_slice() {
         let service = service.to_string();
--- a/src/entry/prompts.rs
+++ b/src/entry/prompts.rs
@@ -17,7 +17,7 @@
 use crate::node::Node;
 use crate::node::places::Place;
 use crate::prompt::{Chain, Owner};
-use crate::upstream::chat::{PromptRequest, Shape, Usage};
+use crate::upstream::chat::{ApiFormat, PromptRequest, Usage};
 
 /// Parts that wait for a slow caller; the run waits when there are more.
 const PARTS_WAITING: usize = 64;
@@ -27,7 +27,7 @@
     /// Who asks and for what kind.
     pub call: Call,
     /// The interface.
-    pub shape: Shape,
+    pub format: ApiFormat,
     /// The body as it came.
     pub body: serde_json::Value,
     /// How it is routed.
@@ -75,12 +75,12 @@
     node: &Arc<Node>,
     call: Call,
     request: &Request,
-    shape: Shape,
+    format: ApiFormat,
 ) -> Result<Response, Refusal> {
-    let (prompt, wanted) = read(node, call, request, shape)?;
+    let (prompt, wanted) = read(node, call, request, format)?;
     let mut held = None;
     if !prompt.call.repeatable {
-        let digest = once::digest(&[shape.path().as_bytes(), &request.bytes()]);
+        let digest = once::digest(&[format.path().as_bytes(), &request.bytes()]);
         match once::claim(node, &prompt.call, digest).await? {
             Claimed::Mine(claim) => held = Some(claim),
             Claimed::Ran(outcome) => return recorded(wanted, &outcome),
@@ -135,16 +135,16 @@
     node: &Node,
     call: Call,
     request: &Request,
-    shape: Shape,
+    format: ApiFormat,
 ) -> Result<(Prompt, Wanted), Refusal> {
     let bad = |message: String| Refusal::not_run(Code::BadRequest, message);
     let body: serde_json::Value =
         request.json().map_err(|reason| bad(format!("the body is not JSON: {reason}")))?;
     let asked: PromptRequest = serde_json::from_value(body.clone())
         .map_err(|reason| bad(format!("the body is not a prompt: {reason}")))?;
-    let missing = match shape {
-        Shape::Chat => asked.messages.is_empty().then_some("messages"),
-        Shape::Text => asked.prompt.is_none().then_some("prompt"),
+    let missing = match format {
+        ApiFormat::Chat => asked.messages.is_empty().then_some("messages"),
+        ApiFormat::Text => asked.prompt.is_none().then_some("prompt"),
     };
     if let Some(field) = missing {
         return Err(bad(format!("{field}: is missing or empty")));
@@ -160,12 +160,12 @@
         let draw = router.draw();
         router.version_for(&asked.model, &model, draw, call.came_at)
     };
-    let prefix = match shape {
-        Shape::Chat => "chatcmpl",
-        Shape::Text => "cmpl",
+    let prefix = match format {
+        ApiFormat::Chat => "chatcmpl",
+        ApiFormat::Text => "cmpl",
     };
     let wanted = Wanted {
-        shape,
+        format,
         model: asked.model.clone(),
         id: format!("{prefix}-{}", call.request_id),
         stream: asked.stream,
@@ -175,7 +175,7 @@
     let chain = chain(&call, &asked.model, &weight_version, &text);
     let model_id = asked.model;
     let policy = model.policy;
-    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, text }, wanted))
+    Ok((Prompt { call, format, body, policy, weight_version, model_id, chain, text }, wanted))
 }
 
 fn outcome(record: &Record) -> Outcome {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -265,7 +265,7 @@
         let call = &self.prompt.call;
         let sent = self.node.client.prompt(PromptCall {
             url: &dispatch.url,
-            shape: self.prompt.shape,
+            format: self.prompt.format,
             body: self.prompt.body.clone(),
             import: import_order(dispatch),
             stream,
--- a/src/upstream/chat.rs
+++ b/src/upstream/chat.rs
@@ -8,25 +8,25 @@
 
 /// Which of the two interfaces a request came in by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum ApiFormat {
     /// `/v1/chat/completions`.
     Chat,
     /// `/v1/completions`.
     Text,
 }
 
-impl Shape {
+impl ApiFormat {
     /// The path of the interface.
     pub fn path(self) -> &'static str {
         match self {
-            Shape::Chat => "/v1/chat/completions",
-            Shape::Text => "/v1/completions",
+            ApiFormat::Chat => "/v1/chat/completions",
+            ApiFormat::Text => "/v1/completions",
         }
     }
 
     /// The interface with this path.
-    pub fn of_path(path: &str) -> Option<Shape> {
-        [Shape::Chat, Shape::Text].into_iter().find(|shape| shape.path() == path)
+    pub fn of_path(path: &str) -> Option<ApiFormat> {
+        [ApiFormat::Chat, ApiFormat::Text].into_iter().find(|format| format.path() == path)
     }
 }
 
@@ -169,20 +169,20 @@
     }
 
     /// Writes the chunk in the given shape.
-    pub fn write(&self, shape: Shape, model: &str, created_s: u64) -> String {
+    pub fn write(&self, format: ApiFormat, model: &str, created_s: u64) -> String {
         let finish = &self.finish;
-        let choices = match (shape, self.usage) {
+        let choices = match (format, self.usage) {
             (_, Some(_)) => json!([]),
-            (Shape::Chat, None) => {
+            (ApiFormat::Chat, None) => {
                 json!([{"index": 0, "delta": {"content": self.text}, "finish_reason": finish}])
             }
-            (Shape::Text, None) => {
+            (ApiFormat::Text, None) => {
                 json!([{"index": 0, "text": self.text, "logprobs": null, "finish_reason": finish}])
             }
         };
-        let object = match shape {
-            Shape::Chat => "chat.completion.chunk",
-            Shape::Text => "text_completion",
+        let object = match format {
+            ApiFormat::Chat => "chat.completion.chunk",
+            ApiFormat::Text => "text_completion",
         };
         let mut value = json!({
             "id": self.id, "object": object, "created": created_s, "model": model,
@@ -196,16 +196,16 @@
 }
 
 /// A whole answer in the given shape.
-pub fn whole(shape: Shape, id: &str, model: &str, created_s: u64, chunk: &Chunk) -> Value {
-    let (object, choice) = match shape {
-        Shape::Chat => {
+pub fn whole(format: ApiFormat, id: &str, model: &str, created_s: u64, chunk: &Chunk) -> Value {
+    let (object, choice) = match format {
+        ApiFormat::Chat => {
             let message = json!({"role": "assistant", "content": chunk.text});
             (
                 "chat.completion",
                 json!({"index": 0, "message": message, "finish_reason": chunk.finish}),
             )
         }
-        Shape::Text => (
+        ApiFormat::Text => (
             "text_completion",
             json!({"index": 0, "text": chunk.text, "logprobs": null, "finish_reason": chunk.finish}),
         ),
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -11,7 +11,7 @@
     KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER,
     StoreReport, TargetList, VERSION_HEADER,
 };
-use super::chat::Shape;
+use super::chat::ApiFormat;
 use crate::error::{Error, Result};
 use crate::ids::{Attempt, BlockKey};
 
@@ -35,7 +35,7 @@
     /// The engine's base URL.
     pub url: &'a str,
     /// The interface.
-    pub shape: Shape,
+    pub format: ApiFormat,
     /// The body, without an import.
     pub body: serde_json::Value,
     /// What the engine imports first.
@@ -122,7 +122,7 @@
         }
         let client = if call.once { &self.single } else { &self.pooled };
         let request = client
-            .post(format!("{}{}", call.url, call.shape.path()))
+            .post(format!("{}{}", call.url, call.format.path()))
             .header(REQUEST_HEADER, call.stream.request_id)
             .header(ATTEMPT_HEADER, call.stream.attempt)
             .header(OWNER_HEADER, call.account)
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,20 +1,20 @@
 //! Relaying an answer: only its own chunks, in order, to the end mark, never two mixed.
 
 use kumquatpost::entry::relay::{Fault, Relay};
-use kumquatpost::upstream::chat::{Chunk, Shape, Usage};
+use kumquatpost::upstream::chat::{ApiFormat, Chunk, Usage};
 
 fn text(id: &str, text: &str) -> String {
-    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(ApiFormat::Chat, "m", 0)
 }
 
 fn last(id: &str, text: &str) -> String {
     let finish = Some("stop".into());
-    Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(ApiFormat::Chat, "m", 0)
 }
 
 fn usage(id: &str) -> String {
     let usage = Some(Usage::default());
-    Chunk { id: id.into(), usage, ..Chunk::default() }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), usage, ..Chunk::default() }.write(ApiFormat::Chat, "m", 0)
 }
 
 const DONE: &str = "[DONE]";
