--- a/src/capacity/costs.rs
+++ b/src/capacity/costs.rs
@@ -26,7 +26,7 @@
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MOST_BLOCKS;
 use crate::route::{Ask as RouteAsk, EngineView, Router, View, decide};
-use crate::upstream::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
+use crate::upstream::api::{LoadReport, Presence, Role, StoredObject, Target, TargetList};
 use crate::whereabouts::{Catalog, Kept, Position, Seen, Written};
 
 /// Length and code before each frame.
@@ -165,9 +165,9 @@
     catalog
 }
 
-fn object(seen: &Seen, generation: u64) -> KeptObject {
+fn object(seen: &Seen, generation: u64) -> StoredObject {
     let last = seen.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
-    KeptObject {
+    StoredObject {
         root: seen.root,
         key: last.key,
         generation,
--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -25,8 +25,8 @@
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::upstream::api::{
     ATTEMPT_HEADER, CacheChange, CacheEvent, CacheEvents, CancelOrder, EngineOrder, ExportOrder,
-    ImportOrder, KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER,
-    REQUEST_HEADER, VERSION_HEADER,
+    ImportOrder, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER,
+    StoredObject, VERSION_HEADER,
 };
 use crate::upstream::chat::{ApiFormat, PromptDetails, PromptRequest, Usage};
 
@@ -316,7 +316,7 @@
             return http::text(StatusCode::NOT_FOUND, "the prefix is not resident".into());
         }
         let content = store::content(order.key, order.blocks);
-        let object = KeptObject {
+        let object = StoredObject {
             root: order.root,
             key: order.key,
             generation: order.generation,
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -13,7 +13,7 @@
 use super::settings::StoreSettings;
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
-use crate::upstream::api::{BeginWrite, CommitWrite, Inventory, KeptObject, StoreReport};
+use crate::upstream::api::{BeginWrite, CommitWrite, Inventory, StoreReport, StoredObject};
 
 /// Bytes of stand-in content for each block; the link is charged for the real size.
 const CONTENT_BYTES_PER_BLOCK: usize = 16;
@@ -38,7 +38,7 @@
 }
 
 struct Object {
-    kept: KeptObject,
+    kept: StoredObject,
     content: Vec<u8>,
     committed: bool,
     last_use: u64,
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -4,10 +4,10 @@
 use warp::http::StatusCode;
 
 use super::store;
-use crate::upstream::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
+use crate::upstream::api::{BeginWrite, CommitWrite, ExportOrder, StoredObject};
 
 /// Reads an object. `None` if it could not be had whole, in this very generation.
-pub(super) async fn fetch(client: &Client, store_url: &str, object: &KeptObject) -> Option<()> {
+pub(super) async fn fetch(client: &Client, store_url: &str, object: &StoredObject) -> Option<()> {
     let url = store::object_url(store_url, object.key, object.generation);
     let response = client.get(url).send().await.ok()?;
     if response.status() != reqwest::StatusCode::OK {
@@ -24,7 +24,7 @@
 pub(super) async fn send(
     client: &Client,
     order: &ExportOrder,
-    object: &KeptObject,
+    object: &StoredObject,
     content: Vec<u8>,
 ) -> Result<(), StatusCode> {
     let begin = BeginWrite { object: object.clone(), owner_epoch: order.owner_epoch };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -19,7 +19,7 @@
 use crate::route::{Ask, Dispatch, Ended, NoEngine};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
-use crate::upstream::api::{ImportOrder, KeptObject};
+use crate::upstream::api::{ImportOrder, StoredObject};
 use crate::upstream::chat::Usage;
 use crate::upstream::client::{CallError, PromptCall, StreamRef};
 use crate::upstream::sse::{Events, Oversized};
@@ -44,7 +44,7 @@
     run_id: String,
     attempt: Attempt,
     avoid: Vec<TargetId>,
-    kept: Vec<(TargetId, KeptObject)>,
+    kept: Vec<(TargetId, StoredObject)>,
     /// Whether any byte of the request may have had an effect on a target.
     may_have_run: bool,
     /// When the first token came, counted from the request's arrival.
--- a/src/node/keeping.rs
+++ b/src/node/keeping.rs
@@ -29,7 +29,7 @@
     pub async fn kept_of(
         self: &Arc<Node>,
         chain: &Chain,
-    ) -> Vec<(TargetId, crate::upstream::api::KeptObject)> {
+    ) -> Vec<(TargetId, crate::upstream::api::StoredObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
         for owner in owners(root, &self.node_places()) {
             let asked =
--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -7,7 +7,7 @@
 use crate::config::{Policy, Prices};
 use crate::ids::{TargetId, WeightVersion};
 use crate::prompt::{BLOCK_TOKENS, Chain};
-use crate::upstream::api::KeptObject;
+use crate::upstream::api::StoredObject;
 
 /// Engines whose cost differs by less than this count as equal; one of them is drawn.
 const EQUAL_WITHIN: Duration = Duration::from_micros(500);
@@ -29,7 +29,7 @@
     /// The prompt.
     pub chain: &'a Chain,
     /// Prefixes of it that stores hold, with the store of each.
-    pub kept: &'a [(TargetId, KeptObject)],
+    pub kept: &'a [(TargetId, StoredObject)],
     /// Engines that must not be used, since they failed this request before.
     pub avoid: &'a [TargetId],
     /// A number that is random for each request: draws between equals.
@@ -57,7 +57,7 @@
     /// The store.
     pub store: TargetId,
     /// The object.
-    pub object: KeptObject,
+    pub object: StoredObject,
 }
 
 /// Chooses an engine; `None` if no engine may take the request.
--- a/src/upstream/api.rs
+++ b/src/upstream/api.rs
@@ -133,7 +133,7 @@
 
 /// Names one committed object in a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeptObject {
+pub struct StoredObject {
     /// The first block of the prefix: decides which nodes own what is known of it.
     #[serde(with = "hex_key")]
     pub root: BlockKey,
@@ -156,7 +156,7 @@
     /// The store's base URL.
     pub store_url: String,
     /// What to import.
-    pub object: KeptObject,
+    pub object: StoredObject,
 }
 
 /// Tells an engine to export a resident prefix to a store.
@@ -182,7 +182,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginWrite {
     /// What will be written; its checksum is not known yet.
-    pub object: KeptObject,
+    pub object: StoredObject,
     /// Epoch of the owner that ordered it.
     pub owner_epoch: u64,
 }
@@ -213,7 +213,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
     /// The objects.
-    pub objects: Vec<KeptObject>,
+    pub objects: Vec<StoredObject>,
 }
 
 /// Stops a request on an engine.
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -8,8 +8,8 @@
 
 use super::api::{
     ATTEMPT_HEADER, CacheEvents, CancelOrder, EngineOrder, ExportOrder, ImportOrder, Inventory,
-    KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER,
-    StoreReport, TargetList, VERSION_HEADER,
+    LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER, StoreReport,
+    StoredObject, TargetList, VERSION_HEADER,
 };
 use super::chat::ApiFormat;
 use crate::error::{Error, Result};
@@ -233,7 +233,7 @@
     ///
     /// # Errors
     /// `Error::Ask` if it is not resident any more or the store does not take it.
-    pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<KeptObject> {
+    pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<StoredObject> {
         let url = format!("{url}/kv/export");
         let response = self.post(&url, order, EXPORT_TIMEOUT).await?;
         response.json().await.map_err(|source| Error::ask(&url, source, "try again later"))
--- a/src/whereabouts/catalog.rs
+++ b/src/whereabouts/catalog.rs
@@ -9,7 +9,7 @@
 use super::{ExportPlan, Kept, Position, Seen, Written};
 use crate::clock::BootTime;
 use crate::ids::{BlockKey, TargetId};
-use crate::upstream::api::KeptObject;
+use crate::upstream::api::StoredObject;
 
 /// How long a copy that was handed out is not freed: longer than a reader may take.
 pub const PIN: Duration = Duration::from_secs(30);
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 struct Copy {
     store: TargetId,
-    object: KeptObject,
+    object: StoredObject,
     state: CopyState,
     pinned_until: BootTime,
     last_used: BootTime,
@@ -184,7 +184,7 @@
     pub fn rebuild(
         &mut self,
         store: &TargetId,
-        objects: &[KeptObject],
+        objects: &[StoredObject],
         owns: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) {
@@ -326,7 +326,7 @@
     ) -> ExportPlan {
         self.next_generation += 1;
         let generation = self.next_generation;
-        let object = KeptObject {
+        let object = StoredObject {
             root,
             key: position.key,
             generation,
--- a/src/whereabouts/mod.rs
+++ b/src/whereabouts/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::ids::{BlockKey, TargetId};
 use crate::prompt::Chain;
-use crate::upstream::api::KeptObject;
+use crate::upstream::api::StoredObject;
 
 pub use catalog::{Catalog, FreeOrder};
 pub use owners::{NodePlace, owners};
@@ -33,7 +33,7 @@
     /// The store.
     pub store: TargetId,
     /// The object.
-    pub object: KeptObject,
+    pub object: StoredObject,
 }
 
 /// A prompt was answered: its whole prefix is resident somewhere now.
--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -5,7 +5,7 @@
 
 use kumquatpost::ids::BlockKey;
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
-use kumquatpost::upstream::api::KeptObject;
+use kumquatpost::upstream::api::StoredObject;
 use kumquatpost::whereabouts::catalog::{PIN, WRITE_TIMEOUT};
 use kumquatpost::whereabouts::{
     Catalog, ExportPlan, Kept, NodePlace, Position, Seen, Written, owners,
@@ -32,7 +32,7 @@
 }
 
 fn done(plan: &ExportPlan) -> Written {
-    let object = KeptObject {
+    let object = StoredObject {
         root: plan.root,
         key: plan.position.key,
         generation: plan.generation,
@@ -114,7 +114,7 @@
 fn an_inventory_tells_what_is_gone_and_what_belongs_to_others() {
     let (mut catalog, seen, plan) = with_one();
     let object = done(&plan).kept.expect("kept").object;
-    let foreign = KeptObject { root: 77, ..object.clone() };
+    let foreign = StoredObject { root: 77, ..object.clone() };
     catalog.rebuild(&"store-0".into(), &[object, foreign], |root| root != 77, START);
     assert_eq!(catalog.len(), 1);
     catalog.rebuild(&"store-0".into(), &[], |_| true, START);
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -7,7 +7,7 @@
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
 use kumquatpost::route::{Ask, Decision, EngineView, Router, StoreView, View, decide};
 use kumquatpost::upstream::api::{
-    KeptObject, LoadReport, Presence, Role, StoreReport, Target, TargetList,
+    LoadReport, Presence, Role, StoreReport, StoredObject, Target, TargetList,
 };
 
 const NOW: Duration = Duration::from_secs(100);
@@ -50,8 +50,8 @@
     View { engines, stores: [("s".to_string(), store(0))].into(), nodes: 1 }
 }
 
-fn kept(chain: &Chain, blocks: usize) -> (String, KeptObject) {
-    let object = KeptObject {
+fn kept(chain: &Chain, blocks: usize) -> (String, StoredObject) {
+    let object = StoredObject {
         root: chain.keys[0],
         key: chain.keys[blocks - 1],
         generation: 1,
@@ -62,11 +62,11 @@
     ("s".to_string(), object)
 }
 
-fn ask<'a>(chain: &'a Chain, version: &'a String, kept: &'a [(String, KeptObject)]) -> Ask<'a> {
+fn ask<'a>(chain: &'a Chain, version: &'a String, kept: &'a [(String, StoredObject)]) -> Ask<'a> {
     Ask { model: "mechanic", weight_version: version, chain, kept, avoid: &[], draw: 0 }
 }
 
-fn cost(view: &View, kept: &[(String, KeptObject)]) -> Option<Decision> {
+fn cost(view: &View, kept: &[(String, StoredObject)]) -> Option<Decision> {
     let (chain, version) = (chain(), "v1".to_string());
     decide(Policy::Cost, &Prices::default(), view, &ask(&chain, &version, kept), NOW)
 }
@@ -142,9 +142,9 @@
     resident.residency.expect(&chain.keys);
     let there = view(vec![("a", resident)]);
     assert_eq!(cost(&there, std::slice::from_ref(&all)).expect("one").import, None, "resident");
-    let foreign = ("s".to_string(), KeptObject { key: 1, ..all.1.clone() });
+    let foreign = ("s".to_string(), StoredObject { key: 1, ..all.1.clone() });
     assert_eq!(cost(&idle(), &[foreign]).expect("one").import, None, "another prompt's key");
-    let moved = ("s".to_string(), KeptObject { blocks: 3, ..all.1.clone() });
+    let moved = ("s".to_string(), StoredObject { blocks: 3, ..all.1.clone() });
     assert_eq!(cost(&idle(), &[moved]).expect("one").import, None, "another place of the chain");
     let pricey = Prices { link_s_per_mib: 10.0, recompute_s_per_kilotoken: 0.0 };
     let (version, kept) = ("v1".to_string(), [all]);
