--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -21,7 +21,7 @@
 use crate::telemetry::metrics::label;
 use crate::upstream::api::{ImportOrder, StoredObject};
 use crate::upstream::chat::Usage;
-use crate::upstream::client::{CallError, PromptCall, StreamRef};
+use crate::upstream::client::{AttemptRef, CallError, PromptCall};
 use crate::upstream::sse::{Events, Oversized};
 
 /// Dispatches of one request, at the most.
@@ -260,7 +260,7 @@
             held.dispatch().map_err(refused)?;
         }
         let run_id = self.run_id.clone();
-        let stream = StreamRef { request_id: &run_id, attempt: self.attempt };
+        let stream = AttemptRef { request_id: &run_id, attempt: self.attempt };
         self.relay.restart(stream.id());
         let call = &self.prompt.call;
         let sent = self.node.client.prompt(PromptCall {
@@ -302,7 +302,7 @@
     async fn relay_to_end(
         &mut self,
         dispatch: &Dispatch,
-        stream: StreamRef<'_>,
+        stream: AttemptRef<'_>,
         response: reqwest::Response,
     ) -> Result<Whole, Broken> {
         let first = self.relay_stream(response).await;
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -41,7 +41,7 @@
     /// What the engine imports first.
     pub import: Option<ImportOrder>,
     /// Names the run: the request id and the attempt.
-    pub stream: StreamRef<'a>,
+    pub stream: AttemptRef<'a>,
     /// The account.
     pub account: &'a str,
     /// The weight version that must answer.
@@ -54,14 +54,14 @@
 
 /// Names one dispatch of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct StreamRef<'a> {
+pub struct AttemptRef<'a> {
     /// The id that targets know the request by.
     pub request_id: &'a str,
     /// Which dispatch it is.
     pub attempt: Attempt,
 }
 
-impl StreamRef<'_> {
+impl AttemptRef<'_> {
     /// The id that each chunk carries.
     pub fn id(&self) -> String {
         format!("{}.{}", self.request_id, self.attempt)
@@ -139,7 +139,7 @@
     pub async fn resume(
         &self,
         url: &str,
-        stream: StreamRef<'_>,
+        stream: AttemptRef<'_>,
         from: u32,
     ) -> Result<Response, CallError> {
         let url = format!("{url}/streams/{}?from={from}", stream.id());
@@ -166,7 +166,7 @@
     }
 
     /// Stops a run.
-    pub async fn cancel(&self, url: &str, stream: StreamRef<'_>) {
+    pub async fn cancel(&self, url: &str, stream: AttemptRef<'_>) {
         let request_id = stream.request_id.to_string();
         let order = CancelOrder { request_id, attempt: stream.attempt };
         let sent = self.pooled.post(format!("{url}/cancel")).json(&order);
