--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -67,7 +67,7 @@
         if data.is_err() {
             self.step = Step::End;
         }
-        Some((data.map(|data| Bytes::from(sse::event(&data))), self))
+        Some((data.map(|data| Bytes::from(sse::encode_event(&data))), self))
     }
 
     async fn token(&mut self) -> Option<Result<String, std::io::Error>> {
@@ -96,6 +96,6 @@
     }
 
     fn write(&self, chunk: Chunk) -> Result<String, std::io::Error> {
-        Ok(chunk.write(self.generation.format, &self.model, 0))
+        Ok(chunk.to_json(self.generation.format, &self.model, 0))
     }
 }
--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -53,7 +53,8 @@
 /// A whole answer that is known already.
 pub fn recorded(wanted: Wanted, text: String, finish: String, usage: Usage) -> Response {
     let chunk = Chunk { id: wanted.id.clone(), text, finish: Some(finish), usage: Some(usage) };
-    let value = chat::whole(wanted.format, &wanted.id, &wanted.model, unix_ms() / 1_000, &chunk);
+    let value =
+        chat::completion(wanted.format, &wanted.id, &wanted.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
 }
 
@@ -85,7 +86,8 @@
 }
 
 fn events(wanted: &Wanted, part: Part, created_s: u64) -> String {
-    let write = |chunk: Chunk| sse::event(&chunk.write(wanted.format, &wanted.model, created_s));
+    let write =
+        |chunk: Chunk| sse::encode_event(&chunk.to_json(wanted.format, &wanted.model, created_s));
     let empty = Chunk { id: wanted.id.clone(), ..Chunk::default() };
     match part {
         Part::Text(text) => write(Chunk { text, ..empty }),
@@ -94,11 +96,11 @@
             if wanted.usage {
                 text.push_str(&write(Chunk { usage: Some(usage), ..empty }));
             }
-            text.push_str(&sse::event(sse::DONE));
+            text.push_str(&sse::encode_event(sse::DONE));
             text
         }
         // No end mark follows, so the caller knows that the answer is not whole.
-        Part::Failed(refusal) => sse::event(&refusal.body().to_string()),
+        Part::Failed(refusal) => sse::encode_event(&refusal.body().to_string()),
     }
 }
 
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -86,7 +86,7 @@
     if method == Method::GET && path == "/v1/models" {
         return models(node, &request);
     }
-    if let Some(format) = ApiFormat::of_path(&path).filter(|_| method == Method::POST) {
+    if let Some(format) = ApiFormat::from_path(&path).filter(|_| method == Method::POST) {
         let call = Call::read(node, &request)?;
         return prompts::serve(node, call, &request, format).await;
     }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -22,7 +22,7 @@
 use crate::upstream::api::{ImportOrder, StoredObject};
 use crate::upstream::chat::Usage;
 use crate::upstream::client::{AttemptRef, CallError, PromptCall};
-use crate::upstream::sse::{Events, Oversized};
+use crate::upstream::sse::{EventParser, Oversized};
 
 /// Dispatches of one request, at the most.
 const MAX_ATTEMPTS: Attempt = 4;
@@ -358,7 +358,7 @@
     }
 
     async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), Stopped> {
-        let mut events = Events::default();
+        let mut events = EventParser::default();
         let mut body = response.bytes_stream();
         loop {
             let bytes = match tokio::time::timeout(SILENCE, body.next()).await {
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -12,7 +12,7 @@
 use crate::emulator::answer::Answer;
 use crate::error::{Error, Result};
 use crate::upstream::chat::{Chunk, Usage};
-use crate::upstream::sse::{DONE, Events};
+use crate::upstream::sse::{DONE, EventParser};
 
 /// An answer that takes longer is counted as lost.
 const LOST_AFTER: Duration = Duration::from_secs(60);
@@ -100,7 +100,7 @@
 
 async fn read_stream(response: reqwest::Response, sent_at: Instant, expected: &str) -> Outcome {
     let mut body = response.bytes_stream();
-    let mut events = Events::default();
+    let mut events = EventParser::default();
     let mut text = String::new();
     let mut usage = Usage::default();
     let mut first_token = None;
--- a/src/upstream/chat.rs
+++ b/src/upstream/chat.rs
@@ -25,7 +25,7 @@
     }
 
     /// The interface with this path.
-    pub fn of_path(path: &str) -> Option<ApiFormat> {
+    pub fn from_path(path: &str) -> Option<ApiFormat> {
         [ApiFormat::Chat, ApiFormat::Text].into_iter().find(|format| format.path() == path)
     }
 }
@@ -161,15 +161,15 @@
         let choice = value.pointer("/choices/0").cloned().unwrap_or(Value::Null);
         let text = choice.pointer("/delta/content").or(choice.get("text"));
         Ok(Chunk {
-            id: string(value.get("id")),
-            text: string(text),
+            id: string_or_empty(value.get("id")),
+            text: string_or_empty(text),
             finish: choice.get("finish_reason").and_then(Value::as_str).map(str::to_string),
             usage: value.get("usage").cloned().and_then(|usage| serde_json::from_value(usage).ok()),
         })
     }
 
     /// Writes the chunk in the given shape.
-    pub fn write(&self, format: ApiFormat, model: &str, created_s: u64) -> String {
+    pub fn to_json(&self, format: ApiFormat, model: &str, created_s: u64) -> String {
         let finish = &self.finish;
         let choices = match (format, self.usage) {
             (_, Some(_)) => json!([]),
@@ -196,7 +196,13 @@
 }
 
 /// A whole answer in the given shape.
-pub fn whole(format: ApiFormat, id: &str, model: &str, created_s: u64, chunk: &Chunk) -> Value {
+pub fn completion(
+    format: ApiFormat,
+    id: &str,
+    model: &str,
+    created_s: u64,
+    chunk: &Chunk,
+) -> Value {
     let (object, choice) = match format {
         ApiFormat::Chat => {
             let message = json!({"role": "assistant", "content": chunk.text});
@@ -216,6 +222,6 @@
     })
 }
 
-fn string(value: Option<&Value>) -> String {
+fn string_or_empty(value: Option<&Value>) -> String {
     value.and_then(Value::as_str).unwrap_or_default().to_string()
 }
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -26,7 +26,7 @@
     /// Keeps connections.
     pooled: Client,
     /// Opens a connection for each call, so that a call that can't connect was provably not run.
-    single: Client,
+    unpooled: Client,
 }
 
 /// A prompt on its way to an engine.
@@ -107,7 +107,7 @@
                 .build()
                 .map_err(|source| Error::start("http client", source, "raise the file limit"))
         };
-        Ok(TargetClient { pooled: build(64)?, single: build(0)? })
+        Ok(TargetClient { pooled: build(64)?, unpooled: build(0)? })
     }
 
     /// Sends a prompt; the answer is a stream of events.
@@ -120,7 +120,7 @@
         if let Some(import) = &call.import {
             body["kv_import"] = serde_json::json!(import);
         }
-        let client = if call.once { &self.single } else { &self.pooled };
+        let client = if call.once { &self.unpooled } else { &self.pooled };
         let request = client
             .post(format!("{}{}", call.url, call.format.path()))
             .header(REQUEST_HEADER, call.stream.request_id)
@@ -129,7 +129,7 @@
             .header(VERSION_HEADER, call.weight_version)
             .header(PRIORITY_HEADER, u32::from(call.priority))
             .json(&body);
-        checked(request.send().await).await
+        check_response(request.send().await).await
     }
 
     /// Goes on with a stream that broke, from a chunk.
@@ -143,7 +143,7 @@
         from: u32,
     ) -> Result<Response, CallError> {
         let url = format!("{url}/streams/{}?from={from}", stream.id());
-        checked(self.pooled.get(url).send().await).await
+        check_response(self.pooled.get(url).send().await).await
     }
 
     /// Calls a plain service.
@@ -155,13 +155,13 @@
         request: reqwest::Request,
         once: bool,
     ) -> Result<Response, CallError> {
-        let client = if once { &self.single } else { &self.pooled };
+        let client = if once { &self.unpooled } else { &self.pooled };
         match client.execute(request).await {
             Ok(response) if response.headers().contains_key(NOT_RUN_HEADER) => {
                 Err(CallError::NotRun(format!("refused with {}", response.status())))
             }
             Ok(response) => Ok(response),
-            Err(source) => Err(failure(source)),
+            Err(source) => Err(call_error(source)),
         }
     }
 
@@ -185,16 +185,16 @@
         known: &str,
     ) -> Result<Option<(TargetList, String)>> {
         let url = format!("{platform_url}/targets");
-        let failed = |source| Error::ask(&url, source, "check that it runs at this URL");
+        let ask_error = |source| Error::ask(&url, source, "check that it runs at this URL");
         let request = self.pooled.get(&url).timeout(REPORT_TIMEOUT).header("if-none-match", known);
-        let response = request.send().await.map_err(failed)?;
+        let response = request.send().await.map_err(ask_error)?;
         if response.status() == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
         expect_success(&url, response.status())?;
         let etag = response.headers().get("etag").and_then(|value| value.to_str().ok());
         let etag = etag.unwrap_or_default().to_string();
-        Ok(Some((response.json().await.map_err(failed)?, etag)))
+        Ok(Some((response.json().await.map_err(ask_error)?, etag)))
     }
 
     /// An engine's load.
@@ -202,7 +202,7 @@
     /// # Errors
     /// `Error::Ask` if it can't be read.
     pub async fn load(&self, url: &str) -> Result<LoadReport> {
-        self.read(&format!("{url}/load")).await
+        self.get_json(&format!("{url}/load")).await
     }
 
     /// An engine's cache events after a number.
@@ -210,7 +210,7 @@
     /// # Errors
     /// `Error::Ask` if they can't be read.
     pub async fn events(&self, url: &str, after: u64) -> Result<CacheEvents> {
-        self.read(&format!("{url}/kv/events?after={after}")).await
+        self.get_json(&format!("{url}/kv/events?after={after}")).await
     }
 
     /// A store's report.
@@ -218,7 +218,7 @@
     /// # Errors
     /// `Error::Ask` if it can't be read.
     pub async fn store(&self, url: &str) -> Result<StoreReport> {
-        self.read(&format!("{url}/load")).await
+        self.get_json(&format!("{url}/load")).await
     }
 
     /// Everything committed in a store.
@@ -226,7 +226,7 @@
     /// # Errors
     /// `Error::Ask` if it can't be read.
     pub async fn inventory(&self, url: &str) -> Result<Inventory> {
-        self.read(&format!("{url}/inventory")).await
+        self.get_json(&format!("{url}/inventory")).await
     }
 
     /// Lets an engine export a resident prefix.
@@ -235,7 +235,7 @@
     /// `Error::Ask` if it is not resident any more or the store does not take it.
     pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<StoredObject> {
         let url = format!("{url}/kv/export");
-        let response = self.post(&url, order, EXPORT_TIMEOUT).await?;
+        let response = self.post_json(&url, order, EXPORT_TIMEOUT).await?;
         response.json().await.map_err(|source| Error::ask(&url, source, "try again later"))
     }
 
@@ -261,22 +261,28 @@
     /// # Errors
     /// `Error::Ask` if the engine can't be asked or knows a higher fencing number.
     pub async fn order(&self, url: &str, order: &EngineOrder) -> Result<bool> {
-        let response = self.post(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
+        let response = self.post_json(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
         Ok(response.status() == StatusCode::OK)
     }
 
-    async fn post<T: Serialize>(&self, url: &str, body: &T, timeout: Duration) -> Result<Response> {
+    async fn post_json<T: Serialize>(
+        &self,
+        url: &str,
+        body: &T,
+        timeout: Duration,
+    ) -> Result<Response> {
         let sent = self.pooled.post(url).json(body).timeout(timeout).send().await;
         let response = sent.map_err(|source| Error::ask(url, source, "try again later"))?;
         expect_success(url, response.status())?;
         Ok(response)
     }
 
-    async fn read<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
-        let failed = |source| Error::ask(url, source, "check that it runs at this URL");
-        let response = self.pooled.get(url).timeout(REPORT_TIMEOUT).send().await.map_err(failed)?;
+    async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
+        let ask_error = |source| Error::ask(url, source, "check that it runs at this URL");
+        let response =
+            self.pooled.get(url).timeout(REPORT_TIMEOUT).send().await.map_err(ask_error)?;
         expect_success(url, response.status())?;
-        response.json().await.map_err(failed)
+        response.json().await.map_err(ask_error)
     }
 }
 
@@ -287,8 +293,8 @@
     Err(Error::ask(url, format!("answered {status}"), "see its log"))
 }
 
-async fn checked(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
-    let response = sent.map_err(failure)?;
+async fn check_response(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
+    let response = sent.map_err(call_error)?;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -305,7 +311,7 @@
     }
 }
 
-fn failure(source: reqwest::Error) -> CallError {
+fn call_error(source: reqwest::Error) -> CallError {
     if source.is_connect() {
         CallError::NotRun(source.to_string())
     } else {
--- a/src/upstream/sse.rs
+++ b/src/upstream/sse.rs
@@ -8,12 +8,12 @@
 
 /// Splits received bytes into the data of events.
 #[derive(Default)]
-pub struct Events {
+pub struct EventParser {
     /// Bytes after the last whole event.
     pending: Vec<u8>,
 }
 
-impl Events {
+impl EventParser {
     /// Takes received bytes and returns the data of each event that is whole now.
     ///
     /// # Errors
@@ -22,8 +22,8 @@
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
         let mut start = 0;
-        while let Some(length) = end_of_event(&self.pending[start..]) {
-            events.extend(data(&self.pending[start..start + length]));
+        while let Some(length) = find_event_end(&self.pending[start..]) {
+            events.extend(event_data(&self.pending[start..start + length]));
             start += length;
         }
         self.pending.drain(..start);
@@ -36,15 +36,15 @@
 pub struct Oversized;
 
 /// Writes one data event.
-pub fn event(data: &str) -> String {
+pub fn encode_event(data: &str) -> String {
     format!("data: {data}\n\n")
 }
 
-fn end_of_event(bytes: &[u8]) -> Option<usize> {
+fn find_event_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(2).position(|pair| pair == b"\n\n").map(|position| position + 2)
 }
 
-fn data(event: &[u8]) -> Option<String> {
+fn event_data(event: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(event);
     let lines: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix("data:")).map(str::trim_start).collect();
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -4,17 +4,17 @@
 use kumquatpost::upstream::chat::{ApiFormat, Chunk, Usage};
 
 fn text(id: &str, text: &str) -> String {
-    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(ApiFormat::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 fn last(id: &str, text: &str) -> String {
     let finish = Some("stop".into());
-    Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(ApiFormat::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), finish, usage: None }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 fn usage(id: &str) -> String {
     let usage = Some(Usage::default());
-    Chunk { id: id.into(), usage, ..Chunk::default() }.write(ApiFormat::Chat, "m", 0)
+    Chunk { id: id.into(), usage, ..Chunk::default() }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 const DONE: &str = "[DONE]";
