--- a/src/cli.rs
+++ b/src/cli.rs
@@ -7,11 +7,11 @@
 
 use pico_args::Arguments;
 
-use crate::checked::nearest;
 use crate::commands::{self, config_patch, demo, load, replicas};
 use crate::config::document::key_hash;
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
+use crate::json_reader::most_similar;
 use crate::load::workload::GAP_MEDIAN;
 use crate::load::{Plan, Shape};
 use crate::log::raft::Change;
@@ -347,7 +347,7 @@
 }
 
 fn unknown(what: &str, name: &str, known: &[&str]) -> Error {
-    let remedy = match nearest(name, known) {
+    let remedy = match most_similar(name, known) {
         Some(known) => format!("did you mean {known}?"),
         None if known.is_empty() => "leave it out".to_string(),
         None => format!("known are: {}", known.join(", ")),
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -5,8 +5,8 @@
 
 use serde_json::Value;
 
-use crate::checked::Fields;
 use crate::error::{Error, Result};
+use crate::json_reader::ObjectReader;
 use crate::settings::{log_settings, read_json};
 use crate::telemetry::logs::LogSettings;
 
@@ -109,15 +109,15 @@
     /// `Error::Invalid` with everything that is wrong.
     pub fn from_value(value: &Value, file: &str) -> Result<EmulatorSettings> {
         let mut problems = Vec::new();
-        let mut fields = Fields::new(value, "", &mut problems);
+        let mut fields = ObjectReader::new(value, "", &mut problems);
         let ip_text = fields.optional_text("ip").unwrap_or_else(|| "127.0.0.1".into());
         let ip = ip_text.parse().unwrap_or_else(|_| {
-            fields.problem("ip", format!("{ip_text:?} is not an address"), "give 127.0.0.1");
+            fields.report("ip", format!("{ip_text:?} is not an address"), "give 127.0.0.1");
             IpAddr::from([127, 0, 0, 1])
         });
         if !ip.is_loopback() {
             let remedy = "give a loopback address: stand-ins are for one machine";
-            fields.problem("ip", format!("{ip} is not a loopback address"), remedy);
+            fields.report("ip", format!("{ip} is not a loopback address"), remedy);
         }
         let settings = EmulatorSettings {
             ip,
@@ -139,7 +139,7 @@
 
 const RATE_MAX: u64 = 1 << 50;
 
-fn engine(mut fields: Fields<'_>) -> EngineSettings {
+fn engine(mut fields: ObjectReader<'_>) -> EngineSettings {
     let settings = EngineSettings {
         id: fields.text("id", "name the engine"),
         model: fields.text("model", "name its model"),
@@ -153,14 +153,14 @@
         load_lag_ms: fields.number("load_lag_ms", 100, 0, 600_000),
         event_lag_ms: fields.number("event_lag_ms", 100, 0, 600_000),
         event_loss_one_in: fields.number("event_loss_one_in", 50, 0, RATE_MAX),
-        checks_fencing: fields.flag("checks_fencing", true),
-        reproducible: fields.flag("reproducible", true),
+        checks_fencing: fields.bool("checks_fencing", true),
+        reproducible: fields.bool("reproducible", true),
     };
     fields.finish();
     settings
 }
 
-fn store(mut fields: Fields<'_>) -> StoreSettings {
+fn store(mut fields: ObjectReader<'_>) -> StoreSettings {
     let settings = StoreSettings {
         id: fields.text("id", "name the store"),
         failure_domain: fields.text("failure_domain", "name its failure domain"),
@@ -173,7 +173,7 @@
     settings
 }
 
-fn service(mut fields: Fields<'_>) -> ServiceSettings {
+fn service(mut fields: ObjectReader<'_>) -> ServiceSettings {
     let settings = ServiceSettings {
         id: fields.text("id", "name the instance"),
         service: fields.text("service", "name its service"),
--- a/src/checked.rs
+++ b/src/json_reader.rs
@@ -7,19 +7,19 @@
 use crate::error::Problem;
 
 /// Similarity from which an unknown field is taken for a misspelt one.
-const LIKELY_MISSPELT: f64 = 0.75;
+const MIN_SIMILARITY: f64 = 0.75;
 
 /// An object being read. Call `finish` at the end, so that unknown fields are reported.
-pub struct Fields<'a> {
+pub struct ObjectReader<'a> {
     object: Map<String, Value>,
     path: String,
     known: Vec<&'static str>,
     problems: &'a mut Vec<Problem>,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> ObjectReader<'a> {
     /// Starts reading `value`, found at `path` (empty for the whole document).
-    pub fn new(value: &Value, path: &str, problems: &'a mut Vec<Problem>) -> Fields<'a> {
+    pub fn new(value: &Value, path: &str, problems: &'a mut Vec<Problem>) -> ObjectReader<'a> {
         let object = match value {
             Value::Object(object) => object.clone(),
             other => {
@@ -31,7 +31,7 @@
                 Map::new()
             }
         };
-        Fields { object, path: path.to_string(), known: Vec::new(), problems }
+        ObjectReader { object, path: path.to_string(), known: Vec::new(), problems }
     }
 
     /// The path of a field of this object.
@@ -40,25 +40,25 @@
     }
 
     /// Takes a raw field.
-    pub fn raw(&mut self, name: &'static str) -> Option<Value> {
+    pub fn value(&mut self, name: &'static str) -> Option<Value> {
         self.known.push(name);
         self.object.get(name).cloned().filter(|value| !value.is_null())
     }
 
     /// Reports a problem with a field.
-    pub fn problem(&mut self, name: &str, message: String, remedy: &str) {
+    pub fn report(&mut self, name: &str, message: String, remedy: &str) {
         let path = self.path_of(name);
         self.problems.push(Problem { path, message, remedy: remedy.to_string() });
     }
 
     /// A whole number within `min..=max`, or `default` if absent.
     pub fn number(&mut self, name: &'static str, default: u64, min: u64, max: u64) -> u64 {
-        let Some(value) = self.raw(name) else { return default };
+        let Some(value) = self.value(name) else { return default };
         match value.as_u64().filter(|number| (min..=max).contains(number)) {
             Some(number) => number,
             None => {
                 let remedy = format!("give a whole number from {min} to {max}");
-                self.problem(name, format!("{value} is not accepted"), &remedy);
+                self.report(name, format!("{value} is not accepted"), &remedy);
                 default
             }
         }
@@ -66,10 +66,10 @@
 
     /// A text, or `None` if absent.
     pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
-        match self.raw(name)? {
+        match self.value(name)? {
             Value::String(text) if !text.is_empty() => Some(text),
             other => {
-                self.problem(name, format!("{other} is not accepted"), "give a non-empty text");
+                self.report(name, format!("{other} is not accepted"), "give a non-empty text");
                 None
             }
         }
@@ -79,7 +79,7 @@
     pub fn text(&mut self, name: &'static str, remedy: &str) -> String {
         if !self.object.contains_key(name) {
             self.known.push(name);
-            self.problem(name, "is missing".into(), remedy);
+            self.report(name, "is missing".into(), remedy);
             return String::new();
         }
         self.optional_text(name).unwrap_or_default()
@@ -92,7 +92,7 @@
             Ok(address) => address,
             Err(_) => {
                 if !text.is_empty() {
-                    self.problem(name, format!("{text:?} is not an address"), "give IP:PORT");
+                    self.report(name, format!("{text:?} is not an address"), "give IP:PORT");
                 }
                 SocketAddr::from(([127, 0, 0, 1], 0))
             }
@@ -100,36 +100,38 @@
     }
 
     /// A yes or no, or `default` if absent.
-    pub fn flag(&mut self, name: &'static str, default: bool) -> bool {
-        match self.raw(name) {
+    pub fn bool(&mut self, name: &'static str, default: bool) -> bool {
+        match self.value(name) {
             None => default,
             Some(Value::Bool(flag)) => flag,
             Some(other) => {
-                self.problem(name, format!("{other} is not accepted"), "give true or false");
+                self.report(name, format!("{other} is not accepted"), "give true or false");
                 default
             }
         }
     }
 
     /// Reads an inner object; an absent one is read as `{}`.
-    pub fn object<T>(&mut self, name: &'static str, read: impl FnOnce(Fields<'_>) -> T) -> T {
-        let value = self.raw(name).unwrap_or_else(|| Value::Object(Map::new()));
+    pub fn object<T>(&mut self, name: &'static str, read: impl FnOnce(ObjectReader<'_>) -> T) -> T {
+        let value = self.value(name).unwrap_or_else(|| Value::Object(Map::new()));
         let path = self.path_of(name);
-        read(Fields::new(&value, &path, self.problems))
+        read(ObjectReader::new(&value, &path, self.problems))
     }
 
     /// Reads a list of objects; an absent one is empty.
-    pub fn list<T>(&mut self, name: &'static str, read: impl Fn(Fields<'_>) -> T) -> Vec<T> {
+    pub fn list<T>(&mut self, name: &'static str, read: impl Fn(ObjectReader<'_>) -> T) -> Vec<T> {
         let path = self.path_of(name);
-        match self.raw(name) {
+        match self.value(name) {
             None => Vec::new(),
             Some(Value::Array(items)) => items
                 .iter()
                 .enumerate()
-                .map(|(i, item)| read(Fields::new(item, &format!("{path}[{i}]"), self.problems)))
+                .map(|(i, item)| {
+                    read(ObjectReader::new(item, &format!("{path}[{i}]"), self.problems))
+                })
                 .collect(),
             Some(other) => {
-                self.problem(name, format!("{other} is not a list"), "give a list in brackets");
+                self.report(name, format!("{other} is not a list"), "give a list in brackets");
                 Vec::new()
             }
         }
@@ -138,7 +140,7 @@
     /// Reports fields that nothing asked for.
     pub fn finish(self) {
         for name in self.object.keys().filter(|name| !self.known.contains(&name.as_str())) {
-            let remedy = match nearest(name, &self.known) {
+            let remedy = match most_similar(name, &self.known) {
                 Some(known) => format!("did you mean {known:?}? else remove it"),
                 None => format!("remove it; known fields: {}", self.known.join(", ")),
             };
@@ -150,11 +152,11 @@
 }
 
 /// The known name most like `name`, if one is like it enough.
-pub fn nearest<'n>(name: &str, known: &[&'n str]) -> Option<&'n str> {
+pub fn most_similar<'n>(name: &str, known: &[&'n str]) -> Option<&'n str> {
     known
         .iter()
         .map(|known| (strsim::jaro_winkler(name, known), *known))
-        .filter(|(likeness, _)| *likeness >= LIKELY_MISSPELT)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, known)| known)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! I/O. README.md says what it does, docs/design/ why it is built this way.
 
 pub mod capacity;
-pub mod checked;
 pub mod claims;
 
 pub mod cli;
@@ -22,6 +21,7 @@
 pub mod host;
 pub mod http;
 pub mod ids;
+pub mod json_reader;
 pub mod lease;
 pub mod limits;
 pub mod load;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,9 +8,9 @@
 use log::LevelFilter;
 use serde_json::Value;
 
-use crate::checked::Fields;
 use crate::error::{Error, Problem, Result};
 use crate::ids::{DomainId, NodeId};
+use crate::json_reader::ObjectReader;
 use crate::telemetry::logs::LogSettings;
 
 const MAX_MS: u64 = 86_400_000;
@@ -190,19 +190,19 @@
 }
 
 fn settings(value: &Value, problems: &mut Vec<Problem>) -> Settings {
-    let mut fields = Fields::new(value, "", problems);
+    let mut fields = ObjectReader::new(value, "", problems);
     let environment = fields.optional_text("environment").unwrap_or_else(|| "production".into());
     if !["production", "test"].contains(&environment.as_str()) {
-        fields.problem("environment", format!("{environment:?}"), "give production or test");
+        fields.report("environment", format!("{environment:?}"), "give production or test");
     }
-    let fault_knobs = fields.flag("fault_knobs", false);
+    let fault_knobs = fields.bool("fault_knobs", false);
     if fault_knobs && environment != "test" {
         let remedy = "remove it, or set environment to test";
-        fields.problem("fault_knobs", "true is refused in production".into(), remedy);
+        fields.report("fault_knobs", "true is refused in production".into(), remedy);
     }
     let node_id = fields.number("node_id", 0, 1, u32::MAX.into());
     if node_id == 0 {
-        fields.problem("node_id", "is missing".into(), "give this node a number from 1");
+        fields.report("node_id", "is missing".into(), "give this node a number from 1");
     }
     let settings = Settings {
         node_id,
@@ -215,7 +215,7 @@
         data_folder: fields.optional_text("data_folder").map(PathBuf::from),
         platform_url: fields.text("platform_url", "give the URL of the platform's list"),
         nodes: fields.list("nodes", node_settings),
-        first_config: fields.raw("first_config"),
+        first_config: fields.value("first_config"),
         log: fields.object("log", log_settings),
         timing: fields.object("timing", timing),
         bounds: fields.object("bounds", bounds),
@@ -225,23 +225,23 @@
     settings
 }
 
-fn node_settings(mut fields: Fields<'_>) -> NodeSettings {
+fn node_settings(mut fields: ObjectReader<'_>) -> NodeSettings {
     let node = NodeSettings {
         node_id: fields.number("node_id", 0, 1, u32::MAX.into()),
         peer_address: fields.address("peer_address"),
         failure_domain: fields.text("failure_domain", "name the node's failure domain"),
-        replica: fields.flag("replica", false),
+        replica: fields.bool("replica", false),
     };
     fields.finish();
     node
 }
 
 /// Reads the `log` object, which `serve` and `emulate` share.
-pub fn log_settings(mut fields: Fields<'_>) -> LogSettings {
+pub fn log_settings(mut fields: ObjectReader<'_>) -> LogSettings {
     let text = fields.optional_text("level").unwrap_or_else(|| "info".into());
     let level = LevelFilter::from_str(&text).unwrap_or_else(|_| {
         let remedy = "give off, error, warn, info, debug or trace";
-        fields.problem("level", format!("{text:?} is not a level"), remedy);
+        fields.report("level", format!("{text:?} is not a level"), remedy);
         LevelFilter::Info
     });
     let settings = LogSettings { level, file: fields.optional_text("file").map(PathBuf::from) };
@@ -249,7 +249,7 @@
     settings
 }
 
-fn timing(mut fields: Fields<'_>) -> Timing {
+fn timing(mut fields: ObjectReader<'_>) -> Timing {
     let mut period = |name, default| Duration::from_millis(fields.number(name, default, 1, MAX_MS));
     let timing = Timing {
         lease: period("lease_ms", 3_000),
@@ -267,7 +267,7 @@
     timing
 }
 
-fn bounds(mut fields: Fields<'_>) -> Bounds {
+fn bounds(mut fields: ObjectReader<'_>) -> Bounds {
     let bounds = Bounds {
         queue_len: fields.number("queue_len", 256, 1, 1_000_000) as usize,
         body_bytes: fields.number("body_bytes", 4 << 20, 1, MAX_BODY_BYTES) as usize,
