--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -268,7 +268,7 @@
         BodyError::TooLarge(limit) => {
             Refusal::not_run(Code::TooLarge, format!("the body is longer than {limit} bytes"))
         }
-        BodyError::Broken => Refusal::not_run(Code::BadRequest, "the body broke off"),
+        BodyError::Disconnected => Refusal::not_run(Code::BadRequest, "the body broke off"),
     }
 }
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -35,7 +35,7 @@
     /// It is longer than the limit in bytes.
     TooLarge(usize),
     /// The caller's connection broke.
-    Broken,
+    Disconnected,
 }
 
 impl Request {
@@ -96,7 +96,7 @@
         .then(move |method, path: warp::path::FullPath, query, headers, body| {
             let handler = handler.clone();
             async move {
-                let body = collect(body, body_limit).await;
+                let body = read_body(body, body_limit).await;
                 let path = path.as_str().to_string();
                 handler(Request { method, path, query, headers, body }).await
             }
@@ -104,14 +104,14 @@
     warp::serve(filter).incoming(listener).graceful(stop).run().await;
 }
 
-async fn collect(
+async fn read_body(
     body: impl Stream<Item = Result<impl Buf, warp::Error>>,
     limit: usize,
 ) -> Result<Bytes, BodyError> {
     let mut body = std::pin::pin!(body);
     let mut bytes = BytesMut::new();
     while let Some(part) = body.next().await {
-        let mut part = part.map_err(|_| BodyError::Broken)?;
+        let mut part = part.map_err(|_| BodyError::Disconnected)?;
         if bytes.len() + part.remaining() > limit {
             return Err(BodyError::TooLarge(limit));
         }
