--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -27,7 +27,7 @@
 
 /// A code, order or sender is wrong: the bytes must not be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AuthenticationError;
+pub struct AuthError;
 
 impl PeerKey {
     /// Reads the key file: at least 32 bytes, white space at the ends ignored.
@@ -94,13 +94,9 @@
     ///
     /// # Errors
     /// If it is not what the other side sent at this place.
-    pub fn verify(
-        &mut self,
-        body: &[u8],
-        tag: &[u8; TAG_BYTES],
-    ) -> Result<(), AuthenticationError> {
+    pub fn verify(&mut self, body: &[u8], tag: &[u8; TAG_BYTES]) -> Result<(), AuthError> {
         if !constant_time_eq(&truncate(&self.next_tag(body)), tag) {
-            return Err(AuthenticationError);
+            return Err(AuthError);
         }
         self.next_number += 1;
         Ok(())
@@ -167,19 +163,14 @@
     ///
     /// # Errors
     /// If it is damaged, forged, for another node, or was taken before.
-    pub fn verify<'b>(
-        &mut self,
-        bytes: &'b [u8],
-    ) -> Result<(NodeId, &'b [u8]), AuthenticationError> {
-        let Some(length) = bytes.len().checked_sub(TAG_BYTES) else {
-            return Err(AuthenticationError);
-        };
+    pub fn verify<'b>(&mut self, bytes: &'b [u8]) -> Result<(NodeId, &'b [u8]), AuthError> {
+        let Some(length) = bytes.len().checked_sub(TAG_BYTES) else { return Err(AuthError) };
         if length < DATAGRAM_HEADER_BYTES {
-            return Err(AuthenticationError);
+            return Err(AuthError);
         }
         let (signed, tag) = bytes.split_at(length);
         if !constant_time_eq(&truncate(&self.key.datagram_tag(signed)), tag) {
-            return Err(AuthenticationError);
+            return Err(AuthError);
         }
         let number = |position: usize| {
             let mut field = [0; 8];
@@ -190,7 +181,7 @@
         if number(1) != self.node
             || !self.senders.entry(from).or_default().accept(number(2), number(3))
         {
-            return Err(AuthenticationError);
+            return Err(AuthError);
         }
         Ok((from, &signed[DATAGRAM_HEADER_BYTES..]))
     }
--- a/tests/logic/auth.rs
+++ b/tests/logic/auth.rs
@@ -1,7 +1,7 @@
 //! Authentication between nodes: nothing forged, moved or replayed is taken.
 
 use kumquatpost::peer::PeerKey;
-use kumquatpost::peer::auth::{AuthenticationError, DatagramSigner, DatagramVerifier, TAG_BYTES};
+use kumquatpost::peer::auth::{AuthError, DatagramSigner, DatagramVerifier, TAG_BYTES};
 
 fn key(material: &str) -> PeerKey {
     PeerKey::from_material(material.as_bytes())
@@ -24,7 +24,7 @@
         let (mut receiver, _) = streams("k");
         assert_eq!(receiver.verify(&[0; 5], &codes[0]), Ok(()));
         let (body, code) = case(&codes);
-        assert_eq!(receiver.verify(&body, &code), Err(AuthenticationError), "{what}");
+        assert_eq!(receiver.verify(&body, &code), Err(AuthError), "{what}");
         assert_eq!(
             receiver.verify(&[1; 5], &codes[1]),
             Ok(()),
@@ -32,12 +32,12 @@
         );
     }
     let (mut other_key, mut other_direction) = (streams("x").0, streams("k").1);
-    assert_eq!(other_key.verify(&[0; 5], &codes[0]), Err(AuthenticationError));
-    assert_eq!(other_direction.verify(&[0; 5], &codes[0]), Err(AuthenticationError));
+    assert_eq!(other_key.verify(&[0; 5], &codes[0]), Err(AuthError));
+    assert_eq!(other_direction.verify(&[0; 5], &codes[0]), Err(AuthError));
     let mut other_session = key("k").session_keys(&nonces.0, &[3; 16], (1, 2)).0;
-    assert_eq!(other_session.verify(&[0; 5], &codes[0]), Err(AuthenticationError));
+    assert_eq!(other_session.verify(&[0; 5], &codes[0]), Err(AuthError));
     let mut other_node = key("k").session_keys(&nonces.0, &nonces.1, (3, 2)).0;
-    assert_eq!(other_node.verify(&[0; 5], &codes[0]), Err(AuthenticationError));
+    assert_eq!(other_node.verify(&[0; 5], &codes[0]), Err(AuthError));
 }
 
 #[test]
@@ -50,17 +50,17 @@
         assert_eq!(verifier.verify(&datagrams[number]), Ok((1, &[number as u8][..])));
     }
     for number in [0, 1, 2, 3, 98, 99] {
-        assert_eq!(verifier.verify(&datagrams[number]), Err(AuthenticationError), "{number} again");
+        assert_eq!(verifier.verify(&datagrams[number]), Err(AuthError), "{number} again");
     }
-    assert_eq!(verifier.verify(&datagrams[10]), Err(AuthenticationError), "older than the window");
+    assert_eq!(verifier.verify(&datagrams[10]), Err(AuthError), "older than the window");
     let mut changed = datagrams[97].clone();
     changed[32] ^= 1;
-    assert_eq!(verifier.verify(&changed), Err(AuthenticationError));
-    assert_eq!(verifier.verify(&datagrams[97][..20]), Err(AuthenticationError));
+    assert_eq!(verifier.verify(&changed), Err(AuthError));
+    assert_eq!(verifier.verify(&datagrams[97][..20]), Err(AuthError));
     assert!(DatagramVerifier::new(key("k"), 3).verify(&datagrams[0]).is_err(), "for another node");
     assert!(DatagramVerifier::new(key("x"), 2).verify(&datagrams[0]).is_err(), "another key");
     // After the sender's next start, nothing of the earlier one counts.
     let mut restarted = DatagramSigner::new(key("k"), 1, 101);
     assert!(verifier.verify(&restarted.sign(2, b"new")).is_ok());
-    assert_eq!(verifier.verify(&datagrams[97]), Err(AuthenticationError));
+    assert_eq!(verifier.verify(&datagrams[97]), Err(AuthError));
 }
