--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -1,4 +1,4 @@
-//! A published deployment: immutable once it has a version.
+//! The content of a deployment. A published version never changes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,167 +8,167 @@
 
 use crate::ids::{AccountId, DomainId, ModelId, ServiceId};
 
-/// Counts published deployments. The operator chooses it; the highest one is in force.
+/// Version of a deployment, chosen by the operator. The highest published version is in force.
 pub type DeploymentVersion = u64;
 
-/// Everything that operators decide about callers, routes and targets.
+/// Configuration of callers, routes and services by the operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Deployment {
-    /// Its version.
+    /// The version.
     pub version: DeploymentVersion,
-    /// Routes; no two have the same host and prefix.
+    /// Routes. Invariant of a valid deployment: no two routes have the same host and path prefix.
     pub routes: Vec<Route>,
-    /// Services that routes name, and stores.
+    /// Services by name, including stores.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Client accounts; `None` if callers need no key.
+    /// Client accounts; `None` if no route requires a key.
     pub accounts: Option<Vec<Account>>,
-    /// What a caller may send.
+    /// Limits on the requests of callers.
     pub request_limits: RequestLimits,
 }
 
-/// Where requests of one host and path prefix go.
+/// Configuration of the requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name of the route, used in logs.
     pub name: String,
-    /// The host that callers name.
+    /// Host in the requests, without a port. Compared without regard to case.
     pub host: String,
-    /// The prefix of the path, from slash to slash.
+    /// Prefix of the path; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub policy: RunPolicy,
-    /// The longest time that a caller is kept waiting for the whole answer.
+    /// Maximum time until the response is complete.
     pub timeout: Duration,
-    /// The time to the first part of the answer that the operator aims at.
+    /// Service level objective for the time to the first part of the response.
     pub objective: Duration,
-    /// Rank among routes, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services and their weights. Invariant of a valid route: the weights' sum is above 0.
+    /// Services with their weights. Invariant of a valid route: the sum of the weights is positive.
     pub split: Vec<WeightedService>,
-    /// Most targets to which one request may be sent.
+    /// Maximum number of targets to which one request is sent.
     pub attempts: u32,
-    /// Whether callers need no key.
+    /// Whether requests without a key are accepted.
     pub is_public: bool,
-    /// Whether requests share prompt parts, so that it matters which engine runs them.
+    /// Whether requests share prompt parts, so that the choice of the engine matters.
     pub is_sticky: bool,
-    /// The longest pause between events for an answer to be on time.
+    /// Maximum time between two events of a response that is on time.
     pub max_event_gap: Option<Duration>,
 }
 
-/// What of a request may be repeated.
+/// Whether a request may run more than once, and how its response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunPolicy {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     Once,
-    /// A stream of events that runs at most once.
+    /// The response is a stream of events; the request runs at most once.
     StreamOnce,
-    /// A stream of events that may go on at another engine after the last event that was sent.
+    /// The response is a stream of events that another engine can resume after the last event sent.
     StreamResumable,
 }
 
 impl RunPolicy {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RunPolicy::StreamOnce | RunPolicy::StreamResumable)
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may have run may be sent again.
     pub fn may_repeat(self) -> bool {
         matches!(self, RunPolicy::Idempotent | RunPolicy::StreamResumable)
     }
 }
 
-/// One service of a split.
+/// A service and its share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its part of the requests, relative to the others'.
+    /// Share of the requests, relative to the other weights of the route.
     pub weight: u32,
 }
 
-/// A service.
+/// A group of equivalent targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// What it is.
+    /// Role of its targets.
     pub role: ServiceRole,
-    /// Connections that one of its targets accepts from all callers together.
+    /// Maximum number of connections to each target, over all entries.
     pub max_connections: u32,
 }
 
-/// What a service is.
+/// Role of the targets of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ServiceRole {
     /// Model engines.
     Engines(EngineSpec),
-    /// A store of kept KV cache.
+    /// A store of KV cache.
     Store(StoreSpec),
-    /// Anything else.
+    /// Any other service.
     Plain,
 }
 
-/// What all engines of a service have in common.
+/// Properties that all engines of a service have in common.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit in memory, of running requests and kept parts together.
+    /// Capacity of the KV cache in tokens, for running requests and cached parts together.
     pub capacity_tokens: u64,
-    /// Memory of one token.
+    /// Size of one token in the KV cache.
     pub token_bytes: u64,
-    /// Link speed in megabits a second.
+    /// Bandwidth of the link in megabits per second.
     pub link_mbps: f64,
-    /// Models that they serve.
+    /// Models that the engines serve.
     pub models: Vec<ModelId>,
 }
 
-/// A store of kept KV cache.
+/// Properties of a store of KV cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreSpec {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Tokens that fit.
+    /// Capacity in tokens.
     pub capacity_tokens: u64,
-    /// Link speed in megabits a second.
+    /// Bandwidth of the link in megabits per second.
     pub link_mbps: f64,
-    /// Time before each transfer begins.
+    /// Latency until the first byte of a transfer.
     pub first_byte: Duration,
-    /// Whether it drops nothing unless it is told to.
+    /// Whether parts are removed only on request, never evicted by the store itself.
     pub is_managed: bool,
 }
 
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Its name, which targets are told.
+    /// Name of the account, which is sent to targets.
     pub id: AccountId,
-    /// Keys that callers may name. Invariant of a valid deployment: no key belongs to two accounts.
+    /// Bearer keys. Invariant of a valid deployment: no key belongs to two accounts.
     pub keys: Vec<String>,
-    /// Whether it shares no kept cache with other accounts.
+    /// Whether it shares no cached prompt parts with other accounts.
     pub is_isolated: bool,
-    /// Goes before the route's priority if there is one.
+    /// Overrides the priority of the route if present.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on the requests of callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Largest head of a request.
+    /// Maximum size of the head of a request.
     pub head_bytes: usize,
-    /// Largest body.
+    /// Maximum size of the body.
     pub body_bytes: usize,
-    /// Longest time for a head, once it has begun.
+    /// Maximum time between the first byte and the end of a head.
     pub head_timeout: Duration,
-    /// Longest time for which a connection stays open without a request.
+    /// Maximum time for which a connection stays open without a request.
     pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
-    /// In force only where a deployment names none: common defaults of HTTP servers.
+    /// Common defaults of HTTP servers, for a deployment without limits.
     fn default() -> RequestLimits {
         RequestLimits {
             head_bytes: 16 << 10,
--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! The whole deployment as operators publish it: routes, services, client accounts and bounds.
+//! The deployment as operators publish it: routes, services, client accounts and request limits.
 
 pub mod document;
 pub mod routing_table;
--- a/src/deployment/routing_table.rs
+++ b/src/deployment/routing_table.rs
@@ -1,4 +1,4 @@
-//! Looks up routes and keys of one deployment.
+//! Index of the routes and keys of a deployment.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,31 +6,31 @@
 use super::document::{Account, Deployment, Route, WeightedService};
 use crate::ids::ServiceId;
 
-/// A deployment, indexed for lookups.
+/// A deployment with indexes for looking up routes and accounts.
 #[derive(Debug)]
 pub struct RoutingTable {
     deployment: Arc<Deployment>,
-    /// Routes of each host, those with the longest prefix first.
+    /// Indexes of the routes of each host in lower case, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
-    /// The account of each key, as an index.
+    /// Index of the account of each key.
     by_key: HashMap<String, usize>,
 }
 
-/// A request that no route and account allow.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key, and no account holds the one that was given.
+    /// The route requires a key, and the request has none or an unknown one.
     UnknownKey,
 }
 
-/// Where a request may go and for whom.
+/// The route and account of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The account; `None` if the caller gave no known key to a public route.
+    /// The account; `None` if the request has no key, or an unknown one, and the route needs none.
     pub account: Option<&'a Account>,
 }
 
@@ -58,10 +58,10 @@
         &self.deployment
     }
 
-    /// Finds the route and the account of a request.
+    /// Finds the route and the account of a request. The longest matching path prefix wins.
     ///
     /// # Errors
-    /// If there is no such route, or the key is not known where one is needed.
+    /// If no route matches, or the route requires a key and the given one is missing or unknown.
     pub fn find(
         &self,
         host: &str,
@@ -95,7 +95,7 @@
 }
 
 impl Route {
-    /// The service for a request, by a number that is drawn evenly from `0..1`.
+    /// Picks a service in proportion to the weights. `fraction` is drawn uniformly from `0..1`.
     pub fn pick_service(&self, fraction: f64) -> Option<&ServiceId> {
         let total: f64 = self.split.iter().map(|share| f64::from(share.weight)).sum();
         let mut remaining = fraction * total;
--- a/src/deployment/validate.rs
+++ b/src/deployment/validate.rs
@@ -1,11 +1,11 @@
-//! What makes a deployment invalid. Each problem names the field and the remedy.
+//! Validation of a deployment. Each problem names the field and the remedy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::document::Deployment;
 use crate::error::Problem;
 
-/// Everything that is wrong with a deployment; empty if it may be published.
+/// Returns all problems of a deployment; it may be published if there are none.
 pub fn problems(deployment: &Deployment) -> Vec<Problem> {
     let mut problems = Vec::new();
     check_routes(deployment, &mut problems);
@@ -25,20 +25,20 @@
             report("path_prefix", message, "keep one of the two routes");
         }
         if !is_valid_prefix(&route.path_prefix) {
-            let message = format!("{:?} is no prefix", route.path_prefix);
-            report("path_prefix", message, "begin and end it with a slash");
+            let message = format!("{:?} is not a valid prefix", route.path_prefix);
+            report("path_prefix", message, "start and end it with a slash");
         }
         if route.timeout.is_zero() {
-            report("timeout", "it is 0".into(), "give at least 1 ms");
+            report("timeout", "it is 0".into(), "set it to at least 1 ms");
         }
         for share in &route.split {
             if !deployment.services.contains_key(&share.service) {
                 let message = format!("unknown service {:?}", share.service);
-                report("split", message, "define the service, or name another");
+                report("split", message, "define the service, or use another one");
             }
         }
         if route.split.iter().all(|share| share.weight == 0) {
-            report("split", "the weights add up to 0".into(), "give a weight above 0");
+            report("split", "the weights add up to 0".into(), "set at least one weight above 0");
         }
     }
 }
@@ -57,7 +57,7 @@
                 problems.push(Problem {
                     path: format!("accounts[{index}].keys"),
                     message: format!("shares a key with accounts[{other}]"),
-                    remedy: "give each account keys of its own".into(),
+                    remedy: "use each key in one account only".into(),
                 });
             }
         }
--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -70,7 +70,7 @@
         }),
         ("timeout", |d| d["Routes"][1]["TimeoutMs"] = json!(0)),
         ("shares a key", |d| d["Tenants"][1]["ApiKeys"] = json!(["k2"])),
-        ("no prefix", |d| d["Routes"][1]["PathPrefix"] = json!("b")),
+        ("not a valid prefix", |d| d["Routes"][1]["PathPrefix"] = json!("b")),
         ("Kind", |d| {
             d["Routes"][1].as_object_mut().expect("a route").remove("Kind");
         }),
