--- a/src/config/document.rs
+++ b/src/config/document.rs
@@ -1,4 +1,4 @@
-//! The document that operators patch.
+//! The configuration document.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,22 @@
 use crate::error::Problem;
 use crate::ids::{AccountId, KindId, ModelId, ServiceId, WeightVersion};
 
-/// Highest number of a priority; 0 goes first.
+/// The largest priority number, which is the lowest priority; 0 is the highest.
 pub const LOWEST_PRIORITY: u8 = 7;
 
-/// The whole document. Every field may be absent.
+/// The configuration document. All fields are optional.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Config {
     /// Client accounts.
     pub accounts: BTreeMap<AccountId, Account>,
-    /// Kinds of request. A request that names no kind has kind `default`.
+    /// Kinds of request. Requests that name no kind have the kind `default`.
     pub kinds: BTreeMap<KindId, Kind>,
-    /// Models in service.
+    /// Served models.
     pub models: BTreeMap<ModelId, Model>,
-    /// Plain services.
+    /// Plain services, which are neither engines nor stores.
     pub services: BTreeMap<ServiceId, Service>,
-    /// What routing weighs against waiting time.
+    /// Weights of the routing costs relative to waiting time.
     pub prices: Prices,
 }
 
@@ -31,12 +31,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// BLAKE3 of the bearer key, in hex, so that the key itself is in no log or answer.
+    /// BLAKE3 hash of the bearer key in hex. The key itself appears in no log or response.
     pub key_blake3: String,
-    /// Requests that may run at once, over all nodes.
+    /// Maximum number of concurrent requests, over all nodes.
     #[serde(default = "default_max_running")]
     pub max_running: u32,
-    /// Share of a full queue, relative to other accounts of the same priority.
+    /// Weight for the fair sharing of a full queue between accounts of the same priority.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -45,61 +45,61 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Kind {
-    /// 0 goes first, 7 last.
+    /// Priority from 0 (highest) to 7 (lowest).
     pub priority: u8,
-    /// Whether a request may run twice without harm. A caller can tighten it, never loosen it.
+    /// Whether a request may run more than once. A request can forbid it, but not allow it.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
-    /// The deadline of requests that name none.
+    /// Default deadline of a request.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// The service level that the burn report measures against.
+    /// Service level objective, used by the burn report.
     #[serde(default)]
     pub objective: Objective,
 }
 
-/// A service level.
+/// A service level objective.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Objective {
-    /// The first token is due within this time.
+    /// Maximum time to the first token.
     pub first_token_ms: u64,
-    /// Share of requests, of 1, for which that must hold.
+    /// Fraction of requests that must meet it.
     pub share: f64,
 }
 
-/// A model in service.
+/// A served model.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
     /// The weight version that new requests use.
     pub weight_version: WeightVersion,
-    /// The version that engines are moved to, a few at a time. New requests use either meanwhile,
-    /// each one version to its end. Make it `weight_version` when all engines have it.
+    /// The version to which engines are being upgraded, a few at a time. Meanwhile new requests use either
+    /// version. Set `weight_version` to it once all engines are upgraded.
     #[serde(default)]
     pub next_version: Option<WeightVersion>,
-    /// How requests are routed.
+    /// Routing policy.
     #[serde(default)]
     pub policy: Policy,
-    /// Engines that must go on serving in each failure domain while others load weights.
+    /// Minimum number of engines that keep serving in each failure domain while others load weights.
     #[serde(default = "default_floor")]
     pub floor: u32,
-    /// Engines that may load this model's weights at the same time.
+    /// Maximum number of engines that load weights of this model concurrently.
     #[serde(default = "default_concurrent_loads")]
     pub concurrent_loads: u32,
 }
 
-/// How an engine is chosen.
+/// Routing policy of a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Policy {
-    /// One after the other.
+    /// Engines in turn.
     RoundRobin,
-    /// The engine with the least work queued.
+    /// The engine with the least queued work.
     LeastLoad,
-    /// Always the same engine for the same context, by rendezvous hashing.
+    /// The same engine for the same context, by rendezvous hashing.
     PrefixSticky,
-    /// The engine with the least cost: waiting, link use and recomputing weighed together.
+    /// The engine with the lowest weighted cost of waiting, link use and recomputation.
     #[default]
     Cost,
 }
@@ -108,18 +108,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Whether a call may run twice without harm.
+    /// Whether a request may run more than once.
     #[serde(default = "default_repeatable")]
     pub repeatable: bool,
 }
 
-/// What routing weighs against a second of waiting for the first token.
+/// Weights of routing costs, in seconds of waiting for the first token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// Seconds that a mebibyte moved over a store link is worth avoiding.
+    /// Cost of transferring a mebibyte over the link of a store.
     pub link_s_per_mib: f64,
-    /// Seconds that a thousand recomputed tokens are worth avoiding, beside the time they take.
+    /// Cost of recomputing 1,000 tokens, in addition to the time that it takes.
     pub recompute_s_per_kilotoken: f64,
 }
 
@@ -159,33 +159,34 @@
     2
 }
 
-/// The hash of a bearer key as the document holds it.
+/// Hash of a bearer key in the format of `Account::key_blake3`.
 pub fn key_hash(key: &str) -> String {
     blake3::hash(key.as_bytes()).to_hex().to_string()
 }
 
 impl Model {
-    /// Whether new requests may use a version.
+    /// Whether new requests may use this version of the weights.
     pub fn serves(&self, version: &WeightVersion) -> bool {
         self.weight_version == *version || self.next_version.as_ref() == Some(version)
     }
 }
 
 impl Config {
-    /// Reads and checks a document.
+    /// Decodes and validates a document.
     ///
     /// # Errors
-    /// Everything that is wrong with it; at least one problem.
+    /// All problems of the document; at least one.
     pub fn from_value(value: &Value) -> Result<Config, Vec<Problem>> {
         let config: Config = serde_json::from_value(value.clone()).map_err(|source| {
-            let remedy = "mend the field; docs/OPERATIONS.md lists the document's fields".into();
+            let remedy =
+                "correct the field; docs/OPERATIONS.md lists the fields of the document".into();
             vec![Problem { path: "document".into(), message: source.to_string(), remedy }]
         })?;
         let problems = config.problems();
         if problems.is_empty() { Ok(config) } else { Err(problems) }
     }
 
-    /// The kind with this name; `default` exists always.
+    /// Returns the kind with this name. `default` always exists.
     pub fn kind(&self, id: &str) -> Option<Kind> {
         let fallback = (id == "default").then(|| Kind {
             priority: LOWEST_PRIORITY / 2,
@@ -206,35 +207,51 @@
             let path = format!("accounts.{id}");
             if account.key_blake3.len() != 64 {
                 let message = "is not 64 hex digits".into();
-                report(format!("{path}.key_blake3"), message, "give BLAKE3 of the key in hex");
+                report(
+                    format!("{path}.key_blake3"),
+                    message,
+                    "set it to the BLAKE3 hash of the key in hex",
+                );
             }
             if let Some(other) = key_owners.insert(&account.key_blake3, id) {
-                let message = format!("is the key of account {other:?} as well");
-                report(format!("{path}.key_blake3"), message, "give each account its own key");
+                let message = format!("is also the key of account {other:?}");
+                report(
+                    format!("{path}.key_blake3"),
+                    message,
+                    "use a different key for each account",
+                );
             }
             if account.max_running == 0 || account.weight == 0 {
-                report(path, "max_running or weight is 0".into(), "give at least 1");
+                report(path, "max_running or weight is 0".into(), "set it to at least 1");
             }
         }
         for (id, kind) in &self.kinds {
             if kind.priority > LOWEST_PRIORITY {
                 let path = format!("kinds.{id}.priority");
-                report(path, format!("{} is too high", kind.priority), "give 0 to 7");
+                report(path, format!("{} is too high", kind.priority), "set it to 0 to 7");
             }
             if !(0.0..1.0).contains(&kind.objective.share) {
                 let path = format!("kinds.{id}.objective.share");
-                report(path, format!("{}", kind.objective.share), "give 0 up to, not including, 1");
+                report(
+                    path,
+                    format!("{}", kind.objective.share),
+                    "set it to at least 0 and less than 1",
+                );
             }
         }
         for (id, model) in &self.models {
             if model.weight_version.is_empty() {
                 let path = format!("models.{id}.weight_version");
-                report(path, "is empty".into(), "name the weight version to serve");
+                report(path, "is empty".into(), "set it to the weight version to serve");
             }
         }
         let prices = [self.prices.link_s_per_mib, self.prices.recompute_s_per_kilotoken];
         if prices.iter().any(|price| !price.is_finite() || *price < 0.0) {
-            report("prices".into(), "a price is negative".into(), "give numbers from 0");
+            report(
+                "prices".into(),
+                "a price is negative or not finite".into(),
+                "set it to at least 0",
+            );
         }
         problems
     }
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -1,4 +1,4 @@
-//! The numbered configuration as replicas and nodes hold it, and how news of it travel.
+//! The newest configuration that a process knows, its recent patches, and updates between processes.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -11,24 +11,24 @@
 use crate::error::Problem;
 use crate::ids::{AccountId, ConfigNumber};
 
-/// Patches kept so that a node that is a little behind gets only those.
+/// Number of recent patches that are kept. A node that lacks at most these is updated by patches.
 const MAX_PATCHES: usize = 256;
 
-/// One number of the configuration.
+/// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NumberedConfig {
-    /// The number. 0 is the empty configuration, before the first patch.
+    /// The number of the version. 0 is the empty configuration before the first patch.
     pub number: ConfigNumber,
     /// The document.
     pub document: Value,
-    /// The document, read and checked.
+    /// The decoded and validated document.
     pub config: Config,
-    /// Accounts by the hash of their key. Invariant: those of `config`.
+    /// Index of the accounts of `config` by the hash of their key.
     accounts_by_key: HashMap<String, AccountId>,
 }
 
 impl NumberedConfig {
-    /// Numbers a checked document.
+    /// Creates a version from a document and its decoded, validated content.
     pub fn new(number: ConfigNumber, document: Value, config: Config) -> NumberedConfig {
         let by_key =
             |(id, account): (&AccountId, &Account)| (account.key_blake3.clone(), id.clone());
@@ -36,39 +36,40 @@
         NumberedConfig { number, document, config, accounts_by_key }
     }
 
-    /// The account that a bearer key belongs to.
+    /// Returns the account that a bearer key belongs to.
     pub fn account_of_key(&self, key: &str) -> Option<&AccountId> {
         self.accounts_by_key.get(&key_hash(key))
     }
 }
 
-/// The newest configuration known here and the patches that led to it.
+/// The newest known configuration and the most recent patches.
 ///
-/// Invariant: the number never falls.
+/// Invariant: the number never decreases.
 #[derive(Clone, Debug)]
 pub struct ConfigHistory {
     newest: Arc<NumberedConfig>,
-    /// The last patches, each with the number that it made; consecutive, the last is the newest.
+    /// The most recent patches, oldest first, each with the number of the resulting version. The numbers are
+    /// consecutive and end with the newest one.
     patches: VecDeque<(ConfigNumber, String)>,
 }
 
-/// What a node needs to get from its number to a newer one.
+/// An update of a node's configuration to a newer version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Update {
-    /// Nothing: it has the newest number.
+    /// The node has the newest version already.
     None,
-    /// Patches as JSON text, each with the number that it makes, in order.
+    /// Patches as JSON text, in order, each with the number of the resulting version.
     Patches(Vec<(ConfigNumber, String)>),
-    /// The whole document as JSON text.
+    /// The full document as JSON text, with its number.
     Full(ConfigNumber, String),
 }
 
-/// An update can't be used.
+/// Why an update can't be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateError {
-    /// It leads to a lower number than the one known here.
+    /// The update leads to a lower number than the known one.
     OlderNumber,
-    /// It does not follow on the number known here, or is damaged.
+    /// The update does not follow the known number, or is corrupt.
     Invalid,
 }
 
@@ -91,15 +92,15 @@
         self.newest.number
     }
 
-    /// The number, patch text and age order of the patches that are still kept.
+    /// The kept patches, oldest first, each with the number of the resulting version.
     pub fn patches(&self) -> impl Iterator<Item = &(ConfigNumber, String)> {
         self.patches.iter()
     }
 
-    /// What a patch would make of the newest document.
+    /// Applies a patch to a copy of the newest document and returns the resulting version.
     ///
     /// # Errors
-    /// Everything that is wrong with the result.
+    /// All problems of the resulting document.
     pub fn preview_patch(&self, change: &Value) -> Result<NumberedConfig, Vec<Problem>> {
         let mut document = self.newest.document.clone();
         patch::merge(&mut document, change);
@@ -107,7 +108,7 @@
         Ok(NumberedConfig::new(self.number() + 1, document, config))
     }
 
-    /// Makes a patched document the newest.
+    /// Appends the result of `preview_patch`, which becomes the newest version.
     pub fn append(&mut self, next: NumberedConfig, patch_text: String) {
         debug_assert_eq!(next.number, self.number() + 1);
         self.patches.push_back((next.number, patch_text));
@@ -117,7 +118,7 @@
         self.newest = Arc::new(next);
     }
 
-    /// What somebody with number `known_number` needs to get to the newest one.
+    /// Returns the update from `known_number` to the newest version.
     pub fn update_since(&self, known_number: ConfigNumber) -> Update {
         if known_number >= self.number() {
             return Update::None;
@@ -130,22 +131,22 @@
         Update::Patches(missing.cloned().collect())
     }
 
-    /// Takes over kept patches, the last of which made the newest number.
+    /// Restores the recent patches from a snapshot. They are ignored if they don't end with the newest number.
     pub fn restore_patches(&mut self, patches: Vec<(ConfigNumber, String)>) {
         if patches.last().is_none_or(|(number, _)| *number == self.number()) {
             self.patches = patches.into();
         }
     }
 
-    /// The whole newest document as an update.
+    /// Returns an update with the full document.
     pub fn full_update(&self) -> Update {
         Update::Full(self.number(), self.newest.document.to_string())
     }
 
-    /// Takes an update.
+    /// Applies an update. Patches up to the known number are skipped.
     ///
     /// # Errors
-    /// If it must not or can't be used; nothing has changed then.
+    /// If the update is older or invalid; the configuration is unchanged then.
     pub fn apply_update(&mut self, update: &Update) -> Result<(), UpdateError> {
         match update {
             Update::None => Ok(()),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The numbered configuration: what operators decide, and how a patch changes it.
+//! The configuration: the document that operators patch, and its numbered versions.
 
 pub mod document;
 pub mod history;
--- a/src/config/patch.rs
+++ b/src/config/patch.rs
@@ -1,4 +1,4 @@
-//! JSON merge patch (RFC 7396): how a patch changes a document.
+//! JSON merge patch (RFC 7396).
 
 use serde_json::{Map, Value};
 
