--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -1,8 +1,8 @@
 //! Authentication between nodes with one shared key.
 //!
-//! TCP: both sides send a nonce; keys of the two directions are derived from the shared key and
-//! both nonces, and each frame's code covers its position, so that nothing can be replayed, moved
-//! or dropped unseen. UDP: each datagram names its sender's start and a number that is taken once.
+//! TCP: both sides send a nonce, and a key for each direction is derived from the shared key and both
+//! nonces. The tag of each frame covers its sequence number, so replayed, reordered and dropped frames are
+//! detected. UDP: each datagram carries its sender's boot number and a sequence number, and is accepted once.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -12,46 +12,47 @@
 
 /// Length of a nonce.
 pub const NONCE_BYTES: usize = 16;
-/// Length of an authentication code.
+/// Length of an authentication tag.
 pub const TAG_BYTES: usize = 16;
-/// Fewest bytes of key material.
+/// Minimum length of the key material.
 const MIN_KEY_BYTES: usize = 32;
-/// Datagrams that may overtake each other.
+/// Number of recent sequence numbers of a sender within which datagrams may arrive out of order. At most 64.
 const REPLAY_WINDOW: u64 = 64;
-/// Sender, receiver, sender's start, number.
+/// Sender, receiver, boot number and sequence number, 8 bytes each.
 const DATAGRAM_HEADER_BYTES: usize = 32;
 
-/// The key that all nodes share.
+/// The key shared by all nodes.
 #[derive(Clone)]
 pub struct PeerKey([u8; 32]);
 
-/// A code, order or sender is wrong: the bytes must not be used.
+/// A frame or datagram is forged, corrupt, replayed or out of order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuthError;
 
 impl PeerKey {
-    /// Reads the key file: at least 32 bytes, white space at the ends ignored.
+    /// Reads the key file. Leading and trailing white space is ignored.
     ///
     /// # Errors
-    /// `Error::Start` if it can't be read or is too short.
+    /// `Error::Start` if the file can't be read or has less than 32 bytes.
     pub fn read(path: &Path) -> Result<PeerKey> {
-        let remedy = "write at least 32 random bytes into the file and give every node the same";
+        let remedy = "write at least 32 random bytes into the file and copy it to every node";
         let bytes =
             std::fs::read(path).map_err(|source| Error::start("key_file", source, remedy))?;
         let material = bytes.trim_ascii();
         if material.len() < MIN_KEY_BYTES {
-            let reason = format!("{} bytes are too few", material.len());
+            let reason = format!("{} bytes are too short for a key", material.len());
             return Err(Error::start("key_file", reason, remedy));
         }
         Ok(PeerKey::from_material(material))
     }
 
-    /// The key of some key material.
+    /// Derives the key from key material.
     pub fn from_material(material: &[u8]) -> PeerKey {
         PeerKey(blake3::derive_key("kumquatpost 2026 node to node", material))
     }
 
-    /// The keys of a connection: from the side that connects, and towards it.
+    /// Derives the keys of a connection between the nodes `(connecting, accepting)`: for frames from the
+    /// connecting side, and for frames to it.
     pub fn session_keys(
         &self,
         connecting: &[u8; NONCE_BYTES],
@@ -74,26 +75,26 @@
     }
 }
 
-/// One direction of a connection.
+/// Signs or verifies the frames of one direction of a connection.
 #[derive(Clone, Debug)]
 pub struct FrameAuthenticator {
     key: [u8; 32],
-    /// Number of the next frame.
+    /// Sequence number of the next frame.
     next_number: u64,
 }
 
 impl FrameAuthenticator {
-    /// The code of the next frame.
+    /// Returns the tag of the next frame.
     pub fn sign(&mut self, body: &[u8]) -> [u8; TAG_BYTES] {
         let hash = self.next_tag(body);
         self.next_number += 1;
         truncate(&hash)
     }
 
-    /// Checks the next frame.
+    /// Verifies the tag of the next frame.
     ///
     /// # Errors
-    /// If it is not what the other side sent at this place.
+    /// If the peer did not send this frame at this position.
     pub fn verify(&mut self, body: &[u8], tag: &[u8; TAG_BYTES]) -> Result<(), AuthError> {
         if !constant_time_eq(&truncate(&self.next_tag(body)), tag) {
             return Err(AuthError);
@@ -110,7 +111,7 @@
     }
 }
 
-/// Seals datagrams of one start of a node.
+/// Signs the datagrams that a node sends between its start and its end.
 pub struct DatagramSigner {
     key: PeerKey,
     node: NodeId,
@@ -119,12 +120,12 @@
 }
 
 impl DatagramSigner {
-    /// `boot` must be greater than at any earlier start of the node.
+    /// `boot` must be greater than at all earlier starts of the node.
     pub fn new(key: PeerKey, node: NodeId, boot: u64) -> DatagramSigner {
         DatagramSigner { key, node, boot, next_number: 1 }
     }
 
-    /// A datagram for one node.
+    /// Returns a signed datagram for node `to`.
     pub fn sign(&mut self, to: NodeId, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(DATAGRAM_HEADER_BYTES + body.len() + TAG_BYTES);
         for number in [self.node, to, self.boot, self.next_number] {
@@ -138,31 +139,32 @@
     }
 }
 
-/// Opens datagrams; each is taken once.
+/// Verifies received datagrams and accepts each only once.
 pub struct DatagramVerifier {
     key: PeerKey,
     node: NodeId,
     senders: HashMap<NodeId, ReplayWindow>,
 }
 
+/// The sequence numbers that were received from one sender.
 #[derive(Default)]
 struct ReplayWindow {
     boot: u64,
     highest: u64,
-    /// Bit `n`: the number `highest - n` was taken.
+    /// Bit `n` is set if the number `highest - n` was received.
     received: u64,
 }
 
 impl DatagramVerifier {
-    /// Opens datagrams that are for `node`.
+    /// Accepts datagrams that are addressed to `node`.
     pub fn new(key: PeerKey, node: NodeId) -> DatagramVerifier {
         DatagramVerifier { key, node, senders: HashMap::new() }
     }
 
-    /// The sender and body of a datagram.
+    /// Returns the sender and the body of a datagram.
     ///
     /// # Errors
-    /// If it is damaged, forged, for another node, or was taken before.
+    /// If the datagram is corrupt, forged, addressed to another node, a replay or too old.
     pub fn verify<'b>(&mut self, bytes: &'b [u8]) -> Result<(NodeId, &'b [u8]), AuthError> {
         let Some(length) = bytes.len().checked_sub(TAG_BYTES) else { return Err(AuthError) };
         if length < DATAGRAM_HEADER_BYTES {
@@ -188,6 +190,7 @@
 }
 
 impl ReplayWindow {
+    /// Records a number. Returns false if it is a replay or too old.
     fn accept(&mut self, boot: u64, number: u64) -> bool {
         if boot < self.boot {
             return false;
@@ -217,7 +220,6 @@
     tag
 }
 
-/// Compares in constant time.
 fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |differs, (x, y)| differs | (x ^ y)) == 0
 }
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! Node-to-node traffic: authenticated frames over TCP and datagrams over UDP, in postcard.
+//! Communication between nodes: authenticated frames over TCP and datagrams over UDP, encoded with postcard.
 
 pub mod auth;
 pub mod links;
