--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -16,7 +16,8 @@
 pub const TAG_BYTES: usize = 16;
 /// Minimum length of the key material.
 const MIN_KEY_BYTES: usize = 32;
-/// Number of recent sequence numbers of a sender within which datagrams may arrive out of order. At most 64.
+/// Number of recent sequence numbers of a sender within which datagrams may arrive out of
+/// order. At most 64, the width of the bitmap.
 const REPLAY_WINDOW: u64 = 64;
 /// Sender, receiver, boot number and sequence number, 8 bytes each.
 const DATAGRAM_HEADER_BYTES: usize = 32;
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -1,4 +1,4 @@
-//! Connections between nodes: one outgoing connection to each peer that is talked to.
+//! Connections between nodes: each node opens one connection to each peer to which it sends frames.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -20,26 +20,26 @@
 use crate::ids::NodeId;
 use crate::log::Message;
 
-/// Frames that wait for one connection; more are dropped, as on a lost network.
+/// Maximum number of frames queued for one connection. Further frames are dropped.
 const MAX_QUEUED_FRAMES: usize = 4_096;
-/// Largest frame.
+/// Maximum size of a frame.
 const MAX_FRAME_BYTES: usize = 256 << 20;
-/// Largest first frame: until it has been checked, anybody may be sending it.
+/// Maximum size of the first frame of a connection, which is read before the peer is authenticated.
 const MAX_FIRST_FRAME_BYTES: usize = 1 << 20;
-/// Connecting and shaking hands must end within this time.
+/// Maximum time for connecting and the handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before a failed connection is tried again.
+/// Delay before a failed connection attempt or accept is retried.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
-/// Questions that are answered at a time, over all connections.
+/// Maximum number of requests that are handled concurrently, over all connections.
 const MAX_CONCURRENT_REQUESTS: usize = 4_096;
 
-/// What a node does with frames of others. The edge between transport and node.
+/// Handles the frames that a node receives.
 pub trait PeerHandler: Send + Sync {
-    /// Takes a message between replicas.
+    /// Handles a message of the replicated log.
     fn handle_log_message(&self, from: NodeId, message: Message);
-    /// Takes news of a dispatch by another node.
+    /// Handles the notification of a dispatch by another node.
     fn handle_dispatched(&self, dispatched: &Dispatched);
-    /// Answers a question.
+    /// Handles a request and returns the response.
     fn handle_request(
         self: Arc<Self>,
         from: NodeId,
@@ -47,38 +47,38 @@
     ) -> BoxFuture<'static, PeerResponse>;
 }
 
-/// Why there is no answer.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum PeerRequestError {
-    /// No answer came in time. The question may have had its effect.
-    #[snafu(display("no answer in time; check that the node runs and can be reached"))]
+    /// There was no response in time. The request may have taken effect.
+    #[snafu(display("no response in time; check that the node runs and can be reached"))]
     Timeout,
-    /// The node can't be reached, or its connection broke. The question may have had its effect.
+    /// The node can't be reached, or the connection was lost. The request may have taken effect.
     #[snafu(display("the node can't be reached; check that it runs"))]
     Unreachable,
-    /// The node's address is not known.
-    #[snafu(display("unknown node; list it in the settings"))]
+    /// The address of the node is unknown.
+    #[snafu(display("unknown node; add it to the settings"))]
     Unknown,
 }
 
-/// All connections of a node.
+/// The connections of a node to its peers.
 pub struct Links {
     own_id: NodeId,
     key: PeerKey,
     addresses: RwLock<HashMap<NodeId, SocketAddr>>,
     outgoing: Mutex<HashMap<NodeId, mpsc::Sender<Frame>>>,
-    /// Questions that wait for an answer, with the node that was asked.
+    /// Requests that wait for a response, by number, with the peer that they were sent to.
     pending: Mutex<HashMap<u64, (NodeId, oneshot::Sender<PeerResponse>)>>,
     next_request: AtomicU64,
     request_permits: Semaphore,
     handler: OnceLock<Arc<dyn PeerHandler>>,
-    /// Nodes that a test has cut off from this one.
+    /// Peers from which frames are neither sent nor received; set by tests.
     blocked: RwLock<BTreeSet<NodeId>>,
     sent_bytes: AtomicU64,
 }
 
 impl Links {
-    /// Connections of `own_id`, none open yet.
+    /// Creates the connections of node `own_id`. None is open yet.
     pub fn new(own_id: NodeId, key: PeerKey, addresses: HashMap<NodeId, SocketAddr>) -> Arc<Links> {
         Arc::new(Links {
             own_id,
@@ -94,13 +94,13 @@
         })
     }
 
-    /// Sets who takes the frames; call it once, before anything is accepted.
+    /// Sets the handler. Must be called once, before connections are accepted.
     pub fn set_handler(&self, handler: Arc<dyn PeerHandler>) {
-        // A second call would be a defect of the caller; the first handler stays.
+        // A second call is a bug of the caller; the first handler stays.
         drop(self.handler.set(handler));
     }
 
-    /// Records where a node is reached.
+    /// Sets the address of a node. If it has changed, the connection to the old address is dropped.
     pub fn set_address(&self, node: NodeId, address: SocketAddr) {
         let changed = self.addresses.write().insert(node, address) != Some(address);
         if changed {
@@ -108,35 +108,35 @@
         }
     }
 
-    /// Cuts this node off from others, in both directions. For tests.
+    /// Blocks frames to and from these nodes, and only these. Simulates a network partition in tests.
     pub fn set_blocked_peers(&self, nodes: BTreeSet<NodeId>) {
         *self.blocked.write() = nodes;
     }
 
-    /// Whether a test has cut `node` off.
+    /// Whether `node` is blocked.
     pub fn is_blocked(&self, node: NodeId) -> bool {
         self.blocked.read().contains(&node)
     }
 
-    /// Bytes sent to other nodes so far.
+    /// Number of bytes sent to other nodes so far.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Sends a message between replicas. It may be lost.
+    /// Sends a message of the replicated log. It may be lost.
     pub fn send(self: &Arc<Links>, to: NodeId, message: Message) {
         self.enqueue(to, Frame::Log(message));
     }
 
-    /// Tells a node of a dispatch. It may be lost.
+    /// Notifies a node of a dispatch. The notification may be lost.
     pub fn send_dispatched(self: &Arc<Links>, to: NodeId, dispatched: Dispatched) {
         self.enqueue(to, Frame::Dispatched(dispatched));
     }
 
-    /// Asks a node; this node itself is asked without a connection.
+    /// Sends a request and waits for the response. A request to this node itself is handled locally.
     ///
     /// # Errors
-    /// If no answer came within `timeout`, or none can come.
+    /// If there is no response within `timeout`, or the connection fails before.
     pub async fn request(
         self: &Arc<Links>,
         to: NodeId,
@@ -190,10 +190,11 @@
             tokio::spawn(self.clone().send_frames(to, receiver));
             sender
         });
-        // A full queue loses the frame; whoever needs an answer asks again.
+        // If the queue is full, the frame is dropped; requests time out and are retried by the caller.
         drop(sender.try_send(frame));
     }
 
+    /// Sends queued frames. Opens a connection when there is a frame and none is open.
     async fn send_frames(self: Arc<Links>, to: NodeId, mut frames: mpsc::Receiver<Frame>) {
         while let Some(first) = frames.recv().await {
             let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.open_connection(to)).await;
@@ -208,7 +209,7 @@
             } else {
                 self.fail_pending_requests(to);
                 tokio::time::sleep(RECONNECT_DELAY).await;
-                // What waited is stale by now.
+                // The queued frames are outdated by now.
                 while frames.try_recv().is_ok() {}
                 self.fail_pending_requests(to);
             }
@@ -302,18 +303,19 @@
                 drop(pending.send(response));
             }
         }
-        // The next frame opens a new connection.
+        // The next frame to the peer opens a new connection.
         self.outgoing.lock().remove(&from);
         self.fail_pending_requests(from);
     }
 
-    /// Whoever waits for an answer of a node is told at once that none will come. A lease that is renewed
-    /// with one node after the other runs out if each that has ended takes a whole timeout.
+    /// Fails all requests that wait for a response of a node, without waiting for their timeouts. Otherwise a
+    /// lease could expire while its holder tries several stopped nodes one after the other.
     fn fail_pending_requests(&self, to: NodeId) {
         self.pending.lock().retain(|_, (peer, _)| *peer != to);
     }
 }
 
+/// Writes frames to a connection.
 struct Writer {
     links: Arc<Links>,
     write: OwnedWriteHalf,
@@ -347,10 +349,11 @@
     }
 }
 
+/// Reads and verifies frames of a connection.
 struct Reader {
     read: BufReader<OwnedReadHalf>,
     authenticator: FrameAuthenticator,
-    /// Whether a frame has been checked already.
+    /// Whether a frame of the peer was verified already.
     is_peer_verified: bool,
 }
 
@@ -367,7 +370,7 @@
         self.read.read_exact(&mut body).await?;
         self.authenticator
             .verify(&body, &tag)
-            .map_err(|_| std::io::Error::other("not authentic"))?;
+            .map_err(|_| std::io::Error::other("frame authentication failed"))?;
         self.is_peer_verified = true;
         postcard::from_bytes(&body).map_err(std::io::Error::other)
     }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other.
+//! Messages between nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,128 +11,128 @@
 use crate::quarantine::{Report, Revision};
 use crate::whereabouts::{Kept, Seen, Written};
 
-/// One frame of a connection.
+/// A frame of a connection.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Between replicas; no answer.
+    /// A message of the replicated log; has no response.
     Log(Message),
-    /// News of a dispatch; no answer.
+    /// Notification of a dispatch; has no response.
     Dispatched(Dispatched),
-    /// A question.
+    /// A request with its number.
     Request(u64, PeerRequest),
-    /// The answer to the question with this number.
+    /// The response to the request with this number.
     Response(u64, PeerResponse),
 }
 
-/// A node sent a request to an engine, which the engine's next report can't show yet.
+/// Notification that a node sent a prompt to an engine, so that others count it before the engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatched {
     /// The engine.
     pub engine: TargetId,
-    /// The start of it.
+    /// The start of the engine.
     pub incarnation: Incarnation,
-    /// Tokens that it must prefill.
+    /// Number of tokens that the engine must prefill.
     pub prefill_tokens: u64,
-    /// What it imports first.
+    /// The import that precedes the prefill.
     pub import: Option<StoreImport>,
 }
 
-/// An import that uses a store's link.
+/// An import from a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreImport {
     /// The store.
     pub store: TargetId,
-    /// Bytes moved.
+    /// Size of the import in bytes.
     pub size_bytes: u64,
 }
 
-/// A question.
+/// A request of a node to another one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Renews a freshness lease.
     RenewLease(RenewLease),
-    /// Has a command decided. Only the leader does.
+    /// Proposes a command to the replicated log. Only the leader accepts it.
     Propose(Command),
-    /// Reads the configuration, confirmed by a quorum. Only the leader does.
+    /// Reads the newest configuration, confirmed by a quorum. Only the leader accepts it.
     ReadConfig {
-        /// The number that the asker has.
+        /// The configuration number of the requesting node.
         known_number: ConfigNumber,
     },
-    /// Changes the replicas. Only the leader does.
+    /// Changes the set of replicas. Only the leader accepts it.
     ChangeReplicas(Change),
-    /// What is kept of contexts that begin with this block? The answer pins it for a while.
+    /// Looks up the stored contexts that start with this block, and pins them for a while.
     Lookup {
         /// The first block.
         root: BlockKey,
     },
-    /// A prompt was answered.
+    /// Reports a completed prompt.
     Seen(Seen),
-    /// An export ended.
+    /// Reports a completed export.
     Written(Written),
-    /// Asks the owner of an account for a share of its limit.
+    /// Requests a share of the limit of an account from its owner.
     Share(Demand),
-    /// For the operators' pages.
+    /// Reads the status of the node, for operators.
     Status,
 }
 
-/// Renews a freshness lease.
+/// Request to renew a freshness lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RenewLease {
-    /// The number that the asker has.
+    /// The configuration number of the requesting node.
     pub known_number: ConfigNumber,
-    /// The number that all nodes below the asker have.
+    /// The lowest configuration number among the requesting node and the nodes that it grants leases to.
     pub subtree_number: ConfigNumber,
-    /// Whether the asked node shall grant as a relay; else it must be the leader.
+    /// Whether the granting node acts as a relay. Otherwise it must be the leader.
     pub as_relay: bool,
-    /// What the asker knows of requests under which targets have ended, and the asked node may not.
+    /// Reports on requests that terminated targets which the granting node may not have.
     pub quarantine: Vec<Report>,
-    /// What the asker was told of them by the asked node.
+    /// Up to where the requesting node has received such reports from the granting node.
     pub quarantine_received: QuarantineCursor,
 }
 
-/// What one node was told by another of requests under which targets have ended.
+/// Position in a node's sequence of changes to its quarantine reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineCursor {
-    /// The teller's start; 0 if nothing was told.
+    /// Boot number of the node that sent the reports; 0 if none were received.
     pub boot: u64,
-    /// All changes of the teller's book up to this one.
+    /// Revision of the last change that was received.
     pub revision: Revision,
 }
 
-/// An answer.
+/// A response to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// A freshness lease, counted from when the asker sent its renewal.
+    /// A freshness lease. It starts when the requesting node sent the renewal.
     Granted {
-        /// How long it lasts.
+        /// Duration of the lease.
         lasts_ms: u64,
-        /// The number that the asker has once it has applied the update.
+        /// The configuration number after the update is applied.
         number: ConfigNumber,
-        /// How it gets there.
+        /// Update to that number.
         update: Update,
-        /// Requests under which several targets have ended, as far as the asker was not told.
+        /// Reports on requests that terminated several targets, after `quarantine_received`.
         quarantine: Vec<Report>,
-        /// What the asker has been told of them by now.
+        /// Up to where the requesting node has received such reports with this response.
         quarantine_sent: QuarantineCursor,
     },
-    /// The command was decided.
+    /// Result of the command, which is committed.
     Decided(Reply),
     /// The configuration.
     Config(Update),
-    /// The change of the replicas is committed, or why not.
+    /// The change of the replicas is committed, or the reason why not.
     ReplicasChanged(Result<(), String>),
-    /// What is kept.
+    /// The stored contexts.
     Kept(Vec<Kept>),
-    /// It would be worth exporting this.
+    /// An export that is worthwhile, if any.
     Export(Option<crate::whereabouts::ExportPlan>),
     /// A share of an account's limit.
     Share(Share),
-    /// Done.
+    /// The request was processed.
     Done,
-    /// For the operators' pages, as JSON text.
+    /// The status of the node as JSON text.
     Status(String),
-    /// The asked node does not lead; this one may.
+    /// The node is not the leader; this one may be.
     NotLeader(Option<NodeId>),
-    /// The asked node can't answer now, for example since its own lease has ended.
+    /// The node can't process the request now, for example because its own lease has expired.
     Unable,
 }
