--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to the platform, to engines and to stores that are no callers' requests.
+//! HTTP calls of this system itself to the platform, engines and stores.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::ids::TargetId;
 use crate::platform::headers;
 
-/// An answer's body is not read beyond this: the inventory of a store with some ten thousand parts.
+/// Maximum size of a response body. The inventory of a store with tens of thousands of parts fits.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A connection whose bytes are not acknowledged for this long is given up.
+/// A connection fails once sent data stays unacknowledged for this long.
 const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call.
+/// An HTTP request to an address.
 #[derive(Clone, Debug)]
 pub struct HttpCall {
     to: SocketAddr,
@@ -29,25 +29,25 @@
     json: Option<Vec<u8>>,
 }
 
-/// Its answer.
+/// The response to an `HttpCall`.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why a call got no response.
 pub type CallError = Box<dyn std::error::Error + Send + Sync>;
 
 impl HttpCall {
-    /// A call without a body.
+    /// Creates a call without a body.
     pub fn new(to: SocketAddr, method: Method, path: &str) -> HttpCall {
         HttpCall { to, method, path: path.to_string(), headers: Vec::new(), json: None }
     }
 
-    /// Any target but this one must refuse it.
+    /// Makes every target but this one refuse the call.
     pub fn with_expected_target(mut self, target: &TargetId) -> HttpCall {
         self.headers.push((headers::EXPECT_INSTANCE, target.clone()));
         self
@@ -59,7 +59,7 @@
         self
     }
 
-    /// Sends a JSON text.
+    /// Sets a JSON body.
     pub fn with_json(mut self, json: Vec<u8>) -> HttpCall {
         self.headers.push((CONTENT_TYPE, "application/json".to_string()));
         self.json = Some(json);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Calls to one address, one after another on one connection for as long as it lasts.
+/// Makes calls to one address, one after the other, and reuses the connection while it is open.
 pub struct Session {
     to: SocketAddr,
     connection: Option<Connection>,
@@ -94,15 +94,15 @@
 }
 
 impl Session {
-    /// No connection yet.
+    /// Creates a session without a connection.
     pub fn new(to: SocketAddr) -> Session {
         Session { to, connection: None }
     }
 
-    /// Makes a call and reads the whole answer.
+    /// Makes a call and reads the complete response.
     ///
     /// # Errors
-    /// If there is none in time. The next call uses a new connection then.
+    /// If the call fails or times out. The next call uses a new connection then.
     pub async fn fetch(
         &mut self,
         call: HttpCall,
@@ -132,10 +132,10 @@
     }
 }
 
-/// Makes a call on a connection of its own and reads the whole answer.
+/// Makes a call on a new connection and reads the complete response.
 ///
 /// # Errors
-/// If there is none in time.
+/// If the call fails or times out.
 pub async fn fetch(call: HttpCall, timeout: Duration) -> Result<HttpResponse, CallError> {
     Session::new(call.to).fetch(call, timeout).await
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! TCP connections: accepted ones, and ones that notice a peer that has gone silent.
+//! TCP connections with a timeout for unacknowledged data.
 
 pub mod http;
 pub mod text_server;
@@ -10,10 +10,10 @@
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept: descriptors may be short.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Hands out each connection that comes, for as long as the process lives.
+/// Accepts connections and passes each to `handle`. Never returns.
 pub async fn for_each_connection(listener: TcpListener, handle: impl Fn(TcpStream)) {
     loop {
         match listener.accept().await {
@@ -26,11 +26,10 @@
     }
 }
 
-/// Opens a connection within `timeout`. It fails once bytes stay unacknowledged for
-/// `ack_timeout`.
+/// Opens a connection within `timeout`, and sets its `ack_timeout`.
 ///
 /// # Errors
-/// Those of the operating system, and `TimedOut`.
+/// `TimedOut`, and errors of the operating system.
 pub async fn connect(
     to: SocketAddr,
     timeout: Duration,
@@ -42,17 +41,18 @@
     Ok(stream)
 }
 
-/// Whether nothing listens at an address. One that does not answer may still listen.
+/// Whether an address actively refuses connections. Returns false if there is no response.
 pub async fn refuses_connections(host: &str, port: u16, timeout: Duration) -> bool {
     let connecting = tokio::time::timeout(timeout, TcpStream::connect((host, port)));
     let refused = |error: io::Error| error.kind() == io::ErrorKind::ConnectionRefused;
     connecting.await.is_ok_and(|connected| connected.is_err_and(refused))
 }
 
-/// Sends small writes at once, and fails once bytes stay unacknowledged for that long.
+/// Disables Nagle's algorithm, and makes the connection fail once sent data stays unacknowledged for
+/// `ack_timeout`.
 ///
 /// # Errors
-/// Those of the operating system.
+/// Errors of the operating system.
 pub fn set_ack_timeout(stream: &TcpStream, ack_timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(ack_timeout))
--- a/src/net/text_server.rs
+++ b/src/net/text_server.rs
@@ -1,4 +1,4 @@
-//! Answers every HTTP request at an address with a short text.
+//! HTTP server that answers every request with a short text.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Answers for as long as the process lives, each time with what `respond` gives then.
+/// Serves the result of `respond` to each request. Never returns.
 pub async fn serve(listener: TcpListener, respond: impl Fn() -> (StatusCode, String) + 'static) {
     let respond = Rc::new(respond);
     let handle = |stream| drop(tokio::task::spawn_local(serve_connection(stream, respond.clone())));
