--- a/src/upstream/api.rs
+++ b/src/upstream/api.rs
@@ -1,4 +1,4 @@
-//! What targets and the platform speak: JSON over HTTP, with the OpenAI-compatible shape for prompts.
+//! JSON messages of targets and the platform, except prompts, which have OpenAI-compatible formats.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,29 +7,29 @@
     WeightVersion,
 };
 
-/// Names the request; an engine repeats it in the `id` of each chunk, before the attempt.
+/// The request id. An engine repeats it, followed by the attempt, in the `id` of each chunk.
 pub const REQUEST_HEADER: &str = "x-request-id";
-/// Counts the dispatches of the request.
+/// Number of the dispatch of the request, starting at 1.
 pub const ATTEMPT_HEADER: &str = "x-attempt";
-/// The account, which an engine mixes into the keys of cached blocks.
+/// The client account. Cached blocks are shared within an account only.
 pub const OWNER_HEADER: &str = "x-cache-owner";
-/// The weight version that must answer; an engine with another one refuses without running.
+/// The required version of the weights. An engine with another version refuses the request.
 pub const VERSION_HEADER: &str = "x-weight-version";
-/// The request's priority, 0 first.
+/// Priority of the request; 0 is the highest.
 pub const PRIORITY_HEADER: &str = "x-priority";
-/// Set by a target on a refusal that proves that nothing was run.
+/// Set by a target in a response if it did not run the request.
 pub const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// What a target is.
+/// Role of a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "role")]
 pub enum Role {
     /// A model engine.
     Engine {
-        /// The model that it serves.
+        /// The served model.
         model: ModelId,
     },
-    /// A store of kept KV cache.
+    /// A store of KV cache.
     Store,
     /// An instance of a plain service.
     Service {
@@ -38,128 +38,128 @@
     },
 }
 
-/// Whether a target takes new work.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Presence {
-    /// It takes work.
+    /// It accepts requests.
     Live,
-    /// It finishes what it has and then goes.
+    /// It finishes its requests and then stops.
     Leaving,
 }
 
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The target.
+    /// Id of the target.
     pub id: TargetId,
-    /// Counts its starts.
+    /// Number of its current start.
     pub incarnation: Incarnation,
-    /// What it is.
+    /// Its role.
     #[serde(flatten)]
     pub role: Role,
     /// Its base URL.
     pub url: String,
     /// Its failure domain.
     pub failure_domain: DomainId,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub presence: Presence,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
 }
 
-/// The platform's list; it lags behind the truth.
+/// The platform's list of targets, which may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetList {
     /// All live and leaving targets.
     pub targets: Vec<Target>,
 }
 
-/// An engine's report on its load, which lags.
+/// Load report of an engine, which may be outdated.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Counts the engine's starts.
+    /// Number of the engine's start.
     pub incarnation: Incarnation,
-    /// How old the report is, in milliseconds.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests that wait for the batch.
+    /// Number of requests that wait to enter the batch.
     pub waiting: u32,
-    /// Prompt tokens still to be prefilled, running and waiting ones.
+    /// Prompt tokens that are not prefilled yet, of running and waiting requests.
     pub queued_prefill_tokens: u64,
-    /// Largest batch.
+    /// Maximum size of the batch.
     pub max_batch: u32,
-    /// Prefill rate in tokens a second.
+    /// Prefill rate in tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// Bytes of KV cache that a token takes.
+    /// Size of one token in the KV cache in bytes.
     pub kv_bytes_per_token: u64,
-    /// The weight version that is loaded; `None` while none is.
+    /// The loaded version of the weights, if any.
     pub weight_version: Option<WeightVersion>,
-    /// Whether equal requests give equal answers, so that a broken one may be restarted.
+    /// Whether equal requests have equal responses, so that an interrupted one may be restarted.
     pub reproducible: bool,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Counts the engine's events; a missing number is a gap.
+    /// Number of the event. A gap in the numbers means that events were lost.
     pub seq: u64,
-    /// Whether the prefix came or went.
+    /// Whether the prefix was stored or evicted.
     pub change: CacheChange,
     /// The prefix.
     #[serde(with = "hex_key")]
     pub key: BlockKey,
 }
 
-/// Whether a prefix came into a cache or went from it.
+/// Kind of change of a prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// The block that ends the prefix is resident now.
+    /// The last block of the prefix became resident.
     Stored,
-    /// It is no longer resident.
+    /// The last block of the prefix is no longer resident.
     Evicted,
 }
 
-/// An engine's cache events, late and with gaps.
+/// Cache events of an engine, which may be late and incomplete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// Counts the engine's starts; numbers begin anew with each.
+    /// Number of the engine's start. Event numbers restart with it.
     pub incarnation: Incarnation,
-    /// Events after the number that was asked for.
+    /// The events after the requested number.
     pub events: Vec<CacheEvent>,
 }
 
-/// Names one committed object in a store.
+/// Identifies a committed object in a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredObject {
-    /// The first block of the prefix: decides which nodes own what is known of it.
+    /// The first block of the prefix. Determines which nodes own its catalog entry.
     #[serde(with = "hex_key")]
     pub root: BlockKey,
     /// The prefix.
     #[serde(with = "hex_key")]
     pub key: BlockKey,
-    /// Tells this writing of the object from any other.
+    /// Distinguishes this write of the object from all others.
     pub generation: u64,
     /// Length of the prefix in blocks.
     pub blocks: u32,
     /// Size in bytes.
     pub size_bytes: u64,
-    /// Checksum of the content; set when committed.
+    /// Checksum of the content, set by the commit.
     pub checksum: u32,
 }
 
-/// Tells an engine to import a prefix before it prefills the rest.
+/// Order to an engine to import a prefix before it prefills the rest of the prompt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportOrder {
     /// The store's base URL.
     pub store_url: String,
-    /// What to import.
+    /// The object to import.
     pub object: StoredObject,
 }
 
-/// Tells an engine to export a resident prefix to a store.
+/// Order to an engine to export a resident prefix to a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportOrder {
     /// The store's base URL.
@@ -170,7 +170,7 @@
     /// The prefix.
     #[serde(with = "hex_key")]
     pub key: BlockKey,
-    /// Its length in blocks.
+    /// Length of the prefix in blocks.
     pub blocks: u32,
     /// The generation to write.
     pub generation: u64,
@@ -178,80 +178,79 @@
     pub owner_epoch: u64,
 }
 
-/// Starts the writing of an object in a store.
+/// Request to a store to begin the write of an object.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginWrite {
-    /// What will be written; its checksum is not known yet.
+    /// The object; its checksum is not known yet.
     pub object: StoredObject,
     /// Epoch of the owner that ordered it.
     pub owner_epoch: u64,
 }
 
-/// Ends the writing of an object.
+/// Request to a store to commit the write of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommitWrite {
-    /// Checksum of the whole content.
+    /// Checksum of the content.
     pub checksum: u32,
 }
 
-/// A store's report.
+/// Load report of a store.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreReport {
-    /// Counts the store's starts.
+    /// Number of the store's start.
     pub incarnation: Incarnation,
-    /// Bytes held.
+    /// Number of bytes stored.
     pub used_bytes: u64,
-    /// Bytes that it can hold.
+    /// Capacity in bytes.
     pub capacity_bytes: u64,
-    /// Rate of its link in bytes a second.
+    /// Bandwidth of its link in bytes per second.
     pub link_bytes_per_s: f64,
-    /// How long a transfer that starts now would wait for the link, in milliseconds.
+    /// Time in milliseconds for which a new transfer would wait for the link.
     pub backlog_ms: u64,
 }
 
-/// Everything committed in a store.
+/// All committed objects of a store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// The objects.
     pub objects: Vec<StoredObject>,
 }
 
-/// Stops a request on an engine.
+/// Order to an engine to cancel a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelOrder {
     /// The request.
     pub request_id: RequestId,
-    /// Its dispatch.
+    /// Number of its dispatch.
     pub attempt: Attempt,
 }
 
-/// An order to an engine. Only the log's leader sends one.
+/// Order to an engine to load weights, sent by the leader only.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// Grows with each order; an engine that checks it refuses a lower one.
+    /// Increases with each order. An engine that checks it refuses lower numbers.
     pub fencing: u64,
-    /// The weight version to load.
+    /// The version of the weights to load.
     pub load_version: WeightVersion,
 }
 
-/// Block keys as 32 hex digits, since JSON numbers can't hold 128 bits everywhere.
+/// Serialization of block keys as 32 hex digits, since many JSON implementations don't support 128-bit numbers.
 pub mod hex_key {
     use serde::{Deserialize, Deserializer, Serializer};
 
     use crate::ids::BlockKey;
 
-    /// Writes a key.
+    /// Serializes a key.
     ///
     /// # Errors
-    /// Those of the serializer.
+    /// Errors of the serializer.
     pub fn serialize<S: Serializer>(key: &BlockKey, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&format!("{key:032x}"))
     }
 
-    /// Reads a key.
+    /// Deserializes a key.
     ///
     /// # Errors
-    /// If it is not hex.
+    /// If it is not a hex number.
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BlockKey, D::Error> {
         let text = String::deserialize(deserializer)?;
         BlockKey::from_str_radix(&text, 16).map_err(serde::de::Error::custom)
--- a/src/upstream/chat.rs
+++ b/src/upstream/chat.rs
@@ -1,12 +1,12 @@
-//! The OpenAI-compatible shape of prompts and answers, as far as this system reads it.
+//! Prompts and responses in the OpenAI-compatible formats, as far as this system reads and writes them.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Tokens generated when a request names no limit.
+/// Maximum number of generated tokens of a request without a limit.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Which of the two interfaces a request came in by.
+/// One of the two OpenAI-compatible interfaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiFormat {
     /// `/v1/chat/completions`.
@@ -16,7 +16,7 @@
 }
 
 impl ApiFormat {
-    /// The path of the interface.
+    /// Path of the interface.
     pub fn path(self) -> &'static str {
         match self {
             ApiFormat::Chat => "/v1/chat/completions",
@@ -24,13 +24,13 @@
         }
     }
 
-    /// The interface with this path.
+    /// Returns the interface with this path.
     pub fn from_path(path: &str) -> Option<ApiFormat> {
         [ApiFormat::Chat, ApiFormat::Text].into_iter().find(|format| format.path() == path)
     }
 }
 
-/// The fields of a request that this system reads. The others go to the engine as they came.
+/// The fields of a request that this system reads. All others are forwarded to the engine unchanged.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PromptRequest {
     /// The model.
@@ -41,37 +41,37 @@
     /// The prompt of a text completion.
     #[serde(default)]
     pub prompt: Option<String>,
-    /// Whether the answer is wanted in parts.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// Options of a streamed answer.
+    /// Options of a streamed response.
     #[serde(default)]
     pub stream_options: Option<StreamOptions>,
-    /// Most tokens to generate.
+    /// Maximum number of generated tokens.
     #[serde(default, alias = "max_completion_tokens")]
     pub max_tokens: Option<u32>,
 }
 
-/// Options of a streamed answer.
+/// Options of a streamed response.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct StreamOptions {
-    /// Whether a last chunk carries the usage.
+    /// Whether the last chunk has the usage.
     #[serde(default)]
     pub include_usage: bool,
 }
 
-/// One message of a chat.
+/// A message of a chat.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Message {
-    /// Who said it.
+    /// Role of the author.
     pub role: String,
-    /// What: a text, or a list of parts.
+    /// A string, or a list of parts with a `text` field.
     #[serde(default)]
     pub content: Value,
 }
 
 impl PromptRequest {
-    /// The whole prompt as one text, as an engine's template would lay it out.
+    /// Returns the prompt as one text, similar to the chat template of an engine.
     pub fn prompt_text(&self) -> String {
         if let Some(prompt) = &self.prompt {
             return prompt.clone();
@@ -87,12 +87,12 @@
         text
     }
 
-    /// Most tokens to generate.
+    /// Maximum number of generated tokens.
     pub fn token_limit(&self) -> u32 {
         self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
     }
 
-    /// Whether the caller wants a chunk with the usage at the end of a stream.
+    /// Whether a stream ends with a chunk that has the usage.
     pub fn wants_usage(&self) -> bool {
         self.stream_options.is_some_and(|options| options.include_usage)
     }
@@ -110,49 +110,49 @@
     }
 }
 
-/// Tokens of a request, in the published shape.
+/// Token counts of a request, in the OpenAI-compatible format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
-    /// Both together.
+    /// Sum of both.
     pub total_tokens: u64,
-    /// How much of the prompt was reused.
+    /// Cached tokens of the prompt.
     #[serde(default)]
     pub prompt_tokens_details: PromptDetails,
 }
 
-/// How much of a prompt was reused.
+/// Cached tokens of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptDetails {
-    /// Tokens that were not recomputed: resident ones and imported ones.
+    /// Tokens that were not recomputed, because they were resident or imported.
     #[serde(default)]
     pub cached_tokens: u64,
-    /// Tokens of those that were imported from a store.
+    /// The imported ones among them.
     #[serde(default)]
     pub imported_tokens: u64,
 }
 
-/// What one chunk of an engine's stream says.
+/// A chunk of a streamed response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Chunk {
-    /// The engine's id for the stream: request id, a dot, the attempt.
+    /// Id of the stream: the request id, a dot and the attempt.
     pub id: String,
-    /// The text that it adds.
+    /// The generated text of this chunk.
     pub text: String,
-    /// Why the answer ended, in its last chunk with text.
+    /// Why the generation ended; only in the last chunk with text.
     pub finish: Option<String>,
-    /// The usage, in the last chunk of all.
+    /// The usage; only in the very last chunk.
     pub usage: Option<Usage>,
 }
 
 impl Chunk {
-    /// Reads a chunk of either shape.
+    /// Decodes a chunk in either format.
     ///
     /// # Errors
-    /// The parser's message, or the engine's error message.
+    /// The message of the JSON parser, or the error that the engine sent.
     pub fn parse(data: &str) -> Result<Chunk, String> {
         let value: Value = serde_json::from_str(data).map_err(|source| source.to_string())?;
         if let Some(error) = value.get("error") {
@@ -168,7 +168,7 @@
         })
     }
 
-    /// Writes the chunk in the given shape.
+    /// Encodes the chunk as JSON in the given format.
     pub fn to_json(&self, format: ApiFormat, model: &str, created_s: u64) -> String {
         let finish = &self.finish;
         let choices = match (format, self.usage) {
@@ -195,7 +195,7 @@
     }
 }
 
-/// A whole answer in the given shape.
+/// Encodes a response that is not streamed as JSON in the given format. `chunk` has its whole text.
 pub fn completion(
     format: ApiFormat,
     id: &str,
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! Our client of targets and the platform.
+//! HTTP client for targets and the platform.
 
 use std::time::Duration;
 
@@ -15,72 +15,72 @@
 use crate::error::{Error, Result};
 use crate::ids::{Attempt, BlockKey};
 
-/// Reports and lists must come within this time.
+/// Timeout of requests for reports and lists, and of orders.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An export waits for the store's link.
+/// Timeout of an export, which may wait for the link of the store.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A client of targets and the platform.
+/// HTTP client for targets and the platform.
 #[derive(Clone)]
 pub struct TargetClient {
-    /// Keeps connections.
+    /// Reuses connections.
     pooled: Client,
-    /// Opens a connection for each call, so that a call that can't connect was provably not run.
+    /// Opens a new connection for each call, so that a call that fails to connect did certainly not run.
     unpooled: Client,
 }
 
-/// A prompt on its way to an engine.
+/// A prompt for an engine.
 #[derive(Clone, Debug)]
 pub struct PromptCall<'a> {
     /// The engine's base URL.
     pub url: &'a str,
-    /// The interface.
+    /// The interface of the engine to call.
     pub format: ApiFormat,
-    /// The body, without an import.
+    /// The body, without the fields `stream` and `kv_import`.
     pub body: serde_json::Value,
-    /// What the engine imports first.
+    /// The prefix that the engine imports first, if any.
     pub import: Option<ImportOrder>,
-    /// Names the run: the request id and the attempt.
+    /// The request id and the attempt.
     pub stream: AttemptRef<'a>,
-    /// The account.
+    /// The client account.
     pub account: &'a str,
-    /// The weight version that must answer.
+    /// The required version of the weights.
     pub weight_version: &'a str,
-    /// The priority, 0 first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Whether it must not reach a target twice.
+    /// Whether the prompt must not reach a target twice. It is sent on a new connection then.
     pub once: bool,
 }
 
-/// Names one dispatch of a request.
+/// Identifies one dispatch of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptRef<'a> {
-    /// The id that targets know the request by.
+    /// The request id that is sent to targets.
     pub request_id: &'a str,
-    /// Which dispatch it is.
+    /// Number of the dispatch.
     pub attempt: Attempt,
 }
 
 impl AttemptRef<'_> {
-    /// The id that each chunk carries.
+    /// Returns the id of the stream, which each chunk contains.
     pub fn id(&self) -> String {
         format!("{}.{}", self.request_id, self.attempt)
     }
 }
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing reached the target, or it proved that it ran nothing.
+    /// The target did certainly not run the request.
     NotRun(String),
-    /// It may have run.
+    /// The target may have run the request.
     MayHaveRun(String),
-    /// The target finds the request wrong.
+    /// The target rejected the request as invalid.
     Rejected(String),
 }
 
 impl CallError {
-    /// What went wrong.
+    /// Returns the reason of the failure.
     pub fn reason(&self) -> &str {
         match self {
             CallError::NotRun(reason)
@@ -91,7 +91,7 @@
 }
 
 impl TargetClient {
-    /// A client that gives up connecting after `connect`.
+    /// Creates a client with the connect timeout `connect`.
     ///
     /// # Errors
     /// `Error::Start` if the client can't be built.
@@ -110,10 +110,10 @@
         Ok(TargetClient { pooled: build(64)?, unpooled: build(0)? })
     }
 
-    /// Sends a prompt; the answer is a stream of events.
+    /// Sends a prompt. The response is a stream of events.
     ///
     /// # Errors
-    /// Whether it may have run.
+    /// If the call fails. The error says whether the prompt may have run.
     pub async fn prompt(&self, call: PromptCall<'_>) -> Result<Response, CallError> {
         let mut body = call.body;
         body["stream"] = true.into();
@@ -132,10 +132,10 @@
         check_response(request.send().await).await
     }
 
-    /// Goes on with a stream that broke, from a chunk.
+    /// Resumes an interrupted stream from chunk number `from`.
     ///
     /// # Errors
-    /// If the engine can't go on with it.
+    /// If the engine can't resume it.
     pub async fn resume(
         &self,
         url: &str,
@@ -149,7 +149,7 @@
     /// Calls a plain service.
     ///
     /// # Errors
-    /// Whether it may have run.
+    /// If the call fails. The error says whether the request may have run.
     pub async fn service(
         &self,
         request: reqwest::Request,
@@ -165,20 +165,20 @@
         }
     }
 
-    /// Stops a run.
+    /// Cancels a prompt on an engine. Errors are ignored.
     pub async fn cancel(&self, url: &str, stream: AttemptRef<'_>) {
         let request_id = stream.request_id.to_string();
         let order = CancelOrder { request_id, attempt: stream.attempt };
         let sent = self.pooled.post(format!("{url}/cancel")).json(&order);
-        // A run that can't be stopped only wastes the engine's time.
+        // A prompt that is not cancelled only wastes time of the engine.
         drop(sent.timeout(REPORT_TIMEOUT).send().await);
     }
 
-    /// The platform's list with its ETag; `None` if it is still the one with the ETag `known`. A
-    /// platform that gives no ETag sends the whole list each time.
+    /// Reads the platform's list and its ETag. Returns `None` if the list still has the ETag `known`. The ETag
+    /// is empty if the platform sends none.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Ask` if the list can't be read.
     pub async fn targets(
         &self,
         platform_url: &str,
@@ -197,52 +197,52 @@
         Ok(Some((response.json().await.map_err(ask_error)?, etag)))
     }
 
-    /// An engine's load.
+    /// Reads the load report of an engine.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Ask` if the report can't be read.
     pub async fn load(&self, url: &str) -> Result<LoadReport> {
         self.get_json(&format!("{url}/load")).await
     }
 
-    /// An engine's cache events after a number.
+    /// Reads the cache events of an engine after number `after`.
     ///
     /// # Errors
-    /// `Error::Ask` if they can't be read.
+    /// `Error::Ask` if the events can't be read.
     pub async fn events(&self, url: &str, after: u64) -> Result<CacheEvents> {
         self.get_json(&format!("{url}/kv/events?after={after}")).await
     }
 
-    /// A store's report.
+    /// Reads the load report of a store.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Ask` if the report can't be read.
     pub async fn store(&self, url: &str) -> Result<StoreReport> {
         self.get_json(&format!("{url}/load")).await
     }
 
-    /// Everything committed in a store.
+    /// Reads the inventory of a store.
     ///
     /// # Errors
-    /// `Error::Ask` if it can't be read.
+    /// `Error::Ask` if the inventory can't be read.
     pub async fn inventory(&self, url: &str) -> Result<Inventory> {
         self.get_json(&format!("{url}/inventory")).await
     }
 
-    /// Lets an engine export a resident prefix.
+    /// Orders an engine to export a resident prefix, and returns the committed object.
     ///
     /// # Errors
-    /// `Error::Ask` if it is not resident any more or the store does not take it.
+    /// `Error::Ask` if the prefix is no longer resident or the store rejects the export.
     pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<StoredObject> {
         let url = format!("{url}/kv/export");
         let response = self.post_json(&url, order, EXPORT_TIMEOUT).await?;
         response.json().await.map_err(|source| Error::ask(&url, source, "try again later"))
     }
 
-    /// Frees an object in a store, fenced by the owner's epoch.
+    /// Deletes an object from a store, fenced by the epoch of its owner.
     ///
     /// # Errors
-    /// `Error::Ask` if the store can't be asked or knows a later epoch.
+    /// `Error::Ask` if the call fails or the store knows a later epoch.
     pub async fn free(
         &self,
         url: &str,
@@ -256,10 +256,10 @@
         expect_success(&url, response.status())
     }
 
-    /// Sends an order to an engine. Returns whether what it orders is done already.
+    /// Sends an order to an engine. Returns whether the engine has executed it already.
     ///
     /// # Errors
-    /// `Error::Ask` if the engine can't be asked or knows a higher fencing number.
+    /// `Error::Ask` if the call fails or the engine knows a higher fencing number.
     pub async fn order(&self, url: &str, order: &EngineOrder) -> Result<bool> {
         let response = self.post_json(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
         Ok(response.status() == StatusCode::OK)
@@ -290,9 +290,10 @@
     if status.is_success() {
         return Ok(());
     }
-    Err(Error::ask(url, format!("answered {status}"), "see its log"))
+    Err(Error::ask(url, format!("responded with {status}"), "see the log of the server"))
 }
 
+/// Returns a successful response, and maps all others to errors.
 async fn check_response(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
     let response = sent.map_err(call_error)?;
     let status = response.status();
--- a/src/upstream/mod.rs
+++ b/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The edges of a node towards targets and the platform: their interfaces and our clients.
+//! Interfaces of targets and the platform, and the client for them.
 
 pub mod api;
 pub mod chat;
--- a/src/upstream/sse.rs
+++ b/src/upstream/sse.rs
@@ -1,23 +1,23 @@
-//! Server-sent events as engines stream them: data events, split at empty lines.
+//! Server-sent events as engines stream them: data events that are separated by empty lines.
 
-/// The data of the last event of a whole stream.
+/// Data of the event that ends a complete stream.
 pub const DONE: &str = "[DONE]";
 
-/// Largest event that is held while its end has not come.
+/// Maximum size of an incomplete event.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Splits received bytes into the data of events.
+/// Incremental parser of data events.
 #[derive(Default)]
 pub struct EventParser {
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     pending: Vec<u8>,
 }
 
 impl EventParser {
-    /// Takes received bytes and returns the data of each event that is whole now.
+    /// Adds received bytes and returns the data of each event that they complete.
     ///
     /// # Errors
-    /// `Oversized` if one event is larger than 1 MiB; the stream must be given up.
+    /// `Oversized` if an incomplete event is larger than 1 MiB. The stream can't be parsed further then.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<String>, Oversized> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -31,19 +31,21 @@
     }
 }
 
-/// An event is larger than is accepted.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversized;
 
-/// Writes one data event.
+/// Encodes a data event.
 pub fn encode_event(data: &str) -> String {
     format!("data: {data}\n\n")
 }
 
+/// Returns the position after the first complete event.
 fn find_event_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(2).position(|pair| pair == b"\n\n").map(|position| position + 2)
 }
 
+/// Returns the data lines of an event, or `None` if it has none.
 fn event_data(event: &[u8]) -> Option<String> {
     let text = String::from_utf8_lossy(event);
     let lines: Vec<&str> =
