--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP serving: one handler a listener, with bounded bodies.
+//! HTTP server with one handler per listener and a limit on request bodies.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -11,45 +11,45 @@
 use warp::Reply;
 use warp::http::{HeaderMap, HeaderValue, Method, StatusCode};
 
-/// An answer.
+/// An HTTP response.
 pub type Response = warp::reply::Response;
 
-/// A request with its whole body.
+/// An HTTP request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The method.
     pub method: Method,
-    /// The path, from its first slash.
+    /// The path, including the leading slash.
     pub path: String,
-    /// The query without its question mark; may be empty.
+    /// The query without the question mark; empty if there is none.
     pub query: String,
     /// The headers.
     pub headers: HeaderMap,
-    /// The body, or why it could not be taken.
+    /// The body, or why it could not be read.
     pub body: Result<Bytes, BodyError>,
 }
 
-/// Why a body could not be taken.
+/// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than the limit in bytes.
+    /// The body exceeds this limit in bytes.
     TooLarge(usize),
-    /// The caller's connection broke.
+    /// The client disconnected.
     Disconnected,
 }
 
 impl Request {
-    /// A header's text.
+    /// Returns the value of a header, if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 
-    /// The path without its slashes.
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.path.split('/').filter(|segment| !segment.is_empty()).collect()
     }
 
-    /// A parameter of the query.
+    /// Returns a query parameter as it is, without percent-decoding.
     pub fn parameter(&self, name: &str) -> Option<&str> {
         self.query
             .split('&')
@@ -57,21 +57,21 @@
             .find_map(|(key, value)| if key == name { Some(value) } else { None })
     }
 
-    /// The body, empty if it could not be taken.
+    /// Returns the body; empty if it could not be read.
     pub fn bytes(&self) -> Bytes {
         self.body.clone().unwrap_or_default()
     }
 
-    /// The body as JSON.
+    /// Decodes the body as JSON.
     ///
     /// # Errors
-    /// The parser's message.
+    /// The message of the JSON parser.
     pub fn json<T: serde::de::DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.bytes()).map_err(|source| source.to_string())
     }
 }
 
-/// Serves `handler` on `listener` until `stop` is ready; then lets open answers finish.
+/// Serves requests with `handler` until `stop` completes, then waits for responses in progress.
 pub async fn serve<H, F>(
     listener: TcpListener,
     body_limit: usize,
@@ -81,8 +81,8 @@
     H: Fn(Request) -> F + Send + Sync + 'static,
     F: Future<Output = Response> + Send + 'static,
 {
-    // Accepted connections inherit it. Without it, the parts of a stream wait for the receiver's
-    // delayed acknowledgements, about 40 ms.
+    // Accepted connections inherit the option. Without it, Nagle's algorithm delays the parts of a stream
+    // until the receiver's delayed acknowledgements, about 40 ms.
     if let Err(error) = socket2::SockRef::from(&listener).set_tcp_nodelay(true) {
         log::warn!("event=nodelay_failed error={:?}", error.to_string());
     }
@@ -124,24 +124,24 @@
     Ok(bytes.freeze())
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
     warp::reply::with_status(warp::reply::json(value), status).into_response()
 }
 
-/// An answer with a text body.
+/// Creates a response with a text body.
 pub fn text(status: StatusCode, text: String) -> Response {
     warp::reply::with_status(text, status).into_response()
 }
 
-/// An answer with any body.
+/// Creates a response with a body of the given type.
 pub fn body(status: StatusCode, content_type: &str, bytes: Vec<u8>) -> Response {
     let mut response = warp::reply::with_status(bytes, status).into_response();
     set_header(&mut response, "content-type", content_type);
     response
 }
 
-/// An answer whose body comes in parts.
+/// Creates a response with a streamed body.
 pub fn stream(
     content_type: &str,
     parts: impl Stream<Item = Result<Bytes, std::io::Error>> + Send + Sync + 'static,
@@ -152,7 +152,7 @@
     response
 }
 
-/// Sets a header; a value that can't stand in one is left out.
+/// Sets a header. Does nothing if the value is not a valid header value.
 pub fn set_header(response: &mut Response, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(name, value);
--- a/src/json_reader.rs
+++ b/src/json_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a JSON object field by field and collects everything that is wrong with it.
+//! Reads JSON objects field by field and collects all problems.
 
 use std::net::SocketAddr;
 
@@ -6,10 +6,10 @@
 
 use crate::error::Problem;
 
-/// Similarity from which an unknown field is taken for a misspelt one.
+/// Minimum similarity of an unknown name to a known one that is suggested instead.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// An object being read. Call `finish` at the end, so that unknown fields are reported.
+/// Reads the fields of one object. Call `finish` at the end to report unknown fields.
 pub struct ObjectReader<'a> {
     object: Map<String, Value>,
     path: String,
@@ -18,7 +18,7 @@
 }
 
 impl<'a> ObjectReader<'a> {
-    /// Starts reading `value`, found at `path` (empty for the whole document).
+    /// Creates a reader of `value`, which is at `path` in the document (empty for the root).
     pub fn new(value: &Value, path: &str, problems: &'a mut Vec<Problem>) -> ObjectReader<'a> {
         let object = match value {
             Value::Object(object) => object.clone(),
@@ -34,12 +34,12 @@
         ObjectReader { object, path: path.to_string(), known: Vec::new(), problems }
     }
 
-    /// The path of a field of this object.
+    /// Returns the path of a field of this object.
     pub fn path_of(&self, name: &str) -> String {
         if self.path.is_empty() { name.to_string() } else { format!("{}.{name}", self.path) }
     }
 
-    /// Takes a raw field.
+    /// Reads a field of any type. Returns `None` if it is absent or null.
     pub fn value(&mut self, name: &'static str) -> Option<Value> {
         self.known.push(name);
         self.object.get(name).cloned().filter(|value| !value.is_null())
@@ -51,7 +51,7 @@
         self.problems.push(Problem { path, message, remedy: remedy.to_string() });
     }
 
-    /// A whole number within `min..=max`, or `default` if absent.
+    /// Reads an integer in `min..=max`. Returns `default` if it is absent or invalid.
     pub fn number(&mut self, name: &'static str, default: u64, min: u64, max: u64) -> u64 {
         let Some(value) = self.value(name) else { return default };
         match value.as_u64().filter(|number| (min..=max).contains(number)) {
@@ -64,18 +64,18 @@
         }
     }
 
-    /// A text, or `None` if absent.
+    /// Reads an optional, non-empty string.
     pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
         match self.value(name)? {
             Value::String(text) if !text.is_empty() => Some(text),
             other => {
-                self.report(name, format!("{other} is not accepted"), "give a non-empty text");
+                self.report(name, format!("{other} is not accepted"), "give a non-empty string");
                 None
             }
         }
     }
 
-    /// A text that must be there.
+    /// Reads a required, non-empty string. Returns an empty one if it is absent or invalid.
     pub fn text(&mut self, name: &'static str, remedy: &str) -> String {
         if !self.object.contains_key(name) {
             self.known.push(name);
@@ -85,7 +85,7 @@
         self.optional_text(name).unwrap_or_default()
     }
 
-    /// An address as `ip:port` that must be there.
+    /// Reads a required address in the form `IP:PORT`. Returns 127.0.0.1:0 if it is absent or invalid.
     pub fn address(&mut self, name: &'static str) -> SocketAddr {
         let text = self.text(name, "give an address as IP:PORT, for example 127.0.0.1:8080");
         match text.parse() {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A yes or no, or `default` if absent.
+    /// Reads a boolean. Returns `default` if it is absent or invalid.
     pub fn bool(&mut self, name: &'static str, default: bool) -> bool {
         match self.value(name) {
             None => default,
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Reads an inner object; an absent one is read as `{}`.
+    /// Reads an object with `read`; an absent one is treated as empty.
     pub fn object<T>(&mut self, name: &'static str, read: impl FnOnce(ObjectReader<'_>) -> T) -> T {
         let value = self.value(name).unwrap_or_else(|| Value::Object(Map::new()));
         let path = self.path_of(name);
         read(ObjectReader::new(&value, &path, self.problems))
     }
 
-    /// Reads a list of objects; an absent one is empty.
+    /// Reads a list of objects with `read`; an absent one is treated as empty.
     pub fn list<T>(&mut self, name: &'static str, read: impl Fn(ObjectReader<'_>) -> T) -> Vec<T> {
         let path = self.path_of(name);
         match self.value(name) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Reports fields that nothing asked for.
+    /// Reports the fields that were not read.
     pub fn finish(self) {
         for name in self.object.keys().filter(|name| !self.known.contains(&name.as_str())) {
             let remedy = match most_similar(name, &self.known) {
@@ -151,7 +151,7 @@
     }
 }
 
-/// The known name most like `name`, if one is like it enough.
+/// Returns the known name that is most similar to `name`, if any is similar enough.
 pub fn most_similar<'n>(name: &str, known: &[&'n str]) -> Option<&'n str> {
     known
         .iter()
