--- a/.ci/mutations.py
+++ b/.ci/mutations.py
@@ -221,7 +221,7 @@
      "        if self.is_listed(target) {\n            self.pool",
      "        if self.roster.borrow().number > 0 {\n            self.pool", "deployment", "earlier_start"),
     ("platform: entries: one that can't be read loses the page", "platform/instances.rs",
-     "Err(error) => decode_each_entry(&text, !is_text).ok_or(error),", "Err(error) => Err(error),", "deployment", "instances"),
+     "Err(error) => decode_each_entry(&text, !is_utf8).ok_or(error),", "Err(error) => Err(error),", "deployment", "instances"),
     ("platform: entries: one without a birth is used", "src/fleet/listing.rs",
      "if self.targets.iter().any(|target| target.start.born_ms.is_some()) {", "if false {", "deployment", "instances"),
     ("platform: entries: a list of nothing that can be read is taken", "src/fleet/listing.rs",
--- a/src/node/answering.rs
+++ b/src/node/answering.rs
@@ -66,12 +66,12 @@
                         Ok(result) => PeerResponse::ReplicasChanged(
                             result.map_err(|error| remedy(error).into()),
                         ),
-                        Err(_) => PeerResponse::Unable,
+                        Err(_) => PeerResponse::Unavailable,
                     }
                 }
                 PeerRequest::Lookup { root } => {
                     if self.in_force().is_none() {
-                        return PeerResponse::Unable;
+                        return PeerResponse::Unavailable;
                     }
                     PeerResponse::Kept(self.catalog.lock().lookup(root, boot_now()))
                 }
@@ -118,13 +118,13 @@
         match replica.address.send(grant).await {
             Ok(Ok(grant)) => self.granted(grant, renew),
             Ok(Err(leader)) => PeerResponse::NotLeader(leader),
-            Err(_) => PeerResponse::Unable,
+            Err(_) => PeerResponse::Unavailable,
         }
     }
 
     fn take_seen(&self, seen: &Seen) -> PeerResponse {
         if self.in_force().is_none() {
-            return PeerResponse::Unable;
+            return PeerResponse::Unavailable;
         }
         let fills = self.store_fills();
         PeerResponse::Export(self.catalog.lock().seen(seen, &fills, boot_now()))
@@ -138,7 +138,7 @@
     match result {
         Some(Ok(value)) => answer(value),
         Some(Err(Undecided::NotLeader(leader))) => PeerResponse::NotLeader(leader),
-        Some(Err(Undecided::Unknown)) | None => PeerResponse::Unable,
+        Some(Err(Undecided::Unknown)) | None => PeerResponse::Unavailable,
     }
 }
 
--- a/src/node/decisions.rs
+++ b/src/node/decisions.rs
@@ -90,7 +90,7 @@
                     Ok(PeerResponse::NotLeader(leader)) => {
                         self.leader_hint.store(leader.unwrap_or(0), Ordering::Relaxed);
                     }
-                    Ok(PeerResponse::Unable) | Err(_) => {
+                    Ok(PeerResponse::Unavailable) | Err(_) => {
                         self.leader_hint.store(0, Ordering::Relaxed);
                     }
                     Ok(answer) => {
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -106,7 +106,7 @@
     /// Grants a lease to another node as the relay of its failure domain.
     pub(super) fn grant_as_relay(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
         let grant = self.fresh.lock().grant(child, renew, boot_now());
-        grant.map_or(PeerResponse::Unable, |grant| self.granted(grant, renew))
+        grant.map_or(PeerResponse::Unavailable, |grant| self.granted(grant, renew))
     }
 
     /// The answer to a renewal, with what else the asker is to know.
--- a/src/node/sharing.rs
+++ b/src/node/sharing.rs
@@ -113,14 +113,14 @@
     /// Grants a share as an owner, under this node's own freshness lease.
     pub(super) fn grant_share(&self, node: NodeId, demand: &Demand) -> PeerResponse {
         if self.in_force().is_none() {
-            return PeerResponse::Unable;
+            return PeerResponse::Unavailable;
         }
         let now = boot_now();
         let places = self.node_places();
         let mut sharing = self.sharing.lock();
         sharing.note_places(places, now);
         if !sharing.is_settled_owner(&demand.account, self.settings.node_id, now) {
-            return PeerResponse::Unable;
+            return PeerResponse::Unavailable;
         }
         PeerResponse::Share(sharing.granted.ask(node, demand, now))
     }
--- a/src/peer/auth.rs
+++ b/src/peer/auth.rs
@@ -52,17 +52,17 @@
         PeerKey(blake3::derive_key("kumquatpost 2026 node to node", material))
     }
 
-    /// Derives the keys of a connection between the nodes `(connecting, accepting)`: for frames from the
+    /// Derives the keys of a connection between the nodes `(connecting_nonce, accepting_nonce)`: for frames from the
     /// connecting side, and for frames to it.
     pub fn session_keys(
         &self,
-        connecting: &[u8; NONCE_BYTES],
-        accepting: &[u8; NONCE_BYTES],
+        connecting_nonce: &[u8; NONCE_BYTES],
+        accepting_nonce: &[u8; NONCE_BYTES],
         nodes: (NodeId, NodeId),
     ) -> (FrameAuthenticator, FrameAuthenticator) {
         let key = |direction: u8| {
             let mut hasher = blake3::Hasher::new_keyed(&self.0);
-            hasher.update(&[direction]).update(connecting).update(accepting);
+            hasher.update(&[direction]).update(connecting_nonce).update(accepting_nonce);
             hasher.update(&nodes.0.to_le_bytes()).update(&nodes.1.to_le_bytes());
             FrameAuthenticator { key: *hasher.finalize().as_bytes(), next_number: 0 }
         };
--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -170,7 +170,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(self.clone().serve(stream));
+                    tokio::spawn(self.clone().serve_connection(stream));
                 }
                 Err(error) => {
                     log::warn!("event=peer_accept_failed error={:?}", error.to_string());
@@ -235,12 +235,12 @@
         Ok((read, write, incoming, outgoing))
     }
 
-    async fn serve(self: Arc<Links>, stream: TcpStream) {
+    async fn serve_connection(self: Arc<Links>, stream: TcpStream) {
         let accepted = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.accept_handshake(stream)).await;
         let Ok(Ok((from, read, write, incoming, outgoing))) = accepted else { return };
         let (responses, queue) = mpsc::channel(MAX_QUEUED_FRAMES);
         let writer = Writer { links: self.clone(), write, authenticator: outgoing };
-        let writing = tokio::spawn(writer.send_queue(from, queue));
+        let writer_task = tokio::spawn(writer.send_queue(from, queue));
         let mut reader =
             Reader { read: BufReader::new(read), authenticator: incoming, is_peer_verified: false };
         while let Ok(frame) = reader.next().await {
@@ -262,7 +262,7 @@
                 Frame::Response(..) => break,
             }
         }
-        writing.abort();
+        writer_task.abort();
     }
 
     async fn accept_handshake(
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -134,5 +134,5 @@
     /// The node is not the leader; this one may be.
     NotLeader(Option<NodeId>),
     /// The node can't process the request now, for example because its own lease has expired.
-    Unable,
+    Unavailable,
 }
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -95,10 +95,10 @@
     ///
     /// # Errors
     /// `Error::Start` if the client can't be built.
-    pub fn new(connect: Duration) -> Result<TargetClient> {
+    pub fn new(connect_timeout: Duration) -> Result<TargetClient> {
         let build = |idle| {
             Client::builder()
-                .connect_timeout(connect)
+                .connect_timeout(connect_timeout)
                 .tcp_nodelay(true)
                 .no_proxy()
                 .retry(reqwest::retry::never())
