--- a/src/peer/links.rs
+++ b/src/peer/links.rs
@@ -72,7 +72,7 @@
     next_request: AtomicU64,
     request_permits: Semaphore,
     handler: OnceLock<Arc<dyn PeerHandler>>,
-    /// Peers from which frames are neither sent nor received; set by tests.
+    /// Peers to which no frames are sent and whose frames are ignored; set by tests.
     blocked: RwLock<BTreeSet<NodeId>>,
     sent_bytes: AtomicU64,
 }
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Blocks frames to and from these nodes, and only these. Simulates a network partition in tests.
+    /// Replaces the set of blocked peers. Simulates a network partition in tests.
     pub fn set_blocked_peers(&self, nodes: BTreeSet<NodeId>) {
         *self.blocked.write() = nodes;
     }
@@ -194,7 +194,7 @@
         drop(sender.try_send(frame));
     }
 
-    /// Sends queued frames. Opens a connection when there is a frame and none is open.
+    /// Sends the queued frames of a peer, and opens a connection when there is a frame but no connection.
     async fn send_frames(self: Arc<Links>, to: NodeId, mut frames: mpsc::Receiver<Frame>) {
         while let Some(first) = frames.recv().await {
             let connected = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.open_connection(to)).await;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -84,7 +84,7 @@
     pub subtree_number: ConfigNumber,
     /// Whether the granting node acts as a relay. Otherwise it must be the leader.
     pub as_relay: bool,
-    /// Reports on requests that terminated targets which the granting node may not have.
+    /// Reports on requests suspected of terminating their targets, as far as the granting node may lack them.
     pub quarantine: Vec<Report>,
     /// Up to where the requesting node has received such reports from the granting node.
     pub quarantine_received: QuarantineCursor,
@@ -110,7 +110,7 @@
         number: ConfigNumber,
         /// Update to that number.
         update: Update,
-        /// Reports on requests that terminated several targets, after `quarantine_received`.
+        /// Reports on requests suspected of terminating several targets, since `quarantine_received`.
         quarantine: Vec<Report>,
         /// Up to where the requesting node has received such reports with this response.
         quarantine_sent: QuarantineCursor,
--- a/src/upstream/client.rs
+++ b/src/upstream/client.rs
@@ -91,7 +91,7 @@
 }
 
 impl TargetClient {
-    /// Creates a client with the connect timeout `connect`.
+    /// Creates a client.
     ///
     /// # Errors
     /// `Error::Start` if the client can't be built.
