--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -94,7 +94,7 @@
 pub struct Service {
     /// Role of its targets.
     pub role: ServiceRole,
-    /// Maximum number of connections to each target, over all entries.
+    /// Maximum number of connections that each target accepts in total.
     pub max_connections: u32,
 }
 
