--- a/src/capacity/benchmarks.rs
+++ b/src/capacity/benchmarks.rs
@@ -11,8 +11,8 @@
 use super::cost_models::Point;
 use crate::claims::{ClaimKey, ClaimToken, Outcome};
 use crate::config::document::key_hash;
-use crate::config::{Book, Policy, Prices, Update};
-use crate::edge::api::{KeptObject, LoadReport, Presence, Role, Target, TargetList};
+use crate::config::{ConfigHistory, Policy, Prices, Update};
+
 use crate::error::{Error, Result};
 use crate::ids::NodeId;
 use crate::lease::LeaseGrantor;
@@ -22,17 +22,18 @@
 use crate::log::{Entry, Message, Payload, Persist, RoundAck};
 use crate::membership::{Member, Packet, Status, Swim, SwimTiming};
 use crate::orders::{EngineState, Planner};
-use crate::peer::auth::CODE_BYTES;
-use crate::peer::message::{Answer, Ask, Frame, Heard, Renew};
+use crate::peer::auth::TAG_BYTES;
+use crate::peer::message::{Frame, PeerRequest, PeerResponse, QuarantineCursor, RenewLease};
 use crate::prefix_catalog::{AnsweredPrompt, Catalog, ExportOutcome, Position, PrefixLocation};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
 use crate::route::residency::MAX_TRACKED_BLOCKS;
 use crate::route::{EngineView, RouteRequest, Router, View, decide};
+use crate::upstream::api::{LoadReport, Presence, Role, StoredObject, Target, TargetList};
 
 /// Length prefix and authentication code of a frame.
-const FRAME_OVERHEAD_BYTES: usize = 4 + CODE_BYTES;
+const FRAME_OVERHEAD_BYTES: usize = 4 + TAG_BYTES;
 /// Sender, receiver, start, sequence number and authentication code of a datagram.
-const DATAGRAM_OVERHEAD_BYTES: usize = 32 + CODE_BYTES;
+const DATAGRAM_OVERHEAD_BYTES: usize = 32 + TAG_BYTES;
 /// Blocks of a typical context, about 2,000 tokens.
 const CONTEXT_BLOCKS: u32 = 16;
 const NOW: Duration = Duration::from_secs(10_000);
@@ -168,9 +169,9 @@
     catalog
 }
 
-fn kept_object(prompt: &AnsweredPrompt, generation: u64) -> KeptObject {
+fn kept_object(prompt: &AnsweredPrompt, generation: u64) -> StoredObject {
     let last = prompt.positions.last().copied().unwrap_or(Position { blocks: 0, key: 0 });
-    KeptObject {
+    StoredObject {
         root: prompt.root,
         key: last.key,
         generation,
@@ -198,10 +199,10 @@
     let prompt = answered_prompt(7, blocks as u32);
     let kept = PrefixLocation { store: "store-0".into(), object: kept_object(&prompt, 1) };
     let frames = [
-        Frame::Ask(1_000_000, Ask::Lookup { root: prompt.root }),
-        Frame::Answer(1_000_000, Answer::Kept(vec![kept])),
-        Frame::Ask(1_000_001, Ask::Seen(prompt)),
-        Frame::Answer(1_000_001, Answer::Export(None)),
+        Frame::Request(1_000_000, PeerRequest::Lookup { root: prompt.root }),
+        Frame::Response(1_000_000, PeerResponse::Kept(vec![kept])),
+        Frame::Request(1_000_001, PeerRequest::Seen(prompt)),
+        Frame::Response(1_000_001, PeerResponse::Export(None)),
     ];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
 }
@@ -298,15 +299,15 @@
 }
 
 pub(super) fn patch_us(accounts: usize) -> f64 {
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     let document = config_document(accounts);
-    if let Ok(patched) = book.patched(&document) {
-        book.accept(patched, document.to_string());
+    if let Ok(patched) = history.preview_patch(&document) {
+        history.append(patched, document.to_string());
     }
     median_us(5, 4, |number| {
         let change = json!({"accounts": {"account-1": {"max_running": 1 + number}}});
-        if let Ok(patched) = book.patched(&change) {
-            book.accept(patched, change.to_string());
+        if let Ok(patched) = history.preview_patch(&change) {
+            history.append(patched, change.to_string());
         }
     })
 }
@@ -328,22 +329,25 @@
     let patches: Vec<(u64, String)> =
         (0..patches as u64).map(|n| (1_000_000 + n, text.clone())).collect();
     let update = if patches.is_empty() { Update::None } else { Update::Patches(patches) };
-    let told = Heard { boot: 1_790_000_000_000, revision: 1_000_000 };
-    let renew = Renew {
-        has: 1_000_000,
-        acked: 1_000_000,
+    let quarantine_sent = QuarantineCursor { boot: 1_790_000_000_000, revision: 1_000_000 };
+    let renew = RenewLease {
+        known_number: 1_000_000,
+        subtree_number: 1_000_000,
         as_relay: true,
         quarantine: Vec::new(),
-        heard: told,
+        quarantine_received: quarantine_sent,
     };
-    let granted = Answer::Granted {
+    let granted = PeerResponse::Granted {
         lasts_ms: 3_000,
         number: 1_000_001,
         update,
         quarantine: Vec::new(),
-        told,
+        quarantine_sent,
     };
-    let frames = [Frame::Ask(1_000_000, Ask::Renew(renew)), Frame::Answer(1_000_000, granted)];
+    let frames = [
+        Frame::Request(1_000_000, PeerRequest::RenewLease(renew)),
+        Frame::Response(1_000_000, granted),
+    ];
     frames.iter().map(wire_bytes).sum::<usize>() as f64
 }
 
@@ -439,12 +443,12 @@
 }
 
 pub(super) fn plan_us(engines: usize) -> f64 {
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     let document = config_document(1);
-    if let Ok(patched) = book.patched(&document) {
-        book.accept(patched, document.to_string());
+    if let Ok(patched) = history.preview_patch(&document) {
+        history.append(patched, document.to_string());
     }
-    let models = book.newest().config.models.clone();
+    let models = history.newest().config.models.clone();
     let states: Vec<EngineState> = (0..engines)
         .map(|number| EngineState {
             id: format!("engine-{number}"),
@@ -485,8 +489,10 @@
     let demand =
         ShareRequest { account: "account-1234".into(), demand: 20, limit: 10_000, nodes: 1_500 };
     let share = GrantedShare { share: 20, lasts: Duration::from_secs(3) };
-    let frames =
-        [Frame::Ask(1_000_000, Ask::Share(demand)), Frame::Answer(1_000_000, Answer::Share(share))];
+    let frames = [
+        Frame::Request(1_000_000, PeerRequest::Share(demand)),
+        Frame::Response(1_000_000, PeerResponse::Share(share)),
+    ];
     (frames.iter().map(wire_bytes).sum::<usize>() * requests) as f64
 }
 
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The numbered configuration: what operators decide, and how a patch changes it.
+//! The configuration: the document that operators patch, and its numbered versions.
 
-pub mod book;
 pub mod document;
+pub mod history;
 pub mod patch;
 
-pub use book::{Book, Numbered, Update};
 pub use document::{Account, Config, Kind, Model, Objective, Policy, Prices, Service};
+pub use history::{ConfigHistory, NumberedConfig, Update};
--- a/src/control/engine_cache_reader.rs
+++ b/src/control/engine_cache_reader.rs
@@ -12,7 +12,7 @@
 use crate::clock::boot_now;
 use crate::ids::TargetStart;
 use crate::log::Term;
-use crate::net::http::{CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, fetch};
 use crate::platform::stores::{self, Events};
 
 /// How long the engine may hold a request open until it has events. Shorter waits are charged as
@@ -64,7 +64,7 @@
 }
 
 async fn read(engine: &TargetStart, address: SocketAddr) -> Result<Events, CallError> {
-    let call = Exchange::new(address, Method::GET, &stores::events_path(0))
+    let call = HttpCall::new(address, Method::GET, &stores::events_path(0))
         .with_header(stores::WAIT_HEADER, &EVENT_WAIT.as_millis().to_string());
     let answer = fetch(call, READ_TIMEOUT).await?;
     match answer.status {
--- a/src/control/engine_report.rs
+++ b/src/control/engine_report.rs
@@ -7,7 +7,7 @@
 
 use super::rollout_plan::EngineReport;
 use crate::ids::TargetStart;
-use crate::net::http::{CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, fetch};
 use crate::platform::engines;
 
 /// Timeout of a request.
@@ -17,7 +17,7 @@
 /// roster will show which.
 pub async fn read(engine: &TargetStart, address: SocketAddr) -> Option<EngineReport> {
     let answer =
-        fetch(Exchange::new(address, Method::GET, engines::REPORT_PATH), REPORT_TIMEOUT).await;
+        fetch(HttpCall::new(address, Method::GET, engines::REPORT_PATH), REPORT_TIMEOUT).await;
     let report = answer.and_then(|answer| match answer.status {
         StatusCode::OK => verify_start(engine, engines::decode_report(&answer.body)?),
         status => Err(format!("the engine answered {status}").into()),
--- a/src/control/operator_server.rs
+++ b/src/control/operator_server.rs
@@ -22,7 +22,7 @@
 use crate::deployment::{Deployment, validate};
 use crate::ids::ModelId;
 use crate::net;
-use crate::platform::operator::{self, Refused};
+use crate::platform::operator::{self, RejectedCall};
 use crate::telemetry::deployment_metrics::ReplicaMetrics;
 use crate::telemetry::metrics::label;
 
@@ -59,14 +59,14 @@
 /// # Errors
 ///
 /// All problems of the deployment, one per line.
-pub fn validate_call(call: OperatorCall) -> Result<OperatorCall, Refused> {
+pub fn validate_call(call: OperatorCall) -> Result<OperatorCall, RejectedCall> {
     let OperatorCall::Publish { deployment, .. } = &call else { return Ok(call) };
     let problems = validate::problems(deployment);
     if problems.is_empty() {
         return Ok(call);
     }
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
-    Err(Refused { status: StatusCode::BAD_REQUEST, message: lines.join("\n") })
+    Err(RejectedCall { status: StatusCode::BAD_REQUEST, message: lines.join("\n") })
 }
 
 type Answer = Response<Full<Bytes>>;
@@ -85,11 +85,11 @@
     /// Accepts connections for as long as the process lives.
     pub async fn accept(self: Rc<OperatorServer>, listener: TcpListener) {
         let spawn_connection = |stream| drop(tokio::task::spawn_local(self.clone().serve(stream)));
-        net::accept_each(listener, spawn_connection).await;
+        net::for_each_connection(listener, spawn_connection).await;
     }
 
     async fn serve(self: Rc<OperatorServer>, stream: TcpStream) {
-        if let Err(error) = net::notice_silence(&stream, UNACKED_TIMEOUT) {
+        if let Err(error) = net::set_ack_timeout(&stream, UNACKED_TIMEOUT) {
             log::warn!("event=connection_not_set reason={:?}", error.to_string());
         }
         let service = service_fn(move |request| {
--- a/src/control/publisher.rs
+++ b/src/control/publisher.rs
@@ -55,7 +55,7 @@
             }
         });
     };
-    net::accept_each(listener, spawn_connection).await;
+    net::for_each_connection(listener, spawn_connection).await;
 }
 
 async fn serve(
@@ -63,7 +63,7 @@
     scheduling: Rc<SchedulerService>,
     inputs: mpsc::Sender<Input>,
 ) -> std::io::Result<()> {
-    net::notice_silence(&stream, UNACKED_TIMEOUT)?;
+    net::set_ack_timeout(&stream, UNACKED_TIMEOUT)?;
     let (read, write) = stream.into_split();
     let mut read = BufReader::new(read);
     let handshake = frames::read(&mut read);
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -18,7 +18,7 @@
 use crate::fleet::compact::CompactTargets;
 use crate::fleet::{Listed, Listing, RosterChange};
 use crate::ids::ServiceId;
-use crate::net::http::{Answer, CallError, Exchange, fetch};
+use crate::net::http::{CallError, HttpCall, HttpResponse, fetch};
 use crate::platform::instances::{self, Page};
 use crate::telemetry::deployment_metrics::ReplicaMetrics;
 
@@ -180,8 +180,8 @@
     }
 
     /// Requests a page, and asks the other replicas to read if the answer is slow.
-    async fn fetch_page(&self, token: Option<&str>) -> Result<Answer, CallError> {
-        let call = Exchange::new(self.list, Method::GET, &instances::page_path(token));
+    async fn fetch_page(&self, token: Option<&str>) -> Result<HttpResponse, CallError> {
+        let call = HttpCall::new(self.list, Method::GET, &instances::page_path(token));
         let mut fetching = pin!(fetch(call, PAGE_TIMEOUT));
         match tokio::time::timeout(SLOW_PAGE_TIMEOUT, &mut fetching).await {
             Ok(answer) => answer,
--- a/src/control/store_reader.rs
+++ b/src/control/store_reader.rs
@@ -9,7 +9,7 @@
 use super::scheduler_service::SchedulerService;
 use crate::clock::boot_now;
 use crate::log::Term;
-use crate::net::http::{CallError, Exchange, Session};
+use crate::net::http::{CallError, HttpCall, Session};
 use crate::platform::stores;
 
 /// How long the store may hold a request open until it has events. Shorter waits are charged as
@@ -64,7 +64,7 @@
     term: Term,
 ) -> Result<(), FollowError> {
     let mut session = Session::new(store);
-    let list = Exchange::new(store, Method::GET, stores::LIST_PATH);
+    let list = HttpCall::new(store, Method::GET, stores::LIST_PATH);
     let text = fetch_body(&mut session, list).await?;
     let (inventory, clock_ms) =
         stores::decode_list(&text).map_err(|source| FollowError::Unreadable { source })?;
@@ -81,7 +81,7 @@
     });
     let due = tokio::time::Instant::now() + INVENTORY_INTERVAL;
     while scheduling.is_active(term) && tokio::time::Instant::now() < due {
-        let call = Exchange::new(store, Method::GET, &stores::events_path(next))
+        let call = HttpCall::new(store, Method::GET, &stores::events_path(next))
             .with_header(stores::WAIT_HEADER, &EVENT_WAIT.as_millis().to_string());
         let text = fetch_body(&mut session, call).await?;
         let page =
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-async fn fetch_body(session: &mut Session, call: Exchange) -> Result<bytes::Bytes, FollowError> {
+async fn fetch_body(session: &mut Session, call: HttpCall) -> Result<bytes::Bytes, FollowError> {
     let answer = session.fetch(call, EVENT_WAIT + ANSWER_TIMEOUT).await;
     let answer = answer.map_err(|source| FollowError::Unreachable { source })?;
     match answer.status {
--- a/src/deployment/mod.rs
+++ b/src/deployment/mod.rs
@@ -1,11 +1,11 @@
-//! The whole deployment as operators publish it: routes, services, client accounts and bounds.
+//! The deployment as operators publish it: routes, services, client accounts and request limits.
 
 pub mod document;
-pub mod table;
+pub mod routing_table;
 pub mod validate;
 
 pub use document::{
-    Account, Bounds, Deployment, EngineTraits, Route, RunPolicy, Service, ServiceRole, Share,
-    StoreTraits,
+    Account, Deployment, EngineSpec, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    StoreSpec, WeightedService,
 };
-pub use table::{Rejection, RouteMatch, Table};
+pub use routing_table::{Rejection, RouteMatch, RoutingTable};
--- a/src/deployment/table.rs
+++ b/src/deployment/routing_table.rs
@@ -1,54 +1,56 @@
-//! Looks up routes and keys of one deployment.
+//! Index of the routes and keys of a deployment.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::document::{Account, Deployment, Route, Share};
+use super::document::{Account, Deployment, Route, WeightedService};
 use crate::ids::ServiceId;
 
-/// A deployment, indexed for lookups.
+/// A deployment with indexes for looking up routes and accounts.
 #[derive(Debug)]
-pub struct Table {
+pub struct RoutingTable {
     deployment: Arc<Deployment>,
-    /// Routes of each host, those with the longest prefix first.
+    /// Indexes of the routes of each host in lower case, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
-    /// The account of each key, as an index.
+    /// Index of the account of each key.
     by_key: HashMap<String, usize>,
 }
 
-/// A request that no route and account allow.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No route has this host and path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key, and no account holds the one that was given.
+    /// The route requires a key, and the request has none or an unknown one.
     UnknownKey,
 }
 
-/// Where a request may go and for whom.
+/// The route and account of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The account; `None` if the caller gave no known key to a public route.
+    /// The account; `None` if the request has no key, or an unknown one, and the route needs none.
     pub account: Option<&'a Account>,
 }
 
-impl Table {
+impl RoutingTable {
     /// Indexes a deployment.
-    pub fn new(deployment: Arc<Deployment>) -> Table {
+    pub fn new(deployment: Arc<Deployment>) -> RoutingTable {
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
-        for (at, route) in deployment.routes.iter().enumerate() {
-            by_host.entry(route.host.to_ascii_lowercase()).or_default().push(at);
+        for (index, route) in deployment.routes.iter().enumerate() {
+            by_host.entry(route.host.to_ascii_lowercase()).or_default().push(index);
         }
         for routes in by_host.values_mut() {
-            routes.sort_by_key(|at| std::cmp::Reverse(deployment.routes[*at].path_prefix.len()));
+            routes.sort_by_key(|index| {
+                std::cmp::Reverse(deployment.routes[*index].path_prefix.len())
+            });
         }
         let mut by_key = HashMap::new();
-        for (at, account) in deployment.accounts.iter().flatten().enumerate() {
-            by_key.extend(account.keys.iter().map(|key| (key.clone(), at)));
+        for (index, account) in deployment.accounts.iter().flatten().enumerate() {
+            by_key.extend(account.keys.iter().map(|key| (key.clone(), index)));
         }
-        Table { deployment, by_host, by_key }
+        RoutingTable { deployment, by_host, by_key }
     }
 
     /// The deployment.
@@ -56,10 +58,10 @@
         &self.deployment
     }
 
-    /// Finds the route and the account of a request.
+    /// Finds the route and the account of a request. The longest matching path prefix wins.
     ///
     /// # Errors
-    /// If there is no such route, or the key is not known where one is needed.
+    /// If no route matches, or the route requires a key and the given one is missing or unknown.
     pub fn find(
         &self,
         host: &str,
@@ -82,25 +84,25 @@
         };
         routes
             .iter()
-            .map(|at| &self.deployment.routes[*at])
+            .map(|index| &self.deployment.routes[*index])
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
     fn account(&self, key: &str) -> Option<&Account> {
-        let at = *self.by_key.get(key)?;
-        self.deployment.accounts.as_ref()?.get(at)
+        let index = *self.by_key.get(key)?;
+        self.deployment.accounts.as_ref()?.get(index)
     }
 }
 
 impl Route {
-    /// The service for a request, by a number that is drawn evenly from `0..1`.
-    pub fn pick(&self, drawn: f64) -> Option<&ServiceId> {
+    /// Picks a service in proportion to the weights. `fraction` is drawn uniformly from `0..1`.
+    pub fn pick_service(&self, fraction: f64) -> Option<&ServiceId> {
         let total: f64 = self.split.iter().map(|share| f64::from(share.weight)).sum();
-        let mut left = drawn * total;
-        let weighted = |share: &&Share| share.weight > 0;
+        let mut remaining = fraction * total;
+        let weighted = |share: &&WeightedService| share.weight > 0;
         for share in self.split.iter().filter(weighted) {
-            left -= f64::from(share.weight);
-            if left < 0.0 {
+            remaining -= f64::from(share.weight);
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
--- a/src/emulator/cache.rs
+++ b/src/emulator/cache.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::edge::api::CacheChange;
 use crate::ids::BlockKey;
+use crate::upstream::api::CacheChange;
 
 /// An LRU cache of prefix blocks. Pinned blocks do not count against its capacity.
 pub struct PrefixCache {
--- a/src/emulator/engine.rs
+++ b/src/emulator/engine.rs
@@ -21,15 +21,16 @@
 use super::store;
 use super::stream::{Completion, CompletionStream, Progress, StreamId, StreamState};
 use super::transfer;
-use crate::edge::api::{
-    ATTEMPT_HEADER, CacheChange, CacheEvent, CacheEvents, CancelOrder, EngineOrder, ExportOrder,
-    ImportOrder, KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER,
-    REQUEST_HEADER, VERSION_HEADER,
-};
-use crate::edge::chat::{PromptDetails, PromptRequest, Shape, Usage};
+
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
 use crate::prompt::{BLOCK_TOKENS, Chain, Owner};
+use crate::upstream::api::{
+    ATTEMPT_HEADER, CacheChange, CacheEvent, CacheEvents, CancelOrder, EngineOrder, ExportOrder,
+    ImportOrder, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER,
+    StoredObject, VERSION_HEADER,
+};
+use crate::upstream::chat::{ApiFormat, PromptDetails, PromptRequest, Usage};
 
 /// Interval between the load samples from which delayed load reports are served.
 const LOAD_SAMPLE_PERIOD: Duration = Duration::from_millis(20);
@@ -135,8 +136,8 @@
     pub async fn handle(self: Arc<Engine>, request: Request) -> Response {
         let segments = request.segments();
         match segments.as_slice() {
-            ["v1", "chat", "completions"] => self.start_completion(&request, Shape::Chat),
-            ["v1", "completions"] => self.start_completion(&request, Shape::Text),
+            ["v1", "chat", "completions"] => self.start_completion(&request, ApiFormat::Chat),
+            ["v1", "completions"] => self.start_completion(&request, ApiFormat::Text),
             ["streams", id] => self.resume(&request, id),
             ["load"] => http::json(StatusCode::OK, &self.load_report()),
             ["kv", "events"] => http::json(StatusCode::OK, &self.events_after(&request)),
@@ -147,7 +148,7 @@
         }
     }
 
-    fn start_completion(self: &Arc<Engine>, request: &Request, shape: Shape) -> Response {
+    fn start_completion(self: &Arc<Engine>, request: &Request, format: ApiFormat) -> Response {
         let Ok(prompt) = request.json::<PromptRequest>() else {
             return refuse_not_run(StatusCode::BAD_REQUEST, "the body is not a prompt request");
         };
@@ -176,7 +177,7 @@
             .and_then(|body| serde_json::from_value(body.get("kv_import")?.clone()).ok());
         let completion = Arc::new(Completion {
             answer: Answer::new(&owner, &text, prompt.token_limit().max(1)),
-            shape,
+            format,
             progress: watch::Sender::new(Progress::default()),
         });
         self.ledger.record_start(&self.settings.id, &request_id);
@@ -327,7 +328,7 @@
             return http::text(StatusCode::NOT_FOUND, "the prefix is not resident".into());
         }
         let content = store::synthetic_content(order.key, order.blocks);
-        let object = KeptObject {
+        let object = StoredObject {
             root: order.root,
             key: order.key,
             generation: order.generation,
--- a/src/emulator/service.rs
+++ b/src/emulator/service.rs
@@ -10,8 +10,8 @@
 use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::settings::ServiceSettings;
-use crate::edge::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 use crate::http::{self, Request, Response};
+use crate::upstream::api::{NOT_RUN_HEADER, OWNER_HEADER, REQUEST_HEADER};
 
 /// An emulated service instance.
 pub struct Service {
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -5,8 +5,8 @@
 
 use serde_json::Value;
 
-use crate::checked::Fields;
 use crate::error::{Error, Result};
+use crate::json_reader::ObjectReader;
 use crate::settings::{parse_log_settings, read_json};
 use crate::telemetry::logs::LogSettings;
 
@@ -99,15 +99,15 @@
     /// `Error::Invalid` with all problems found.
     pub fn from_value(value: &Value, file: &str) -> Result<EmulatorSettings> {
         let mut problems = Vec::new();
-        let mut fields = Fields::new(value, "", &mut problems);
+        let mut fields = ObjectReader::new(value, "", &mut problems);
         let ip_text = fields.optional_text("ip").unwrap_or_else(|| "127.0.0.1".into());
         let ip = ip_text.parse().unwrap_or_else(|_| {
-            fields.problem("ip", format!("{ip_text:?} is not an IP address"), "give 127.0.0.1");
+            fields.report("ip", format!("{ip_text:?} is not an IP address"), "give 127.0.0.1");
             IpAddr::from([127, 0, 0, 1])
         });
         if !ip.is_loopback() {
             let remedy = "give a loopback address: the emulator serves one machine only";
-            fields.problem("ip", format!("{ip} is not a loopback address"), remedy);
+            fields.report("ip", format!("{ip} is not a loopback address"), remedy);
         }
         let settings = EmulatorSettings {
             ip,
@@ -130,7 +130,7 @@
 /// Upper bound of settings without a natural limit.
 const MAX_QUANTITY: u64 = 1 << 50;
 
-fn engine_settings(mut fields: Fields<'_>) -> EngineSettings {
+fn engine_settings(mut fields: ObjectReader<'_>) -> EngineSettings {
     let settings = EngineSettings {
         id: fields.text("id", "name the engine"),
         model: fields.text("model", "name its model"),
@@ -144,14 +144,14 @@
         load_lag_ms: fields.number("load_lag_ms", 100, 0, 600_000),
         event_lag_ms: fields.number("event_lag_ms", 100, 0, 600_000),
         event_loss_one_in: fields.number("event_loss_one_in", 50, 0, MAX_QUANTITY),
-        checks_fencing: fields.flag("checks_fencing", true),
-        reproducible: fields.flag("reproducible", true),
+        checks_fencing: fields.bool("checks_fencing", true),
+        reproducible: fields.bool("reproducible", true),
     };
     fields.finish();
     settings
 }
 
-fn store_settings(mut fields: Fields<'_>) -> StoreSettings {
+fn store_settings(mut fields: ObjectReader<'_>) -> StoreSettings {
     let settings = StoreSettings {
         id: fields.text("id", "name the store"),
         failure_domain: fields.text("failure_domain", "name its failure domain"),
@@ -164,7 +164,7 @@
     settings
 }
 
-fn service_settings(mut fields: Fields<'_>) -> ServiceSettings {
+fn service_settings(mut fields: ObjectReader<'_>) -> ServiceSettings {
     let settings = ServiceSettings {
         id: fields.text("id", "name the instance"),
         service: fields.text("service", "name its service"),
--- a/src/emulator/store.rs
+++ b/src/emulator/store.rs
@@ -12,9 +12,10 @@
 use super::faults::TargetFaults;
 use super::ledger::Ledger;
 use super::settings::StoreSettings;
-use crate::edge::api::{BeginWrite, CommitWrite, Inventory, KeptObject, StoreReport};
+
 use crate::http::{self, Request, Response};
 use crate::ids::{BlockKey, Incarnation};
+use crate::upstream::api::{BeginWrite, CommitWrite, Inventory, StoreReport, StoredObject};
 
 /// Size of the synthetic content of a block. Transfer times are computed from the real size.
 const SYNTHETIC_BYTES_PER_BLOCK: usize = 16;
@@ -29,7 +30,7 @@
 }
 
 struct State {
-    objects: BTreeMap<BlockKey, StoredObject>,
+    objects: BTreeMap<BlockKey, ObjectEntry>,
     /// Total size of the objects, committed or not.
     used_bytes: u64,
     /// When the link has finished all transfers.
@@ -40,8 +41,8 @@
 }
 
 /// An object that is being or has been written.
-struct StoredObject {
-    metadata: KeptObject,
+struct ObjectEntry {
+    metadata: StoredObject,
     content: Vec<u8>,
     committed: bool,
     last_use_tick: u64,
@@ -139,7 +140,7 @@
         }
         let size_bytes = object.size_bytes;
         state.owner_epochs.insert(object.key, owner_epoch);
-        let new_object = StoredObject {
+        let new_object = ObjectEntry {
             metadata: object.clone(),
             content: Vec::new(),
             committed: false,
--- a/src/emulator/stream.rs
+++ b/src/emulator/stream.rs
@@ -7,8 +7,9 @@
 use tokio::sync::watch;
 
 use super::answer::Answer;
-use crate::edge::chat::{Chunk, Shape, Usage};
-use crate::edge::sse;
+
+use crate::upstream::chat::{ApiFormat, Chunk, Usage};
+use crate::upstream::sse;
 
 /// Identifies a stream: the request id, a dot and the attempt.
 pub(super) type StreamId = String;
@@ -16,7 +17,7 @@
 /// A completion that is being or has been generated.
 pub(super) struct Completion {
     pub(super) answer: Answer,
-    pub(super) shape: Shape,
+    pub(super) format: ApiFormat,
     pub(super) progress: watch::Sender<Progress>,
 }
 
@@ -71,7 +72,7 @@
         if data.is_err() {
             self.state = StreamState::End;
         }
-        Some((data.map(|data| Bytes::from(sse::event(&data))), self))
+        Some((data.map(|data| Bytes::from(sse::encode_event(&data))), self))
     }
 
     async fn next_token_event(&mut self) -> Option<Result<String, std::io::Error>> {
@@ -100,6 +101,6 @@
     }
 
     fn encode(&self, chunk: Chunk) -> Result<String, std::io::Error> {
-        Ok(chunk.write(self.completion.shape, &self.model, 0))
+        Ok(chunk.to_json(self.completion.format, &self.model, 0))
     }
 }
--- a/src/emulator/supervisor.rs
+++ b/src/emulator/supervisor.rs
@@ -19,10 +19,11 @@
 use super::settings::{EmulatorSettings, EngineSettings, ServiceSettings, StoreSettings};
 use super::store::Store;
 use super::target_list::DelayedTargetList;
-use crate::edge::api::{Presence, Role, Target};
+
 use crate::error::{Error, Result};
 use crate::http::{self, Request, Response};
 use crate::ids::{Incarnation, TargetId};
+use crate::upstream::api::{Presence, Role, Target};
 
 /// Largest request body that targets and the emulator accept.
 const BODY_LIMIT_BYTES: usize = 64 << 20;
--- a/src/emulator/target_list.rs
+++ b/src/emulator/target_list.rs
@@ -5,8 +5,8 @@
 
 use parking_lot::Mutex;
 
-use crate::edge::api::{Presence, Target, TargetList};
 use crate::ids::TargetId;
+use crate::upstream::api::{Presence, Target, TargetList};
 
 /// A target list whose changes become visible after a delay.
 pub struct DelayedTargetList {
--- a/src/emulator/transfer.rs
+++ b/src/emulator/transfer.rs
@@ -4,13 +4,13 @@
 use warp::http::StatusCode;
 
 use super::store;
-use crate::edge::api::{BeginWrite, CommitWrite, ExportOrder, KeptObject};
+use crate::upstream::api::{BeginWrite, CommitWrite, ExportOrder, StoredObject};
 
 /// Reads an object from a store. Returns `None` if this generation is unavailable or damaged.
 pub(super) async fn import_object(
     client: &Client,
     store_url: &str,
-    object: &KeptObject,
+    object: &StoredObject,
 ) -> Option<()> {
     let url = store::object_url(store_url, object.key, object.generation);
     let response = client.get(url).send().await.ok()?;
@@ -28,7 +28,7 @@
 pub(super) async fn export_object(
     client: &Client,
     order: &ExportOrder,
-    object: &KeptObject,
+    object: &StoredObject,
     content: Vec<u8>,
 ) -> Result<(), StatusCode> {
     let begin = BeginWrite { object: object.clone(), owner_epoch: order.owner_epoch };
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -23,7 +23,7 @@
 use super::target_selection::NoTarget;
 use super::termination;
 use crate::clock::boot_now;
-use crate::deployment::{Rejection, RunPolicy, Table};
+use crate::deployment::{Rejection, RoutingTable, RunPolicy};
 use crate::fleet::placement::SelectionError;
 use crate::ids::TargetStart;
 use crate::platform::headers;
@@ -51,7 +51,7 @@
     let started_at = boot_now();
     let arrived = Instant::now();
     let (head, body) = request.into_parts();
-    let metadata = headers::decode_call(&head.uri, &head.headers);
+    let metadata = headers::decode_request(&head.uri, &head.headers);
     let mut record = RequestRecord::new(&gateway, &metadata, started_at);
     let mut response = match admit(&gateway, head, metadata, body, arrived, &mut record).await {
         Ok(routed) => serve(&gateway, routed, record).await,
@@ -79,7 +79,8 @@
         Err(refusal) => return Err((refusal, metadata.id)),
     };
     let mut routed = route_request(&table, head, metadata, arrived, record)?;
-    let (version, max_bytes) = (table.deployment().version, table.deployment().bounds.body_bytes);
+    let (version, max_bytes) =
+        (table.deployment().version, table.deployment().request_limits.body_bytes);
     drop(table);
     gateway.wait_for_service(&routed.service, max_wait.saturating_sub(arrived.elapsed())).await;
     routed.body = match read_body(body, max_bytes).await {
@@ -100,7 +101,7 @@
     gateway: &Gateway,
     metadata: &RequestMetadata,
     record: &mut RequestRecord,
-) -> Result<Rc<Table>, Refusal> {
+) -> Result<Rc<RoutingTable>, Refusal> {
     loop {
         let table = gateway.table().ok_or(Refusal::NotReady)?;
         let version = table.deployment().version;
@@ -125,7 +126,7 @@
 
 /// Finds the route, account and service of a request. The body is added later.
 fn route_request(
-    table: &Table,
+    table: &RoutingTable,
     head: http::request::Parts,
     metadata: RequestMetadata,
     arrived: Instant,
@@ -140,7 +141,7 @@
     let priority = Priority::of(found.account, &route);
     record.set_route(&route.name, priority);
     let mut random = rand::rng();
-    let Some(service) = route.pick(random.random()).cloned() else {
+    let Some(service) = route.pick_service(random.random()).cloned() else {
         return Err((Refusal::NoTarget, metadata.id));
     };
     let isolated = found.account.filter(|account| account.is_isolated);
@@ -269,7 +270,7 @@
     received: TargetResponse,
 ) -> GatewayResponse {
     let status = received.response.status();
-    let values = headers::for_caller(received.response.headers());
+    let values = headers::response_for_caller(received.response.headers());
     let is_stream = routed.route.policy.is_stream() && status == StatusCode::OK;
     let body = if is_stream {
         EventRelay::new(gateway.clone(), routed, record, tried, received).into_body()
--- a/src/http_api/callers.rs
+++ b/src/http_api/callers.rs
@@ -9,8 +9,8 @@
 
 use super::{Refusal, RefusalCode, prompts, services};
 use crate::clock::{BootTime, boot_now};
-use crate::config::{Kind, Numbered};
-use crate::edge::chat::Shape;
+use crate::config::{Kind, NumberedConfig};
+
 use crate::http::{self, BodyError, Request, Response};
 use crate::ids::{AccountId, KindId, RequestId};
 use crate::limits::AdmissionRequest;
@@ -21,6 +21,7 @@
 use crate::telemetry::burn::FinishedRequest;
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
+use crate::upstream::chat::ApiFormat;
 
 const KIND_HEADER: &str = "x-kumquatpost-kind";
 const DEADLINE_HEADER: &str = "x-kumquatpost-deadline-ms";
@@ -38,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct ApiCall {
     /// The configuration when the request was received. Applies until the request ends.
-    pub config: Arc<Numbered>,
+    pub config: Arc<NumberedConfig>,
     pub account: AccountId,
     /// The Idempotency-Key header, or a random id.
     pub request_id: RequestId,
@@ -82,9 +83,9 @@
     if method == Method::GET && path == "/v1/models" {
         return list_models(node, &request);
     }
-    if let Some(shape) = Shape::of_path(&path).filter(|_| method == Method::POST) {
+    if let Some(format) = ApiFormat::from_path(&path).filter(|_| method == Method::POST) {
         let call = ApiCall::from_request(node, &request)?;
-        return prompts::serve(node, call, &request, shape).await;
+        return prompts::serve(node, call, &request, format).await;
     }
     if let ["v1", "services", service, ..] = request.segments().as_slice() {
         let service = service.to_string();
@@ -116,7 +117,7 @@
 ///
 /// # Errors
 /// If this node does not admit requests.
-pub fn admission_config(node: &Node) -> Result<Arc<Numbered>, Refusal> {
+pub fn admission_config(node: &Node) -> Result<Arc<NumberedConfig>, Refusal> {
     if node.is_stopping() {
         let refusal = Refusal::not_run(RefusalCode::ShuttingDown, "this node is shutting down");
         return Err(refusal.with_retry_after(NOT_FRESH_RETRY_AFTER));
@@ -127,7 +128,7 @@
     })
 }
 
-fn authenticate(config: &Numbered, request: &Request) -> Result<AccountId, Refusal> {
+fn authenticate(config: &NumberedConfig, request: &Request) -> Result<AccountId, Refusal> {
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     let account = bearer.and_then(|key| config.account_of_key(key.trim()));
     account.cloned().ok_or_else(|| {
@@ -278,7 +279,9 @@
             RefusalCode::BodyTooLarge,
             format!("the body is longer than {limit} bytes"),
         ),
-        BodyError::Broken => Refusal::not_run(RefusalCode::BadRequest, "the body is incomplete"),
+        BodyError::Disconnected => {
+            Refusal::not_run(RefusalCode::BadRequest, "the body is incomplete")
+        }
     }
 }
 
--- a/src/http_api/operators.rs
+++ b/src/http_api/operators.rs
@@ -8,7 +8,7 @@
 use warp::http::{Method, StatusCode};
 
 use crate::clock::boot_now;
-use crate::config::{Book, Update};
+use crate::config::{ConfigHistory, Update};
 use crate::http::{self, Request, Response};
 use crate::ids::NodeId;
 use crate::log::raft::Change;
@@ -48,10 +48,10 @@
         return local_config(node);
     }
     // Number 0 requests the whole configuration.
-    let mut book = Book::default();
+    let mut history = ConfigHistory::default();
     match node.read_config(0).await {
-        Ok(update) if book.take(&update).is_ok() => {
-            config_response(book.number(), &book.newest().document)
+        Ok(update) if history.apply_update(&update).is_ok() => {
+            config_response(history.number(), &history.newest().document)
         }
         _ => no_leader_response(),
     }
@@ -151,7 +151,7 @@
                 json!({"number": number, "patch": patch})
             })
             .collect(),
-        Ok(Update::Whole(number, text)) => {
+        Ok(Update::Full(number, text)) => {
             let document: Value = serde_json::from_str(&text).unwrap_or(Value::Null);
             vec![json!({"number": number, "document": document})]
         }
@@ -201,7 +201,7 @@
     match request.json::<Faults>() {
         Ok(faults) => {
             log::warn!("event=fault_set cut_off_from={:?}", faults.cut_off_from);
-            node.links.set_cut(faults.cut_off_from);
+            node.links.set_blocked_peers(faults.cut_off_from);
             http::json(StatusCode::OK, &json!({"set": true}))
         }
         Err(reason) => error_response(StatusCode::BAD_REQUEST, "fault_invalid", &reason),
--- a/src/http_api/prompt_run.rs
+++ b/src/http_api/prompt_run.rs
@@ -13,10 +13,7 @@
 use super::responses::AnswerEvent;
 use super::{Execution, Refusal, RefusalCode};
 use crate::clock::{BootTime, boot_now};
-use crate::edge::api::{ImportOrder, KeptObject};
-use crate::edge::chat::Usage;
-use crate::edge::client::{CallError, PromptCall, StreamRef};
-use crate::edge::sse::{Events, Oversized};
+
 use crate::ids::{Attempt, TargetId};
 use crate::node::Node;
 
@@ -24,6 +21,10 @@
 use crate::route::{Dispatch, DispatchOutcome, NoEngine, RouteRequest};
 use crate::telemetry::logs::quoted;
 use crate::telemetry::metrics::label;
+use crate::upstream::api::{ImportOrder, StoredObject};
+use crate::upstream::chat::Usage;
+use crate::upstream::client::{AttemptRef, CallError, PromptCall};
+use crate::upstream::sse::{EventParser, Oversized};
 
 /// Limit on dispatches of one request.
 const MAX_ATTEMPTS: Attempt = 4;
@@ -45,7 +46,7 @@
     run_id: String,
     attempt: Attempt,
     excluded_engines: Vec<TargetId>,
-    stored_prefixes: Vec<(TargetId, KeptObject)>,
+    stored_prefixes: Vec<(TargetId, StoredObject)>,
     /// Whether a target may have run the request.
     may_have_run: bool,
     /// Time from the arrival of the request to its first token.
@@ -262,12 +263,12 @@
             held_claim.mark_dispatched().map_err(not_dispatched)?;
         }
         let run_id = self.run_id.clone();
-        let stream = StreamRef { request_id: &run_id, attempt: self.attempt };
+        let stream = AttemptRef { request_id: &run_id, attempt: self.attempt };
         self.relay.restart(stream.id());
         let call = &self.prompt.call;
         let sent = self.node.client.prompt(PromptCall {
             url: &dispatch.url,
-            shape: self.prompt.shape,
+            format: self.prompt.format,
             body: self.prompt.body.clone(),
             import: import_order(dispatch),
             stream,
@@ -305,7 +306,7 @@
     async fn relay_answer(
         &mut self,
         dispatch: &Dispatch,
-        stream: StreamRef<'_>,
+        stream: AttemptRef<'_>,
         response: reqwest::Response,
     ) -> Result<CompleteAnswer, DispatchError> {
         let first = self.relay_stream(response).await;
@@ -364,7 +365,7 @@
     }
 
     async fn relay_stream(&mut self, response: reqwest::Response) -> Result<(), RelayError> {
-        let mut events = Events::default();
+        let mut events = EventParser::default();
         let mut body = response.bytes_stream();
         loop {
             let bytes = match tokio::time::timeout(STREAM_IDLE_TIMEOUT, body.next()).await {
--- a/src/http_api/prompts.rs
+++ b/src/http_api/prompts.rs
@@ -12,12 +12,13 @@
 use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::config::Policy;
-use crate::edge::chat::{PromptRequest, Shape, Usage};
+
 use crate::http::{Request, Response};
 use crate::ids::WeightVersion;
 use crate::node::Node;
 use crate::node::admission::Permit;
 use crate::prompt::{Chain, Owner};
+use crate::upstream::chat::{ApiFormat, PromptRequest, Usage};
 
 /// Capacity of the channel from a run to its response. A run waits while it is full.
 const ANSWER_EVENT_BUFFER: usize = 64;
@@ -25,7 +26,7 @@
 /// A validated prompt request.
 pub struct Prompt {
     pub call: ApiCall,
-    pub shape: Shape,
+    pub format: ApiFormat,
     /// The body of the request.
     pub body: serde_json::Value,
     /// The routing policy of the model.
@@ -72,12 +73,13 @@
     node: &Arc<Node>,
     call: ApiCall,
     request: &Request,
-    shape: Shape,
+    api_format: ApiFormat,
 ) -> Result<Response, Refusal> {
-    let (prompt, format) = parse_prompt(node, call, request, shape)?;
+    let (prompt, format) = parse_prompt(node, call, request, api_format)?;
     let mut held_claim = None;
     if !prompt.call.repeatable {
-        let digest = at_most_once::request_digest(&[shape.path().as_bytes(), &request.bytes()]);
+        let digest =
+            at_most_once::request_digest(&[api_format.path().as_bytes(), &request.bytes()]);
         match at_most_once::claim(node, &prompt.call, digest).await? {
             ClaimOutcome::Granted(claim) => held_claim = Some(claim),
             ClaimOutcome::AlreadyRan(outcome) => return replay_outcome(format, &outcome),
@@ -132,16 +134,16 @@
     node: &Node,
     call: ApiCall,
     request: &Request,
-    shape: Shape,
+    format: ApiFormat,
 ) -> Result<(Prompt, ResponseFormat), Refusal> {
     let bad_request = |message: String| Refusal::not_run(RefusalCode::BadRequest, message);
     let body: serde_json::Value =
         request.json().map_err(|reason| bad_request(format!("the body is not JSON: {reason}")))?;
     let prompt_request: PromptRequest = serde_json::from_value(body.clone())
         .map_err(|reason| bad_request(format!("the body is not a prompt: {reason}")))?;
-    let missing = match shape {
-        Shape::Chat => prompt_request.messages.is_empty().then_some("messages"),
-        Shape::Text => prompt_request.prompt.is_none().then_some("prompt"),
+    let missing = match format {
+        ApiFormat::Chat => prompt_request.messages.is_empty().then_some("messages"),
+        ApiFormat::Text => prompt_request.prompt.is_none().then_some("prompt"),
     };
     if let Some(field) = missing {
         return Err(bad_request(format!("{field} is missing or empty")));
@@ -163,12 +165,12 @@
             call.received_at,
         )
     };
-    let prefix = match shape {
-        Shape::Chat => "chatcmpl",
-        Shape::Text => "cmpl",
+    let prefix = match format {
+        ApiFormat::Chat => "chatcmpl",
+        ApiFormat::Text => "cmpl",
     };
-    let format = ResponseFormat {
-        shape,
+    let response_format = ResponseFormat {
+        format,
         model: prompt_request.model.clone(),
         id: format!("{prefix}-{}", call.request_id),
         stream: prompt_request.stream,
@@ -178,7 +180,10 @@
     let chain = build_chain(&call, &prompt_request.model, &weight_version, &prompt_text);
     let model_id = prompt_request.model;
     let policy = model.policy;
-    Ok((Prompt { call, shape, body, policy, weight_version, model_id, chain, prompt_text }, format))
+    Ok((
+        Prompt { call, format, body, policy, weight_version, model_id, chain, prompt_text },
+        response_format,
+    ))
 }
 
 fn to_outcome(record: &RecordedAnswer) -> Outcome {
--- a/src/http_api/relay.rs
+++ b/src/http_api/relay.rs
@@ -3,8 +3,8 @@
 //! Only chunks of the current dispatch are accepted, in order, up to `[DONE]`. After a restart,
 //! text is forwarded only if the new stream first repeats everything that was already sent.
 
-use crate::edge::chat::{Chunk, Usage};
-use crate::edge::sse;
+use crate::upstream::chat::{Chunk, Usage};
+use crate::upstream::sse;
 
 /// The state of one answer across its streams.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -6,9 +6,10 @@
 
 use super::refusal::{Refusal, RefusalCode};
 use crate::clock::unix_ms;
-use crate::edge::chat::{self, Chunk, Shape, Usage};
-use crate::edge::sse;
+
 use crate::http::{self, Response};
+use crate::upstream::chat::{self, ApiFormat, Chunk, Usage};
+use crate::upstream::sse;
 
 /// A step in the generation of an answer.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,7 +29,7 @@
 /// The response format that a caller asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseFormat {
-    pub shape: Shape,
+    pub format: ApiFormat,
     /// The model name from the request.
     pub model: String,
     /// The id of the response.
@@ -55,7 +56,8 @@
 /// A complete answer as one JSON document.
 pub fn json_answer(format: ResponseFormat, text: String, finish: String, usage: Usage) -> Response {
     let chunk = Chunk { id: format.id.clone(), text, finish: Some(finish), usage: Some(usage) };
-    let value = chat::whole(format.shape, &format.id, &format.model, unix_ms() / 1_000, &chunk);
+    let value =
+        chat::completion(format.format, &format.id, &format.model, unix_ms() / 1_000, &chunk);
     http::json(StatusCode::OK, &value)
 }
 
@@ -95,7 +97,8 @@
 }
 
 fn encode_event(format: &ResponseFormat, event: AnswerEvent, created_s: u64) -> String {
-    let write = |chunk: Chunk| sse::event(&chunk.write(format.shape, &format.model, created_s));
+    let write =
+        |chunk: Chunk| sse::encode_event(&chunk.to_json(format.format, &format.model, created_s));
     let empty = Chunk { id: format.id.clone(), ..Chunk::default() };
     match event {
         AnswerEvent::Text(text) => write(Chunk { text, ..empty }),
@@ -104,11 +107,11 @@
             if format.include_usage {
                 text.push_str(&write(Chunk { usage: Some(usage), ..empty }));
             }
-            text.push_str(&sse::event(sse::DONE));
+            text.push_str(&sse::encode_event(sse::DONE));
             text
         }
         // The missing `[DONE]` tells the caller that the answer is incomplete.
-        AnswerEvent::Failed(refusal) => sse::event(&refusal.body().to_string()),
+        AnswerEvent::Failed(refusal) => sse::encode_event(&refusal.body().to_string()),
     }
 }
 
--- a/src/http_api/services.rs
+++ b/src/http_api/services.rs
@@ -10,11 +10,12 @@
 use super::{Refusal, RefusalCode};
 use crate::claims::Outcome;
 use crate::clock::{BootTime, boot_now};
-use crate::edge::api::{OWNER_HEADER, REQUEST_HEADER, Target};
-use crate::edge::client::CallError;
+
 use crate::http::{self, Request, Response};
 use crate::node::Node;
 use crate::node::quarantine::BrokenDispatch;
+use crate::upstream::api::{OWNER_HEADER, REQUEST_HEADER, Target};
+use crate::upstream::client::CallError;
 
 /// Limit on instances tried for one call.
 const MAX_INSTANCES_TRIED: usize = 3;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,7 +4,6 @@
 //! layers around them perform the I/O. See README.md for an overview and docs/design/ for the design.
 
 pub mod capacity;
-pub mod checked;
 pub mod claims;
 pub mod cli;
 pub mod clock;
@@ -12,7 +11,6 @@
 pub mod config;
 pub mod control;
 pub mod deployment;
-pub mod edge;
 pub mod emulator;
 pub mod error;
 pub mod essential_tasks;
@@ -22,6 +20,7 @@
 pub mod http;
 pub mod http_api;
 pub mod ids;
+pub mod json_reader;
 pub mod lease;
 pub mod limits;
 pub mod load;
@@ -43,3 +42,4 @@
 pub mod scheduler;
 pub mod settings;
 pub mod telemetry;
+pub mod upstream;
--- a/src/load/sender.rs
+++ b/src/load/sender.rs
@@ -9,10 +9,11 @@
 use super::emulated_deployment::account_key;
 use super::report::{Outcome, RequestResult};
 use super::workload::{Arrival, Call, prompt_owner};
-use crate::edge::chat::{Chunk, Usage};
-use crate::edge::sse::{DONE, Events};
+
 use crate::emulator::answer::Answer;
 use crate::error::{Error, Result};
+use crate::upstream::chat::{Chunk, Usage};
+use crate::upstream::sse::{DONE, EventParser};
 
 /// Requests without a complete answer after this time count as lost.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
@@ -109,7 +110,7 @@
 
 async fn read_stream(response: reqwest::Response, sent_at: Instant, expected: &str) -> Outcome {
     let mut body = response.bytes_stream();
-    let mut events = Events::default();
+    let mut events = EventParser::default();
     let mut text = String::new();
     let mut usage = Usage::default();
     let mut first_token = None;
--- a/src/load/workload.rs
+++ b/src/load/workload.rs
@@ -8,8 +8,8 @@
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 use serde_json::{Value, json};
 
-use crate::edge::chat::PromptRequest;
 use crate::prompt::Owner;
+use crate::upstream::chat::PromptRequest;
 
 /// Number of accounts. Their popularity follows a Zipf distribution.
 pub const ACCOUNTS: usize = 10;
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to the platform, to engines and to stores that are no callers' requests.
+//! HTTP calls of this system itself to the platform, engines and stores.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::ids::TargetId;
 use crate::platform::headers;
 
-/// An answer's body is not read beyond this: the inventory of a store with some ten thousand parts.
+/// Maximum size of a response body. The inventory of a store with tens of thousands of parts fits.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// A connection whose bytes are not acknowledged for this long is given up.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(1);
+/// A connection fails once sent data stays unacknowledged for this long.
+const ACK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A call.
+/// An HTTP request to an address.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct HttpCall {
     to: SocketAddr,
     method: Method,
     path: String,
@@ -29,38 +29,38 @@
     json: Option<Vec<u8>>,
 }
 
-/// Its answer.
+/// The response to an `HttpCall`.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct HttpResponse {
     /// The status.
     pub status: StatusCode,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why a call got no response.
 pub type CallError = Box<dyn std::error::Error + Send + Sync>;
 
-impl Exchange {
-    /// A call without a body.
-    pub fn new(to: SocketAddr, method: Method, path: &str) -> Exchange {
-        Exchange { to, method, path: path.to_string(), headers: Vec::new(), json: None }
+impl HttpCall {
+    /// Creates a call without a body.
+    pub fn new(to: SocketAddr, method: Method, path: &str) -> HttpCall {
+        HttpCall { to, method, path: path.to_string(), headers: Vec::new(), json: None }
     }
 
-    /// Any target but this one must refuse it.
-    pub fn expecting(mut self, target: &TargetId) -> Exchange {
+    /// Makes every target but this one refuse the call.
+    pub fn with_expected_target(mut self, target: &TargetId) -> HttpCall {
         self.headers.push((headers::EXPECT_INSTANCE, target.clone()));
         self
     }
 
     /// Adds a header.
-    pub fn with_header(mut self, name: &'static str, value: &str) -> Exchange {
+    pub fn with_header(mut self, name: &'static str, value: &str) -> HttpCall {
         self.headers.push((HeaderName::from_static(name), value.to_string()));
         self
     }
 
-    /// Sends a JSON text.
-    pub fn with_json(mut self, json: Vec<u8>) -> Exchange {
+    /// Sets a JSON body.
+    pub fn with_json(mut self, json: Vec<u8>) -> HttpCall {
         self.headers.push((CONTENT_TYPE, "application/json".to_string()));
         self.json = Some(json);
         self
@@ -76,77 +76,77 @@
     }
 }
 
-/// Calls to one address, one after another on one connection for as long as it lasts.
+/// Makes calls to one address, one after the other, and reuses the connection while it is open.
 pub struct Session {
     to: SocketAddr,
-    connection: Option<Connected>,
+    connection: Option<Connection>,
 }
 
-struct Connected {
+struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for Connected {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 impl Session {
-    /// No connection yet.
+    /// Creates a session without a connection.
     pub fn new(to: SocketAddr) -> Session {
         Session { to, connection: None }
     }
 
-    /// Makes a call and reads the whole answer.
+    /// Makes a call and reads the complete response.
     ///
     /// # Errors
-    /// If there is none in time. The next call uses a new connection then.
+    /// If the call fails or times out. The next call uses a new connection then.
     pub async fn fetch(
         &mut self,
-        exchange: Exchange,
+        call: HttpCall,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
-        let connected = self.connection.take().filter(|known| known.sender.is_ready());
-        let answered = tokio::time::timeout(timeout, async {
-            let mut connected = match connected {
-                Some(connected) => connected,
+    ) -> Result<HttpResponse, CallError> {
+        let connection = self.connection.take().filter(|open| open.sender.is_ready());
+        let result = tokio::time::timeout(timeout, async {
+            let mut connection = match connection {
+                Some(connection) => connection,
                 None => connect(self.to, timeout).await?,
             };
-            let answer = connected.call(exchange).await?;
-            Ok::<_, CallError>((answer, connected))
+            let response = connection.call(call).await?;
+            Ok::<_, CallError>((response, connection))
         });
-        let (answer, connected) = answered.await??;
-        self.connection = Some(connected);
-        Ok(answer)
+        let (response, connection) = result.await??;
+        self.connection = Some(connection);
+        Ok(response)
     }
 }
 
-impl Connected {
-    async fn call(&mut self, exchange: Exchange) -> Result<Answer, CallError> {
-        let answer = self.sender.send_request(exchange.into_request()?).await?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await?.to_bytes();
-        Ok(Answer { status, body })
+impl Connection {
+    async fn call(&mut self, call: HttpCall) -> Result<HttpResponse, CallError> {
+        let response = self.sender.send_request(call.into_request()?).await?;
+        let status = response.status();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await?.to_bytes();
+        Ok(HttpResponse { status, body })
     }
 }
 
-/// Makes a call on a connection of its own and reads the whole answer.
+/// Makes a call on a new connection and reads the complete response.
 ///
 /// # Errors
-/// If there is none in time.
-pub async fn fetch(exchange: Exchange, timeout: Duration) -> Result<Answer, CallError> {
-    Session::new(exchange.to).fetch(exchange, timeout).await
+/// If the call fails or times out.
+pub async fn fetch(call: HttpCall, timeout: Duration) -> Result<HttpResponse, CallError> {
+    Session::new(call.to).fetch(call, timeout).await
 }
 
-async fn connect(to: SocketAddr, timeout: Duration) -> Result<Connected, CallError> {
-    let stream = super::connect(to, timeout, UNACKNOWLEDGED).await?;
+async fn connect(to: SocketAddr, timeout: Duration) -> Result<Connection, CallError> {
+    let stream = super::connect(to, timeout, ACK_TIMEOUT).await?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    let driving = tokio::task::spawn_local(async move {
+    let driver = tokio::task::spawn_local(async move {
         if let Err(error) = connection.await {
             log::debug!("event=connection_ended reason={:?}", error.to_string());
         }
     });
-    Ok(Connected { sender, driver: driving.abort_handle() })
+    Ok(Connection { sender, driver: driver.abort_handle() })
 }
--- a/src/node/account_shares.rs
+++ b/src/node/account_shares.rs
@@ -9,7 +9,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{AccountId, BlockKey, NodeId};
 use crate::limits::shares::{GrantedShare, ShareAllocator, ShareRequest, base_share};
-use crate::peer::message::{Answer, Ask};
+use crate::peer::message::{PeerRequest, PeerResponse};
 use crate::prefix_catalog::{NodeLocation, owners};
 
 /// Timeout of a request for a share, for which a caller's request waits.
@@ -111,8 +111,8 @@
         }
         let demand = demand.saturating_mul(DEMAND_HEADROOM_FACTOR);
         let request = ShareRequest { account: account.to_string(), demand, limit, nodes };
-        if let Ok(Answer::Share(GrantedShare { share, lasts })) =
-            self.links.ask(owner, Ask::Share(request), SHARE_REQUEST_TIMEOUT).await
+        if let Ok(PeerResponse::Share(GrantedShare { share, lasts })) =
+            self.links.request(owner, PeerRequest::Share(request), SHARE_REQUEST_TIMEOUT).await
         {
             let held = HeldShare { share, expires_at: requested_at + lasts, requested_at, limit };
             self.account_shares.lock().held.insert(account.to_string(), held);
@@ -122,18 +122,18 @@
 
     /// Grants a share as the owner of an account. Requires a freshness lease, so that an owner that
     /// is cut off from the other nodes stops before its successor starts.
-    pub(super) fn grant_share(&self, node: NodeId, demand: &ShareRequest) -> Answer {
+    pub(super) fn grant_share(&self, node: NodeId, demand: &ShareRequest) -> PeerResponse {
         if self.in_force().is_none() {
-            return Answer::Unable;
+            return PeerResponse::Unavailable;
         }
         let now = boot_now();
         let locations = self.node_locations();
         let mut shares = self.account_shares.lock();
         shares.record_locations(locations, now);
         if !shares.is_settled_owner(&demand.account, self.settings.node_id, now) {
-            return Answer::Unable;
+            return PeerResponse::Unavailable;
         }
-        Answer::Share(shares.granted.grant(node, demand, now))
+        PeerResponse::Share(shares.granted.grant(node, demand, now))
     }
 
     /// Periodically renews shares that are in use and removes expired ones.
--- a/src/node/freshness.rs
+++ b/src/node/freshness.rs
@@ -9,10 +9,10 @@
 
 use super::Node;
 use crate::clock::{BootTime, boot_now};
-use crate::config::{Book, Numbered, Update};
+use crate::config::{ConfigHistory, NumberedConfig, Update};
 use crate::ids::{ConfigNumber, NodeId};
 use crate::lease::{HeldLease, LeaseGrantor};
-use crate::peer::message::{Answer, Ask, Renew};
+use crate::peer::message::{PeerRequest, PeerResponse, RenewLease};
 
 /// Timeout of a renewal, after which another node is tried.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(300);
@@ -25,7 +25,7 @@
 /// The lease and the configuration of a node, and the leases that it granted as a relay.
 pub struct Freshness {
     held_lease: HeldLease,
-    book: Book,
+    history: ConfigHistory,
     grantor: LeaseGrantor,
 }
 
@@ -34,26 +34,26 @@
     pub fn new(lease: Duration, now: BootTime) -> Freshness {
         Freshness {
             held_lease: HeldLease::default(),
-            book: Book::default(),
+            history: ConfigHistory::default(),
             grantor: LeaseGrantor::new(lease, now),
         }
     }
 
     /// The configuration, if the lease is valid.
-    pub fn in_force(&self, now: BootTime) -> Option<Arc<Numbered>> {
-        self.held_lease.is_fresh(now).then(|| self.book.newest().clone())
+    pub fn in_force(&self, now: BootTime) -> Option<Arc<NumberedConfig>> {
+        self.held_lease.is_fresh(now).then(|| self.history.newest().clone())
     }
 
     /// The newest known configuration number, whether or not it is in force.
     pub fn config_number(&self) -> ConfigNumber {
-        self.book.number()
+        self.history.number()
     }
 
     /// The configuration number of this node, and the number that this node and all nodes with
     /// leases from it have applied.
     fn own_and_acked_numbers(&self, now: BootTime) -> (ConfigNumber, ConfigNumber) {
-        let has = self.book.number();
-        (has, self.grantor.min_acked(has, now))
+        let known_number = self.history.number();
+        (known_number, self.grantor.min_acked(known_number, now))
     }
 
     /// Applies a grant in response to the renewal sent at `sent_at`. Returns false if it is not
@@ -66,7 +66,10 @@
         update: &Update,
     ) -> bool {
         // The update is applied first: the lease is only valid with the granted number.
-        if self.book.take(update).is_err() || self.book.number() < number || duration.is_zero() {
+        if self.history.apply_update(update).is_err()
+            || self.history.number() < number
+            || duration.is_zero()
+        {
             return false;
         }
         self.held_lease.extend(sent_at, duration);
@@ -74,11 +77,16 @@
     }
 
     /// Grants a lease as a relay; `None` if this node has no valid lease itself.
-    fn grant_lease(&mut self, child: NodeId, renew: &Renew, now: BootTime) -> Option<LeaseGrant> {
+    fn grant_lease(
+        &mut self,
+        child: NodeId,
+        renew: &RenewLease,
+        now: BootTime,
+    ) -> Option<LeaseGrant> {
         let remaining = self.held_lease.remaining(now);
-        let duration = self.grantor.grant(child, renew.acked, remaining, now);
-        let update = || self.book.update_since(renew.has);
-        (!duration.is_zero()).then(|| (duration, self.book.number(), update()))
+        let duration = self.grantor.grant(child, renew.subtree_number, remaining, now);
+        let update = || self.history.update_since(renew.known_number);
+        (!duration.is_zero()).then(|| (duration, self.history.number(), update()))
     }
 }
 
@@ -105,19 +113,25 @@
     }
 
     /// Grants a lease to another node as the relay of the failure domain.
-    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &Renew) -> Answer {
+    pub(super) fn grant_as_relay(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
         let grant = self.freshness.lock().grant_lease(child, renew, boot_now());
-        grant.map_or(Answer::Unable, |grant| self.grant_answer(grant, renew))
+        grant.map_or(PeerResponse::Unavailable, |grant| self.grant_answer(grant, renew))
     }
 
     /// The answer to a renewal, including quarantine reports.
     pub(super) fn grant_answer(
         &self,
         (duration, number, update): LeaseGrant,
-        renew: &Renew,
-    ) -> Answer {
-        let (quarantine, told) = self.suspect_reports_since(renew.heard);
-        Answer::Granted { lasts_ms: duration.as_millis() as u64, number, update, quarantine, told }
+        renew: &RenewLease,
+    ) -> PeerResponse {
+        let (quarantine, quarantine_sent) = self.suspect_reports_since(renew.quarantine_received);
+        PeerResponse::Granted {
+            lasts_ms: duration.as_millis() as u64,
+            number,
+            update,
+            quarantine,
+            quarantine_sent,
+        }
     }
 
     async fn renew(self: &Arc<Node>) -> bool {
@@ -137,19 +151,20 @@
         // The lease starts before the renewal is sent, so that it expires before the grantor's
         // record of it.
         let sent_at = boot_now();
-        let (has, acked) = self.freshness.lock().own_and_acked_numbers(sent_at);
-        let (quarantine, heard, sent_revision) = self.quarantine_reports_for(node);
-        let renew = Renew { has, acked, as_relay, quarantine, heard };
-        match self.links.ask(node, Ask::Renew(renew), RENEW_TIMEOUT).await {
-            Ok(Answer::Granted { lasts_ms, number, update, quarantine, told }) => {
+        let (known_number, subtree_number) = self.freshness.lock().own_and_acked_numbers(sent_at);
+        let (quarantine, quarantine_received, sent_revision) = self.quarantine_reports_for(node);
+        let renew =
+            RenewLease { known_number, subtree_number, as_relay, quarantine, quarantine_received };
+        match self.links.request(node, PeerRequest::RenewLease(renew), RENEW_TIMEOUT).await {
+            Ok(PeerResponse::Granted { lasts_ms, number, update, quarantine, quarantine_sent }) => {
                 if !as_relay {
                     self.leader_hint.store(node, Ordering::Relaxed);
                 }
-                self.apply_quarantine_reports(node, quarantine, told, sent_revision);
+                self.apply_quarantine_reports(node, quarantine, quarantine_sent, sent_revision);
                 let duration = Duration::from_millis(lasts_ms);
                 self.freshness.lock().apply_grant(sent_at, duration, number, &update)
             }
-            Ok(Answer::NotLeader(Some(leader))) => {
+            Ok(PeerResponse::NotLeader(Some(leader))) => {
                 self.leader_hint.store(leader, Ordering::Relaxed);
                 false
             }
--- a/src/node/load_orders.rs
+++ b/src/node/load_orders.rs
@@ -5,11 +5,12 @@
 
 use super::Node;
 use crate::clock::boot_now;
-use crate::edge::api::EngineOrder;
+
 use crate::log::Term;
 use crate::log::state::{Command, Reply};
 use crate::orders::{EngineState, LoadOrder, Planner};
 use crate::replica::LeadingTerm;
+use crate::upstream::api::EngineOrder;
 
 /// Interval at which orders are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(300);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -24,8 +24,8 @@
 
 use crate::claims::ClaimToken;
 use crate::clock::{boot_now, unix_ms};
-use crate::config::Numbered;
-use crate::edge::client::TargetClient;
+use crate::config::NumberedConfig;
+
 use crate::error::{Error, Result};
 use crate::http;
 use crate::http_api;
@@ -36,7 +36,7 @@
 use crate::log::state::State;
 use crate::membership::actor::{Membership, MembershipView};
 use crate::membership::{Member, Status, Swim, SwimTiming, actor};
-use crate::peer::auth::{DatagramOpener, DatagramSealer};
+use crate::peer::auth::{DatagramSigner, DatagramVerifier};
 use crate::peer::{Links, PeerKey};
 use crate::prefix_catalog::{Catalog, NodeLocation};
 use crate::replica::{self, Replica, ReplicaStatus};
@@ -44,6 +44,7 @@
 use crate::settings::Settings;
 use crate::telemetry::burn::BurnCounter;
 use crate::telemetry::metrics::NodeMetrics;
+use crate::upstream::client::TargetClient;
 use freshness::Freshness;
 
 use account_shares::AccountShares;
@@ -176,7 +177,7 @@
     }
 
     /// The configuration in force; `None` without a valid freshness lease.
-    pub fn in_force(&self) -> Option<Arc<Numbered>> {
+    pub fn in_force(&self) -> Option<Arc<NumberedConfig>> {
         self.freshness.lock().in_force(boot_now())
     }
 
@@ -282,13 +283,13 @@
     let timing = SwimTiming { probe_interval: settings.timing.probe };
     let swim = Swim::new(own_member, seeds, timing, rand::rng().random(), boot_now());
     membership_view.lock().live = swim.live();
-    let sealer = DatagramSealer::new(key.clone(), settings.node_id, boot);
-    let opener = DatagramOpener::new(key, settings.node_id);
+    let signer = DatagramSigner::new(key.clone(), settings.node_id, boot);
+    let verifier = DatagramVerifier::new(key, settings.node_id);
     let actor = Membership::new(
         swim,
         socket.clone(),
-        sealer,
-        opener,
+        signer,
+        verifier,
         links.clone(),
         membership_view.clone(),
     );
--- a/src/node/peer_requests.rs
+++ b/src/node/peer_requests.rs
@@ -12,7 +12,7 @@
 use crate::log::Message;
 use crate::log::raft::ChangeError;
 use crate::peer::PeerHandler;
-use crate::peer::message::{Answer, Ask, Dispatched, Renew};
+use crate::peer::message::{Dispatched, PeerRequest, PeerResponse, RenewLease};
 use crate::prefix_catalog::AnsweredPrompt;
 use crate::replica::{self, ReplicaError};
 
@@ -21,7 +21,7 @@
 const MAX_NODES_FOR_ANNOUNCEMENTS: usize = 16;
 
 impl PeerHandler for Node {
-    fn log(&self, from: NodeId, message: Message) {
+    fn handle_log_message(&self, from: NodeId, message: Message) {
         if let Some(replica) = &self.replica {
             let sending = replica.address.send(replica::PeerMessage(from, message)).detach();
             // Never waits, since the mailbox is unbounded. Fails only while the process exits.
@@ -29,54 +29,60 @@
         }
     }
 
-    fn dispatched(&self, dispatched: &Dispatched) {
+    fn handle_dispatched(&self, dispatched: &Dispatched) {
         self.router.lock().record_peer_dispatch(dispatched, boot_now());
     }
 
-    fn answer(self: Arc<Node>, from: NodeId, ask: Ask) -> BoxFuture<'static, Answer> {
+    fn handle_request(
+        self: Arc<Node>,
+        from: NodeId,
+        ask: PeerRequest,
+    ) -> BoxFuture<'static, PeerResponse> {
         async move {
             match ask {
-                Ask::Renew(mut renew) => {
+                PeerRequest::RenewLease(mut renew) => {
                     self.merge_quarantine_reports(std::mem::take(&mut renew.quarantine));
                     match renew.as_relay {
                         true => self.grant_as_relay(from, &renew),
                         false => self.grant_as_leader(from, &renew).await,
                     }
                 }
-                Ask::Propose(command) => {
+                PeerRequest::Propose(command) => {
                     let (sender, receiver) = oneshot::channel();
                     self.send_to_replica(replica::Propose(command, sender)).await;
-                    answer_from_result(receiver.await.ok(), Answer::Decided)
+                    answer_from_result(receiver.await.ok(), PeerResponse::Decided)
                 }
-                Ask::ReadConfig { has } => {
+                PeerRequest::ReadConfig { known_number } => {
                     let (sender, receiver) = oneshot::channel();
-                    self.send_to_replica(replica::ReadConfig(has, sender)).await;
-                    answer_from_result(receiver.await.ok(), Answer::Config)
+                    self.send_to_replica(replica::ReadConfig(known_number, sender)).await;
+                    answer_from_result(receiver.await.ok(), PeerResponse::Config)
                 }
-                Ask::ChangeReplicas(change) => {
+                PeerRequest::ChangeReplicas(change) => {
                     let (sender, receiver) = oneshot::channel();
                     self.send_to_replica(replica::ChangeReplicas(change, sender)).await;
                     match receiver.await {
-                        Ok(Err(ChangeError::NotLeader(other))) => Answer::NotLeader(other.leader),
-                        Ok(result) => Answer::ReplicasChanged(
+                        Ok(Err(ChangeError::NotLeader(other))) => {
+                            PeerResponse::NotLeader(other.leader)
+                        }
+                        Ok(result) => PeerResponse::ReplicasChanged(
                             result.map_err(|error| change_error_message(error).into()),
                         ),
-                        Err(_) => Answer::Unable,
+                        Err(_) => PeerResponse::Unavailable,
                     }
                 }
-                Ask::Lookup { root } => {
+                PeerRequest::Lookup { root } => {
                     if self.in_force().is_none() {
-                        return Answer::Unable;
+                        return PeerResponse::Unavailable;
                     }
-                    Answer::Kept(self.catalog.lock().lookup(root, boot_now()))
+                    PeerResponse::Kept(self.catalog.lock().lookup(root, boot_now()))
                 }
-                Ask::Seen(seen) => self.record_answered_prompt(&seen),
-                Ask::Written(written) => {
+                PeerRequest::Seen(seen) => self.record_answered_prompt(&seen),
+                PeerRequest::Written(written) => {
                     self.catalog.lock().record_export(&written, boot_now());
-                    Answer::Done
+                    PeerResponse::Done
                 }
-                Ask::Share(demand) => self.grant_share(from, &demand),
-                Ask::Status => Answer::Status(self.status_json().to_string()),
+                PeerRequest::Share(demand) => self.grant_share(from, &demand),
+                PeerRequest::Status => PeerResponse::Status(self.status_json().to_string()),
             }
         }
         .boxed()
@@ -92,7 +98,7 @@
             view.live.iter().skip(1).map(|member| member.node).collect()
         };
         if others.len() < MAX_NODES_FOR_ANNOUNCEMENTS {
-            others.iter().for_each(|node| self.links.tell(*node, dispatched.clone()));
+            others.iter().for_each(|node| self.links.send_dispatched(*node, dispatched.clone()));
         }
     }
 
@@ -107,33 +113,37 @@
         }
     }
 
-    async fn grant_as_leader(&self, child: NodeId, renew: &Renew) -> Answer {
-        let Some(replica) = &self.replica else { return Answer::NotLeader(None) };
-        let grant = replica::GrantLease { child, known_number: renew.has, acked: renew.acked };
+    async fn grant_as_leader(&self, child: NodeId, renew: &RenewLease) -> PeerResponse {
+        let Some(replica) = &self.replica else { return PeerResponse::NotLeader(None) };
+        let grant = replica::GrantLease {
+            child,
+            known_number: renew.known_number,
+            acked: renew.subtree_number,
+        };
         match replica.address.send(grant).await {
             Ok(Ok(grant)) => self.grant_answer(grant, renew),
-            Ok(Err(leader)) => Answer::NotLeader(leader),
-            Err(_) => Answer::Unable,
+            Ok(Err(leader)) => PeerResponse::NotLeader(leader),
+            Err(_) => PeerResponse::Unavailable,
         }
     }
 
-    fn record_answered_prompt(&self, seen: &AnsweredPrompt) -> Answer {
+    fn record_answered_prompt(&self, seen: &AnsweredPrompt) -> PeerResponse {
         if self.in_force().is_none() {
-            return Answer::Unable;
+            return PeerResponse::Unavailable;
         }
         let fills = self.store_used_fractions();
-        Answer::Export(self.catalog.lock().record_answer(seen, &fills, boot_now()))
+        PeerResponse::Export(self.catalog.lock().record_answer(seen, &fills, boot_now()))
     }
 }
 
 fn answer_from_result<T>(
     result: Option<Result<T, ReplicaError>>,
-    answer: impl Fn(T) -> Answer,
-) -> Answer {
+    answer: impl Fn(T) -> PeerResponse,
+) -> PeerResponse {
     match result {
         Some(Ok(value)) => answer(value),
-        Some(Err(ReplicaError::NotLeader(leader))) => Answer::NotLeader(leader),
-        Some(Err(ReplicaError::OutcomeUnknown)) | None => Answer::Unable,
+        Some(Err(ReplicaError::NotLeader(leader))) => PeerResponse::NotLeader(leader),
+        Some(Err(ReplicaError::OutcomeUnknown)) | None => PeerResponse::Unavailable,
     }
 }
 
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -11,7 +11,7 @@
 use crate::clock::{BootTime, boot_now};
 use crate::ids::{Incarnation, NodeId, TargetId, TargetStart};
 use crate::net;
-use crate::peer::message::Heard;
+use crate::peer::message::QuarantineCursor;
 use crate::quarantine::broken_runs::{BrokenRun, BrokenRuns, TargetCheck};
 use crate::quarantine::{Fingerprint, MergeResult, Quarantine, Report, Revision};
 
@@ -33,7 +33,7 @@
     /// The grantor has this node's reports up to this revision.
     reported_revision: Revision,
     /// This node has the grantor's reports up to this revision.
-    heard: Heard,
+    heard: QuarantineCursor,
 }
 
 /// A dispatch that ended without a complete answer.
@@ -100,7 +100,10 @@
     /// What to send to a grantor with a renewal: the new reports, and the revision up to which this
     /// node has the grantor's reports. Also returns the own revision up to which the grantor will
     /// have all reports.
-    pub(super) fn quarantine_reports_for(&self, grantor: NodeId) -> (Vec<Report>, Heard, Revision) {
+    pub(super) fn quarantine_reports_for(
+        &self,
+        grantor: NodeId,
+    ) -> (Vec<Report>, QuarantineCursor, Revision) {
         let state = self.quarantine.lock();
         let GrantorState { reported_revision, heard } =
             state.grantors.get(&grantor).copied().unwrap_or_default();
@@ -113,7 +116,7 @@
         &self,
         grantor: NodeId,
         reports: Vec<Report>,
-        heard: Heard,
+        heard: QuarantineCursor,
         sent_revision: Revision,
     ) {
         {
@@ -128,11 +131,14 @@
     }
 
     /// What to send with a lease to a node that has this node's reports up to `heard`.
-    pub(super) fn suspect_reports_since(&self, heard: Heard) -> (Vec<Report>, Heard) {
+    pub(super) fn suspect_reports_since(
+        &self,
+        heard: QuarantineCursor,
+    ) -> (Vec<Report>, QuarantineCursor) {
         let state = self.quarantine.lock();
         let is_current_boot = heard.boot == state.boot;
         let since = if is_current_boot { heard.revision } else { Revision::default() };
-        let reported = Heard { boot: state.boot, revision: state.quarantine.revision() };
+        let reported = QuarantineCursor { boot: state.boot, revision: state.quarantine.revision() };
         (state.quarantine.suspect_reports_since(since, boot_now()), reported)
     }
 }
--- a/src/node/stored_prefixes.rs
+++ b/src/node/stored_prefixes.rs
@@ -7,12 +7,13 @@
 
 use super::{Node, run_periodically};
 use crate::clock::boot_now;
-use crate::edge::api::ExportOrder;
+
 use crate::ids::{BlockKey, NodeId, TargetId};
-use crate::peer::message::{Answer, Ask};
+use crate::peer::message::{PeerRequest, PeerResponse};
 use crate::prefix_catalog::{AnsweredPrompt, ExportOutcome, ExportPlan, PrefixLocation, owners};
 use crate::prompt::Chain;
 use crate::telemetry::metrics::label;
+use crate::upstream::api::ExportOrder;
 
 /// Timeout of a lookup. The prompt proceeds without stored prefixes afterwards.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(25);
@@ -30,11 +31,12 @@
     pub async fn stored_prefixes(
         self: &Arc<Node>,
         chain: &Chain,
-    ) -> Vec<(TargetId, crate::edge::api::KeptObject)> {
+    ) -> Vec<(TargetId, crate::upstream::api::StoredObject)> {
         let Some(root) = chain.root() else { return Vec::new() };
         for owner in owners(root, &self.node_locations()) {
-            let answer = self.links.ask(owner, Ask::Lookup { root }, LOOKUP_TIMEOUT).await;
-            if let Ok(Answer::Kept(kept)) = answer {
+            let answer =
+                self.links.request(owner, PeerRequest::Lookup { root }, LOOKUP_TIMEOUT).await;
+            if let Ok(PeerResponse::Kept(kept)) = answer {
                 let usable = kept.into_iter().filter(|kept| is_prefix_of(chain, kept));
                 return usable.map(|kept| (kept.store, kept.object)).collect();
             }
@@ -53,8 +55,9 @@
     async fn report_to_owner(self: Arc<Node>, seen: AnsweredPrompt, engine_url: String) {
         let owners = owners(seen.root, &self.node_locations());
         let Some(first) = owners.first() else { return };
-        let answer = self.links.ask(*first, Ask::Seen(seen.clone()), REPORT_TIMEOUT).await;
-        let Ok(Answer::Export(Some(plan))) = answer else { return };
+        let answer =
+            self.links.request(*first, PeerRequest::Seen(seen.clone()), REPORT_TIMEOUT).await;
+        let Ok(PeerResponse::Export(Some(plan))) = answer else { return };
         let kept = self.export_prefix(&plan, &engine_url).await;
         let written = ExportOutcome {
             root: plan.root,
@@ -67,7 +70,7 @@
 
     async fn report_export(self: &Arc<Node>, owner: NodeId, written: ExportOutcome) {
         // Best effort: an owner that misses the report finds the copy in the store's inventory.
-        drop(self.links.ask(owner, Ask::Written(written), REPORT_TIMEOUT).await);
+        drop(self.links.request(owner, PeerRequest::Written(written), REPORT_TIMEOUT).await);
     }
 
     async fn export_prefix(&self, plan: &ExportPlan, engine_url: &str) -> Option<PrefixLocation> {
--- a/src/prefix_catalog/catalog.rs
+++ b/src/prefix_catalog/catalog.rs
@@ -8,8 +8,9 @@
 
 use super::{AnsweredPrompt, ExportOutcome, ExportPlan, Position, PrefixLocation};
 use crate::clock::BootTime;
-use crate::edge::api::KeptObject;
+
 use crate::ids::{BlockKey, TargetId};
+use crate::upstream::api::StoredObject;
 
 /// How long a copy returned by a lookup is not freed; longer than any import takes.
 pub const PIN_DURATION: Duration = Duration::from_secs(30);
@@ -65,7 +66,7 @@
 #[derive(Clone, Debug)]
 struct StoredCopy {
     store: TargetId,
-    object: KeptObject,
+    object: StoredObject,
     state: CopyState,
     pinned_until: BootTime,
     last_used: BootTime,
@@ -178,7 +179,7 @@
     pub fn apply_inventory(
         &mut self,
         store: &TargetId,
-        objects: &[KeptObject],
+        objects: &[StoredObject],
         is_owner: impl Fn(BlockKey) -> bool,
         now: BootTime,
     ) {
@@ -322,7 +323,7 @@
     ) -> ExportPlan {
         self.next_generation += 1;
         let generation = self.next_generation;
-        let object = KeptObject {
+        let object = StoredObject {
             root,
             key: position.key,
             generation,
--- a/src/prefix_catalog/mod.rs
+++ b/src/prefix_catalog/mod.rs
@@ -9,9 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::edge::api::KeptObject;
 use crate::ids::{BlockKey, TargetId};
 use crate::prompt::Chain;
+use crate::upstream::api::StoredObject;
 
 pub use catalog::{Catalog, FreeOrder};
 pub use owners::{NodeLocation, owners};
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixLocation {
     pub store: TargetId,
-    pub object: KeptObject,
+    pub object: StoredObject,
 }
 
 /// A prompt that was answered, so that its whole prefix is in an engine's cache.
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -191,7 +191,9 @@
                 // All entries committed before the read have been applied by earlier outputs.
                 if let Some(waiter) = self.pending_reads.remove(&read) {
                     drop(
-                        waiter.sender.send(Ok(self.state.book().update_since(waiter.known_number))),
+                        waiter
+                            .sender
+                            .send(Ok(self.state.history().update_since(waiter.known_number))),
                     );
                 }
             }
@@ -365,7 +367,7 @@
         let now = boot_now();
         let leader = self.driver.raft.status().leader;
         let number = self.state.config().number;
-        let update = self.state.book().update_since(grant.known_number);
+        let update = self.state.history().update_since(grant.known_number);
         let lease_duration = self.lease_duration;
         let Some(grantor) = self.grantor_if_leader(now) else { return Err(leader) };
         Ok((grantor.grant(grant.child, grant.acked, lease_duration, now), number, update))
--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -5,9 +5,10 @@
 use super::view::{EngineView, View};
 use crate::clock::BootTime;
 use crate::config::{Policy, Prices};
-use crate::edge::api::KeptObject;
+
 use crate::ids::{TargetId, WeightVersion};
 use crate::prompt::{BLOCK_TOKENS, Chain};
+use crate::upstream::api::StoredObject;
 
 /// Engines whose costs differ by no more than this are tied; the request number picks one of them.
 const COST_TIE_TOLERANCE: Duration = Duration::from_micros(500);
@@ -28,7 +29,7 @@
     /// Block keys of the prompt.
     pub chain: &'a Chain,
     /// Prefixes of the prompt that are held in stores, each with its store.
-    pub stored_prefixes: &'a [(TargetId, KeptObject)],
+    pub stored_prefixes: &'a [(TargetId, StoredObject)],
     /// Engines that already failed this request.
     pub excluded_engines: &'a [TargetId],
     /// Differs from one request to the next; picks one of several tied engines.
@@ -53,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Import {
     pub store: TargetId,
-    pub object: KeptObject,
+    pub object: StoredObject,
 }
 
 /// Chooses an engine by the given policy. Returns `None` if no engine is eligible.
--- a/src/route/residency.rs
+++ b/src/route/residency.rs
@@ -5,8 +5,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::edge::api::{CacheChange, CacheEvents};
 use crate::ids::{BlockKey, Incarnation};
+use crate::upstream::api::{CacheChange, CacheEvents};
 
 /// Largest number of blocks tracked per engine; the least recently used are dropped first.
 pub const MAX_TRACKED_BLOCKS: usize = 16_384;
--- a/src/route/router.rs
+++ b/src/route/router.rs
@@ -9,11 +9,11 @@
 use super::view::{EngineView, StoreView, View};
 use crate::clock::BootTime;
 use crate::config::{Model, Policy, Prices};
-use crate::edge::api::{CacheEvents, LoadReport, Role, StoreReport, Target, TargetList};
-use crate::edge::chat::Usage;
 use crate::ids::{Incarnation, NodeId, TargetId, WeightVersion};
-use crate::peer::message::{Dispatched, Importing};
+use crate::peer::message::{Dispatched, StoreImport};
 use crate::prompt::{BLOCK_TOKENS, Chain};
+use crate::upstream::api::{CacheEvents, LoadReport, Role, StoreReport, Target, TargetList};
+use crate::upstream::chat::Usage;
 
 /// Largest number of blocks tracked for all engines together; each takes about 93 bytes.
 const MAX_TRACKED_BLOCKS_TOTAL: usize = 131_072;
@@ -146,7 +146,7 @@
         {
             engine.record_dispatch(dispatched.prefill_tokens, now);
         }
-        if let Some(Importing { store, size_bytes }) = &dispatched.import
+        if let Some(StoreImport { store, size_bytes }) = &dispatched.import
             && let Some(store) = self.view.stores.get_mut(store)
         {
             store.record_transfer(*size_bytes, now);
@@ -366,7 +366,7 @@
             engine: self.decision.engine.clone(),
             incarnation: self.incarnation,
             prefill_tokens: self.decision.prefill_tokens,
-            import: self.decision.import.as_ref().map(|import| Importing {
+            import: self.decision.import.as_ref().map(|import| StoreImport {
                 store: import.store.clone(),
                 size_bytes: import.object.size_bytes,
             }),
--- a/src/route/view.rs
+++ b/src/route/view.rs
@@ -7,8 +7,8 @@
 use super::health::Health;
 use super::residency::Residency;
 use crate::clock::BootTime;
-use crate::edge::api::{LoadReport, StoreReport};
 use crate::ids::{DomainId, Incarnation, ModelId, TargetId};
+use crate::upstream::api::{LoadReport, StoreReport};
 
 /// Reports older than this are ignored.
 pub const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -10,7 +10,7 @@
 use super::source::{Source, TransferEstimate, sources};
 use super::store::{Store, part_key};
 use crate::clock::BootTime;
-use crate::deployment::EngineTraits;
+use crate::deployment::EngineSpec;
 
 /// Delay added by each prompt that the engine already runs, besides its prefill backlog.
 const DELAY_PER_RUNNING_MS: f64 = 2.0;
@@ -114,7 +114,7 @@
     pub fn candidate(
         &self,
         engine: &Engine,
-        traits: &EngineTraits,
+        traits: &EngineSpec,
         estimator: &PrefillEstimator,
         now: BootTime,
     ) -> Option<Candidate> {
@@ -194,7 +194,7 @@
         &self,
         index: usize,
         engine: &Engine,
-        traits: &EngineTraits,
+        traits: &EngineSpec,
         now: BootTime,
     ) -> Option<(SocketAddr, TransferEstimate)> {
         let size_bytes = (self.request.parts[index].tokens * traits.token_bytes) as f64;
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -24,7 +24,7 @@
 use super::store::{FETCH_GRANT_TTL, FREE_TTL, Store};
 use super::weights::WeightState;
 use crate::clock::BootTime;
-use crate::deployment::EngineTraits;
+use crate::deployment::EngineSpec;
 use crate::fleet::{FailureCause, Presence};
 use crate::gateway::metadata::Part;
 use crate::ids::{ServiceId, TargetStart};
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetStart, Engine>,
-    traits: HashMap<ServiceId, EngineTraits>,
+    traits: HashMap<ServiceId, EngineSpec>,
     stores: BTreeMap<SocketAddr, Store>,
     estimators: HashMap<ServiceId, PrefillEstimator>,
     /// Recent delay of first tokens beyond the expected time. It is subtracted from measured fetch
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -12,7 +12,7 @@
 use super::engine_cache::PartKey;
 use super::link::Link;
 use crate::clock::BootTime;
-use crate::deployment::StoreTraits;
+use crate::deployment::StoreSpec;
 use crate::gateway::metadata::Part;
 use crate::ids::{BirthMs, may_be_same_birth};
 
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Its properties in the deployment.
-    pub traits: StoreTraits,
+    pub traits: StoreSpec,
     /// The store's current start; `None` until its inventory is known.
     start: Option<StoreStart>,
     parts: FxHashMap<PartKey, TrackedPart>,
@@ -142,7 +142,7 @@
 
 impl Store {
     /// Creates a store with unknown contents.
-    pub fn new(traits: StoreTraits) -> Store {
+    pub fn new(traits: StoreSpec) -> Store {
         let link = Link::new(traits.link_mbps);
         Store {
             traits,
--- a/src/edge/client.rs
+++ b/src/upstream/client.rs
@@ -1,4 +1,4 @@
-//! Our client of targets and the platform.
+//! HTTP client for targets and the platform.
 
 use std::time::Duration;
 
@@ -8,79 +8,79 @@
 
 use super::api::{
     ATTEMPT_HEADER, CacheEvents, CancelOrder, EngineOrder, ExportOrder, ImportOrder, Inventory,
-    KeptObject, LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER,
-    StoreReport, TargetList, VERSION_HEADER,
+    LoadReport, NOT_RUN_HEADER, OWNER_HEADER, PRIORITY_HEADER, REQUEST_HEADER, StoreReport,
+    StoredObject, TargetList, VERSION_HEADER,
 };
-use super::chat::Shape;
+use super::chat::ApiFormat;
 use crate::error::{Error, Result};
 use crate::ids::{Attempt, BlockKey};
 
-/// Reports and lists must come within this time.
+/// Timeout of requests for reports and lists, and of orders.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// An export waits for the store's link.
+/// Timeout of an export, which may wait for the link of the store.
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A client of targets and the platform.
+/// HTTP client for targets and the platform.
 #[derive(Clone)]
 pub struct TargetClient {
-    /// Keeps connections.
+    /// Reuses connections.
     pooled: Client,
-    /// Opens a connection for each call, so that a call that can't connect was provably not run.
-    single: Client,
+    /// Opens a new connection for each call, so that a call that fails to connect did certainly not run.
+    unpooled: Client,
 }
 
-/// A prompt on its way to an engine.
+/// A prompt for an engine.
 #[derive(Clone, Debug)]
 pub struct PromptCall<'a> {
     /// The engine's base URL.
     pub url: &'a str,
-    /// The interface.
-    pub shape: Shape,
-    /// The body, without an import.
+    /// The interface of the engine to call.
+    pub format: ApiFormat,
+    /// The body, without the fields `stream` and `kv_import`.
     pub body: serde_json::Value,
-    /// What the engine imports first.
+    /// The prefix that the engine imports first, if any.
     pub import: Option<ImportOrder>,
-    /// Names the run: the request id and the attempt.
-    pub stream: StreamRef<'a>,
-    /// The account.
+    /// The request id and the attempt.
+    pub stream: AttemptRef<'a>,
+    /// The client account.
     pub account: &'a str,
-    /// The weight version that must answer.
+    /// The required version of the weights.
     pub weight_version: &'a str,
-    /// The priority, 0 first.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Whether it must not reach a target twice.
+    /// Whether the prompt must not reach a target twice. It is sent on a new connection then.
     pub once: bool,
 }
 
-/// Names one dispatch of a request.
+/// Identifies one dispatch of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct StreamRef<'a> {
-    /// The id that targets know the request by.
+pub struct AttemptRef<'a> {
+    /// The request id that is sent to targets.
     pub request_id: &'a str,
-    /// Which dispatch it is.
+    /// Number of the dispatch.
     pub attempt: Attempt,
 }
 
-impl StreamRef<'_> {
-    /// The id that each chunk carries.
+impl AttemptRef<'_> {
+    /// Returns the id of the stream, which each chunk contains.
     pub fn id(&self) -> String {
         format!("{}.{}", self.request_id, self.attempt)
     }
 }
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing reached the target, or it proved that it ran nothing.
+    /// The target did certainly not run the request.
     NotRun(String),
-    /// It may have run.
+    /// The target may have run the request.
     MayHaveRun(String),
-    /// The target finds the request wrong.
+    /// The target rejected the request as invalid.
     Rejected(String),
 }
 
 impl CallError {
-    /// What went wrong.
+    /// Returns the reason of the failure.
     pub fn reason(&self) -> &str {
         match self {
             CallError::NotRun(reason)
@@ -91,14 +91,14 @@
 }
 
 impl TargetClient {
-    /// A client that gives up connecting after `connect`.
+    /// Creates a client.
     ///
     /// # Errors
     /// `Error::Start` if the client can't be built.
-    pub fn new(connect: Duration) -> Result<TargetClient> {
+    pub fn new(connect_timeout: Duration) -> Result<TargetClient> {
         let build = |idle| {
             Client::builder()
-                .connect_timeout(connect)
+                .connect_timeout(connect_timeout)
                 .tcp_nodelay(true)
                 .no_proxy()
                 .retry(reqwest::retry::never())
@@ -107,142 +107,142 @@
                 .build()
                 .map_err(|source| Error::start("http client", source, "raise the file limit"))
         };
-        Ok(TargetClient { pooled: build(64)?, single: build(0)? })
+        Ok(TargetClient { pooled: build(64)?, unpooled: build(0)? })
     }
 
-    /// Sends a prompt; the answer is a stream of events.
+    /// Sends a prompt. The response is a stream of events.
     ///
     /// # Errors
-    /// Whether it may have run.
+    /// If the call fails. The error says whether the prompt may have run.
     pub async fn prompt(&self, call: PromptCall<'_>) -> Result<Response, CallError> {
         let mut body = call.body;
         body["stream"] = true.into();
         if let Some(import) = &call.import {
             body["kv_import"] = serde_json::json!(import);
         }
-        let client = if call.once { &self.single } else { &self.pooled };
+        let client = if call.once { &self.unpooled } else { &self.pooled };
         let request = client
-            .post(format!("{}{}", call.url, call.shape.path()))
+            .post(format!("{}{}", call.url, call.format.path()))
             .header(REQUEST_HEADER, call.stream.request_id)
             .header(ATTEMPT_HEADER, call.stream.attempt)
             .header(OWNER_HEADER, call.account)
             .header(VERSION_HEADER, call.weight_version)
             .header(PRIORITY_HEADER, u32::from(call.priority))
             .json(&body);
-        checked(request.send().await).await
+        check_response(request.send().await).await
     }
 
-    /// Goes on with a stream that broke, from a chunk.
+    /// Resumes an interrupted stream from chunk number `from`.
     ///
     /// # Errors
-    /// If the engine can't go on with it.
+    /// If the engine can't resume it.
     pub async fn resume(
         &self,
         url: &str,
-        stream: StreamRef<'_>,
+        stream: AttemptRef<'_>,
         from: u32,
     ) -> Result<Response, CallError> {
         let url = format!("{url}/streams/{}?from={from}", stream.id());
-        checked(self.pooled.get(url).send().await).await
+        check_response(self.pooled.get(url).send().await).await
     }
 
     /// Calls a plain service.
     ///
     /// # Errors
-    /// Whether it may have run.
+    /// If the call fails. The error says whether the request may have run.
     pub async fn service(
         &self,
         request: reqwest::Request,
         once: bool,
     ) -> Result<Response, CallError> {
-        let client = if once { &self.single } else { &self.pooled };
+        let client = if once { &self.unpooled } else { &self.pooled };
         match client.execute(request).await {
             Ok(response) if response.headers().contains_key(NOT_RUN_HEADER) => {
                 Err(CallError::NotRun(format!("refused with {}", response.status())))
             }
             Ok(response) => Ok(response),
-            Err(source) => Err(failure(source)),
+            Err(source) => Err(call_error(source)),
         }
     }
 
-    /// Stops a run.
-    pub async fn cancel(&self, url: &str, stream: StreamRef<'_>) {
+    /// Cancels a prompt on an engine. Errors are ignored.
+    pub async fn cancel(&self, url: &str, stream: AttemptRef<'_>) {
         let request_id = stream.request_id.to_string();
         let order = CancelOrder { request_id, attempt: stream.attempt };
         let sent = self.pooled.post(format!("{url}/cancel")).json(&order);
-        // A run that can't be stopped only wastes the engine's time.
+        // A prompt that is not cancelled only wastes time of the engine.
         drop(sent.timeout(REPORT_TIMEOUT).send().await);
     }
 
-    /// The platform's list with its ETag; `None` if it is still the one with the ETag `known`. A
-    /// platform that gives no ETag sends the whole list each time.
+    /// Reads the platform's list and its ETag. Returns `None` if the list still has the ETag `known`. The ETag
+    /// is empty if the platform sends none.
     ///
     /// # Errors
-    /// `Error::Request` if it can't be read.
+    /// `Error::Request` if the list can't be read.
     pub async fn targets(
         &self,
         platform_url: &str,
         known: &str,
     ) -> Result<Option<(TargetList, String)>> {
         let url = format!("{platform_url}/targets");
-        let failed = |source| Error::request(&url, source, "check that it runs at this URL");
+        let ask_error = |source| Error::request(&url, source, "check that it runs at this URL");
         let request = self.pooled.get(&url).timeout(REPORT_TIMEOUT).header("if-none-match", known);
-        let response = request.send().await.map_err(failed)?;
+        let response = request.send().await.map_err(ask_error)?;
         if response.status() == StatusCode::NOT_MODIFIED {
             return Ok(None);
         }
         expect_success(&url, response.status())?;
         let etag = response.headers().get("etag").and_then(|value| value.to_str().ok());
         let etag = etag.unwrap_or_default().to_string();
-        Ok(Some((response.json().await.map_err(failed)?, etag)))
+        Ok(Some((response.json().await.map_err(ask_error)?, etag)))
     }
 
-    /// An engine's load.
+    /// Reads the load report of an engine.
     ///
     /// # Errors
-    /// `Error::Request` if it can't be read.
+    /// `Error::Request` if the report can't be read.
     pub async fn load(&self, url: &str) -> Result<LoadReport> {
-        self.read(&format!("{url}/load")).await
+        self.get_json(&format!("{url}/load")).await
     }
 
-    /// An engine's cache events after a number.
+    /// Reads the cache events of an engine after number `after`.
     ///
     /// # Errors
-    /// `Error::Request` if they can't be read.
+    /// `Error::Request` if the events can't be read.
     pub async fn events(&self, url: &str, after: u64) -> Result<CacheEvents> {
-        self.read(&format!("{url}/kv/events?after={after}")).await
+        self.get_json(&format!("{url}/kv/events?after={after}")).await
     }
 
-    /// A store's report.
+    /// Reads the load report of a store.
     ///
     /// # Errors
-    /// `Error::Request` if it can't be read.
+    /// `Error::Request` if the report can't be read.
     pub async fn store(&self, url: &str) -> Result<StoreReport> {
-        self.read(&format!("{url}/load")).await
+        self.get_json(&format!("{url}/load")).await
     }
 
-    /// Everything committed in a store.
+    /// Reads the inventory of a store.
     ///
     /// # Errors
-    /// `Error::Request` if it can't be read.
+    /// `Error::Request` if the inventory can't be read.
     pub async fn inventory(&self, url: &str) -> Result<Inventory> {
-        self.read(&format!("{url}/inventory")).await
+        self.get_json(&format!("{url}/inventory")).await
     }
 
-    /// Lets an engine export a resident prefix.
+    /// Orders an engine to export a resident prefix, and returns the committed object.
     ///
     /// # Errors
-    /// `Error::Request` if it is not resident any more or the store does not take it.
-    pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<KeptObject> {
+    /// `Error::Request` if the prefix is no longer resident or the store rejects the export.
+    pub async fn export(&self, url: &str, order: &ExportOrder) -> Result<StoredObject> {
         let url = format!("{url}/kv/export");
-        let response = self.post(&url, order, EXPORT_TIMEOUT).await?;
+        let response = self.post_json(&url, order, EXPORT_TIMEOUT).await?;
         response.json().await.map_err(|source| Error::request(&url, source, "try again later"))
     }
 
-    /// Frees an object in a store, fenced by the owner's epoch.
+    /// Deletes an object from a store, fenced by the epoch of its owner.
     ///
     /// # Errors
-    /// `Error::Request` if the store can't be asked or knows a later epoch.
+    /// `Error::Request` if the call fails or the store knows a later epoch.
     pub async fn free(
         &self,
         url: &str,
@@ -256,27 +256,33 @@
         expect_success(&url, response.status())
     }
 
-    /// Sends an order to an engine. Returns whether what it orders is done already.
+    /// Sends an order to an engine. Returns whether the engine has executed it already.
     ///
     /// # Errors
-    /// `Error::Request` if the engine can't be asked or knows a higher fencing number.
+    /// `Error::Request` if the call fails or the engine knows a higher fencing number.
     pub async fn order(&self, url: &str, order: &EngineOrder) -> Result<bool> {
-        let response = self.post(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
+        let response = self.post_json(&format!("{url}/orders"), order, REPORT_TIMEOUT).await?;
         Ok(response.status() == StatusCode::OK)
     }
 
-    async fn post<T: Serialize>(&self, url: &str, body: &T, timeout: Duration) -> Result<Response> {
+    async fn post_json<T: Serialize>(
+        &self,
+        url: &str,
+        body: &T,
+        timeout: Duration,
+    ) -> Result<Response> {
         let sent = self.pooled.post(url).json(body).timeout(timeout).send().await;
         let response = sent.map_err(|source| Error::request(url, source, "try again later"))?;
         expect_success(url, response.status())?;
         Ok(response)
     }
 
-    async fn read<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
-        let failed = |source| Error::request(url, source, "check that it runs at this URL");
-        let response = self.pooled.get(url).timeout(REPORT_TIMEOUT).send().await.map_err(failed)?;
+    async fn get_json<T: DeserializeOwned>(&self, url: &str) -> Result<T> {
+        let ask_error = |source| Error::request(url, source, "check that it runs at this URL");
+        let response =
+            self.pooled.get(url).timeout(REPORT_TIMEOUT).send().await.map_err(ask_error)?;
         expect_success(url, response.status())?;
-        response.json().await.map_err(failed)
+        response.json().await.map_err(ask_error)
     }
 }
 
@@ -284,11 +290,12 @@
     if status.is_success() {
         return Ok(());
     }
-    Err(Error::request(url, format!("answered {status}"), "see its log"))
+    Err(Error::request(url, format!("responded with {status}"), "see the log of the server"))
 }
 
-async fn checked(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
-    let response = sent.map_err(failure)?;
+/// Returns a successful response, and maps all others to errors.
+async fn check_response(sent: reqwest::Result<Response>) -> Result<Response, CallError> {
+    let response = sent.map_err(call_error)?;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -305,7 +312,7 @@
     }
 }
 
-fn failure(source: reqwest::Error) -> CallError {
+fn call_error(source: reqwest::Error) -> CallError {
     if source.is_connect() {
         CallError::NotRun(source.to_string())
     } else {
--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -3,7 +3,7 @@
 use http::{Method, StatusCode};
 use kumquatpost::control::operator_server::{OperatorCall, validate_call};
 use kumquatpost::deployment::{RunPolicy, ServiceRole};
-use kumquatpost::platform::{documents, operator};
+use kumquatpost::platform::{deployment_document, operator};
 use serde_json::{Value, json};
 
 use crate::fixtures::ms;
@@ -33,7 +33,7 @@
     })
 }
 
-fn put(document: &Value) -> Result<OperatorCall, operator::Refused> {
+fn put(document: &Value) -> Result<OperatorCall, operator::RejectedCall> {
     operator::decode(&Method::PUT, "/config", document.to_string().as_bytes())
         .and_then(validate_call)
 }
@@ -41,7 +41,7 @@
 #[test]
 fn fields_become_what_they_hold() {
     let text = document().to_string();
-    let deployment = documents::decode(text.as_bytes()).expect("it is valid");
+    let deployment = deployment_document::decode(text.as_bytes()).expect("it is valid");
     assert_eq!(deployment.version, 7);
     let route = &deployment.routes[0];
     assert_eq!(route.policy, RunPolicy::StreamResumable);
@@ -54,7 +54,7 @@
     assert_eq!(store.first_byte, std::time::Duration::from_micros(500));
     let accounts = deployment.accounts.expect("accounts");
     assert!(accounts[0].is_isolated && !accounts[1].is_isolated);
-    assert_eq!(deployment.bounds.idle_timeout, ms(15_000));
+    assert_eq!(deployment.request_limits.idle_timeout, ms(15_000));
 }
 
 #[test]
@@ -71,7 +71,7 @@
         }),
         ("timeout", |d| d["Routes"][1]["TimeoutMs"] = json!(0)),
         ("shares a key", |d| d["Tenants"][1]["ApiKeys"] = json!(["k2"])),
-        ("no prefix", |d| d["Routes"][1]["PathPrefix"] = json!("b")),
+        ("not a valid prefix", |d| d["Routes"][1]["PathPrefix"] = json!("b")),
         ("Kind", |d| {
             d["Routes"][1].as_object_mut().expect("a route").remove("Kind");
         }),
--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kumquatpost::deployment::{
-    Account, Bounds, Deployment, EngineTraits, Route, RunPolicy, Service, ServiceRole, Share,
-    StoreTraits,
+    Account, Deployment, EngineSpec, RequestLimits, Route, RunPolicy, Service, ServiceRole,
+    StoreSpec, WeightedService,
 };
 use kumquatpost::fleet::{Listed, Presence, Roster};
 use kumquatpost::ids::TargetStart;
@@ -48,24 +48,24 @@
         timeout: ms(2_000),
         objective: ms(400),
         priority: 1,
-        split: vec![Share { service: service.to_string(), weight: 1 }],
+        split: vec![WeightedService { service: service.to_string(), weight: 1 }],
         attempts: 2,
         is_public: false,
         is_sticky: policy.is_stream(),
-        gap_target: policy.is_stream().then(|| ms(300)),
+        max_event_gap: policy.is_stream().then(|| ms(300)),
     }
 }
 
 /// Routes of each policy before engines `llm`, a plain service `app` and one store.
 pub fn deployment(version: u64) -> Deployment {
-    let engines = ServiceRole::Engines(EngineTraits {
+    let engines = ServiceRole::Engines(EngineSpec {
         slots: 48,
         capacity_tokens: 100_000,
         token_bytes: 131_072,
         link_mbps: 1_100_000.0,
         models: vec!["m".to_string()],
     });
-    let store = ServiceRole::Store(StoreTraits {
+    let store = ServiceRole::Store(StoreSpec {
         address: address(9_000),
         failure_domain: "a".to_string(),
         capacity_tokens: 100_000,
@@ -88,7 +88,7 @@
             ("store".to_string(), service(store)),
         ]),
         accounts: Some(vec![account("alpha", "key-a", false), account("beta", "key-b", true)]),
-        bounds: Bounds::default(),
+        request_limits: RequestLimits::default(),
     }
 }
 
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -10,7 +10,9 @@
 use kumquatpost::control::state::ControlState;
 use kumquatpost::deployment::validate;
 use kumquatpost::fleet::{Listing, Roster};
-use kumquatpost::platform::{documents, engines, headers, instances, operator, settings, stores};
+use kumquatpost::platform::{
+    deployment_document, engines, headers, instances, operator, settings, stores,
+};
 use kumquatpost::scheduler::PlacementRequest;
 use proptest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -34,7 +36,7 @@
 
 /// Decodes bytes as everything that comes from the platform, and from other processes of ours.
 fn decode_all(bytes: &[u8]) {
-    let _ = documents::decode(bytes).map(|deployment| validate::problems(&deployment));
+    let _ = deployment_document::decode(bytes).map(|deployment| validate::problems(&deployment));
     let _ = instances::decode(bytes).map(|page| {
         let mut listing = Listing::default();
         page.entries.into_iter().for_each(|entry| listing.add(entry));
@@ -153,7 +155,7 @@
         values.insert("x-model", "m".parse().expect("a header"));
         values.insert("x-token-count", counts.parse().expect("a header"));
         values.insert("x-prompt-prefix", prefix.parse().expect("a header"));
-        let call = headers::decode_call(&"/a/".parse().expect("a path"), &values);
+        let call = headers::decode_request(&"/a/".parse().expect("a path"), &values);
         let prompt = call.prompt.expect("it names a model");
         let mut scheduler = scheduler(2);
         for waiter in 0..3 {
--- a/tests/deployment/table.rs
+++ b/tests/deployment/table.rs
@@ -2,19 +2,19 @@
 
 use std::sync::Arc;
 
-use kumquatpost::deployment::{Rejection, RunPolicy, Share, Table};
+use kumquatpost::deployment::{Rejection, RoutingTable, RunPolicy, WeightedService};
 use kumquatpost::gateway::priority::Priority;
 
 use crate::fixtures::{account, deployment, route};
 
-fn table() -> Table {
+fn table() -> RoutingTable {
     let mut deployment = deployment(1);
     let mut deeper = route("safe", RunPolicy::Idempotent, "app");
     deeper.name = "deeper".to_string();
     deeper.path_prefix = "/safe/deep/".to_string();
     deeper.is_public = true;
     deployment.routes.push(deeper);
-    Table::new(Arc::new(deployment))
+    RoutingTable::new(Arc::new(deployment))
 }
 
 #[test]
@@ -41,22 +41,27 @@
 fn without_accounts_no_key_is_needed() {
     let mut open = deployment(1);
     open.accounts = None;
-    let table = Table::new(Arc::new(open));
+    let table = RoutingTable::new(Arc::new(open));
     assert!(table.find("shop.example", "/safe/x", None).is_ok());
 }
 
 #[test]
 fn weights_share_the_requests() {
     let mut split = route("safe", RunPolicy::Idempotent, "a");
-    let share = |service: &str, weight| Share { service: service.to_string(), weight };
+    let share = |service: &str, weight| WeightedService { service: service.to_string(), weight };
     split.split = vec![share("a", 90), share("b", 10), share("none", 0)];
     let picks = |service: &str| {
-        (0..1_000).filter(|n| split.pick(f64::from(*n) / 1_000.0).unwrap() == service).count()
+        (0..1_000)
+            .filter(|n| split.pick_service(f64::from(*n) / 1_000.0).unwrap() == service)
+            .count()
     };
     assert_eq!((picks("a"), picks("b"), picks("none")), (900, 100, 0));
-    assert_eq!(split.pick(1.0).unwrap(), "b", "also at the end of the range");
+    assert_eq!(split.pick_service(1.0).unwrap(), "b", "also at the end of the range");
     split.split = vec![share("a", u32::MAX), share("b", u32::MAX)];
-    assert_eq!((split.pick(0.4).unwrap().as_str(), split.pick(0.6).unwrap().as_str()), ("a", "b"));
+    assert_eq!(
+        (split.pick_service(0.4).unwrap().as_str(), split.pick_service(0.6).unwrap().as_str()),
+        ("a", "b")
+    );
 }
 
 /// All accounts have the same rank, as on the deployed sites: what the operator says of routes must
--- a/tests/logic/catalog.rs
+++ b/tests/logic/catalog.rs
@@ -3,7 +3,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use kumquatpost::edge::api::KeptObject;
 use kumquatpost::ids::BlockKey;
 use kumquatpost::prefix_catalog::catalog::{PIN_DURATION, WRITE_TIMEOUT};
 use kumquatpost::prefix_catalog::{
@@ -11,6 +10,7 @@
     owners,
 };
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
+use kumquatpost::upstream::api::StoredObject;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -33,7 +33,7 @@
 }
 
 fn completed_export(plan: &ExportPlan) -> ExportOutcome {
-    let object = KeptObject {
+    let object = StoredObject {
         root: plan.root,
         key: plan.position.key,
         generation: plan.generation,
@@ -135,7 +135,7 @@
 fn copies_that_are_gone_or_owned_by_other_nodes_are_dropped() {
     let (mut catalog, prompt, plan) = catalog_with_one_copy();
     let object = completed_export(&plan).kept.expect("the export failed").object;
-    let foreign = KeptObject { root: 77, ..object.clone() };
+    let foreign = StoredObject { root: 77, ..object.clone() };
     catalog.apply_inventory(&"store-0".into(), &[object, foreign], |root| root != 77, START);
     assert_eq!(catalog.len(), 1);
     catalog.apply_inventory(&"store-0".into(), &[], |_| true, START);
--- a/tests/logic/configuration.rs
+++ b/tests/logic/configuration.rs
@@ -1,7 +1,7 @@
 //! Patches and updates of the numbered configuration: conflicts, resends, gaps and invalid results.
 
-use kumquatpost::config::book::Unusable;
-use kumquatpost::config::{Book, Config, Update};
+use kumquatpost::config::history::UpdateError;
+use kumquatpost::config::{Config, ConfigHistory, Update};
 use kumquatpost::log::state::{Command, Patch, PatchAnswer, Reply, State};
 use serde_json::{Value, json};
 
@@ -86,26 +86,26 @@
 #[test]
 fn updates_lead_from_any_number_to_the_newest_and_never_back() {
     let mut state = State::new(1_000);
-    let mut copies = vec![Book::default()];
+    let mut copies = vec![ConfigHistory::default()];
     for number in 0..400 {
         apply_patch(&mut state, &number.to_string(), number, &kind_patch(number % 8));
         let mut copy = copies[copies.len() - 1].clone();
-        copy.take(&state.book().update_since(number)).expect("cannot apply one patch");
+        copy.apply_update(&state.history().update_since(number)).expect("cannot apply one patch");
         copies.push(copy);
     }
     for copy in &mut copies {
-        let update = state.book().update_since(copy.number());
+        let update = state.history().update_since(copy.number());
         let far_behind = copy.number() < 400 - 256;
-        assert_eq!(matches!(update, Update::Whole(..)), far_behind, "from {}", copy.number());
-        copy.take(&update).expect("cannot apply the update");
+        assert_eq!(matches!(update, Update::Full(..)), far_behind, "from {}", copy.number());
+        copy.apply_update(&update).expect("cannot apply the update");
         assert_eq!(copy.newest(), state.config());
     }
-    let old = Update::Whole(3, "{}".into());
-    assert_eq!(copies[0].take(&old), Err(Unusable::Older));
+    let old = Update::Full(3, "{}".into());
+    assert_eq!(copies[0].apply_update(&old), Err(UpdateError::OlderNumber));
     let gap = Update::Patches(vec![(402, "{}".into())]);
-    assert_eq!(copies[0].take(&gap), Err(Unusable::Broken));
+    assert_eq!(copies[0].apply_update(&gap), Err(UpdateError::Invalid));
     let known = Update::Patches(vec![(399, "{}".into()), (400, "{}".into())]);
-    assert_eq!(copies[0].take(&known), Ok(()), "known patches are skipped");
+    assert_eq!(copies[0].apply_update(&known), Ok(()), "known patches are skipped");
     assert_eq!(copies[0].newest(), state.config());
 }
 
--- a/tests/logic/decide.rs
+++ b/tests/logic/decide.rs
@@ -3,12 +3,13 @@
 use std::time::Duration;
 
 use kumquatpost::config::{Policy, Prices};
-use kumquatpost::edge::api::{
-    KeptObject, LoadReport, Presence, Role, StoreReport, Target, TargetList,
-};
+
 use kumquatpost::peer::message::Dispatched;
 use kumquatpost::prompt::{BLOCK_TOKENS, Chain, Owner};
 use kumquatpost::route::{Decision, EngineView, RouteRequest, Router, StoreView, View, decide};
+use kumquatpost::upstream::api::{
+    LoadReport, Presence, Role, StoreReport, StoredObject, Target, TargetList,
+};
 
 const NOW: Duration = Duration::from_secs(100);
 const BLOCKS: usize = 20;
@@ -50,8 +51,8 @@
     View { engines, stores: [("s".to_string(), store(0))].into(), live_nodes: 1 }
 }
 
-fn stored_prefix(chain: &Chain, blocks: usize) -> (String, KeptObject) {
-    let object = KeptObject {
+fn stored_prefix(chain: &Chain, blocks: usize) -> (String, StoredObject) {
+    let object = StoredObject {
         root: chain.keys[0],
         key: chain.keys[blocks - 1],
         generation: 1,
@@ -65,7 +66,7 @@
 fn request<'a>(
     chain: &'a Chain,
     version: &'a String,
-    stored_prefixes: &'a [(String, KeptObject)],
+    stored_prefixes: &'a [(String, StoredObject)],
 ) -> RouteRequest<'a> {
     RouteRequest {
         model: "mechanic",
@@ -77,7 +78,7 @@
     }
 }
 
-fn decide_by_cost(view: &View, stored_prefixes: &[(String, KeptObject)]) -> Option<Decision> {
+fn decide_by_cost(view: &View, stored_prefixes: &[(String, StoredObject)]) -> Option<Decision> {
     let (chain, version) = (chain(), "v1".to_string());
     decide(Policy::Cost, &Prices::default(), view, &request(&chain, &version, stored_prefixes), NOW)
 }
@@ -184,13 +185,13 @@
         None,
         "resident"
     );
-    let foreign = ("s".to_string(), KeptObject { key: 1, ..whole_prefix.1.clone() });
+    let foreign = ("s".to_string(), StoredObject { key: 1, ..whole_prefix.1.clone() });
     assert_eq!(
         decide_by_cost(&idle(), &[foreign]).expect("no engine was chosen").import,
         None,
         "another prompt's key"
     );
-    let misplaced = ("s".to_string(), KeptObject { blocks: 3, ..whole_prefix.1.clone() });
+    let misplaced = ("s".to_string(), StoredObject { blocks: 3, ..whole_prefix.1.clone() });
     assert_eq!(
         decide_by_cost(&idle(), &[misplaced]).expect("no engine was chosen").import,
         None,
--- a/tests/logic/links.rs
+++ b/tests/logic/links.rs
@@ -9,8 +9,8 @@
 use futures::future::BoxFuture;
 use kumquatpost::ids::NodeId;
 use kumquatpost::log::Message;
-use kumquatpost::peer::message::{Answer, Ask, Dispatched};
-use kumquatpost::peer::{AskError, Links, PeerHandler, PeerKey};
+use kumquatpost::peer::message::{Dispatched, PeerRequest, PeerResponse};
+use kumquatpost::peer::{Links, PeerHandler, PeerKey, PeerRequestError};
 use tokio::net::TcpListener;
 
 /// Far longer than a failure takes, also on a busy machine.
@@ -20,11 +20,15 @@
 struct SilentHandler;
 
 impl PeerHandler for SilentHandler {
-    fn log(&self, _from: NodeId, _message: Message) {}
+    fn handle_log_message(&self, _from: NodeId, _message: Message) {}
 
-    fn dispatched(&self, _dispatched: &Dispatched) {}
+    fn handle_dispatched(&self, _dispatched: &Dispatched) {}
 
-    fn answer(self: Arc<Self>, _from: NodeId, _ask: Ask) -> BoxFuture<'static, Answer> {
+    fn handle_request(
+        self: Arc<Self>,
+        _from: NodeId,
+        _ask: PeerRequest,
+    ) -> BoxFuture<'static, PeerResponse> {
         std::future::pending().boxed()
     }
 }
@@ -45,8 +49,8 @@
     let address = listener.local_addr().expect("no local address");
     drop(listener);
     let started_at = Instant::now();
-    let answer = links(address).ask(2, Ask::Status, ASK_TIMEOUT).await;
-    assert_eq!(answer, Err(AskError::Unreachable));
+    let answer = links(address).request(2, PeerRequest::Status, ASK_TIMEOUT).await;
+    assert_eq!(answer, Err(PeerRequestError::Unreachable));
     assert!(started_at.elapsed() < ASK_TIMEOUT / 4, "{:?}", started_at.elapsed());
 }
 
@@ -66,10 +70,12 @@
     let client_links = links(address);
     let started_at = Instant::now();
     let pending_ask =
-        tokio::spawn(async move { client_links.ask(2, Ask::Status, ASK_TIMEOUT).await });
+        tokio::spawn(
+            async move { client_links.request(2, PeerRequest::Status, ASK_TIMEOUT).await },
+        );
     // Gives the question time to be sent.
     tokio::time::sleep(Duration::from_millis(300)).await;
     runtime.shutdown_background();
-    assert_eq!(pending_ask.await.expect("the task panicked"), Err(AskError::Unreachable));
+    assert_eq!(pending_ask.await.expect("the task panicked"), Err(PeerRequestError::Unreachable));
     assert!(started_at.elapsed() < ASK_TIMEOUT / 4, "{:?}", started_at.elapsed());
 }
--- a/tests/logic/relay.rs
+++ b/tests/logic/relay.rs
@@ -1,20 +1,20 @@
 //! Relaying an answer: only chunks of the current attempt, in order, up to the end mark.
 
-use kumquatpost::edge::chat::{Chunk, Shape, Usage};
 use kumquatpost::http_api::relay::{Relay, StreamError};
+use kumquatpost::upstream::chat::{ApiFormat, Chunk, Usage};
 
 fn text_event(id: &str, text: &str) -> String {
-    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), ..Chunk::default() }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 fn final_event(id: &str, text: &str) -> String {
     let finish = Some("stop".into());
-    Chunk { id: id.into(), text: text.into(), finish, usage: None }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), text: text.into(), finish, usage: None }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 fn usage_event(id: &str) -> String {
     let usage = Some(Usage::default());
-    Chunk { id: id.into(), usage, ..Chunk::default() }.write(Shape::Chat, "m", 0)
+    Chunk { id: id.into(), usage, ..Chunk::default() }.to_json(ApiFormat::Chat, "m", 0)
 }
 
 const DONE: &str = "[DONE]";
