--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -20,9 +20,9 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-use crate::asking::shared;
 use crate::fixtures::{account, address, loopback, ms, route, target};
 use crate::gateway::{Entry, Got, entry, ok, run, unhurried};
+use crate::scheduler_service::shared;
 use crate::stand_in::{StandIn, Then, header};
 
 /// A deployment must be in force after this time.
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -29,9 +29,9 @@
 use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::TcpListener;
 
-use crate::asking::shared;
 use crate::fixtures::{address, loopback, roster, start, target};
 use crate::gateway::{PROMPT, entry, ok, run, unhurried};
+use crate::scheduler_service::shared;
 use crate::stand_in::{StandIn, Then};
 
 const LEAVES: &str = "i-1";
--- a/tests/deployment/main.rs
+++ b/tests/deployment/main.rs
@@ -1,7 +1,6 @@
 //! Tests of what runs on the platform: translation, deployments, the fleet, replicas' decisions, the
 //! scheduler on a virtual clock, and an entry before stand-in targets.
 
-mod asking;
 mod boundary;
 mod budget;
 mod documents;
@@ -12,19 +11,18 @@
 mod final_refusals;
 mod fixtures;
 mod foreign_bytes;
-mod forming;
 mod freshness;
 mod gateway;
 mod headers;
 mod identity;
 mod instances;
-mod kept_targets;
-mod late_news;
+mod late_updates;
 mod leaving;
 mod links;
 mod load;
 mod many_hosts;
 mod memory;
+mod monotonic_state;
 mod orders;
 mod placement;
 #[allow(dead_code, reason = "the soak uses the rest")]
@@ -33,11 +31,13 @@
 #[allow(dead_code, reason = "the soak uses the rest")]
 #[path = "../soak/system.rs"]
 mod processes;
-mod reading;
+mod reader_election;
 mod replicas;
 mod restarts;
 mod rollout;
 mod roster;
+mod roster_file;
+mod scheduler_service;
 mod scheduling;
 mod settings;
 mod sources;
@@ -46,7 +46,7 @@
 mod state;
 mod stores;
 mod table;
-mod told_once;
+mod voter_set;
 mod weights;
 mod weights_alone;
 mod weights_in_force;
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -19,8 +19,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::asking::shared;
 use crate::fixtures::{address, ms, roster, target};
+use crate::scheduler_service::shared;
 
 /// A fifth of the two-year size.
 const HOSTS: usize = 300;
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -30,10 +30,10 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-use crate::asking::shared;
 use crate::fixtures::{address, ms, roster, start, target};
 use crate::gateway::{PROMPT, entry, events, run, unhurried};
 use crate::replicas::Core;
+use crate::scheduler_service::shared;
 use crate::stand_in::{StandIn, Then};
 
 /// Tells entries as a replica does, on a thread of its own. Weights are named once `is_named` is set.
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -18,9 +18,9 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-use crate::asking::shared;
 use crate::fixtures::{born, ms, roster, target};
 use crate::gateway::run;
+use crate::scheduler_service::shared;
 use crate::stand_in::{StandIn, Then};
 
 const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
--- a/tests/deployment/reading.rs
+++ b/tests/deployment/reader_election.rs
@@ -15,9 +15,9 @@
 use tokio::io::BufReader;
 use tokio::net::TcpListener;
 
-use crate::asking::shared;
 use crate::fixtures::{loopback, ms};
 use crate::gateway::run;
+use crate::scheduler_service::shared;
 
 /// Between moments at which the list shows something new.
 const STEP: Duration = Duration::from_millis(10);
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -9,8 +9,8 @@
 use kumquatpost::gateway::metadata::TargetLoad;
 use kumquatpost::ids::{ServiceId, TargetStart};
 
-use crate::asking::shared;
 use crate::fixtures::{address, born, ms, roster, start, target};
+use crate::scheduler_service::shared;
 
 #[test]
 fn leaving_is_not_taken_back() {
--- a/tests/deployment/kept_targets.rs
+++ b/tests/deployment/roster_file.rs
@@ -6,8 +6,8 @@
 use kumquatpost::control::roster_file::{keep_writing, load};
 use tokio::task::LocalSet;
 
-use crate::asking::shared;
 use crate::fixtures::{address, ms, roster, target};
+use crate::scheduler_service::shared;
 
 fn list(number: u64) -> VersionedRoster {
     let targets = [target("i-1", "llm", address(1)), target("i-2", "app", address(2))];
