--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -22,7 +22,7 @@
 
 use crate::fixtures::{account, address, loopback, ms, route, target};
 use crate::gateway::{Entry, Got, entry, ok, run, unhurried};
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 use crate::stand_in::{StandIn, Then, header};
 
 /// A deployment must be in force after this time.
@@ -51,7 +51,7 @@
     fn serve(&self, at: SocketAddr) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-            let shared = Rc::new(shared(1, VersionedRoster::default()));
+            let shared = Rc::new(leader_state(1, VersionedRoster::default()));
             let scheduling =
                 Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
             let listener = TcpListener::bind(at).await.expect("a port");
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -31,7 +31,7 @@
 
 use crate::fixtures::{address, loopback, roster, start, target};
 use crate::gateway::{PROMPT, entry, ok, run, unhurried};
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 use crate::stand_in::{StandIn, Then};
 
 const LEAVES: &str = "i-1";
@@ -43,7 +43,7 @@
 
 /// A replica that knows a list, and does not lead.
 fn follower(known: &VersionedRoster) -> Shared {
-    let shared = shared(4, known.clone());
+    let shared = leader_state(4, known.clone());
     shared.view.send_modify(|view| view.leads = false);
     shared
 }
@@ -101,7 +101,7 @@
 fn a_change_of_another_list_with_the_same_number_hides_nobody_who_leaves() {
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
-        let leader = shared(4, VersionedRoster::default());
+        let leader = leader_state(4, VersionedRoster::default());
         read_list(&leader, Presence::Live);
         // The leader finds weights while another replica reads that a target leaves.
         let (reader, third) = (follower(&current(&leader)), follower(&current(&leader)));
@@ -122,10 +122,10 @@
 
 #[test]
 fn no_list_brings_back_or_hides_who_leaves() {
-    let earlier = shared(4, VersionedRoster::default());
+    let earlier = leader_state(4, VersionedRoster::default());
     read_list(&earlier, Presence::Leaving);
     // The next leader has started anew and reads a list that lags.
-    let leader = shared(5, VersionedRoster::default());
+    let leader = leader_state(5, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     earlier.observe_roster(current(&leader));
     assert!(knows_who_leaves(&earlier), "a list with a higher number brought a target back");
@@ -155,7 +155,7 @@
 
 async fn an_entry_hears_who_leaves_from_a_list_that_it_does_not_take() {
     let entry = entry(unhurried(), Vec::new()).await;
-    let leader = shared(4, VersionedRoster::default());
+    let leader = leader_state(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let reader = follower(&current(&leader));
     let mut by_reader = Heard::new(&entry.gateway, &reader);
@@ -171,7 +171,7 @@
 
 #[test]
 fn replicas_with_two_lists_of_one_number_come_to_agree() {
-    let leader = shared(4, VersionedRoster::default());
+    let leader = leader_state(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let reader = follower(&current(&leader));
     find_weights(&leader);
@@ -198,7 +198,7 @@
 
 #[test]
 fn who_tells_of_an_earlier_list_is_told_the_later_one() {
-    let leader = shared(4, VersionedRoster::default());
+    let leader = leader_state(4, VersionedRoster::default());
     read_list(&leader, Presence::Live);
     let early = current(&leader);
     let reader = follower(&early);
@@ -246,7 +246,7 @@
         tokio::task::spawn_local(scheduler_connection::keep_connected(entry.gateway.clone()));
         tokio::task::spawn_local(place_on_first_of(["i-1", "i-2"], listener));
         // The entry hears that the engine leaves before the scheduler does.
-        let replica = shared(4, VersionedRoster::default());
+        let replica = leader_state(4, VersionedRoster::default());
         let [mut first, second] = listed;
         first.presence = Presence::Leaving;
         replica.change_roster(|known| known.update(vec![first, second]));
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -20,7 +20,7 @@
 use rand::rngs::SmallRng;
 
 use crate::fixtures::{address, ms, roster, target};
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 
 /// A fifth of the two-year size.
 const HOSTS: usize = 300;
@@ -195,14 +195,14 @@
 #[test]
 fn a_list_goes_on_where_it_was_at_another_replica() {
     let list = list(7);
-    let publisher = shared(1, list.clone());
+    let publisher = leader_state(1, list.clone());
     let mut assembly = Assembly::default();
     let whole = take_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
     assert_eq!(whole, None);
     let part = assembly.progress();
     assert_eq!(part, (list.version(), 4));
     let request = RosterSubscription { part, ..RosterSubscription::default() };
-    let (other, rest) = (shared(2, list.clone()), split(&list).len() - 4);
+    let (other, rest) = (leader_state(2, list.clone()), split(&list).len() - 4);
     let whole = take_pieces(&other, request, rest, &mut assembly);
     assert_eq!(whole.map(|whole| whole.version()), Some(list.version()));
 }
@@ -235,7 +235,7 @@
 #[test]
 fn an_entry_that_holds_an_earlier_list_is_told_what_has_changed() {
     let earlier = list(7);
-    let replica = shared(1, earlier.clone());
+    let replica = leader_state(1, earlier.clone());
     let leaves = earlier.roster.iter().next().expect("a target").clone();
     let later = Listed { presence: Presence::Leaving, ..leaves };
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
@@ -268,7 +268,7 @@
     assert_eq!(detail(asked), Some(RosterDetail::Changes));
     let asked = sources.request(&mut far, held, &replicas, ms(5)).expect("it follows");
     assert_eq!(asked.detail, RosterDetail::Versions);
-    let replica = shared(1, earlier);
+    let replica = leader_state(1, earlier);
     let mut publisher = RosterPublisher::default();
     publisher.subscribe(asked, &replica);
     replica.observe_roster(later.clone());
@@ -300,7 +300,7 @@
 #[test]
 fn a_replica_that_is_behind_tells_no_list() {
     let (earlier, later) = (list(7), list(8));
-    let replica = shared(1, earlier);
+    let replica = leader_state(1, earlier);
     let mut publisher = RosterPublisher::default();
     publisher.subscribe(
         RosterSubscription { whole: later.version(), ..RosterSubscription::default() },
--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -33,14 +33,14 @@
 use crate::fixtures::{address, ms, roster, start, target};
 use crate::gateway::{PROMPT, entry, events, run, unhurried};
 use crate::replicas::Core;
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 use crate::stand_in::{StandIn, Then};
 
 /// Tells entries as a replica does, on a thread of its own. Weights are named once `is_named` is set.
 fn tell_as_a_replica(at: SocketAddr, is_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let shared = Rc::new(shared(1, VersionedRoster::default()));
+        let shared = Rc::new(leader_state(1, VersionedRoster::default()));
         let scheduling =
             Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
         let listener = TcpListener::bind(at).await.expect("a port");
@@ -146,9 +146,9 @@
 /// gets older ones.
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
-    let leader = shared(4, VersionedRoster::default());
+    let leader = leader_state(4, VersionedRoster::default());
     leader.change_roster(|known| known.update(listed(1)));
-    let reader = shared(4, leader.roster.borrow().clone());
+    let reader = leader_state(4, leader.roster.borrow().clone());
     reader.view.send_modify(|view| view.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
@@ -164,9 +164,9 @@
 /// The engine's own word goes before what was believed of it, also where the belief was too high.
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
-    let leader = shared(4, VersionedRoster::default());
+    let leader = leader_state(4, VersionedRoster::default());
     leader.change_roster(|known| known.update(listed(2)));
-    let other = shared(4, leader.roster.borrow().clone());
+    let other = leader_state(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &found));
     let (later, earlier) = (leader.roster.borrow().clone(), other.roster.borrow().clone());
@@ -207,10 +207,10 @@
     let model = "m".to_string();
     let mut log = ControlState::default();
     log.apply(Command::NameWeights { model: model.clone(), version: 2 });
-    let runs_on = shared(1, VersionedRoster::default());
+    let runs_on = leader_state(1, VersionedRoster::default());
     let named_at = boot_now().saturating_sub(ms(3_500));
     observe_named(&mut runs_on.named_since.borrow_mut(), &model, 2, named_at, boot_now());
-    let started = shared(1, VersionedRoster::default());
+    let started = leader_state(1, VersionedRoster::default());
     started.has_weight_ages.set(false);
     assert!(!started.is_current(ms(500)), "it may take old namings for new");
     let age = estimated_age(&log, &model, 2, None, boot_now());
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -20,7 +20,7 @@
 
 use crate::fixtures::{born, ms, roster, target};
 use crate::gateway::run;
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 use crate::stand_in::{StandIn, Then};
 
 const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -39,7 +39,7 @@
 /// A leader that has named weights 2, and knows of an engine in its start 1 that runs weights 1.
 fn lead(engine: Listed) -> Rc<Shared> {
     let roster = VersionedRoster::new(1, Arc::new(roster([engine])));
-    let shared = shared(1, roster);
+    let shared = leader_state(1, roster);
     let named = Arc::new(BTreeMap::from([("m".to_string(), 2)]));
     shared.view.send_modify(|view| view.state.weights = named);
     let shared = Rc::new(shared);
--- a/tests/deployment/reader_election.rs
+++ b/tests/deployment/reader_election.rs
@@ -17,7 +17,7 @@
 
 use crate::fixtures::{loopback, ms};
 use crate::gateway::run;
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 
 /// Between moments at which the list shows something new.
 const STEP: Duration = Duration::from_millis(10);
@@ -162,7 +162,7 @@
 async fn asks_for(list: SocketAddr, port: u16) {
     let (own, other) = (loopback(1), loopback(2));
     let listener = TcpListener::bind((other, port)).await.expect("a port");
-    let mut leader = shared(4, VersionedRoster::default());
+    let mut leader = leader_state(4, VersionedRoster::default());
     leader.links = Rc::new(Links::new(1, own, "hall".into(), port));
     leader
         .view
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -10,7 +10,7 @@
 use kumquatpost::ids::{ServiceId, TargetStart};
 
 use crate::fixtures::{address, born, ms, roster, start, target};
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 
 #[test]
 fn leaving_is_not_taken_back() {
@@ -41,18 +41,18 @@
 /// must not be taken for older.
 #[test]
 fn a_list_that_a_later_leader_reads_goes_before_all_earlier_ones() {
-    let before = shared(4, VersionedRoster::default());
+    let before = leader_state(4, VersionedRoster::default());
     for n in 0..300 {
         before.change_roster(|known| {
             known.update(vec![target(&format!("i-{n}"), "app", address(1))])
         });
     }
     let listed = vec![target("i-299", "app", address(1))];
-    let after = shared(5, VersionedRoster::default());
+    let after = leader_state(5, VersionedRoster::default());
     assert!(after.change_roster(|known| known.update(listed.clone())));
     assert!(after.roster.borrow().number > before.roster.borrow().number);
     // A replica that led before and leads again tells its list anew, changed or not.
-    let again = shared(6, after.roster.borrow().clone());
+    let again = leader_state(6, after.roster.borrow().clone());
     assert!(again.change_roster(|known| known.update(listed.clone())));
     assert!(again.roster.borrow().number > after.roster.borrow().number);
     assert!(!again.change_roster(|known| known.update(listed)), "once");
--- a/tests/deployment/roster_file.rs
+++ b/tests/deployment/roster_file.rs
@@ -7,7 +7,7 @@
 use tokio::task::LocalSet;
 
 use crate::fixtures::{address, ms, roster, target};
-use crate::scheduler_service::shared;
+use crate::scheduler_service::leader_state;
 
 fn list(number: u64) -> VersionedRoster {
     let targets = [target("i-1", "llm", address(1)), target("i-2", "app", address(2))];
@@ -18,7 +18,7 @@
 fn write_one(folder: &std::path::Path) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let shared = std::rc::Rc::new(shared(1, VersionedRoster::default()));
+        let shared = std::rc::Rc::new(leader_state(1, VersionedRoster::default()));
         let writing = keep_writing(shared.clone(), folder.to_path_buf());
         let written = async {
             tokio::task::yield_now().await;
--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -32,12 +32,12 @@
 /// A replica that leads, with one engine.
 fn leading() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
-    let shared = shared(1, VersionedRoster::new(1, roster));
+    let shared = leader_state(1, VersionedRoster::new(1, roster));
     Rc::new(SchedulerService::new(Rc::new(shared), OldWeightsPolicy::default()))
 }
 
 /// What the tasks of a replica share that leads in a term and knows a list of targets.
-pub fn shared(term: Term, roster: VersionedRoster) -> Shared {
+pub fn leader_state(term: Term, roster: VersionedRoster) -> Shared {
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
     let state = ControlState { published, ..ControlState::bootstrap(BTreeMap::new()) };
@@ -320,7 +320,7 @@
         let mut listed = target("i-1", "llm", engine.address);
         listed.weights.insert("m".to_string(), 2);
         let known = VersionedRoster::new(1, Arc::new(roster([listed])));
-        let shared = Rc::new(shared(1, known));
+        let shared = Rc::new(leader_state(1, known));
         let scheduling =
             Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
         tokio::task::spawn_local(scheduling.clone().run());
