--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -37,7 +37,7 @@
 use crate::stand_in::{StandIn, Then};
 
 /// Tells entries as a replica does, on a thread of its own. Weights are named once `is_named` is set.
-fn tell_as_a_replica(at: SocketAddr, is_named: Arc<AtomicBool>) {
+fn serve_as_replica(at: SocketAddr, are_weights_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let shared = Rc::new(leader_state(1, VersionedRoster::default()));
@@ -46,12 +46,12 @@
         let listener = TcpListener::bind(at).await.expect("a port");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
-        let mut is_told = false;
+        let mut is_announced = false;
         // It ends with the test.
         loop {
             tokio::time::sleep(ms(5)).await;
-            if is_named.load(Ordering::SeqCst) && !is_told {
-                is_told = true;
+            if are_weights_named.load(Ordering::SeqCst) && !is_announced {
+                is_announced = true;
                 let now = boot_now();
                 let model = "m".to_string();
                 observe_named(&mut shared.named_since.borrow_mut(), &model, 2, now, now);
@@ -70,16 +70,16 @@
         let entry = entry(unhurried(), Vec::new()).await;
         let ip: IpAddr = "127.98.0.1".parse().expect("an address");
         let at = SocketAddr::new(ip, entry.gateway.host.peer_port);
-        let is_named = Arc::new(AtomicBool::new(false));
-        let flag = is_named.clone();
-        std::thread::spawn(move || tell_as_a_replica(at, flag));
+        let are_weights_named = Arc::new(AtomicBool::new(false));
+        let flag = are_weights_named.clone();
+        std::thread::spawn(move || serve_as_replica(at, flag));
         entry.gateway.replicas.borrow_mut().insert(ip);
         let (tasks, _first_end) = essentials();
         subscription::start(&entry.gateway, &tasks);
         while entry.gateway.state_age().is_none() {
             tokio::time::sleep(ms(10)).await;
         }
-        is_named.store(true, Ordering::SeqCst);
+        are_weights_named.store(true, Ordering::SeqCst);
         let named_at = boot_now();
         // All of the entry's process stands still.
         std::thread::sleep(frozen);
@@ -87,8 +87,11 @@
         tokio::time::sleep(ms(2_000)).await;
         let named = entry.gateway.rollouts.borrow().clone();
         let since = named["m"].missed_since(Some(1)).expect("it was told");
-        let late = since.saturating_sub(named_at);
-        assert!(late < ms(1_000), "it believes that they were named {late:?} later than they were");
+        let delay = since.saturating_sub(named_at);
+        assert!(
+            delay < ms(1_000),
+            "it believes that they were named {delay:?} later than they were"
+        );
     });
 }
 
@@ -96,10 +99,10 @@
 async fn place_on_weights_1(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.expect("the entry connects");
     let (read_half, mut write) = stream.split();
-    let mut from_entry = BufReader::new(read_half);
-    let _: Handshake = read(&mut from_entry).await.expect("who it is");
+    let mut requests = BufReader::new(read_half);
+    let _: Handshake = read(&mut requests).await.expect("who it is");
     // It ends with the test.
-    while let Ok(frame) = read(&mut from_entry).await {
+    while let Ok(frame) = read(&mut requests).await {
         if let SchedulerRequest::Place(number, _) = frame {
             let placed =
                 Placement { target: start("i-1"), weight_version: Some(1), ..Placement::default() };
@@ -132,13 +135,13 @@
     });
 }
 
-fn listed(weights: u64) -> Vec<Listed> {
+fn targets_with_weights(weights: u64) -> Vec<Listed> {
     let mut engine = target("i-3", "llm", address(3));
     engine.weights.insert("m".to_string(), weights);
     vec![target("i-1", "app", address(1)), engine]
 }
 
-fn weights_known(shared: &Shared) -> u64 {
+fn known_weights(shared: &Shared) -> u64 {
     shared.roster.borrow().roster.get(&start("i-3")).expect("it is listed").weights["m"]
 }
 
@@ -147,32 +150,32 @@
 #[test]
 fn no_list_takes_back_the_weights_that_a_replica_has_found() {
     let leader = leader_state(4, VersionedRoster::default());
-    leader.change_roster(|known| known.update(listed(1)));
+    leader.change_roster(|known| known.update(targets_with_weights(1)));
     let reader = leader_state(4, leader.roster.borrow().clone());
     reader.view.send_modify(|view| view.leads = false);
     // An order was carried out, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
     // Meanwhile another replica has read two changes.
-    reader.change_roster(|known| known.update(listed(1)[1..].to_vec()));
-    reader.change_roster(|known| known.update(listed(1)));
+    reader.change_roster(|known| known.update(targets_with_weights(1)[1..].to_vec()));
+    reader.change_roster(|known| known.update(targets_with_weights(1)));
     let read = reader.roster.borrow().clone();
     leader.observe_roster(read);
-    assert_eq!(weights_known(&leader), 2, "a later list brought older weights back");
+    assert_eq!(known_weights(&leader), 2, "a later list brought older weights back");
 }
 
 /// The engine's own word goes before what was believed of it, also where the belief was too high.
 #[test]
 fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
     let leader = leader_state(4, VersionedRoster::default());
-    leader.change_roster(|known| known.update(listed(2)));
+    leader.change_roster(|known| known.update(targets_with_weights(2)));
     let other = leader_state(4, leader.roster.borrow().clone());
     let found = [("m".to_string(), 1)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &found));
     let (later, earlier) = (leader.roster.borrow().clone(), other.roster.borrow().clone());
     other.observe_roster(later);
     leader.observe_roster(earlier);
-    assert_eq!((weights_known(&leader), weights_known(&other)), (1, 1));
+    assert_eq!((known_weights(&leader), known_weights(&other)), (1, 1));
 }
 
 /// Each replica in turn starts, adds what may have passed unrecorded, leads, and records that as
@@ -207,19 +210,19 @@
     let model = "m".to_string();
     let mut log = ControlState::default();
     log.apply(Command::NameWeights { model: model.clone(), version: 2 });
-    let runs_on = leader_state(1, VersionedRoster::default());
+    let running = leader_state(1, VersionedRoster::default());
     let named_at = boot_now().saturating_sub(ms(3_500));
-    observe_named(&mut runs_on.named_since.borrow_mut(), &model, 2, named_at, boot_now());
-    let started = leader_state(1, VersionedRoster::default());
-    started.has_weight_ages.set(false);
-    assert!(!started.is_current(ms(500)), "it may take old namings for new");
+    observe_named(&mut running.named_since.borrow_mut(), &model, 2, named_at, boot_now());
+    let restarted = leader_state(1, VersionedRoster::default());
+    restarted.has_weight_ages.set(false);
+    assert!(!restarted.is_current(ms(500)), "it may take old namings for new");
     let age = estimated_age(&log, &model, 2, None, boot_now());
     let since = boot_now().saturating_sub(age);
-    observe_named(&mut started.named_since.borrow_mut(), &model, 2, since, boot_now());
-    started.observe_ages(runs_on.ages());
-    started.has_weight_ages.set(true);
-    assert!(started.is_current(ms(500)));
-    assert!(started.ages()[&model][0].age >= ms(3_500), "{:?}", started.ages());
+    observe_named(&mut restarted.named_since.borrow_mut(), &model, 2, since, boot_now());
+    restarted.observe_ages(running.ages());
+    restarted.has_weight_ages.set(true);
+    assert!(restarted.is_current(ms(500)));
+    assert!(restarted.ages()[&model][0].age >= ms(3_500), "{:?}", restarted.ages());
 }
 
 /// All replicas were restarted while their disks stood still; entries went on.
@@ -236,7 +239,7 @@
         named: [("m".to_string(), named)].into(),
     };
     core.eventually("it tells what it was told", |core| {
-        let telling = async {
+        let exchange = async {
             let mut stream = TcpStream::connect(core.peer_address(0)).await?;
             stream.write_all(&encode(&entry)).await?;
             loop {
@@ -245,7 +248,7 @@
                 }
             }
         };
-        let told = runtime.block_on(async { tokio::time::timeout(ms(2_000), telling).await });
+        let told = runtime.block_on(async { tokio::time::timeout(ms(2_000), exchange).await });
         let told = told.ok().and_then(Result::ok);
         told.is_some_and(|named| named["m"].last().is_some_and(|weights| weights.age >= ms(60_000)))
     });
@@ -287,7 +290,7 @@
 }
 
 /// How many entries share the retries, as a replica tells an entry first. Until it can know, it tells none.
-async fn sharing(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
+async fn read_entry_count(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
     let mut stream = TcpStream::connect(replica).await?;
     let entry = Handshake::Entry {
         name: name.into(),
@@ -311,13 +314,13 @@
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let mut core = Core::start(3);
     core.publish(1);
-    let mut kept = Vec::new();
+    let mut connections = Vec::new();
     for n in 0..ENTRIES {
         let name = format!("entry-{n}");
         core.eventually("an entry is told", |core| {
-            let telling = sharing(core.peer_address(n % 2), &name);
-            let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), telling).await });
-            heard.ok().and_then(Result::ok).map(|(_, stream)| kept.push(stream)).is_some()
+            let exchange = read_entry_count(core.peer_address(n % 2), &name);
+            let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
+            heard.ok().and_then(Result::ok).map(|(_, stream)| connections.push(stream)).is_some()
         });
     }
     // All replicas have told each other.
@@ -326,8 +329,8 @@
     core.run(2, false);
     let mut told = None;
     core.eventually("the replica tells an entry", |core| {
-        let telling = sharing(core.peer_address(2), "entry-8");
-        let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), telling).await });
+        let exchange = read_entry_count(core.peer_address(2), "entry-8");
+        let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
         told = heard.ok().and_then(Result::ok).map(|(entries, _)| entries);
         told.is_some()
     });
