--- a/tests/deployment/roster_file.rs
+++ b/tests/deployment/roster_file.rs
@@ -9,27 +9,27 @@
 use crate::fixtures::{address, ms, roster, target};
 use crate::scheduler_service::leader_state;
 
-fn list(number: u64) -> VersionedRoster {
+fn sample_roster(number: u64) -> VersionedRoster {
     let targets = [target("i-1", "llm", address(1)), target("i-2", "app", address(2))];
     VersionedRoster::new(number, Arc::new(roster(targets)))
 }
 
 /// Writes a list as a replica does that has just read it, and kills that replica.
-fn write_one(folder: &std::path::Path) {
+fn write_roster_file(folder: &std::path::Path) {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
         let shared = std::rc::Rc::new(leader_state(1, VersionedRoster::default()));
         let writing = keep_writing(shared.clone(), folder.to_path_buf());
-        let written = async {
+        let file_exists = async {
             tokio::task::yield_now().await;
-            shared.observe_roster(list(3));
+            shared.observe_roster(sample_roster(3));
             while load(folder).number == 0 {
                 tokio::time::sleep(ms(5)).await;
             }
         };
         tokio::select! {
             () = writing => panic!("it writes for as long as the process lives"),
-            () = written => {}
+            () = file_exists => {}
         }
     });
 }
@@ -38,15 +38,15 @@
 fn a_replica_that_starts_again_has_the_list_that_it_had() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(load(folder.path()).number, 0, "there is none yet");
-    write_one(folder.path());
-    assert_eq!(load(folder.path()).version(), list(3).version());
+    write_roster_file(folder.path());
+    assert_eq!(load(folder.path()).version(), sample_roster(3).version());
 }
 
 /// Power was lost in the midst of a write, or the disk gives back something else.
 #[test]
 fn a_kept_list_that_is_damaged_is_as_if_there_was_none() {
     let folder = tempfile::tempdir().expect("a folder");
-    write_one(folder.path());
+    write_roster_file(folder.path());
     let path = folder.path().join("targets");
     let whole = std::fs::read(&path).expect("it is there");
     for damaged in [&whole[..0], &whole[..3], &whole[..whole.len() - 1]] {
@@ -64,7 +64,7 @@
 #[test]
 fn a_kept_list_without_targets_is_none() {
     let folder = tempfile::tempdir().expect("a folder");
-    write_one(folder.path());
+    write_roster_file(folder.path());
     let empty = postcard::to_stdvec(&VersionedRoster::new(1, Arc::default())).expect("bytes");
     let mut bytes = crc32fast::hash(&empty).to_le_bytes().to_vec();
     bytes.extend_from_slice(&empty);
