--- a/tests/deployment/voter_set.rs
+++ b/tests/deployment/voter_set.rs
@@ -9,13 +9,13 @@
 
 use crate::fixtures::ms;
 
-const WANTED: usize = 5;
+const DESIRED_VOTERS: usize = 5;
 
 fn ip(n: u8) -> IpAddr {
     IpAddr::from([10, 0, 0, n])
 }
 
-fn places(nodes: &[u64]) -> BTreeMap<NodeId, IpAddr> {
+fn addresses(nodes: &[u64]) -> BTreeMap<NodeId, IpAddr> {
     nodes.iter().map(|node| (*node, ip(*node as u8))).collect()
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// Replica 1 leads; these were heard just now, at 10 s.
-fn heard(nodes: &[u64]) -> PeerActivity {
+fn activity_of(nodes: &[u64]) -> PeerActivity {
     let mut activity = PeerActivity::default();
     activity.reset(ms(0));
     nodes.iter().for_each(|node| activity.record_contact(*node, ms(10_000)));
@@ -35,28 +35,30 @@
 
 #[test]
 fn a_replica_joins_step_by_step() {
-    let mut activity = heard(&[2, 3]);
+    let mut activity = activity_of(&[2, 3]);
     activity.record_join_request(4, ip(4), ms(10_000));
-    let step = |members, places| activity.next_step(1, &members, &places, WANTED, ms(10_000));
+    let step = |members, addresses| {
+        activity.next_step(1, &members, &addresses, DESIRED_VOTERS, ms(10_000))
+    };
     assert_eq!(
-        step(members(&[1, 2, 3], &[]), places(&[1, 2, 3])),
+        step(members(&[1, 2, 3], &[]), addresses(&[1, 2, 3])),
         Some(MembershipStep::SetAddress(4, ip(4)))
     );
-    let known = places(&[1, 2, 3, 4]);
+    let known = addresses(&[1, 2, 3, 4]);
     assert_eq!(step(members(&[1, 2, 3], &[]), known.clone()), Some(MembershipStep::AddLearner(4)));
     let mut activity = activity.clone();
     activity.record_contact(4, ms(10_000));
-    let step = |members| activity.next_step(1, &members, &known, WANTED, ms(10_000));
+    let step = |members| activity.next_step(1, &members, &known, DESIRED_VOTERS, ms(10_000));
     assert_eq!(step(members(&[1, 2, 3], &[4])), Some(MembershipStep::Promote(4)));
     assert_eq!(step(members(&[1, 2, 3, 4], &[])), None);
 }
 
 /// Replica 5 lost its disk: the same host comes back as replica 15, and takes its place.
-fn takes_the_place(mut activity: PeerActivity) {
+fn assert_successor_replaces(mut activity: PeerActivity) {
     activity.record_join_request(15, ip(5), ms(10_000));
-    let mut known = places(&[1, 2, 3, 4, 5]);
+    let mut known = addresses(&[1, 2, 3, 4, 5]);
     known.insert(15, ip(5));
-    let step = |members| activity.next_step(1, &members, &known, WANTED, ms(10_000));
+    let step = |members| activity.next_step(1, &members, &known, DESIRED_VOTERS, ms(10_000));
     assert_eq!(step(members(&[1, 2, 3, 4, 5], &[])), Some(MembershipStep::AddLearner(15)));
     assert_eq!(step(members(&[1, 2, 3, 4, 5], &[15])), Some(MembershipStep::Promote(15)));
     assert_eq!(step(members(&[1, 2, 3, 4, 5, 15], &[])), Some(MembershipStep::Remove(5)));
@@ -65,59 +67,60 @@
 
 #[test]
 fn the_one_whose_place_was_taken_goes_last() {
-    takes_the_place(heard(&[2, 3, 4, 15]));
+    assert_successor_replaces(activity_of(&[2, 3, 4, 15]));
 }
 
 /// Like all that are no founders, the lost replica had once asked to join itself: that wish must not
 /// be taken for a later one than its successor's.
 #[test]
 fn of_two_that_asked_from_one_host_the_later_one_stays() {
-    let mut activity = heard(&[2, 3, 4, 15]);
+    let mut activity = activity_of(&[2, 3, 4, 15]);
     activity.record_join_request(5, ip(5), ms(1_000));
-    takes_the_place(activity);
+    assert_successor_replaces(activity);
 }
 
 #[test]
 fn a_silent_voter_gives_its_place_only_to_one_that_is_there() {
-    let known = places(&[1, 2, 3, 4, 5, 6]);
-    let mut activity = heard(&[2, 3, 4]);
+    let known = addresses(&[1, 2, 3, 4, 5, 6]);
+    let mut activity = activity_of(&[2, 3, 4]);
     activity.record_contact(5, ms(10_000) - VOTER_TIMEOUT);
     let step = |activity: &PeerActivity, members| {
-        activity.next_step(1, &members, &known, WANTED, ms(10_000))
+        activity.next_step(1, &members, &known, DESIRED_VOTERS, ms(10_000))
     };
     let all = members(&[1, 2, 3, 4, 5], &[]);
     assert_eq!(step(&activity, all.clone()), None, "fewer voters would survive fewer losses");
-    let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
+    let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
     activity.record_contact(6, ms(9_000));
-    assert_eq!(step(&activity, with_spare.clone()), Some(MembershipStep::Promote(6)));
+    assert_eq!(step(&activity, with_learner.clone()), Some(MembershipStep::Promote(6)));
     assert_eq!(step(&activity, members(&[1, 2, 3, 4, 5, 6], &[])), Some(MembershipStep::Remove(5)));
     activity.record_contact(5, ms(10_000));
-    assert_eq!(step(&activity, with_spare), None, "it is back: the spare goes on learning");
+    assert_eq!(step(&activity, with_learner), None, "it is back: the spare goes on learning");
 }
 
 #[test]
 fn a_new_leader_takes_nobody_for_silent_at_once() {
-    let known = places(&[1, 2, 3, 4, 5, 6]);
+    let known = addresses(&[1, 2, 3, 4, 5, 6]);
     let mut activity = PeerActivity::default();
     activity.reset(ms(10_000));
-    let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
-    let step = |at| activity.next_step(1, &with_spare, &known, WANTED, at);
+    let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
+    let step = |at| activity.next_step(1, &with_learner, &known, DESIRED_VOTERS, at);
     assert_eq!(step(ms(11_000)), None);
 }
 
 #[test]
 fn learners_that_are_gone_are_taken_out() {
-    let known = places(&[1, 2, 3, 4, 5, 6]);
-    let activity = heard(&[2, 3, 4, 5]);
-    let with_spare = members(&[1, 2, 3, 4, 5], &[6]);
-    let step = |at| activity.next_step(1, &with_spare, &known, WANTED, at);
+    let known = addresses(&[1, 2, 3, 4, 5, 6]);
+    let activity = activity_of(&[2, 3, 4, 5]);
+    let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
+    let step = |at| activity.next_step(1, &with_learner, &known, DESIRED_VOTERS, at);
     assert_eq!(step(ms(10_000)), Some(MembershipStep::Remove(6)), "never heard in 10 s");
 }
 
 #[test]
 fn an_old_wish_to_join_counts_for_nothing() {
-    let mut activity = heard(&[2, 3]);
+    let mut activity = activity_of(&[2, 3]);
     activity.record_join_request(4, ip(4), ms(1_000));
-    let step = activity.next_step(1, &members(&[1, 2, 3], &[]), &places(&[1, 2, 3]), 5, ms(10_000));
+    let step =
+        activity.next_step(1, &members(&[1, 2, 3], &[]), &addresses(&[1, 2, 3]), 5, ms(10_000));
     assert_eq!(step, None);
 }
