--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -110,7 +110,7 @@
     assert_eq!(load(&view, 2_000), 0.0);
 }
 
-fn reborn(id: &str, born_ms: i64) -> Listed {
+fn engine_start(id: &str, born_ms: i64) -> Listed {
     Listed { start: born(id, born_ms), ..target(id, "llm", address(1)) }
 }
 
@@ -121,10 +121,10 @@
 
 #[test]
 fn a_later_start_is_used_although_the_earlier_one_left() {
-    let mut known = roster([leaving(reborn("i-1", 5))]);
+    let mut known = roster([leaving(engine_start("i-1", 5))]);
     // Its clock may have gone back.
     for born_ms in [9, 2] {
-        assert!(known.update(vec![reborn("i-1", born_ms)]));
+        assert!(known.update(vec![engine_start("i-1", born_ms)]));
         let listed = known.get(&born("i-1", born_ms)).expect("listed");
         assert_eq!(listed.presence, Presence::Live);
         assert_eq!(known.len(), 1);
@@ -134,28 +134,28 @@
 
 #[test]
 fn a_start_that_was_replaced_never_comes_back() {
-    let mut known = roster([reborn("i-1", 1)]);
-    known.update(vec![reborn("i-1", 2)]);
+    let mut known = roster([engine_start("i-1", 1)]);
+    known.update(vec![engine_start("i-1", 2)]);
     // An older list that comes late, also long afterwards.
     for _ in 0..300 {
-        assert!(!known.update(vec![reborn("i-1", 1)]), "it changes nothing");
+        assert!(!known.update(vec![engine_start("i-1", 1)]), "it changes nothing");
         assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
-        known.update(vec![reborn("i-1", 2)]);
+        known.update(vec![engine_start("i-1", 2)]);
     }
     // Also where a list that lacked it came between.
     known.update(vec![]);
-    known.update(vec![reborn("i-1", 3)]);
-    assert!(!known.update(vec![reborn("i-1", 2)]));
+    known.update(vec![engine_start("i-1", 3)]);
+    assert!(!known.update(vec![engine_start("i-1", 2)]));
     assert!(known.get(&born("i-1", 3)).is_some());
 }
 
 #[test]
 fn a_later_start_runs_the_weights_that_it_is_listed_with() {
-    let mut known = roster([reborn("i-1", 1)]);
+    let mut known = roster([engine_start("i-1", 1)]);
     assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
-    known.update(vec![reborn("i-1", 1)]);
+    known.update(vec![engine_start("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags");
-    known.update(vec![reborn("i-1", 2)]);
+    known.update(vec![engine_start("i-1", 2)]);
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
     // A report on the earlier start that comes late.
     assert!(!known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
@@ -174,30 +174,30 @@
 
 #[test]
 fn a_target_whose_entry_is_missing_for_a_while_is_used_again() {
-    let mut known = roster([reborn("i-1", 1), reborn("i-2", 1)]);
+    let mut known = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
     known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
-        known.update(vec![reborn("i-2", 1)]);
+        known.update(vec![engine_start("i-2", 1)]);
         assert!(known.get(&born("i-1", 1)).is_none(), "no new work meanwhile");
     }
-    known.update(vec![reborn("i-1", 1), reborn("i-2", 1)]);
+    known.update(vec![engine_start("i-1", 1), engine_start("i-2", 1)]);
     let again = known.get(&born("i-1", 1)).expect("listed");
     assert_eq!((again.presence, again.weights["m"]), (Presence::Live, 4));
     // One that said that it leaves is not.
-    known.update(vec![leaving(reborn("i-1", 1))]);
+    known.update(vec![leaving(engine_start("i-1", 1))]);
     known.update(vec![]);
-    known.update(vec![reborn("i-1", 1)]);
+    known.update(vec![engine_start("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
 /// Births that are equal tell two starts apart by nothing but the time between them.
 #[test]
 fn a_start_that_left_is_forgotten_once_no_late_list_can_show_it() {
-    let mut known = roster([leaving(reborn("i-1", 1))]);
+    let mut known = roster([leaving(engine_start("i-1", 1))]);
     for _ in 0..50 {
-        known.update(vec![reborn("i-2", 1)]);
+        known.update(vec![engine_start("i-2", 1)]);
     }
-    known.update(vec![reborn("i-1", 1)]);
+    known.update(vec![engine_start("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
@@ -205,30 +205,30 @@
 fn what_is_remembered_of_earlier_starts_is_bounded() {
     let mut known = Roster::default();
     let size = |known: &Roster| encode(&VersionedRoster::new(1, Arc::new(known.clone()))).len();
-    let mut half_way = 0;
+    let mut size_halfway = 0;
     for n in 0..9_000 {
         let born_ms = 1_700_000_000_000 + n;
         let other = format!("j-{n:04}");
-        known.update(vec![reborn("i-1", born_ms), leaving(reborn(&other, born_ms))]);
+        known.update(vec![engine_start("i-1", born_ms), leaving(engine_start(&other, born_ms))]);
         if n == 4_500 {
-            half_way = size(&known);
+            size_halfway = size(&known);
         }
     }
-    assert!(size(&known) < half_way + 100, "{} after {half_way}", size(&known));
+    assert!(size(&known) < size_halfway + 100, "{} after {size_halfway}", size(&known));
 }
 
 #[test]
 fn births_that_are_told_no_more_leave_what_is_known() {
-    let unborn = || target("i-1", "llm", address(1));
-    let mut known = roster([leaving(reborn("i-1", 1))]);
-    assert!(!known.update(vec![unborn()]), "it is the start that is known");
-    assert!(known.update(vec![reborn("i-1", 2)]));
-    assert!(!known.update(vec![unborn()]));
+    let without_birth = || target("i-1", "llm", address(1));
+    let mut known = roster([leaving(engine_start("i-1", 1))]);
+    assert!(!known.update(vec![without_birth()]), "it is the start that is known");
+    assert!(known.update(vec![engine_start("i-1", 2)]));
+    assert!(!known.update(vec![without_birth()]));
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
     // Births that are told for the first time.
-    let mut known = roster([unborn()]);
-    known.update(vec![reborn("i-1", 1)]);
-    known.update(vec![unborn()]);
+    let mut known = roster([without_birth()]);
+    known.update(vec![engine_start("i-1", 1)]);
+    known.update(vec![without_birth()]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
@@ -237,24 +237,30 @@
     let at = |n, listed: Listed| Listed { address: address(n), ..listed };
     let mut known = Roster::default();
     // The page shifted between two reads, and the target began to leave.
-    known.update(vec![reborn("i-1", 1), leaving(reborn("i-1", 1)), reborn("i-2", 1)]);
+    known.update(vec![
+        engine_start("i-1", 1),
+        leaving(engine_start("i-1", 1)),
+        engine_start("i-2", 1),
+    ]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
     assert_eq!(known.len(), 2);
     // It started again between two reads: the start that was not known is the later one.
-    for list in [vec![reborn("i-2", 1), reborn("i-2", 2)], vec![reborn("i-2", 2), reborn("i-2", 1)]]
-    {
+    for list in [
+        vec![engine_start("i-2", 1), engine_start("i-2", 2)],
+        vec![engine_start("i-2", 2), engine_start("i-2", 1)],
+    ] {
         known.update(list);
         assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
     }
     // Nothing tells which of two is the later one, or where it is: the others hold.
     for pair in [
-        [reborn("i-3", 1), reborn("i-3", 2)],
-        [reborn("i-3", 1), at(9, reborn("i-3", 1))],
-        [reborn("i-2", 2), at(9, reborn("i-2", 2))],
+        [engine_start("i-3", 1), engine_start("i-3", 2)],
+        [engine_start("i-3", 1), at(9, engine_start("i-3", 1))],
+        [engine_start("i-2", 2), at(9, engine_start("i-2", 2))],
     ] {
         let [one, other] = pair;
         let id = one.start.id.clone();
-        known.update(vec![reborn("i-1", 1), one, other]);
+        known.update(vec![engine_start("i-1", 1), one, other]);
         assert!(known.iter().all(|listed| listed.start.id != id));
         assert_eq!(known.len(), 1);
     }
@@ -262,11 +268,11 @@
 
 #[test]
 fn a_change_of_start_reaches_entries_whole() {
-    let before = roster([reborn("i-1", 1), reborn("i-2", 1)]);
-    let later = roster([reborn("i-1", 2), reborn("i-2", 1)]);
+    let before = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
+    let later = roster([engine_start("i-1", 2), engine_start("i-2", 1)]);
     let change = before.change_to(&later);
     assert_eq!(change.gone, [born("i-1", 1)]);
-    assert_eq!(change.changed, [reborn("i-1", 2)]);
+    assert_eq!(change.changed, [engine_start("i-1", 2)]);
     let mut applied = before.clone();
     applied.apply(change);
     assert!(applied.iter().eq(later.iter()));
@@ -276,38 +282,40 @@
 fn what_an_entry_believes_of_an_earlier_start_is_not_believed_of_the_later_one() {
     let mut view = FleetView::default();
     let (first, second) = (born("i-1", 1), born("i-1", 2));
-    view.update(&roster([reborn("i-1", 1)]));
+    view.update(&roster([engine_start("i-1", 1)]));
     let dispatch = view.begin(&first, 500);
     let load = TargetLoad { running: 30, waiting: 9, slots: 48 };
     view.observe_load(&first, load, ms(0));
     (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(0)));
     view.replaced(&first);
-    view.update(&roster([reborn("i-1", 2)]));
-    let is_new = |view: &FleetView| {
+    view.update(&roster([engine_start("i-1", 2)]));
+    let assert_no_history = |view: &FleetView| {
         let live: Vec<&TargetStart> = view.live("llm").map(|state| &state.listed.start).collect();
         assert_eq!(live, [&second]);
         let state = view.get(&second).expect("listed");
         assert_eq!((state.running, state.prefill_tokens, state.load(ms(1))), (0, 0, 0.0));
         assert!(state.health.admits(0, ms(1)));
     };
-    is_new(&view);
+    assert_no_history(&view);
     // What is heard of the earlier one from here on.
     view.observe_load(&first, load, ms(1));
     (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(1)));
     view.unreachable(&first, ms(1));
     view.replaced(&first);
-    is_new(&view);
+    assert_no_history(&view);
     view.end(dispatch);
-    is_new(&view);
-    view.update(&roster([reborn("i-1", 2)]));
+    assert_no_history(&view);
+    view.update(&roster([engine_start("i-1", 2)]));
     assert!(view.get(&first).is_none(), "its last request has ended");
 }
 
 #[test]
 fn which_starts_are_over_is_learned_from_other_lists() {
-    let mut known = roster([reborn("i-1", 1), reborn("i-2", 1), reborn("i-3", 2)]);
-    let mut other = roster([leaving(reborn("i-1", 1)), reborn("i-2", 1), reborn("i-3", 1)]);
-    other.update(vec![reborn("i-2", 2)]);
+    let mut known =
+        roster([engine_start("i-1", 1), engine_start("i-2", 1), engine_start("i-3", 2)]);
+    let mut other =
+        roster([leaving(engine_start("i-1", 1)), engine_start("i-2", 1), engine_start("i-3", 1)]);
+    other.update(vec![engine_start("i-2", 2)]);
     assert!(known.merge_retired(&other));
     assert!(!known.merge_retired(&other), "it is known");
     let leaves = |start| known.get(&start).expect("listed").presence == Presence::Leaving;
