--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -8,14 +8,14 @@
 
 use crate::fixtures::address;
 
-fn map(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
+fn header_map(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let pair = |(name, value): &(&'static str, &'static str)| {
         (HeaderName::from_static(name), HeaderValue::from_static(value))
     };
     pairs.iter().map(pair).collect()
 }
 
-fn forwarded<'a>(target: &'a String, account: &'a String) -> ForwardingMetadata<'a> {
+fn forwarding_metadata<'a>(target: &'a String, account: &'a String) -> ForwardingMetadata<'a> {
     ForwardingMetadata {
         target,
         account: Some(account),
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_call_is_read() {
-    let headers = map(&[
+    let headers = header_map(&[
         ("host", "shop.example:8080"),
         ("x-request-id", "r1"),
         ("x-deadline-ms", "1500"),
@@ -64,7 +64,7 @@
         ("host", ":::"),
     ];
     for (name, value) in cases {
-        let headers = map(&[("x-model", "m"), (name, value)]);
+        let headers = header_map(&[("x-model", "m"), (name, value)]);
         let call = headers::decode_call(&Uri::from_static("/"), &headers);
         assert_eq!(call.deadline, None, "{name}");
         assert_eq!(call.key, None, "{name}");
@@ -74,7 +74,7 @@
 
 #[test]
 fn what_only_this_system_may_set_is_replaced() {
-    let ours = [
+    let reserved = [
         ("x-tenant", "forged"),
         ("x-expect-instance", "forged"),
         ("x-expect-version", "9"),
@@ -91,8 +91,9 @@
         ("authorization", "Bearer key-a"),
     ];
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::for_target(&map(&ours), &forwarded(&target, &account));
-    let expected = map(&[
+    let target_headers =
+        headers::for_target(&header_map(&reserved), &forwarding_metadata(&target, &account));
+    let expected = header_map(&[
         ("x-deadline-ms", "750"),
         ("x-expect-instance", "i-1"),
         ("x-tenant", "alpha"),
@@ -100,12 +101,12 @@
         ("x-cache-salt", "all/m/1"),
         ("x-expect-version", "1"),
     ]);
-    assert_eq!(passed, expected);
+    assert_eq!(target_headers, expected);
 }
 
 #[test]
 fn hop_headers_end_here_but_a_caller_can_take_out_nothing_that_decides() {
-    let from = map(&[
+    let request_headers = header_map(&[
         ("connection", "close, x-model, x-request-id, x-other, host"),
         ("x-model", "m"),
         ("x-request-id", "r1"),
@@ -115,12 +116,13 @@
         ("x-kept", "yes"),
     ]);
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::for_target(&from, &forwarded(&target, &account));
+    let target_headers =
+        headers::for_target(&request_headers, &forwarding_metadata(&target, &account));
     for kept in ["x-model", "x-request-id", "host", "x-kept"] {
-        assert!(passed.contains_key(kept), "{kept}");
+        assert!(target_headers.contains_key(kept), "{kept}");
     }
-    for ended in ["connection", "x-other", "transfer-encoding"] {
-        assert!(!passed.contains_key(ended), "{ended}");
+    for dropped in ["connection", "x-other", "transfer-encoding"] {
+        assert!(!target_headers.contains_key(dropped), "{dropped}");
     }
 }
 
@@ -132,16 +134,17 @@
         save: &[None, Some(address(2)), None],
         fetch_until_ms: 1_234,
     };
-    let with_kept = ForwardingMetadata { transfers: Some(kept), ..forwarded(&target, &account) };
-    let passed = headers::for_target(&HeaderMap::new(), &with_kept);
-    assert_eq!(passed["x-kv-fetch"], "10.0.0.1:1,-,-");
-    assert_eq!(passed["x-kv-save"], "-,10.0.0.1:2,-");
-    assert_eq!(passed["x-kv-until"], "1234", "every fetch has an end");
+    let metadata =
+        ForwardingMetadata { transfers: Some(kept), ..forwarding_metadata(&target, &account) };
+    let target_headers = headers::for_target(&HeaderMap::new(), &metadata);
+    assert_eq!(target_headers["x-kv-fetch"], "10.0.0.1:1,-,-");
+    assert_eq!(target_headers["x-kv-save"], "-,10.0.0.1:2,-");
+    assert_eq!(target_headers["x-kv-until"], "1234", "every fetch has an end");
 }
 
 #[test]
 fn an_outcome_is_read() {
-    let answer = map(&[
+    let answer = header_map(&[
         ("x-request-id", "r1"),
         ("x-not-run", "1"),
         ("x-instance-id", "i-2"),
@@ -156,6 +159,7 @@
     assert_eq!(outcome.load.map(|load| (load.running, load.waiting, load.slots)), Some((3, 1, 48)));
     assert_eq!(outcome.weight_version, Some(2));
     assert_eq!(outcome.idle_timeout, Some(Duration::from_secs(5)));
-    let broken = headers::decode_metadata(&map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
+    let broken =
+        headers::decode_metadata(&header_map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
     assert_eq!((broken.load, broken.idle_timeout), (None, None));
 }
