--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -30,7 +30,7 @@
 use crate::stand_in::{StandIn, Then};
 
 /// A replica that leads, with one engine.
-fn leading() -> Rc<SchedulerService> {
+fn leading_scheduler() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
     let shared = leader_state(1, VersionedRoster::new(1, roster));
     Rc::new(SchedulerService::new(Rc::new(shared), OldWeightsPolicy::default()))
@@ -81,16 +81,16 @@
             tokio::time::sleep(ms(5)).await;
         }
         let reading = async {
-            let is_sure = scheduling.wait_for_leadership(1).await;
-            is_sure && scheduling.with_scheduler(|_| {}).is_some()
+            let is_leader = scheduling.wait_for_leadership(1).await;
+            is_leader && scheduling.with_scheduler(|_| {}).is_some()
         };
         let elected = async {
             tokio::time::sleep(ms(20)).await;
             assert!(scheduling.with_scheduler(|_| {}).is_none(), "it is not sure yet");
             scheduling.shared.caught_up_at.set(Some(boot_now() + ms(600_000)));
         };
-        let (is_told, ()) = tokio::join!(reading, elected);
-        assert!(is_told, "what it has read would be lost");
+        let (is_kept, ()) = tokio::join!(reading, elected);
+        assert!(is_kept, "what it has read would be lost");
     });
 }
 
@@ -103,12 +103,12 @@
     });
 }
 
-struct Asker {
+struct EntryClient {
     stream: BufReader<TcpStream>,
 }
 
-impl Asker {
-    async fn connect(scheduling: &Rc<SchedulerService>) -> Asker {
+impl EntryClient {
+    async fn connect(scheduling: &Rc<SchedulerService>) -> EntryClient {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
         let (opened, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
@@ -118,22 +118,22 @@
             let ended = scheduling.serve(BufReader::new(read), write).await;
             assert!(ended.is_err(), "it ends with the connection");
         });
-        Asker { stream: BufReader::new(opened.expect("it connects")) }
+        EntryClient { stream: BufReader::new(opened.expect("it connects")) }
     }
 
-    async fn tell(&mut self, frame: SchedulerRequest) {
+    async fn send(&mut self, frame: SchedulerRequest) {
         self.stream.write_all(&encode(&frame)).await.expect("it reads");
     }
 
-    async fn hear(&mut self) -> SchedulerReply {
+    async fn receive(&mut self) -> SchedulerReply {
         read(&mut self.stream).await.expect("a frame")
     }
 
     /// Asks, and waits if it must.
-    async fn placed_in_the_end(&mut self) -> Placement {
-        self.tell(SchedulerRequest::Place(1, ask())).await;
+    async fn place_from_queue(&mut self) -> Placement {
+        self.send(SchedulerRequest::Place(1, long_prompt())).await;
         loop {
-            match self.hear().await {
+            match self.receive().await {
                 SchedulerReply::Queued(1) => {}
                 SchedulerReply::Placed(1, Ok(placed)) => return placed,
                 other => panic!("{other:?}"),
@@ -142,12 +142,12 @@
     }
 
     /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
-    async fn placed(&mut self) -> Placement {
+    async fn place_when_active(&mut self) -> Placement {
         loop {
-            self.tell(SchedulerRequest::Place(1, ask())).await;
-            let mut answer = self.hear().await;
+            self.send(SchedulerRequest::Place(1, long_prompt())).await;
+            let mut answer = self.receive().await;
             if answer == SchedulerReply::Queued(1) {
-                answer = self.hear().await;
+                answer = self.receive().await;
             }
             match answer {
                 SchedulerReply::Placed(1, Ok(placed)) => return placed,
@@ -164,7 +164,7 @@
 }
 
 /// A prompt that takes an engine more than a dispatch's horizon to read.
-fn ask() -> PlacementRequest {
+fn long_prompt() -> PlacementRequest {
     let part = |id: &str, tokens| Part { id: id.to_string(), tokens };
     PlacementRequest {
         service: "llm".to_string(),
@@ -182,7 +182,7 @@
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<SchedulerService>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        let scheduling = leading();
+        let scheduling = leading_scheduler();
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
         test(scheduling).await;
@@ -192,14 +192,14 @@
 #[test]
 fn what_an_entry_had_placed_ends_with_its_connection() {
     run(|scheduling| async move {
-        let mut killed = Asker::connect(&scheduling).await;
-        killed.placed().await;
-        let mut other = Asker::connect(&scheduling).await;
-        other.tell(SchedulerRequest::Place(7, ask())).await;
-        assert_eq!(other.hear().await, SchedulerReply::Queued(7), "the engine is busy");
+        let mut killed = EntryClient::connect(&scheduling).await;
+        killed.place_when_active().await;
+        let mut other = EntryClient::connect(&scheduling).await;
+        other.send(SchedulerRequest::Place(7, long_prompt())).await;
+        assert_eq!(other.receive().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
         // Without it, the scheduler would forget them only after 20 s.
-        let heard = tokio::time::timeout(ms(15_000), other.hear()).await;
+        let heard = tokio::time::timeout(ms(15_000), other.receive()).await;
         let SchedulerReply::Placed(7, Ok(placed)) = heard.expect("soon") else {
             panic!("not placed")
         };
@@ -211,16 +211,16 @@
 #[test]
 fn what_was_granted_from_the_queue_ends_with_the_connection_too() {
     run(|scheduling| async move {
-        let mut first = Asker::connect(&scheduling).await;
-        first.placed().await;
-        let mut killed = Asker::connect(&scheduling).await;
-        killed.tell(SchedulerRequest::Place(1, ask())).await;
-        assert_eq!(killed.hear().await, SchedulerReply::Queued(1));
+        let mut first = EntryClient::connect(&scheduling).await;
+        first.place_when_active().await;
+        let mut killed = EntryClient::connect(&scheduling).await;
+        killed.send(SchedulerRequest::Place(1, long_prompt())).await;
+        assert_eq!(killed.receive().await, SchedulerReply::Queued(1));
         drop(first);
-        assert!(matches!(killed.hear().await, SchedulerReply::Placed(1, Ok(_))));
+        assert!(matches!(killed.receive().await, SchedulerReply::Placed(1, Ok(_))));
         drop(killed);
-        let mut last = Asker::connect(&scheduling).await;
-        let placed = tokio::time::timeout(ms(15_000), last.placed_in_the_end());
+        let mut last = EntryClient::connect(&scheduling).await;
+        let placed = tokio::time::timeout(ms(15_000), last.place_from_queue());
         assert_eq!(placed.await.expect("soon").trace.running, 0);
     });
 }
@@ -228,30 +228,30 @@
 #[test]
 fn a_caller_who_has_left_is_not_placed() {
     run(|scheduling| async move {
-        let mut first = Asker::connect(&scheduling).await;
-        first.placed().await;
-        let mut left = Asker::connect(&scheduling).await;
-        left.tell(SchedulerRequest::Place(1, ask())).await;
-        assert_eq!(left.hear().await, SchedulerReply::Queued(1));
-        left.tell(SchedulerRequest::Withdraw(1)).await;
-        left.tell(SchedulerRequest::Place(2, ask())).await;
-        assert_eq!(left.hear().await, SchedulerReply::Queued(2));
+        let mut first = EntryClient::connect(&scheduling).await;
+        first.place_when_active().await;
+        let mut left = EntryClient::connect(&scheduling).await;
+        left.send(SchedulerRequest::Place(1, long_prompt())).await;
+        assert_eq!(left.receive().await, SchedulerReply::Queued(1));
+        left.send(SchedulerRequest::Withdraw(1)).await;
+        left.send(SchedulerRequest::Place(2, long_prompt())).await;
+        assert_eq!(left.receive().await, SchedulerReply::Queued(2));
         assert_eq!(scheduling.waiting_count(), 1);
         drop(first);
-        assert!(matches!(left.hear().await, SchedulerReply::Placed(2, Ok(_))));
+        assert!(matches!(left.receive().await, SchedulerReply::Placed(2, Ok(_))));
     });
 }
 
 #[test]
 fn a_replica_that_no_longer_leads_says_so_to_those_who_wait() {
     run(|scheduling| async move {
-        let mut first = Asker::connect(&scheduling).await;
-        first.placed().await;
-        first.tell(SchedulerRequest::Place(2, ask())).await;
-        assert_eq!(first.hear().await, SchedulerReply::Queued(2));
+        let mut first = EntryClient::connect(&scheduling).await;
+        first.place_when_active().await;
+        first.send(SchedulerRequest::Place(2, long_prompt())).await;
+        assert_eq!(first.receive().await, SchedulerReply::Queued(2));
         scheduling.shared.view.send_modify(|view| view.leads = false);
         assert_eq!(
-            first.hear().await,
+            first.receive().await,
             SchedulerReply::Placed(2, Err(SchedulerError::NotScheduling))
         );
     });
@@ -271,10 +271,10 @@
             let (stream, _) = listener.accept().await.expect("the entry connects");
             let mut stream = BufReader::new(stream);
             let _: Handshake = read(&mut stream).await.expect("who it is");
-            for asked in 1..=4 {
+            for attempt in 1..=4 {
                 let frame = read(&mut stream).await.expect("it asks again");
                 let SchedulerRequest::Place(number, _) = frame else { panic!("{frame:?}") };
-                let answer = match asked {
+                let answer = match attempt {
                     4 => Ok(Placement { target: start("i-1"), ..Placement::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
@@ -283,8 +283,9 @@
             }
             std::future::pending::<()>().await;
         });
-        let hurried = PlacementRequest { objective: ms(600), time_left: ms(6_000), ..ask() };
-        let answer = entry.gateway.scheduler.place(hurried).await;
+        let request =
+            PlacementRequest { objective: ms(600), time_left: ms(6_000), ..long_prompt() };
+        let answer = entry.gateway.scheduler.place(request).await;
         let placed = answer.expect("it waited").expect("it is placed");
         assert_eq!(placed.target, start("i-1"));
     });
@@ -295,19 +296,20 @@
 fn prompts_wait_for_a_part_of_their_objective_and_not_at_all_once_replicas_are_gone() {
     crate::gateway::run(async {
         let entry = crate::gateway::entry(crate::gateway::unhurried(), Vec::new()).await;
-        let hurried = PlacementRequest { objective: ms(600), time_left: ms(6_000), ..ask() };
-        let waited = async || {
+        let request =
+            PlacementRequest { objective: ms(600), time_left: ms(6_000), ..long_prompt() };
+        let measure_wait = async || {
             let begun = boot_now();
-            assert_eq!(entry.gateway.scheduler.place(hurried.clone()).await, None);
+            assert_eq!(entry.gateway.scheduler.place(request.clone()).await, None);
             boot_now() - begun
         };
-        assert!(waited().await >= ms(240), "a leader may be elected meanwhile");
+        assert!(measure_wait().await >= ms(240), "a leader may be elected meanwhile");
         while boot_now()
             < entry.gateway.scheduler.unavailable_since().expect("it had no answer") + ms(1_000)
         {
-            waited().await;
+            measure_wait().await;
         }
-        assert!(waited().await < ms(200), "no answer for a second");
+        assert!(measure_wait().await < ms(200), "no answer for a second");
     });
 }
 
@@ -325,12 +327,12 @@
             Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
-        let mut asker = Asker::connect(&scheduling).await;
-        let placed = asker.placed().await;
+        let mut client = EntryClient::connect(&scheduling).await;
+        let placed = client.place_when_active().await;
         assert_eq!(placed.weight_version, Some(2));
         let end = EndReason::WeightMismatch(Some(1));
-        asker
-            .tell(SchedulerRequest::Event(PlacementEvent::Ended { ticket: placed.ticket, end }))
+        client
+            .send(SchedulerRequest::Event(PlacementEvent::Ended { ticket: placed.ticket, end }))
             .await;
         let mut changes = shared.roster.subscribe();
         let is_listed = |known: &VersionedRoster| {
