--- a/tests/deployment/boundary.rs
+++ b/tests/deployment/boundary.rs
@@ -4,7 +4,7 @@
 
 /// Field names of the platform's settings, documents, lists and calls that nothing else means, and
 /// its headers.
-const NAMES: [&str; 26] = [
+const PLATFORM_NAMES: [&str; 26] = [
     "PathPrefix",
     "TimeoutMs",
     "SloMs",
@@ -33,11 +33,11 @@
     "version-put",
 ];
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
             found.push(path);
         }
@@ -47,11 +47,11 @@
 #[test]
 fn nothing_outside_the_folder_names_the_platforms_fields() {
     let mut files = Vec::new();
-    sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
+    collect_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
     assert!(files.len() > 50, "they were found");
     for file in files {
         let text = std::fs::read_to_string(&file).expect("a file").to_lowercase();
-        for name in NAMES {
+        for name in PLATFORM_NAMES {
             let name = name.to_lowercase();
             assert!(!text.contains(&name), "{}: {name}", file.display());
         }
