--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -64,7 +64,7 @@
 /// Ages are told relative to the moment of sending, once. What lies in a socket meanwhile, while the
 /// entry's host is frozen or starved, is younger for good.
 #[test]
-fn an_entry_that_was_frozen_when_weights_were_named_knows_how_long_ago_that_was() {
+fn an_entry_corrects_weight_ages_that_it_received_while_frozen() {
     let frozen = ms(3_000);
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
@@ -115,7 +115,7 @@
 /// The scheduler judges weights when it places. Its word may lie at an entry that is starved, or wait
 /// for a connection to the engine for seconds; the entry looks again at who leaves, not at weights.
 #[test]
-fn a_prompt_that_was_placed_on_old_weights_is_not_sent_once_these_must_be_replaced() {
+fn a_prompt_placed_on_old_weights_is_not_sent_after_their_deadline() {
     run(async {
         let events = events(&["id: 1\ndata: a\n\n"], true);
         let old = StandIn::start(vec![(events, Then::KeepOpen)]).await;
@@ -148,7 +148,7 @@
 /// Who leaves is joined; what was found out about weights is not, though one start of a target never
 /// gets older ones.
 #[test]
-fn no_list_takes_back_the_weights_that_a_replica_has_found() {
+fn a_later_roster_does_not_revert_reported_weights() {
     let leader = leader_state(4, VersionedRoster::default());
     leader.change_roster(|known| known.update(targets_with_weights(1)));
     let reader = leader_state(4, leader.roster.borrow().clone());
@@ -166,7 +166,7 @@
 
 /// The engine's own word goes before what was believed of it, also where the belief was too high.
 #[test]
-fn an_older_list_does_not_bring_back_a_belief_that_an_engine_has_refuted() {
+fn an_older_roster_does_not_revert_a_weight_downgrade() {
     let leader = leader_state(4, VersionedRoster::default());
     leader.change_roster(|known| known.update(targets_with_weights(2)));
     let other = leader_state(4, leader.roster.borrow().clone());
@@ -181,7 +181,7 @@
 /// Each replica in turn starts, adds what may have passed unrecorded, leads, and records that as
 /// passed: the log holds an age that the naming does not have.
 #[test]
-fn recorded_ages_never_exceed_the_time_since_the_naming() {
+fn recorded_weight_ages_never_exceed_the_time_since_naming() {
     let (model, bound, named_at) = ("m".to_string(), ms(8_400), ms(10_000));
     let mut state = ControlState::default();
     state.apply(Command::NameWeights { model: model.clone(), version: 2 });
@@ -206,7 +206,7 @@
 /// before, and allowed older ones for that much longer.
 /// What caused it: the log holds an age only once a quorum has synced it, and the disks stood still.
 #[test]
-fn a_replica_that_starts_again_hears_ages_that_are_not_in_the_log() {
+fn a_restarted_replica_learns_weight_ages_missing_from_the_log() {
     let model = "m".to_string();
     let mut log = ControlState::default();
     log.apply(Command::NameWeights { model: model.clone(), version: 2 });
@@ -227,7 +227,7 @@
 
 /// All replicas were restarted while their disks stood still; entries went on.
 #[test]
-fn an_entry_tells_replicas_how_long_ago_weights_were_named() {
+fn an_entry_reports_weight_ages_to_replicas() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let core = Core::start(3);
     core.publish(1);
@@ -257,7 +257,7 @@
 /// An entry hears from one replica that a target leaves which its own list does not hold yet, or no
 /// longer; the list that it takes next lags.
 #[test]
-fn an_entry_keeps_in_mind_who_leaves_before_it_lists_that_target() {
+fn an_entry_remembers_a_leaving_target_that_its_roster_lacks() {
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
         let app = |presence| Listed { presence, ..target("i-1", "app", address(1)) };
@@ -272,7 +272,7 @@
 
 /// As a list of targets itself does, for as long as late lists may show a target again.
 #[test]
-fn an_entry_forgets_who_has_left_once_many_lists_have_not_shown_it() {
+fn an_entry_forgets_a_leaving_target_after_many_rosters_without_it() {
     let mut fleet = FleetView::default();
     fleet.mark_leaving([start("i-1")].iter());
     let without = roster([target("i-2", "app", address(2))]);
@@ -309,7 +309,7 @@
 /// Entries divide what they may retry by a count that each replica keeps in memory and that begins at
 /// none.
 #[test]
-fn a_replica_that_has_just_started_does_not_tell_an_entry_that_it_is_the_only_one() {
+fn a_restarted_replica_does_not_undercount_entries() {
     const ENTRIES: usize = 8;
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
     let mut core = Core::start(3);
