--- a/tests/deployment/roster_file.rs
+++ b/tests/deployment/roster_file.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_replica_that_starts_again_has_the_list_that_it_had() {
+fn a_restarted_replica_loads_its_roster() {
     let folder = tempfile::tempdir().expect("a folder");
     assert_eq!(load(folder.path()).number, 0, "there is none yet");
     write_roster_file(folder.path());
@@ -44,7 +44,7 @@
 
 /// Power was lost in the midst of a write, or the disk gives back something else.
 #[test]
-fn a_kept_list_that_is_damaged_is_as_if_there_was_none() {
+fn a_damaged_roster_file_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     write_roster_file(folder.path());
     let path = folder.path().join("targets");
@@ -62,7 +62,7 @@
 
 /// What was seen: power was lost, and a replica came back with a list from before the first read.
 #[test]
-fn a_kept_list_without_targets_is_none() {
+fn a_roster_file_without_targets_is_ignored() {
     let folder = tempfile::tempdir().expect("a folder");
     write_roster_file(folder.path());
     let empty = postcard::to_stdvec(&VersionedRoster::new(1, Arc::default())).expect("bytes");
