--- a/tests/deployment/voter_set.rs
+++ b/tests/deployment/voter_set.rs
@@ -66,21 +66,21 @@
 }
 
 #[test]
-fn the_one_whose_place_was_taken_goes_last() {
+fn a_replaced_voter_is_removed_last() {
     assert_successor_replaces(activity_of(&[2, 3, 4, 15]));
 }
 
 /// Like all that are no founders, the lost replica had once asked to join itself: that wish must not
 /// be taken for a later one than its successor's.
 #[test]
-fn of_two_that_asked_from_one_host_the_later_one_stays() {
+fn an_earlier_join_request_does_not_displace_the_successor() {
     let mut activity = activity_of(&[2, 3, 4, 15]);
     activity.record_join_request(5, ip(5), ms(1_000));
     assert_successor_replaces(activity);
 }
 
 #[test]
-fn a_silent_voter_gives_its_place_only_to_one_that_is_there() {
+fn a_silent_voter_is_replaced_only_by_a_live_learner() {
     let known = addresses(&[1, 2, 3, 4, 5, 6]);
     let mut activity = activity_of(&[2, 3, 4]);
     activity.record_contact(5, ms(10_000) - VOTER_TIMEOUT);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_new_leader_takes_nobody_for_silent_at_once() {
+fn a_new_leader_does_not_consider_voters_silent_at_once() {
     let known = addresses(&[1, 2, 3, 4, 5, 6]);
     let mut activity = PeerActivity::default();
     activity.reset(ms(10_000));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn learners_that_are_gone_are_taken_out() {
+fn silent_learners_are_removed() {
     let known = addresses(&[1, 2, 3, 4, 5, 6]);
     let activity = activity_of(&[2, 3, 4, 5]);
     let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_old_wish_to_join_counts_for_nothing() {
+fn an_expired_join_request_is_ignored() {
     let mut activity = activity_of(&[2, 3]);
     activity.record_join_request(4, ip(4), ms(1_000));
     let step =
