--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -13,7 +13,7 @@
 use crate::scheduler_service::leader_state;
 
 #[test]
-fn leaving_is_not_taken_back() {
+fn a_leaving_target_does_not_become_live_again() {
     let listed = target("i-1", "llm", address(1));
     let mut leaving = listed.clone();
     leaving.presence = Presence::Leaving;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn one_start_of_a_target_never_gets_older_weights() {
+fn weights_of_a_target_start_never_get_older() {
     let mut known = roster([target("i-1", "llm", address(1))]);
     assert!(known.set_weights(&start("i-1"), &[("m".to_string(), 2)].into()));
     assert!(!known.update(vec![target("i-1", "llm", address(1))]), "the list lags");
@@ -40,7 +40,7 @@
 /// Entries go on with the list that they have while all replicas start anew: what these read then
 /// must not be taken for older.
 #[test]
-fn a_list_that_a_later_leader_reads_goes_before_all_earlier_ones() {
+fn a_roster_of_a_later_leader_supersedes_earlier_rosters() {
     let before = leader_state(4, VersionedRoster::default());
     for n in 0..300 {
         before.change_roster(|known| {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_change_turns_the_earlier_list_into_the_later_one() {
+fn a_change_turns_the_earlier_roster_into_the_later_one() {
     let mut leaving = target("i-2", "app", address(2));
     leaving.presence = Presence::Leaving;
     let before = roster([1, 2, 3].map(|n| target(&format!("i-{n}"), "app", address(n))));
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_target_that_is_gone_takes_no_work_but_its_requests_are_counted_to_the_end() {
+fn a_removed_target_gets_no_work_and_its_running_requests_stay_counted() {
     let mut view = FleetView::default();
     view.update(&roster([target("i-1", "app", address(1))]));
     let dispatch = view.begin(&start("i-1"), 0);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn another_target_at_the_address_ends_the_one_that_was_meant() {
+fn a_target_replaced_at_its_address_gets_no_work() {
     let mut view = FleetView::default();
     view.update(&roster([target("i-1", "app", address(1)), target("i-2", "app", address(2))]));
     view.replaced(&start("i-1"));
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_reported_load_fades_and_does_not_count_our_own_requests_twice() {
+fn a_reported_load_decays_and_does_not_count_own_requests_twice() {
     let mut view = FleetView::default();
     view.update(&roster([target("i-1", "app", address(1))]));
     let id = start("i-1");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_later_start_is_used_although_the_earlier_one_left() {
+fn a_later_start_is_live_after_the_earlier_one_left() {
     let mut known = roster([leaving(engine_start("i-1", 5))]);
     // Its clock may have gone back.
     for born_ms in [9, 2] {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_start_that_was_replaced_never_comes_back() {
+fn a_replaced_start_never_returns() {
     let mut known = roster([engine_start("i-1", 1)]);
     known.update(vec![engine_start("i-1", 2)]);
     // An older list that comes late, also long afterwards.
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_later_start_runs_the_weights_that_it_is_listed_with() {
+fn a_later_start_does_not_inherit_weights() {
     let mut known = roster([engine_start("i-1", 1)]);
     assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
     known.update(vec![engine_start("i-1", 1)]);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_target_whose_entry_is_missing_for_a_while_is_used_again() {
+fn a_target_missing_from_some_lists_is_used_again() {
     let mut known = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
     known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
@@ -192,7 +192,7 @@
 
 /// Births that are equal tell two starts apart by nothing but the time between them.
 #[test]
-fn a_start_that_left_is_forgotten_once_no_late_list_can_show_it() {
+fn a_leaving_start_is_forgotten_after_many_lists_without_it() {
     let mut known = roster([leaving(engine_start("i-1", 1))]);
     for _ in 0..50 {
         known.update(vec![engine_start("i-2", 1)]);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn what_is_remembered_of_earlier_starts_is_bounded() {
+fn the_record_of_earlier_starts_is_bounded() {
     let mut known = Roster::default();
     let size = |known: &Roster| encode(&VersionedRoster::new(1, Arc::new(known.clone()))).len();
     let mut size_halfway = 0;
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn births_that_are_told_no_more_leave_what_is_known() {
+fn a_list_without_birth_times_does_not_change_known_starts() {
     let without_birth = || target("i-1", "llm", address(1));
     let mut known = roster([leaving(engine_start("i-1", 1))]);
     assert!(!known.update(vec![without_birth()]), "it is the start that is known");
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn an_id_twice_in_a_list_is_one_target_or_none() {
+fn a_duplicate_id_in_a_list_yields_one_target_or_none() {
     let at = |n, listed: Listed| Listed { address: address(n), ..listed };
     let mut known = Roster::default();
     // The page shifted between two reads, and the target began to leave.
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn a_change_of_start_reaches_entries_whole() {
+fn a_change_to_a_later_start_removes_the_earlier_one() {
     let before = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
     let later = roster([engine_start("i-1", 2), engine_start("i-2", 1)]);
     let change = before.change_to(&later);
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn what_an_entry_believes_of_an_earlier_start_is_not_believed_of_the_later_one() {
+fn a_later_start_does_not_inherit_load_or_failures() {
     let mut view = FleetView::default();
     let (first, second) = (born("i-1", 1), born("i-1", 2));
     view.update(&roster([engine_start("i-1", 1)]));
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn which_starts_are_over_is_learned_from_other_lists() {
+fn retired_starts_are_merged_from_other_rosters() {
     let mut known =
         roster([engine_start("i-1", 1), engine_start("i-2", 1), engine_start("i-3", 2)]);
     let mut other =
@@ -327,7 +327,7 @@
 /// another birth, and the later of two starts under one id is the one that was not known.
 /// What proved it: the list's changes and the engine's last prompt in that run's logs, and this test.
 #[test]
-fn an_entry_of_a_service_that_is_not_named_ends_no_target() {
+fn a_target_of_an_unnamed_service_does_not_replace_one_with_the_same_id() {
     let is_named = |service: &ServiceId| service != "nobody";
     let own = Listed { start: born("i-1", 5_000), ..target("i-1", "llm", address(1)) };
     let foreign = Listed { start: born("i-1", 1), ..target("i-1", "nobody", address(2)) };
