--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_call_is_read() {
+fn request_headers_are_decoded() {
     let headers = header_map(&[
         ("host", "shop.example:8080"),
         ("x-request-id", "r1"),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn nonsense_is_no_panic_and_no_value() {
+fn malformed_headers_are_ignored() {
     let cases = [
         ("x-deadline-ms", "soon"),
         ("x-token-count", "many"),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_only_this_system_may_set_is_replaced() {
+fn reserved_headers_from_a_caller_are_replaced() {
     let reserved = [
         ("x-tenant", "forged"),
         ("x-expect-instance", "forged"),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn hop_headers_end_here_but_a_caller_can_take_out_nothing_that_decides() {
+fn the_connection_header_cannot_remove_required_headers() {
     let request_headers = header_map(&[
         ("connection", "close, x-model, x-request-id, x-other, host"),
         ("x-model", "m"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn parts_come_from_and_go_to_their_stores() {
+fn part_transfers_are_encoded() {
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
     let kept = PartTransfers {
         fetch: &[Some(address(1)), None, None],
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_outcome_is_read() {
+fn response_metadata_is_decoded() {
     let answer = header_map(&[
         ("x-request-id", "r1"),
         ("x-not-run", "1"),
