--- a/tests/deployment/reader_election.rs
+++ b/tests/deployment/reader_election.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_the_list_shows_is_known_in_time_though_the_leader_cannot_reach_it() {
+fn changes_are_detected_in_time_when_the_leader_cannot_read_the_list() {
     for rank in 0..4 {
         // From the third on, it is read sooner since nobody has for long.
         let limit = if rank < 2 { ms(2_150) } else { ms(2_600) };
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_the_list_shows_is_known_in_time_though_the_leader_falls_silent() {
+fn changes_are_detected_in_time_when_the_leader_is_silent() {
     let longest = longest_detection_delay(0, false);
     assert!(longest <= ms(2_600), "{longest:?}");
 }
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_list_that_is_merely_slow_is_not_read_by_all_replicas_at_once() {
+fn a_slow_list_is_not_read_by_all_replicas_at_once() {
     for read_duration in [ms(5), ms(340), ms(360), ms(500), ms(690)] {
         let count = count_reads(read_duration, Duration::from_secs(60));
         assert!(count <= 180, "{count} reads a minute, of {read_duration:?} each");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_read_that_began_before_it_was_asked_for_does_not_do() {
+fn a_read_that_began_before_a_request_does_not_answer_it() {
     let mut election = ReaderElection::new(ms(0));
     election.record_request(ms(500));
     election.record_read(ms(400));
