--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -74,7 +74,7 @@
 /// What caused it: stores' inventories came 4 ms after the election, before the new leader was sure to lead, and
 /// were dropped; they are read again after 10 s.
 #[test]
-fn what_a_new_leader_reads_is_kept_until_it_is_sure_to_lead() {
+fn inventories_read_before_leadership_is_confirmed_are_kept() {
     run(async |scheduling| {
         scheduling.shared.caught_up_at.set(None);
         while !scheduling.is_active(1) {
@@ -96,7 +96,7 @@
 
 /// A replica that leads no more waits for nothing.
 #[test]
-fn what_a_replica_reads_that_leads_no_more_is_dropped() {
+fn a_replica_does_not_wait_for_leadership_in_another_term() {
     run(async |scheduling| {
         scheduling.shared.caught_up_at.set(None);
         assert!(!scheduling.wait_for_leadership(2).await, "it does not schedule in that term");
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn what_an_entry_had_placed_ends_with_its_connection() {
+fn placements_end_with_the_connection_of_their_entry() {
     run(|scheduling| async move {
         let mut killed = EntryClient::connect(&scheduling).await;
         killed.place_when_active().await;
@@ -209,7 +209,7 @@
 
 /// The entry is killed before it has told of a first part, or even taken what it was granted.
 #[test]
-fn what_was_granted_from_the_queue_ends_with_the_connection_too() {
+fn placements_from_the_queue_end_with_the_connection_of_their_entry() {
     run(|scheduling| async move {
         let mut first = EntryClient::connect(&scheduling).await;
         first.place_when_active().await;
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_caller_who_has_left_is_not_placed() {
+fn a_withdrawn_prompt_is_not_placed() {
     run(|scheduling| async move {
         let mut first = EntryClient::connect(&scheduling).await;
         first.place_when_active().await;
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_replica_that_no_longer_leads_says_so_to_those_who_wait() {
+fn a_replica_that_loses_leadership_rejects_queued_prompts() {
     run(|scheduling| async move {
         let mut first = EntryClient::connect(&scheduling).await;
         first.place_when_active().await;
@@ -260,7 +260,7 @@
 /// While a replica that has just started does not lead yet, prompts wait for its word and are placed by
 /// it: an entry alone knows neither memories nor stores.
 #[test]
-fn a_prompt_waits_for_a_scheduler_that_begins_soon() {
+fn a_prompt_is_retried_until_the_scheduler_is_active() {
     crate::gateway::run(async {
         let entry = crate::gateway::entry(crate::gateway::unhurried(), Vec::new()).await;
         let ip = "127.98.0.3".parse().expect("an address");
@@ -293,7 +293,7 @@
 
 /// Nobody is kept waiting for replicas that are gone.
 #[test]
-fn prompts_wait_for_a_part_of_their_objective_and_not_at_all_once_replicas_are_gone() {
+fn prompts_do_not_wait_for_a_scheduler_during_a_long_outage() {
     crate::gateway::run(async {
         let entry = crate::gateway::entry(crate::gateway::unhurried(), Vec::new()).await;
         let request =
@@ -315,7 +315,7 @@
 
 /// An engine that was believed to run weights 2 refuses a prompt, since it runs 1.
 #[test]
-fn weights_that_an_engine_is_found_with_are_listed_so_that_it_is_told_to_load() {
+fn a_weight_mismatch_updates_the_weights_in_the_roster() {
     crate::gateway::run(async {
         let report = r#"{"Models":[{"Name":"m","Version":1}],"Busy":false,"Seq":0}"#;
         let engine = StandIn::start(vec![(ok(report), Then::KeepOpen); 20]).await;
