--- a/tests/deployment/boundary.rs
+++ b/tests/deployment/boundary.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn nothing_outside_the_folder_names_the_platforms_fields() {
+fn sources_outside_the_platform_folder_contain_no_platform_names() {
     let mut files = Vec::new();
     collect_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
     assert!(files.len() > 50, "they were found");
