--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_engine_that_changes_weights_gets_no_prompts_and_those_that_fit_nowhere_wait() {
+fn an_engine_that_loads_weights_gets_no_prompts() {
     let mut scheduler = scheduler(2);
     scheduler.observe_changing(&starts(&["i-00"]));
     for context in 0..20 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn prompts_turn_to_engines_with_the_newest_weights_as_far_as_these_have_room() {
+fn prompts_prefer_free_engines_with_the_newest_weights() {
     let mut scheduler = scheduler(12);
     name_weights(&mut scheduler, ms(0));
     set_loaded_engines(&mut scheduler, 3, 12);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn no_prompt_begins_on_old_weights_once_newer_ones_must_be_in_force() {
+fn no_prompt_starts_on_old_weights_after_their_deadline() {
     let request = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
     let mut scheduler = scheduler(2);
     name_weights(&mut scheduler, ms(1_000));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_scheduler_that_has_just_begun_counts_from_there_but_not_for_ever() {
+fn a_new_scheduler_extends_the_deadline_up_to_the_hard_bound() {
     let request = |n| ask_of(1, n, n);
     let began = ms(5_000);
     let mut scheduler = Scheduler::new(1, began);
@@ -115,7 +115,7 @@
 /// What caused it: only the newest naming was kept in mind, so engines that had missed an earlier one
 /// were allowed the whole bound anew.
 #[test]
-fn weights_that_are_named_later_do_not_prolong_the_bound_of_those_named_before() {
+fn naming_later_weights_does_not_extend_earlier_deadlines() {
     let request = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
     let mut scheduler = scheduler(2);
     let old_weights = OldWeightsPolicy { within: Some(WITHIN), hard_within: Some(HARD_WITHIN) };
