--- a/tests/deployment/late_updates.rs
+++ b/tests/deployment/late_updates.rs
@@ -11,7 +11,7 @@
 use crate::stand_in::{StandIn, Then, header};
 
 #[test]
-fn an_older_deployment_or_list_that_comes_late_changes_nothing() {
+fn older_deployments_and_rosters_are_ignored() {
     run(async {
         let entry = entry(deployment(5), vec![]).await;
         entry.gateway.observe(Update::Deployment(Arc::new(deployment(4)))).expect("it is whole");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_change_of_another_list_than_the_known_one_is_not_taken() {
+fn a_change_to_an_unknown_roster_is_rejected() {
     run(async {
         let entry = entry(deployment(3), vec![target("i-1", "app", address(1))]).await;
         let other = target("i-2", "app", address(2));
