--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -1,7 +1,6 @@
-//! What must only ever advance, where it is told once, kept in one process, or taken over whole.
+//! State that must not go back: weight ages, rosters, leaving targets and the count of entries.
 //!
-//! Found by reading, not seen on a day: each test shows one way by which an entry or a replica falls
-//! back behind what was known before.
+//! Each test guards against one way in which an entry or a replica loses state that it had received.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -36,18 +35,18 @@
 use crate::scheduler_service::leader_state;
 use crate::stand_in::{StandIn, Then};
 
-/// Tells entries as a replica does, on a thread of its own. Weights are named once `is_named` is set.
+/// Sends updates to entries as a replica does. Names weights 2 once `are_weights_named` is set.
 fn serve_as_replica(at: SocketAddr, are_weights_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("build the runtime"), async {
         let shared = Rc::new(leader_state(1, VersionedRoster::default()));
         let scheduling =
             Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
-        let listener = TcpListener::bind(at).await.expect("a port");
+        let listener = TcpListener::bind(at).await.expect("bind the listener");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
         let mut is_announced = false;
-        // It ends with the test.
+        // Runs until the test ends.
         loop {
             tokio::time::sleep(ms(5)).await;
             if are_weights_named.load(Ordering::SeqCst) && !is_announced {
@@ -61,14 +60,14 @@
     });
 }
 
-/// Ages are told relative to the moment of sending, once. What lies in a socket meanwhile, while the
-/// entry's host is frozen or starved, is younger for good.
+/// Ages are relative to the time of sending, and an entry that is frozen reads them late. Guards
+/// against ages that stay too low afterwards.
 #[test]
 fn an_entry_corrects_weight_ages_that_it_received_while_frozen() {
     let frozen = ms(3_000);
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
-        let ip: IpAddr = "127.98.0.1".parse().expect("an address");
+        let ip: IpAddr = "127.98.0.1".parse().expect("valid IP address");
         let at = SocketAddr::new(ip, entry.gateway.host.peer_port);
         let are_weights_named = Arc::new(AtomicBool::new(false));
         let flag = are_weights_named.clone();
@@ -81,39 +80,36 @@
         }
         are_weights_named.store(true, Ordering::SeqCst);
         let named_at = boot_now();
-        // All of the entry's process stands still.
+        // Blocks the only thread of the entry.
         std::thread::sleep(frozen);
-        // In touch again, and told four times a second that what it knows is current.
+        // Enough time for the replica to repeat the ages.
         tokio::time::sleep(ms(2_000)).await;
         let named = entry.gateway.rollouts.borrow().clone();
-        let since = named["m"].missed_since(Some(1)).expect("it was told");
+        let since = named["m"].missed_since(Some(1)).expect("weights 2 are named");
         let delay = since.saturating_sub(named_at);
-        assert!(
-            delay < ms(1_000),
-            "it believes that they were named {delay:?} later than they were"
-        );
+        assert!(delay < ms(1_000), "the recorded naming is {delay:?} too late");
     });
 }
 
-/// A scheduler that places each prompt on an engine with weights 1.
+/// Places each prompt of one entry on an engine with weights 1.
 async fn place_on_weights_1(listener: TcpListener) {
-    let (mut stream, _) = listener.accept().await.expect("the entry connects");
+    let (mut stream, _) = listener.accept().await.expect("accept the entry");
     let (read_half, mut write) = stream.split();
     let mut requests = BufReader::new(read_half);
-    let _: Handshake = read(&mut requests).await.expect("who it is");
-    // It ends with the test.
+    let _: Handshake = read(&mut requests).await.expect("read the handshake");
+    // Runs until the test ends.
     while let Ok(frame) = read(&mut requests).await {
         if let SchedulerRequest::Place(number, _) = frame {
             let placed =
                 Placement { target: start("i-1"), weight_version: Some(1), ..Placement::default() };
             let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
-            write.write_all(&answer).await.expect("the entry reads");
+            write.write_all(&answer).await.expect("write to the entry");
         }
     }
 }
 
-/// The scheduler judges weights when it places. Its word may lie at an entry that is starved, or wait
-/// for a connection to the engine for seconds; the entry looks again at who leaves, not at weights.
+/// Seconds may pass between a placement and the request to the engine. Guards against an entry that
+/// does not check the weights again.
 #[test]
 fn a_prompt_placed_on_old_weights_is_not_sent_after_their_deadline() {
     run(async {
@@ -121,17 +117,18 @@
         let old = StandIn::start(vec![(events, Then::KeepOpen)]).await;
         let entry = entry(unhurried(), vec![target("i-1", "llm", old.address)]).await;
         let ip = "127.98.0.2".parse().expect("an address");
-        let listener = TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("a port");
+        let listener =
+            TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("bind the listener");
         entry.gateway.leader.set(Some(ip));
         tokio::task::spawn_local(scheduler_connection::keep_connected(entry.gateway.clone()));
         tokio::task::spawn_local(place_on_weights_1(listener));
         tokio::time::sleep(ms(500)).await;
-        // Beyond the bound that holds whoever led since.
+        // Past the hard deadline for old weights.
         let weights = NamedWeights { version: 2, age: ms(11_930) };
         let named = [("m".to_string(), vec![weights])].into();
-        entry.gateway.observe(Update::Weights(named)).expect("it is whole");
+        entry.gateway.observe(Update::Weights(named)).expect("valid update");
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
-        assert_eq!(old.seen(), 0, "it began on replaced weights: {}", got.text);
+        assert_eq!(old.seen(), 0, "the prompt was sent to replaced weights: {}", got.text);
     });
 }
 
@@ -142,29 +139,29 @@
 }
 
 fn known_weights(shared: &Shared) -> u64 {
-    shared.roster.borrow().roster.get(&start("i-3")).expect("it is listed").weights["m"]
+    shared.roster.borrow().roster.get(&start("i-3")).expect("listed").weights["m"]
 }
 
-/// Who leaves is joined; what was found out about weights is not, though one start of a target never
-/// gets older ones.
+/// Guards against a later roster of another replica that has not seen the newer weights.
 #[test]
 fn a_later_roster_does_not_revert_reported_weights() {
     let leader = leader_state(4, VersionedRoster::default());
     leader.change_roster(|known| known.update(targets_with_weights(1)));
     let reader = leader_state(4, leader.roster.borrow().clone());
     reader.view.send_modify(|view| view.leads = false);
-    // An order was carried out, which the platform's list does not show yet.
+    // The engine has loaded weights 2, which the platform's list does not show yet.
     let weights = [("m".to_string(), 2)].into();
     leader.change_roster(|known| known.set_weights(&start("i-3"), &weights));
-    // Meanwhile another replica has read two changes.
+    // Meanwhile another replica reads two changes, so its roster has a higher number.
     reader.change_roster(|known| known.update(targets_with_weights(1)[1..].to_vec()));
     reader.change_roster(|known| known.update(targets_with_weights(1)));
     let read = reader.roster.borrow().clone();
     leader.observe_roster(read);
-    assert_eq!(known_weights(&leader), 2, "a later list brought older weights back");
+    assert_eq!(known_weights(&leader), 2, "a later roster reverted the weights");
 }
 
-/// The engine's own word goes before what was believed of it, also where the belief was too high.
+/// An engine that reports older weights than recorded lowers the record. Guards against a merge that
+/// always keeps the newest weights.
 #[test]
 fn an_older_roster_does_not_revert_a_weight_downgrade() {
     let leader = leader_state(4, VersionedRoster::default());
@@ -178,17 +175,17 @@
     assert_eq!((known_weights(&leader), known_weights(&other)), (1, 1));
 }
 
-/// Each replica in turn starts, adds what may have passed unrecorded, leads, and records that as
-/// passed: the log holds an age that the naming does not have.
+/// Each new leader adds the largest unrecorded age to its estimate. Guards against these additions
+/// accumulating in the log.
 #[test]
 fn recorded_weight_ages_never_exceed_the_time_since_naming() {
     let (model, bound, named_at) = ("m".to_string(), ms(8_400), ms(10_000));
     let mut state = ControlState::default();
     state.apply(Command::NameWeights { model: model.clone(), version: 2 });
     let mut now = named_at + ms(1_000);
-    // The leader is lost each 1.2 s.
+    // A new leader every 1.2 s.
     for _ in 0..3 {
-        // A replica that has just started hears it, and leads.
+        // A restarted replica estimates the age and becomes the leader.
         let age = estimated_age(&state, &model, 2, None, now);
         let mut named = RolloutHistories::new();
         observe_named(&mut named, &model, 2, now.saturating_sub(age), now);
@@ -202,9 +199,8 @@
     assert!(recorded <= passed + ms(1_000), "{recorded:?} recorded, {passed:?} passed");
 }
 
-/// What was seen: a replica that had started again took weights for 2.75 s old that had been named 3.5 s
-/// before, and allowed older ones for that much longer.
-/// What caused it: the log holds an age only once a quorum has synced it, and the disks stood still.
+/// The log holds an age only once a quorum has synced it. Guards against a restarted replica that
+/// underestimates ages while disks stall, and allows old weights for too long.
 #[test]
 fn a_restarted_replica_learns_weight_ages_missing_from_the_log() {
     let model = "m".to_string();
@@ -215,7 +211,7 @@
     observe_named(&mut running.named_since.borrow_mut(), &model, 2, named_at, boot_now());
     let restarted = leader_state(1, VersionedRoster::default());
     restarted.has_weight_ages.set(false);
-    assert!(!restarted.is_current(ms(500)), "it may take old namings for new");
+    assert!(!restarted.is_current(ms(500)), "weight ages are not known yet");
     let age = estimated_age(&log, &model, 2, None, boot_now());
     let since = boot_now().saturating_sub(age);
     observe_named(&mut restarted.named_since.borrow_mut(), &model, 2, since, boot_now());
@@ -225,10 +221,10 @@
     assert!(restarted.ages()[&model][0].age >= ms(3_500), "{:?}", restarted.ages());
 }
 
-/// All replicas were restarted while their disks stood still; entries went on.
+/// Guards against losing weight ages when all replicas restart while their disks stall.
 #[test]
 fn an_entry_reports_weight_ages_to_replicas() {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("build the runtime");
     let core = Core::start(3);
     core.publish(1);
     let named = vec![NamedWeights { version: 2, age: ms(60_000) }];
@@ -238,7 +234,7 @@
         deployment: 0,
         named: [("m".to_string(), named)].into(),
     };
-    core.eventually("it tells what it was told", |core| {
+    core.eventually("a replica sends the age that the entry reported", |core| {
         let exchange = async {
             let mut stream = TcpStream::connect(core.peer_address(0)).await?;
             stream.write_all(&encode(&entry)).await?;
@@ -254,8 +250,8 @@
     });
 }
 
-/// An entry hears from one replica that a target leaves which its own list does not hold yet, or no
-/// longer; the list that it takes next lags.
+/// Guards against new work for a target that was reported as leaving while the entry's roster lacked
+/// it, and that the next roster lists as live.
 #[test]
 fn an_entry_remembers_a_leaving_target_that_its_roster_lacks() {
     run(async {
@@ -266,11 +262,12 @@
         entry.hears_list(9, vec![app(Presence::Leaving), other.clone()]);
         entry.hears_list(11, vec![app(Presence::Live), other]);
         let fleet = entry.gateway.fleet.borrow();
-        assert!(!fleet.takes_work(&start("i-1")), "it was told that the target leaves");
+        assert!(!fleet.takes_work(&start("i-1")), "the target was reported as leaving");
     });
 }
 
-/// As a list of targets itself does, for as long as late lists may show a target again.
+/// Late rosters may list a target again for a while. Guards against a record of leaving targets that
+/// grows without bound.
 #[test]
 fn an_entry_forgets_a_leaving_target_after_many_rosters_without_it() {
     let mut fleet = FleetView::default();
@@ -281,15 +278,16 @@
         fleet.update(&without);
     }
     fleet.update(&with);
-    assert!(!fleet.takes_work(&start("i-1")), "it is kept in mind");
+    assert!(!fleet.takes_work(&start("i-1")), "forgotten too early");
     for _ in 0..50 {
         fleet.update(&without);
     }
     fleet.update(&with);
-    assert!(fleet.takes_work(&start("i-1")), "what is kept in mind is bounded");
+    assert!(fleet.takes_work(&start("i-1")), "never forgotten");
 }
 
-/// How many entries share the retries, as a replica tells an entry first. Until it can know, it tells none.
+/// Connects as an entry and returns the first count of entries that the replica sends. A replica sends
+/// none until its count is complete.
 async fn read_entry_count(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
     let mut stream = TcpStream::connect(replica).await?;
     let entry = Handshake::Entry {
@@ -306,34 +304,38 @@
     }
 }
 
-/// Entries divide what they may retry by a count that each replica keeps in memory and that begins at
-/// none.
+/// Entries share a retry budget, divided by their count. Guards against a restarted replica that sends
+/// a count before it has heard of all entries.
 #[test]
 fn a_restarted_replica_does_not_undercount_entries() {
     const ENTRIES: usize = 8;
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("build the runtime");
     let mut core = Core::start(3);
     core.publish(1);
     let mut connections = Vec::new();
     for n in 0..ENTRIES {
         let name = format!("entry-{n}");
-        core.eventually("an entry is told", |core| {
+        core.eventually("an entry receives a count", |core| {
             let exchange = read_entry_count(core.peer_address(n % 2), &name);
             let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
             heard.ok().and_then(Result::ok).map(|(_, stream)| connections.push(stream)).is_some()
         });
     }
-    // All replicas have told each other.
+    // Replicas exchange their counts.
     std::thread::sleep(Duration::from_millis(1_500));
     core.kill(2);
     core.run(2, false);
     let mut told = None;
-    core.eventually("the replica tells an entry", |core| {
+    core.eventually("the restarted replica sends a count", |core| {
         let exchange = read_entry_count(core.peer_address(2), "entry-8");
         let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
         told = heard.ok().and_then(Result::ok).map(|(entries, _)| entries);
         told.is_some()
     });
-    let told = told.expect("it was told") as usize;
-    assert!(told >= ENTRIES, "{} entries share the retries, and it tells of {told}", ENTRIES + 1);
+    let told = told.expect("a count was received") as usize;
+    assert!(
+        told >= ENTRIES,
+        "{} entries share the retries, but the replica counts {told}",
+        ENTRIES + 1
+    );
 }
