--- a/tests/deployment/roster_file.rs
+++ b/tests/deployment/roster_file.rs
@@ -1,4 +1,4 @@
-//! The list of targets on a replica's disk.
+//! The roster on a replica's disk.
 
 use std::sync::Arc;
 
@@ -14,9 +14,9 @@
     VersionedRoster::new(number, Arc::new(roster(targets)))
 }
 
-/// Writes a list as a replica does that has just read it, and kills that replica.
+/// Writes a roster as a replica does, and stops the writer as soon as the file exists.
 fn write_roster_file(folder: &std::path::Path) {
-    let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+    let runtime = tokio::runtime::Runtime::new().expect("build the runtime");
     LocalSet::new().block_on(&runtime, async {
         let shared = std::rc::Rc::new(leader_state(1, VersionedRoster::default()));
         let writing = keep_writing(shared.clone(), folder.to_path_buf());
@@ -28,7 +28,7 @@
             }
         };
         tokio::select! {
-            () = writing => panic!("it writes for as long as the process lives"),
+            () = writing => panic!("the writer ended"),
             () = file_exists => {}
         }
     });
@@ -36,38 +36,40 @@
 
 #[test]
 fn a_restarted_replica_loads_its_roster() {
-    let folder = tempfile::tempdir().expect("a folder");
-    assert_eq!(load(folder.path()).number, 0, "there is none yet");
+    let folder = tempfile::tempdir().expect("create a folder");
+    assert_eq!(load(folder.path()).number, 0, "there is no file yet");
     write_roster_file(folder.path());
     assert_eq!(load(folder.path()).version(), sample_roster(3).version());
 }
 
-/// Power was lost in the midst of a write, or the disk gives back something else.
+/// Guards against loading a file that was partly written at a power failure, or that the disk corrupted.
 #[test]
 fn a_damaged_roster_file_is_ignored() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create a folder");
     write_roster_file(folder.path());
     let path = folder.path().join("targets");
-    let whole = std::fs::read(&path).expect("it is there");
+    let whole = std::fs::read(&path).expect("read the file");
     for damaged in [&whole[..0], &whole[..3], &whole[..whole.len() - 1]] {
-        std::fs::write(&path, damaged).expect("it is written");
+        std::fs::write(&path, damaged).expect("write the file");
         assert_eq!(load(folder.path()).number, 0, "{} bytes", damaged.len());
     }
     let mut flipped = whole.clone();
-    let name = whole.windows(3).position(|bytes| bytes == b"i-1").expect("a target's id");
+    let name =
+        whole.windows(3).position(|bytes| bytes == b"i-1").expect("the file contains the id");
     flipped[name + 2] ^= 1;
-    std::fs::write(&path, flipped).expect("it is written");
+    std::fs::write(&path, flipped).expect("write the file");
     assert_eq!(load(folder.path()).number, 0);
 }
 
-/// What was seen: power was lost, and a replica came back with a list from before the first read.
+/// Guards against a replica that restarts with a roster from before the first read of the target list.
 #[test]
 fn a_roster_file_without_targets_is_ignored() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("create a folder");
     write_roster_file(folder.path());
-    let empty = postcard::to_stdvec(&VersionedRoster::new(1, Arc::default())).expect("bytes");
+    let empty =
+        postcard::to_stdvec(&VersionedRoster::new(1, Arc::default())).expect("encode the roster");
     let mut bytes = crc32fast::hash(&empty).to_le_bytes().to_vec();
     bytes.extend_from_slice(&empty);
-    std::fs::write(folder.path().join("targets"), bytes).expect("it is written");
+    std::fs::write(folder.path().join("targets"), bytes).expect("write the file");
     assert_eq!(load(folder.path()).number, 0);
 }
--- a/tests/deployment/voter_set.rs
+++ b/tests/deployment/voter_set.rs
@@ -1,4 +1,4 @@
-//! Steps towards a sound set of voters.
+//! Membership steps towards the desired set of voters.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -25,7 +25,7 @@
     members
 }
 
-/// Replica 1 leads; these were heard just now, at 10 s.
+/// The records of replica 1, the leader, which heard from `nodes` at 10 s.
 fn activity_of(nodes: &[u64]) -> PeerActivity {
     let mut activity = PeerActivity::default();
     activity.reset(ms(0));
@@ -53,7 +53,7 @@
     assert_eq!(step(members(&[1, 2, 3, 4], &[])), None);
 }
 
-/// Replica 5 lost its disk: the same host comes back as replica 15, and takes its place.
+/// Replica 5 has lost its disk: its host returns as replica 15, which replaces it.
 fn assert_successor_replaces(mut activity: PeerActivity) {
     activity.record_join_request(15, ip(5), ms(10_000));
     let mut known = addresses(&[1, 2, 3, 4, 5]);
@@ -70,8 +70,8 @@
     assert_successor_replaces(activity_of(&[2, 3, 4, 15]));
 }
 
-/// Like all that are no founders, the lost replica had once asked to join itself: that wish must not
-/// be taken for a later one than its successor's.
+/// Guards against removing the successor of a replica that had once sent a join request from the same
+/// host itself.
 #[test]
 fn an_earlier_join_request_does_not_displace_the_successor() {
     let mut activity = activity_of(&[2, 3, 4, 15]);
@@ -88,13 +88,17 @@
         activity.next_step(1, &members, &known, DESIRED_VOTERS, ms(10_000))
     };
     let all = members(&[1, 2, 3, 4, 5], &[]);
-    assert_eq!(step(&activity, all.clone()), None, "fewer voters would survive fewer losses");
+    assert_eq!(step(&activity, all.clone()), None, "no learner can replace the silent voter");
     let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
     activity.record_contact(6, ms(9_000));
     assert_eq!(step(&activity, with_learner.clone()), Some(MembershipStep::Promote(6)));
     assert_eq!(step(&activity, members(&[1, 2, 3, 4, 5, 6], &[])), Some(MembershipStep::Remove(5)));
     activity.record_contact(5, ms(10_000));
-    assert_eq!(step(&activity, with_learner), None, "it is back: the spare goes on learning");
+    assert_eq!(
+        step(&activity, with_learner),
+        None,
+        "the voter is back: the learner is not promoted"
+    );
 }
 
 #[test]
@@ -113,7 +117,7 @@
     let activity = activity_of(&[2, 3, 4, 5]);
     let with_learner = members(&[1, 2, 3, 4, 5], &[6]);
     let step = |at| activity.next_step(1, &with_learner, &known, DESIRED_VOTERS, at);
-    assert_eq!(step(ms(10_000)), Some(MembershipStep::Remove(6)), "never heard in 10 s");
+    assert_eq!(step(ms(10_000)), Some(MembershipStep::Remove(6)), "not heard from in 10 s");
 }
 
 #[test]
