--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -1,4 +1,4 @@
-//! The list of targets over its answers.
+//! The roster across reads of the platform's target list.
 
 use std::sync::Arc;
 
@@ -19,7 +19,7 @@
     leaving.presence = Presence::Leaving;
     let mut roster = roster([listed.clone()]);
     assert!(roster.update(vec![leaving]));
-    assert!(!roster.update(vec![listed.clone()]), "an older answer that comes late");
+    assert!(!roster.update(vec![listed.clone()]), "a late, older list");
     assert_eq!(roster.get(&start("i-1")).expect("listed").presence, Presence::Leaving);
     // Another start at the same address is another target.
     assert!(roster.update(vec![listed, target("i-2", "llm", address(1))]));
@@ -30,15 +30,15 @@
 fn weights_of_a_target_start_never_get_older() {
     let mut known = roster([target("i-1", "llm", address(1))]);
     assert!(known.set_weights(&start("i-1"), &[("m".to_string(), 2)].into()));
-    assert!(!known.update(vec![target("i-1", "llm", address(1))]), "the list lags");
+    assert!(!known.update(vec![target("i-1", "llm", address(1))]), "the list lags behind");
     assert_eq!(known.get(&start("i-1")).expect("listed").weights["m"], 2);
-    // Another start at the same address has what it has.
+    // Another start at the same address has the weights that it is listed with.
     known.update(vec![target("i-2", "llm", address(1))]);
     assert_eq!(known.get(&start("i-2")).expect("listed").weights["m"], 1);
 }
 
-/// Entries go on with the list that they have while all replicas start anew: what these read then
-/// must not be taken for older.
+/// Entries keep their roster while all replicas restart. Guards against entries that ignore the next
+/// roster as older.
 #[test]
 fn a_roster_of_a_later_leader_supersedes_earlier_rosters() {
     let before = leader_state(4, VersionedRoster::default());
@@ -51,11 +51,11 @@
     let after = leader_state(5, VersionedRoster::default());
     assert!(after.change_roster(|known| known.update(listed.clone())));
     assert!(after.roster.borrow().number > before.roster.borrow().number);
-    // A replica that led before and leads again tells its list anew, changed or not.
+    // A replica that leads again in a later term renumbers its roster, even if nothing has changed.
     let again = leader_state(6, after.roster.borrow().clone());
     assert!(again.change_roster(|known| known.update(listed.clone())));
     assert!(again.roster.borrow().number > after.roster.borrow().number);
-    assert!(!again.change_roster(|known| known.update(listed)), "once");
+    assert!(!again.change_roster(|known| known.update(listed)), "only once per term");
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let dispatch = view.begin(&start("i-1"), 0);
     view.update(&roster([]));
     assert_eq!(view.live("app").count(), 0);
-    assert_eq!(view.get(&start("i-1")).expect("still counted").running, 1);
+    assert_eq!(view.get(&start("i-1")).expect("running requests are counted").running, 1);
     view.end(dispatch);
     view.update(&roster([]));
     assert!(view.get(&start("i-1")).is_none());
@@ -122,7 +122,7 @@
 #[test]
 fn a_later_start_is_live_after_the_earlier_one_left() {
     let mut known = roster([leaving(engine_start("i-1", 5))]);
-    // Its clock may have gone back.
+    // Birth times may decrease, since the target's clock may have stepped back.
     for born_ms in [9, 2] {
         assert!(known.update(vec![engine_start("i-1", born_ms)]));
         let listed = known.get(&born("i-1", born_ms)).expect("listed");
@@ -136,13 +136,13 @@
 fn a_replaced_start_never_returns() {
     let mut known = roster([engine_start("i-1", 1)]);
     known.update(vec![engine_start("i-1", 2)]);
-    // An older list that comes late, also long afterwards.
+    // Late, older lists, also long afterwards.
     for _ in 0..300 {
-        assert!(!known.update(vec![engine_start("i-1", 1)]), "it changes nothing");
+        assert!(!known.update(vec![engine_start("i-1", 1)]), "an older list has no effect");
         assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
         known.update(vec![engine_start("i-1", 2)]);
     }
-    // Also where a list that lacked it came between.
+    // Also after a list without the target.
     known.update(vec![]);
     known.update(vec![engine_start("i-1", 3)]);
     assert!(!known.update(vec![engine_start("i-1", 2)]));
@@ -154,13 +154,13 @@
     let mut known = roster([engine_start("i-1", 1)]);
     assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
     known.update(vec![engine_start("i-1", 1)]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags");
+    assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags behind");
     known.update(vec![engine_start("i-1", 2)]);
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
-    // A report on the earlier start that comes late.
+    // A late report about the earlier start.
     assert!(!known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
-    // The later one is told to load them anew.
+    // The later start is ordered to load the newest weights.
     let lagging = next_loads(
         &known,
         &[("m".to_string(), 4)].into(),
@@ -178,19 +178,20 @@
     known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
         known.update(vec![engine_start("i-2", 1)]);
-        assert!(known.get(&born("i-1", 1)).is_none(), "no new work meanwhile");
+        assert!(known.get(&born("i-1", 1)).is_none(), "a missing target gets no work");
     }
     known.update(vec![engine_start("i-1", 1), engine_start("i-2", 1)]);
     let again = known.get(&born("i-1", 1)).expect("listed");
     assert_eq!((again.presence, again.weights["m"]), (Presence::Live, 4));
-    // One that said that it leaves is not.
+    // A leaving target is not used again.
     known.update(vec![leaving(engine_start("i-1", 1))]);
     known.update(vec![]);
     known.update(vec![engine_start("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
-/// Births that are equal tell two starts apart by nothing but the time between them.
+/// Two starts with the same birth time differ only in the time between them. Guards against a target
+/// that is never used again after such a restart.
 #[test]
 fn a_leaving_start_is_forgotten_after_many_lists_without_it() {
     let mut known = roster([leaving(engine_start("i-1", 1))]);
@@ -221,11 +222,11 @@
 fn a_list_without_birth_times_does_not_change_known_starts() {
     let without_birth = || target("i-1", "llm", address(1));
     let mut known = roster([leaving(engine_start("i-1", 1))]);
-    assert!(!known.update(vec![without_birth()]), "it is the start that is known");
+    assert!(!known.update(vec![without_birth()]), "it is the known start");
     assert!(known.update(vec![engine_start("i-1", 2)]));
     assert!(!known.update(vec![without_birth()]));
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
-    // Births that are told for the first time.
+    // Birth times that appear for the first time.
     let mut known = roster([without_birth()]);
     known.update(vec![engine_start("i-1", 1)]);
     known.update(vec![without_birth()]);
@@ -236,7 +237,7 @@
 fn a_duplicate_id_in_a_list_yields_one_target_or_none() {
     let at = |n, listed: Listed| Listed { address: address(n), ..listed };
     let mut known = Roster::default();
-    // The page shifted between two reads, and the target began to leave.
+    // Listed on two pages, since entries shifted between the reads, and leaving in the second.
     known.update(vec![
         engine_start("i-1", 1),
         leaving(engine_start("i-1", 1)),
@@ -244,7 +245,7 @@
     ]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
     assert_eq!(known.len(), 2);
-    // It started again between two reads: the start that was not known is the later one.
+    // Restarted between the reads of two pages: the start that was not known is the later one.
     for list in [
         vec![engine_start("i-2", 1), engine_start("i-2", 2)],
         vec![engine_start("i-2", 2), engine_start("i-2", 1)],
@@ -252,7 +253,7 @@
         known.update(list);
         assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
     }
-    // Nothing tells which of two is the later one, or where it is: the others hold.
+    // Ambiguous starts or addresses: the target is dropped, and the other targets stay.
     for pair in [
         [engine_start("i-3", 1), engine_start("i-3", 2)],
         [engine_start("i-3", 1), at(9, engine_start("i-3", 1))],
@@ -297,7 +298,7 @@
         assert!(state.health.admits(0, ms(1)));
     };
     assert_no_history(&view);
-    // What is heard of the earlier one from here on.
+    // Late events of the earlier start.
     view.observe_load(&first, load, ms(1));
     (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(1)));
     view.unreachable(&first, ms(1));
@@ -306,7 +307,7 @@
     view.end(dispatch);
     assert_no_history(&view);
     view.update(&roster([engine_start("i-1", 2)]));
-    assert!(view.get(&first).is_none(), "its last request has ended");
+    assert!(view.get(&first).is_none(), "no request is running");
 }
 
 #[test]
@@ -317,15 +318,13 @@
         roster([leaving(engine_start("i-1", 1)), engine_start("i-2", 1), engine_start("i-3", 1)]);
     other.update(vec![engine_start("i-2", 2)]);
     assert!(known.merge_retired(&other));
-    assert!(!known.merge_retired(&other), "it is known");
+    assert!(!known.merge_retired(&other), "already known");
     let leaves = |start| known.get(&start).expect("listed").presence == Presence::Leaving;
     assert!(leaves(born("i-1", 1)) && leaves(born("i-2", 1)) && !leaves(born("i-3", 2)));
 }
 
-/// What was seen: an engine got no prompt any more, though it was listed and sound.
-/// How it came about: another writer's entry bore its id, with a service that no deployment names and
-/// another birth, and the later of two starts under one id is the one that was not known.
-/// What proved it: the list's changes and the engine's last prompt in that run's logs, and this test.
+/// Another writer may list a target under the same id, of a service that no deployment names. Guards
+/// against taking it for a later start, after which the engine gets no prompts.
 #[test]
 fn a_target_of_an_unnamed_service_does_not_replace_one_with_the_same_id() {
     let is_named = |service: &ServiceId| service != "nobody";
@@ -336,14 +335,17 @@
     for list in [
         vec![own.clone(), foreign.clone()],
         vec![foreign.clone(), own.clone()],
-        // The target's own entry is missing from this page, as pages may shift.
+        // The target itself is missing, since pages may shift.
         vec![foreign.clone()],
         vec![own.clone(), foreign, new.clone()],
     ] {
         let list = known.without_unnamed(list, is_named);
         known.update(list);
     }
-    let listed = known.get(&own.start).expect("it is listed");
+    let listed = known.get(&own.start).expect("listed");
     assert_eq!((listed.presence, listed.address), (Presence::Live, address(1)));
-    assert!(known.get(&new.start).is_some(), "its service may be named later");
+    assert!(
+        known.get(&new.start).is_some(),
+        "a new id is kept, since its service may be named later"
+    );
 }
