--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -1,4 +1,4 @@
-//! Headers: what is read of a caller's request, and what passes on.
+//! Decoding of request and response headers, and the headers that are forwarded to a target.
 
 use std::time::Duration;
 
@@ -45,13 +45,13 @@
     assert_eq!(call.deadline, Some(Duration::from_millis(1_500)));
     assert_eq!(call.key.as_deref(), Some("key-a"));
     assert_eq!(call.resume_after.as_deref(), Some("4"));
-    let prompt = call.prompt.expect("a prompt");
+    let prompt = call.prompt.expect("prompt headers");
     assert_eq!((prompt.prompt_tokens, prompt.output_tokens), (1_460, 80));
     assert_eq!(
         prompt.parts.iter().map(|part| part.id.as_str()).collect::<Vec<_>>(),
         ["5c1e", "91bd", "e440"]
     );
-    assert_eq!(prompt.shared_tokens(), 1_210, "the last part is the request's own");
+    assert_eq!(prompt.shared_tokens(), 1_210, "the last part is not shared");
 }
 
 #[test]
@@ -139,7 +139,7 @@
     let target_headers = headers::for_target(&HeaderMap::new(), &metadata);
     assert_eq!(target_headers["x-kv-fetch"], "10.0.0.1:1,-,-");
     assert_eq!(target_headers["x-kv-save"], "-,10.0.0.1:2,-");
-    assert_eq!(target_headers["x-kv-until"], "1234", "every fetch has an end");
+    assert_eq!(target_headers["x-kv-until"], "1234", "every fetch has a deadline");
 }
 
 #[test]
--- a/tests/deployment/late_updates.rs
+++ b/tests/deployment/late_updates.rs
@@ -1,4 +1,4 @@
-//! Update that come late, or of another list, and connections to an earlier start of a target.
+//! Updates that are late or based on another roster, and connections to an earlier start of a target.
 
 use std::sync::Arc;
 
@@ -14,8 +14,8 @@
 fn older_deployments_and_rosters_are_ignored() {
     run(async {
         let entry = entry(deployment(5), vec![]).await;
-        entry.gateway.observe(Update::Deployment(Arc::new(deployment(4)))).expect("it is whole");
-        let version = entry.gateway.table().expect("a table").deployment().version;
+        entry.gateway.observe(Update::Deployment(Arc::new(deployment(4)))).expect("valid update");
+        let version = entry.gateway.table().expect("routing table").deployment().version;
         assert_eq!(version, 5);
         let known = entry.gateway.roster_name();
         let late = VersionedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
@@ -42,17 +42,23 @@
         let known = entry.gateway.roster_name();
         let is_listed = |id: &str| entry.gateway.fleet.borrow().get(&start(id)).is_some();
         let another = list(1, &other);
-        assert_ne!(another, known, "the same number, other targets");
+        assert_ne!(another, known, "same number, other targets");
         assert!(
             entry.gateway.observe(change(list(2, &other), list(3, &other))).is_err(),
-            "unknown"
+            "based on an unknown roster"
+        );
+        assert!(
+            entry.gateway.observe(change(another, list(2, &other))).is_err(),
+            "based on another roster with the same number"
         );
-        assert!(entry.gateway.observe(change(another, list(2, &other))).is_err(), "another one");
         let third = list(2, &target("i-3", "app", address(3)));
-        assert!(entry.gateway.observe(change(known, third)).is_err(), "it makes another list");
+        assert!(
+            entry.gateway.observe(change(known, third)).is_err(),
+            "the result differs from the announced version"
+        );
         assert!(
             entry.gateway.observe(change(RosterVersion::default(), known)).is_ok(),
-            "known already"
+            "already applied"
         );
         assert!(is_listed("i-1") && !is_listed("i-2"));
         assert!(entry.gateway.observe(change(known, list(2, &other))).is_ok());
@@ -60,7 +66,8 @@
     });
 }
 
-/// A target starts again under its id and at its address, and is listed so.
+/// Guards against sending requests over a connection to an earlier start, when a target restarts with
+/// the same id and address.
 #[test]
 fn a_connection_to_an_earlier_start_is_not_used_for_the_later_one() {
     run(async {
@@ -73,17 +80,21 @@
         let entry = entry(unhurried(), vec![listed_start(9)]).await;
         for (id, connections) in [("r1", 1), ("r2", 1)] {
             assert_eq!(entry.call("/safe/a", id).await.status, 200);
-            assert_eq!(engine.connections.get(), connections, "it is kept");
+            assert_eq!(engine.connections.get(), connections, "the connection is reused");
         }
-        let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("it is kept");
+        let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("an idle connection");
         let roster = VersionedRoster::new(2, Arc::new(roster([listed_start(3)])));
         entry.gateway.observe_roster(roster);
-        // A request that was under way ends, and its connection is given back.
+        // A request to the earlier start ends and returns its connection.
         entry.gateway.return_connection(&born("i-1", 9), connection);
         assert!(entry.gateway.pool.take_idle(&born("i-1", 9)).is_none());
         assert_eq!(entry.call("/safe/a", "r3").await.status, 200);
         assert_eq!(engine.connections.get(), 2);
-        let request = engine.requests.borrow().last().cloned().expect("it was asked");
-        assert_eq!(header(&request, "x-expect-instance").as_deref(), Some("i-1"), "the id alone");
+        let request = engine.requests.borrow().last().cloned().expect("a request");
+        assert_eq!(
+            header(&request, "x-expect-instance").as_deref(),
+            Some("i-1"),
+            "only the id, without the birth time"
+        );
     });
 }
