--- a/tests/deployment/boundary.rs
+++ b/tests/deployment/boundary.rs
@@ -1,9 +1,9 @@
-//! The platform's names stay in its folder.
+//! The names of the platform's protocol are used only in `platform/`.
 
 use std::path::{Path, PathBuf};
 
-/// Field names of the platform's settings, documents, lists and calls that nothing else means, and
-/// its headers.
+/// Headers of the platform, and field names of its settings, documents, lists and calls that are unique
+/// to it.
 const PLATFORM_NAMES: [&str; 26] = [
     "PathPrefix",
     "TimeoutMs",
@@ -33,13 +33,13 @@
     "version-put",
 ];
 
-fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+fn collect_sources(folder: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("read the folder") {
+        let path = entry.expect("read an entry").path();
         if path.is_dir() {
-            collect_sources(&path, found);
+            collect_sources(&path, files);
         } else if path.extension().is_some_and(|ending| ending == "rs") {
-            found.push(path);
+            files.push(path);
         }
     }
 }
@@ -48,9 +48,9 @@
 fn sources_outside_the_platform_folder_contain_no_platform_names() {
     let mut files = Vec::new();
     collect_sources(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut files);
-    assert!(files.len() > 50, "they were found");
+    assert!(files.len() > 50, "too few source files found");
     for file in files {
-        let text = std::fs::read_to_string(&file).expect("a file").to_lowercase();
+        let text = std::fs::read_to_string(&file).expect("read the source file").to_lowercase();
         for name in PLATFORM_NAMES {
             let name = name.to_lowercase();
             assert!(!text.contains(&name), "{}: {name}", file.display());
--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -1,7 +1,4 @@
-//! Prompts while the engines of a model are brought to newer weights, on a virtual clock.
-//!
-//! Figures: 12 engines, of which 3 change at a time; newer weights must be in force after 6 s (8.4 s
-//! if replicas were disturbed in between), as on the first site.
+//! Scheduling of prompts during a rollout of weights, on a virtual clock.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,14 +10,16 @@
 use crate::fixtures::{ms, roster, start};
 use crate::load::{ask_of, end, engines, placed, scheduler};
 
+/// Old weights are allowed for this long after newer ones are named.
 const WITHIN: Duration = ms_const(6_000);
+/// The same bound if the leader changes in between.
 const HARD_WITHIN: Duration = ms_const(8_400);
 
 const fn ms_const(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Names weights 2 at a time, while all engines run weights 1.
+/// Names weights 2 at `at`, while all engines run weights 1.
 fn name_weights(scheduler: &mut Scheduler, at: Duration) {
     let within = Some(WITHIN);
     scheduler.set_old_weights(OldWeightsPolicy { within, hard_within: Some(HARD_WITHIN) });
@@ -33,7 +32,7 @@
     named
 }
 
-/// The first engines have loaded weights 2.
+/// Lists `of` engines, of which the first `loaded` have loaded weights 2.
 fn set_loaded_engines(scheduler: &mut Scheduler, loaded: usize, of: u16) {
     let mut listed = engines(of);
     for engine in &mut listed[..loaded] {
@@ -57,7 +56,10 @@
         end(&mut scheduler, placed.ticket, EndReason::Completed, at + ms(150));
     }
     scheduler.observe_changing(&starts(&["i-00", "i-01"]));
-    assert!(scheduler.submit(90, ask_of(1, 90, 90), ms(9_000)).is_none(), "it waits");
+    assert!(
+        scheduler.submit(90, ask_of(1, 90, 90), ms(9_000)).is_none(),
+        "all engines are loading"
+    );
     scheduler.observe_changing(&starts(&["i-01"]));
     let (waiter, outcome) = scheduler.dispatch(ms(9_050)).remove(0);
     assert_eq!((waiter, outcome.expect("placed").target), (90, start("i-00")));
@@ -73,7 +75,7 @@
         .map(|n| placed(scheduler.submit(n, request(n), ms(100))).weight_version.expect("known"))
         .collect();
     assert_eq!(first, [2, 2, 2]);
-    // A prompt of 12,000 tokens keeps an engine busy for 86 ms: the next ones go elsewhere.
+    // The engines with weights 2 are busy with these prompts for 86 ms.
     let next = placed(scheduler.submit(9, request(9), ms(101)));
     assert_eq!(next.weight_version, Some(1));
 }
@@ -86,12 +88,12 @@
     let before = ms(1_000) + WITHIN - ms(900);
     assert!(scheduler.submit(1, request(1), before).is_some_and(|outcome| outcome.is_ok()));
     let after = ms(1_000) + WITHIN - ms(700);
+    assert!(scheduler.submit(2, request(2), after).is_none(), "no engine has loaded weights 2");
+    let outcomes = scheduler.dispatch(after + ms(1_000));
     assert!(
-        scheduler.submit(2, request(2), after).is_none(),
-        "it waits for an engine that has them"
+        matches!(outcomes[0].1, Err(PlacementError::Busy(_))),
+        "rejected, not placed on old weights"
     );
-    let outcomes = scheduler.dispatch(after + ms(1_000));
-    assert!(matches!(outcomes[0].1, Err(PlacementError::Busy(_))), "and is refused, not run");
     set_loaded_engines(&mut scheduler, 1, 2);
     assert_eq!(placed(scheduler.submit(3, request(3), after + ms(2_000))).weight_version, Some(2));
 }
@@ -109,11 +111,8 @@
     assert!(scheduler.submit(2, request(2), hard_limit).is_none());
 }
 
-/// What was seen: prompts began on weights 1 long after weights 2 had been named, with one leader all
-/// along and no fault at the replicas.
-/// How it came about: weights 3 were named while some engines still ran weights 1.
-/// What caused it: only the newest naming was kept in mind, so engines that had missed an earlier one
-/// were allowed the whole bound anew.
+/// Guards against a scheduler that remembers only the newest naming, and allows weights 1 for the whole
+/// bound again when weights 3 are named.
 #[test]
 fn naming_later_weights_does_not_extend_earlier_deadlines() {
     let request = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
@@ -126,10 +125,16 @@
     }
     scheduler.observe_named(&named);
     let after = ms(1_000) + WITHIN - ms(700);
-    assert!(scheduler.submit(1, request(1), after).is_none(), "2 must be in force: it waits");
+    assert!(
+        scheduler.submit(1, request(1), after).is_none(),
+        "the deadline of weights 2 has passed"
+    );
     scheduler.withdraw(1);
     set_loaded_engines(&mut scheduler, 1, 2);
     assert_eq!(placed(scheduler.submit(2, request(2), after)).weight_version, Some(2));
     let after = ms(5_000) + WITHIN - ms(700);
-    assert!(scheduler.submit(3, request(3), after).is_none(), "3 must be in force");
+    assert!(
+        scheduler.submit(3, request(3), after).is_none(),
+        "the deadline of weights 3 has passed"
+    );
 }
