--- a/tests/deployment/reader_election.rs
+++ b/tests/deployment/reader_election.rs
@@ -25,7 +25,7 @@
 /// When the replicas' reads begin that succeed, if the leader's first is its last: at the leader, and at
 /// the one other that looks `phase` after it starts and has this place among the others, of which `before` are
 /// asked before it and don't read.
-fn read_times(
+fn simulate_reads(
     read_duration: Duration,
     (jitter, rank): (f64, usize),
     phase: Duration,
@@ -33,16 +33,16 @@
 ) -> Vec<Duration> {
     let mut read_times = vec![ms(0)];
     let mut election = ReaderElection::new(ms(0));
-    let request_at = |from: Duration, lasts: Duration| {
+    let slow_page_at = |from: Duration, lasts: Duration| {
         (lasts > SLOW_PAGE_TIMEOUT).then_some(from + SLOW_PAGE_TIMEOUT)
     };
-    let mut requests: Vec<Duration> = request_at(ms(0), read_duration).into_iter().collect();
-    let mut next = read_duration + READ_INTERVAL;
-    while next < ms(6_000) {
-        requests.extend(request_at(next, PAGE_TIMEOUT));
-        next += PAGE_TIMEOUT + READ_INTERVAL;
+    let mut requests: Vec<Duration> = slow_page_at(ms(0), read_duration).into_iter().collect();
+    let mut leader_read_at = read_duration + READ_INTERVAL;
+    while leader_read_at < ms(6_000) {
+        requests.extend(slow_page_at(leader_read_at, PAGE_TIMEOUT));
+        leader_read_at += PAGE_TIMEOUT + READ_INTERVAL;
     }
-    let (mut now, mut reading, mut free_at) = (phase, None, ms(0));
+    let (mut now, mut read_began, mut next_read_at) = (phase, None, ms(0));
     while now < ms(6_000) {
         if sends_requests && requests.iter().any(|at| *at <= now && now < *at + POLL_INTERVAL) {
             election.record_request(now);
@@ -51,15 +51,15 @@
         if now >= read_duration && now < read_duration + POLL_INTERVAL {
             election.record_read(ms(0));
         }
-        if let Some(from) = reading.filter(|from| now >= *from + read_duration) {
+        if let Some(from) = read_began.filter(|from| now >= *from + read_duration) {
             election.record_read(from);
-            (reading, free_at) = (None, now + READ_INTERVAL);
+            (read_began, next_read_at) = (None, now + READ_INTERVAL);
         }
-        if reading.is_none()
-            && now >= free_at
+        if read_began.is_none()
+            && now >= next_read_at
             && now >= election.takeover_at(jitter, rank, READ_INTERVAL)
         {
-            reading = Some(now);
+            read_began = Some(now);
             read_times.push(now);
         }
         now += POLL_INTERVAL;
@@ -74,7 +74,8 @@
     for read_duration in [ms(5), ms(340), ms(690)] {
         for jitter in [0.0, 0.5, 1.0] {
             for phase in (0..50).step_by(10).map(ms) {
-                let read_times = read_times(read_duration, (jitter, rank), phase, sends_requests);
+                let read_times =
+                    simulate_reads(read_duration, (jitter, rank), phase, sends_requests);
                 let mut changed_at = ms(0);
                 while changed_at < ms(3_000) {
                     let seen = read_times
@@ -111,27 +112,27 @@
     const OTHERS: usize = 4;
     let mut elections = [ReaderElection::new(ms(0)); OTHERS];
     // Who reads since when, and who may again from when; the leader is the last.
-    let (mut reading, mut free_at) = ([None; OTHERS + 1], [ms(0); OTHERS + 1]);
+    let (mut read_began, mut next_read_at) = ([None; OTHERS + 1], [ms(0); OTHERS + 1]);
     let (mut next_request_at, mut count, mut now) = (ms(0), 0, ms(0));
     while now < within {
         for replica in 0..=OTHERS {
             let is_leader = replica == OTHERS;
-            if let Some(from) = reading[replica] {
+            if let Some(from) = read_began[replica] {
                 if is_leader && now >= from + SLOW_PAGE_TIMEOUT && now >= next_request_at {
                     next_request_at = now + READ_INTERVAL;
                     elections.iter_mut().for_each(|election| election.record_request(now));
                 }
                 if now >= from + read_duration {
                     elections.iter_mut().for_each(|election| election.record_read(from));
-                    (reading[replica], free_at[replica]) = (None, now + READ_INTERVAL);
+                    (read_began[replica], next_read_at[replica]) = (None, now + READ_INTERVAL);
                 }
-            } else if now >= free_at[replica] {
+            } else if now >= next_read_at[replica] {
                 let jitter = replica as f64 / OTHERS as f64;
                 let is_due = |election: &ReaderElection| {
                     now >= election.takeover_at(jitter, replica, READ_INTERVAL)
                 };
                 if is_leader || is_due(&elections[replica]) {
-                    reading[replica] = Some(now);
+                    read_began[replica] = Some(now);
                     count += 1;
                 }
             }
@@ -186,11 +187,11 @@
 fn a_leader_that_cannot_reach_the_list_asks_others_to_read_it() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let silent = listener.local_addr().expect("an address");
+        let list = listener.local_addr().expect("an address");
         // Never answers.
-        assert_read_requested(silent, 7_741).await;
+        assert_read_requested(list, 7_741).await;
         drop(listener);
         // Refuses.
-        assert_read_requested(silent, 7_742).await;
+        assert_read_requested(list, 7_742).await;
     });
 }
