--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -111,14 +111,14 @@
     async fn connect(scheduling: &Rc<SchedulerService>) -> EntryClient {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let to = listener.local_addr().expect("an address");
-        let (opened, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
+        let (connected, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
         let (read, write) = accepted.expect("it connects").0.into_split();
         let scheduling = scheduling.clone();
         tokio::task::spawn_local(async move {
-            let ended = scheduling.serve(BufReader::new(read), write).await;
-            assert!(ended.is_err(), "it ends with the connection");
+            let result = scheduling.serve(BufReader::new(read), write).await;
+            assert!(result.is_err(), "it ends with the connection");
         });
-        EntryClient { stream: BufReader::new(opened.expect("it connects")) }
+        EntryClient { stream: BufReader::new(connected.expect("it connects")) }
     }
 
     async fn send(&mut self, frame: SchedulerRequest) {
@@ -199,8 +199,8 @@
         assert_eq!(other.receive().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
         // Without it, the scheduler would forget them only after 20 s.
-        let heard = tokio::time::timeout(ms(15_000), other.receive()).await;
-        let SchedulerReply::Placed(7, Ok(placed)) = heard.expect("soon") else {
+        let reply = tokio::time::timeout(ms(15_000), other.receive()).await;
+        let SchedulerReply::Placed(7, Ok(placed)) = reply.expect("soon") else {
             panic!("not placed")
         };
         assert_eq!(placed.trace.running, 0);
@@ -230,15 +230,15 @@
     run(|scheduling| async move {
         let mut first = EntryClient::connect(&scheduling).await;
         first.place_when_active().await;
-        let mut left = EntryClient::connect(&scheduling).await;
-        left.send(SchedulerRequest::Place(1, long_prompt())).await;
-        assert_eq!(left.receive().await, SchedulerReply::Queued(1));
-        left.send(SchedulerRequest::Withdraw(1)).await;
-        left.send(SchedulerRequest::Place(2, long_prompt())).await;
-        assert_eq!(left.receive().await, SchedulerReply::Queued(2));
+        let mut client = EntryClient::connect(&scheduling).await;
+        client.send(SchedulerRequest::Place(1, long_prompt())).await;
+        assert_eq!(client.receive().await, SchedulerReply::Queued(1));
+        client.send(SchedulerRequest::Withdraw(1)).await;
+        client.send(SchedulerRequest::Place(2, long_prompt())).await;
+        assert_eq!(client.receive().await, SchedulerReply::Queued(2));
         assert_eq!(scheduling.waiting_count(), 1);
         drop(first);
-        assert!(matches!(left.receive().await, SchedulerReply::Placed(2, Ok(_))));
+        assert!(matches!(client.receive().await, SchedulerReply::Placed(2, Ok(_))));
     });
 }
 
