--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -10,9 +10,9 @@
 use crate::fixtures::{ms, roster, start};
 use crate::load::{ask_of, end, engines, placed, scheduler};
 
-/// Old weights are allowed for this long after newer ones are named.
+/// Old weights are allowed for this long after newer ones are named, or after the scheduler started.
 const WITHIN: Duration = ms_const(6_000);
-/// The same bound if the leader changes in between.
+/// The bound since the naming, regardless of when the scheduler started.
 const HARD_WITHIN: Duration = ms_const(8_400);
 
 const fn ms_const(ms: u64) -> Duration {
