--- a/tests/deployment/reader_election.rs
+++ b/tests/deployment/reader_election.rs
@@ -1,4 +1,4 @@
-//! Which replica reads the platform's list, and how soon after the leader can't.
+//! Which replica reads the platform's target list, and how soon others take over from the leader.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,12 +19,14 @@
 use crate::gateway::run;
 use crate::scheduler_service::leader_state;
 
-/// Between moments at which the list shows something new.
+/// Step of the simulated time.
 const STEP: Duration = Duration::from_millis(10);
 
-/// When the replicas' reads begin that succeed, if the leader's first is its last: at the leader, and at
-/// the one other that looks `phase` after it starts and has this place among the others, of which `before` are
-/// asked before it and don't read.
+/// Simulates a leader whose reads fail after the first one, and one other replica. Returns when the
+/// successful reads of both begin.
+///
+/// `jitter` and `rank` are those of the other replica; the replicas of lower rank do not read. It checks
+/// for the first time at `phase`. `sends_requests` is whether the leader asks others to read.
 fn simulate_reads(
     read_duration: Duration,
     (jitter, rank): (f64, usize),
@@ -47,7 +49,7 @@
         if sends_requests && requests.iter().any(|at| *at <= now && now < *at + POLL_INTERVAL) {
             election.record_request(now);
         }
-        // The leader tells of its only read that has succeeded.
+        // The leader reports its only successful read.
         if now >= read_duration && now < read_duration + POLL_INTERVAL {
             election.record_read(ms(0));
         }
@@ -67,8 +69,8 @@
     read_times
 }
 
-/// The longest time from the moment at which the list shows something new to the end of the first read
-/// that sees it, over all moments, slow and fast answers, and places of the replica that reads.
+/// The longest time from a change of the list to the end of the first read that shows it, over all times
+/// of the change, durations of reads, jitters and phases.
 fn longest_detection_delay(rank: usize, sends_requests: bool) -> Duration {
     let mut longest = ms(0);
     for read_duration in [ms(5), ms(340), ms(690)] {
@@ -78,10 +80,8 @@
                     simulate_reads(read_duration, (jitter, rank), phase, sends_requests);
                 let mut changed_at = ms(0);
                 while changed_at < ms(3_000) {
-                    let seen = read_times
-                        .iter()
-                        .find(|from| **from > changed_at)
-                        .expect("one reads again");
+                    let seen =
+                        read_times.iter().find(|from| **from > changed_at).expect("a later read");
                     longest = longest.max(*seen + read_duration - changed_at);
                     changed_at += STEP;
                 }
@@ -94,10 +94,10 @@
 #[test]
 fn changes_are_detected_in_time_when_the_leader_cannot_read_the_list() {
     for rank in 0..4 {
-        // From the third on, it is read sooner since nobody has for long.
+        // Replicas of a higher rank read when the takeover timeout expires, which is earlier.
         let limit = if rank < 2 { ms(2_150) } else { ms(2_600) };
         let longest = longest_detection_delay(rank, true);
-        assert!(longest <= limit, "{longest:?} with {rank} before it");
+        assert!(longest <= limit, "{longest:?} at rank {rank}");
     }
 }
 
@@ -107,11 +107,12 @@
     assert!(longest <= ms(2_600), "{longest:?}");
 }
 
-/// How often five replicas read in this time, the leader among them, if each page takes so long.
+/// Simulates a leader and four other replicas that all reach the list, and returns how often they read
+/// `within` that time.
 fn count_reads(read_duration: Duration, within: Duration) -> usize {
     const OTHERS: usize = 4;
     let mut elections = [ReaderElection::new(ms(0)); OTHERS];
-    // Who reads since when, and who may again from when; the leader is the last.
+    // When each current read began, and when each replica may read next. The leader is the last.
     let (mut read_began, mut next_read_at) = ([None; OTHERS + 1], [ms(0); OTHERS + 1]);
     let (mut next_request_at, mut count, mut now) = (ms(0), 0, ms(0));
     while now < within {
@@ -146,7 +147,7 @@
 fn a_slow_list_is_not_read_by_all_replicas_at_once() {
     for read_duration in [ms(5), ms(340), ms(360), ms(500), ms(690)] {
         let count = count_reads(read_duration, Duration::from_secs(60));
-        assert!(count <= 180, "{count} reads a minute, of {read_duration:?} each");
+        assert!(count <= 180, "{count} reads per minute of {read_duration:?} each");
     }
 }
 
@@ -160,13 +161,12 @@
     assert!(election.takeover_at(0.0, 0, READ_INTERVAL) > ms(1_500));
 }
 
-/// Long enough on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A leader whose list is at this address asks another replica to read.
+/// Checks that a leader that cannot read the list at this address asks another replica to read it.
 async fn assert_read_requested(list: SocketAddr, port: u16) {
     let (own, other) = (loopback(1), loopback(2));
-    let listener = TcpListener::bind((other, port)).await.expect("a port");
+    let listener = TcpListener::bind((other, port)).await.expect("bind the listener");
     let mut leader = leader_state(4, VersionedRoster::default());
     leader.links = Rc::new(Links::new(1, own, "hall".into(), port));
     leader
@@ -176,22 +176,23 @@
     let metrics = Rc::new(ReplicaMetrics::new().expect("instruments"));
     tokio::task::spawn_local(roster_reader::run(Rc::new(leader), own, list, metrics));
     let connected = tokio::time::timeout(TIMEOUT, listener.accept()).await;
-    let (stream, _) = connected.expect("somebody is asked").expect("it connects");
+    let (stream, _) =
+        connected.expect("a connection within the timeout").expect("accept the leader");
     let mut frames = BufReader::new(stream);
-    let _: Handshake = read(&mut frames).await.expect("who it is");
-    let frame: ReplicaFrame = read(&mut frames).await.expect("a frame");
+    let _: Handshake = read(&mut frames).await.expect("read the handshake");
+    let frame: ReplicaFrame = read(&mut frames).await.expect("read a frame");
     assert_eq!(frame, ReplicaFrame::TargetListReadFailed);
 }
 
 #[test]
 fn a_leader_that_cannot_reach_the_list_asks_others_to_read_it() {
     run(async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let list = listener.local_addr().expect("an address");
-        // Never answers.
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind the listener");
+        let list = listener.local_addr().expect("local address");
+        // The listener accepts connections and never answers.
         assert_read_requested(list, 7_741).await;
         drop(listener);
-        // Refuses.
+        // Connections are refused.
         assert_read_requested(list, 7_742).await;
     });
 }
