--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -1,4 +1,4 @@
-//! Entries that ask the scheduler, over loopback.
+//! The scheduler service as seen by entries, over loopback, and its leadership.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,14 +29,14 @@
 use crate::gateway::ok;
 use crate::stand_in::{StandIn, Then};
 
-/// A replica that leads, with one engine.
+/// The scheduler service of a leader with one engine.
 fn leading_scheduler() -> Rc<SchedulerService> {
     let roster = Arc::new(roster([target("i-1", "llm", address(1))]));
     let shared = leader_state(1, VersionedRoster::new(1, roster));
     Rc::new(SchedulerService::new(Rc::new(shared), OldWeightsPolicy::default()))
 }
 
-/// What the tasks of a replica share that leads in a term and knows a list of targets.
+/// The shared state of a replica that is the confirmed leader in `term` and has a roster.
 pub fn leader_state(term: Term, roster: VersionedRoster) -> Shared {
     let deployment = Arc::new(deployment(1));
     let published = Some(Published { text: Arc::default(), deployment });
@@ -56,7 +56,7 @@
             Arc::from([]),
         )),
         reader_election: Cell::new(ReaderElection::new(boot_now())),
-        // Sure to lead for as long as a test runs.
+        // Leadership stays confirmed for longer than a test runs.
         caught_up_at: Cell::new(Some(boot_now() + ms(600_000))),
         connected_entries: RefCell::default(),
         entry_count: Cell::new(None),
@@ -70,9 +70,8 @@
     }
 }
 
-/// What was seen: after an outage of all hosts 18 million tokens were read again that lay in stores.
-/// What caused it: stores' inventories came 4 ms after the election, before the new leader was sure to lead, and
-/// were dropped; they are read again after 10 s.
+/// Guards against dropping store inventories that arrive before leadership is confirmed. They are read
+/// again only after 10 s, and the parts in the stores are recomputed meanwhile.
 #[test]
 fn inventories_read_before_leadership_is_confirmed_are_kept() {
     run(async |scheduling| {
@@ -86,20 +85,23 @@
         };
         let elected = async {
             tokio::time::sleep(ms(20)).await;
-            assert!(scheduling.with_scheduler(|_| {}).is_none(), "it is not sure yet");
+            assert!(scheduling.with_scheduler(|_| {}).is_none(), "leadership is not confirmed yet");
             scheduling.shared.caught_up_at.set(Some(boot_now() + ms(600_000)));
         };
         let (is_kept, ()) = tokio::join!(reading, elected);
-        assert!(is_kept, "what it has read would be lost");
+        assert!(is_kept, "the inventory would be dropped");
     });
 }
 
-/// A replica that leads no more waits for nothing.
+/// Guards against a read that waits for a term in which the replica does not schedule.
 #[test]
 fn a_replica_does_not_wait_for_leadership_in_another_term() {
     run(async |scheduling| {
         scheduling.shared.caught_up_at.set(None);
-        assert!(!scheduling.wait_for_leadership(2).await, "it does not schedule in that term");
+        assert!(
+            !scheduling.wait_for_leadership(2).await,
+            "the replica does not schedule in that term"
+        );
     });
 }
 
@@ -109,27 +111,27 @@
 
 impl EntryClient {
     async fn connect(scheduling: &Rc<SchedulerService>) -> EntryClient {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let to = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind the listener");
+        let to = listener.local_addr().expect("local address");
         let (connected, accepted) = tokio::join!(TcpStream::connect(to), listener.accept());
-        let (read, write) = accepted.expect("it connects").0.into_split();
+        let (read, write) = accepted.expect("accept the client").0.into_split();
         let scheduling = scheduling.clone();
         tokio::task::spawn_local(async move {
             let result = scheduling.serve(BufReader::new(read), write).await;
-            assert!(result.is_err(), "it ends with the connection");
+            assert!(result.is_err(), "serving ends only with the connection");
         });
-        EntryClient { stream: BufReader::new(connected.expect("it connects")) }
+        EntryClient { stream: BufReader::new(connected.expect("connect to the listener")) }
     }
 
     async fn send(&mut self, frame: SchedulerRequest) {
-        self.stream.write_all(&encode(&frame)).await.expect("it reads");
+        self.stream.write_all(&encode(&frame)).await.expect("write to the scheduler");
     }
 
     async fn receive(&mut self) -> SchedulerReply {
-        read(&mut self.stream).await.expect("a frame")
+        read(&mut self.stream).await.expect("read a frame")
     }
 
-    /// Asks, and waits if it must.
+    /// Sends one placement request and waits for the placement, also in the queue.
     async fn place_from_queue(&mut self) -> Placement {
         self.send(SchedulerRequest::Place(1, long_prompt())).await;
         loop {
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Asks until the scheduler has begun, which has the first prompt wait for engines' memories.
+    /// Repeats a placement request until the scheduler is active. The scheduler first waits for the cache
+    /// contents of engines.
     async fn place_when_active(&mut self) -> Placement {
         loop {
             self.send(SchedulerRequest::Place(1, long_prompt())).await;
@@ -163,7 +166,7 @@
     }
 }
 
-/// A prompt that takes an engine more than a dispatch's horizon to read.
+/// A prompt that keeps an engine busy, so that the next one is queued.
 fn long_prompt() -> PlacementRequest {
     let part = |id: &str, tokens| Part { id: id.to_string(), tokens };
     PlacementRequest {
@@ -181,7 +184,7 @@
 
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Rc<SchedulerService>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), async {
+    LocalSet::new().block_on(&runtime.expect("build the runtime"), async {
         let scheduling = leading_scheduler();
         tokio::task::spawn_local(scheduling.clone().run());
         tokio::task::spawn_local(scheduling.clone().keep_dispatching());
@@ -198,16 +201,17 @@
         other.send(SchedulerRequest::Place(7, long_prompt())).await;
         assert_eq!(other.receive().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
-        // Without it, the scheduler would forget them only after 20 s.
+        // Otherwise the scheduler drops placements of unknown state after 20 s.
         let reply = tokio::time::timeout(ms(15_000), other.receive()).await;
-        let SchedulerReply::Placed(7, Ok(placed)) = reply.expect("soon") else {
-            panic!("not placed")
+        let SchedulerReply::Placed(7, Ok(placed)) = reply.expect("a reply within the timeout")
+        else {
+            panic!("the prompt was not placed")
         };
         assert_eq!(placed.trace.running, 0);
     });
 }
 
-/// The entry is killed before it has told of a first part, or even taken what it was granted.
+/// Guards against placements that stay active when an entry is killed before it reports a first token.
 #[test]
 fn placements_from_the_queue_end_with_the_connection_of_their_entry() {
     run(|scheduling| async move {
@@ -221,7 +225,7 @@
         drop(killed);
         let mut last = EntryClient::connect(&scheduling).await;
         let placed = tokio::time::timeout(ms(15_000), last.place_from_queue());
-        assert_eq!(placed.await.expect("soon").trace.running, 0);
+        assert_eq!(placed.await.expect("a placement within the timeout").trace.running, 0);
     });
 }
 
@@ -257,41 +261,42 @@
     });
 }
 
-/// While a replica that has just started does not lead yet, prompts wait for its word and are placed by
-/// it: an entry alone knows neither memories nor stores.
+/// Guards against an entry that places prompts itself, without knowledge of engine caches and stores,
+/// while a new leader is not active yet.
 #[test]
 fn a_prompt_is_retried_until_the_scheduler_is_active() {
     crate::gateway::run(async {
         let entry = crate::gateway::entry(crate::gateway::unhurried(), Vec::new()).await;
-        let ip = "127.98.0.3".parse().expect("an address");
-        let listener = TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("a port");
+        let ip = "127.98.0.3".parse().expect("valid IP address");
+        let listener =
+            TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("bind the listener");
         entry.gateway.leader.set(Some(ip));
         tokio::task::spawn_local(scheduler_connection::keep_connected(entry.gateway.clone()));
         tokio::task::spawn_local(async move {
-            let (stream, _) = listener.accept().await.expect("the entry connects");
+            let (stream, _) = listener.accept().await.expect("accept the entry");
             let mut stream = BufReader::new(stream);
-            let _: Handshake = read(&mut stream).await.expect("who it is");
+            let _: Handshake = read(&mut stream).await.expect("read the handshake");
             for attempt in 1..=4 {
-                let frame = read(&mut stream).await.expect("it asks again");
+                let frame = read(&mut stream).await.expect("read the next attempt");
                 let SchedulerRequest::Place(number, _) = frame else { panic!("{frame:?}") };
                 let answer = match attempt {
                     4 => Ok(Placement { target: start("i-1"), ..Placement::default() }),
                     _ => Err(SchedulerError::NotScheduling),
                 };
                 let answer = encode(&SchedulerReply::Placed(number, answer));
-                stream.write_all(&answer).await.expect("the entry reads");
+                stream.write_all(&answer).await.expect("write to the entry");
             }
             std::future::pending::<()>().await;
         });
         let request =
             PlacementRequest { objective: ms(600), time_left: ms(6_000), ..long_prompt() };
         let answer = entry.gateway.scheduler.place(request).await;
-        let placed = answer.expect("it waited").expect("it is placed");
+        let placed = answer.expect("an answer of the scheduler").expect("a placement");
         assert_eq!(placed.target, start("i-1"));
     });
 }
 
-/// Nobody is kept waiting for replicas that are gone.
+/// Guards against prompts that wait during a long outage of the scheduler.
 #[test]
 fn prompts_do_not_wait_for_a_scheduler_during_a_long_outage() {
     crate::gateway::run(async {
@@ -303,17 +308,19 @@
             assert_eq!(entry.gateway.scheduler.place(request.clone()).await, None);
             boot_now() - begun
         };
-        assert!(measure_wait().await >= ms(240), "a leader may be elected meanwhile");
+        assert!(measure_wait().await >= ms(240), "a leader may be elected in this time");
         while boot_now()
-            < entry.gateway.scheduler.unavailable_since().expect("it had no answer") + ms(1_000)
+            < entry.gateway.scheduler.unavailable_since().expect("the scheduler is unavailable")
+                + ms(1_000)
         {
             measure_wait().await;
         }
-        assert!(measure_wait().await < ms(200), "no answer for a second");
+        assert!(measure_wait().await < ms(200), "unavailable for more than 1 s");
     });
 }
 
-/// An engine that was believed to run weights 2 refuses a prompt, since it runs 1.
+/// An engine that is listed with weights 2 rejects a prompt, since it runs weights 1. Guards against an
+/// engine that is never ordered to load weights 2.
 #[test]
 fn a_weight_mismatch_updates_the_weights_in_the_roster() {
     crate::gateway::run(async {
@@ -339,6 +346,6 @@
             known.roster.get(&start("i-1")).is_some_and(|engine| engine.weights["m"] == 1)
         };
         let listed = tokio::time::timeout(ms(15_000), changes.wait_for(is_listed)).await;
-        assert!(listed.is_ok(), "it would never be told");
+        assert!(listed.is_ok(), "the roster still lists weights 2");
     });
 }
