--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -110,7 +110,7 @@
     assert_eq!(load(&view, 2_000), 0.0);
 }
 
-fn engine_start(id: &str, born_ms: i64) -> Listed {
+fn listed_engine(id: &str, born_ms: i64) -> Listed {
     Listed { start: born(id, born_ms), ..target(id, "llm", address(1)) }
 }
 
@@ -121,10 +121,10 @@
 
 #[test]
 fn a_later_start_is_live_after_the_earlier_one_left() {
-    let mut known = roster([leaving(engine_start("i-1", 5))]);
+    let mut known = roster([leaving(listed_engine("i-1", 5))]);
     // Birth times may decrease, since the target's clock may have stepped back.
     for born_ms in [9, 2] {
-        assert!(known.update(vec![engine_start("i-1", born_ms)]));
+        assert!(known.update(vec![listed_engine("i-1", born_ms)]));
         let listed = known.get(&born("i-1", born_ms)).expect("listed");
         assert_eq!(listed.presence, Presence::Live);
         assert_eq!(known.len(), 1);
@@ -134,28 +134,28 @@
 
 #[test]
 fn a_replaced_start_never_returns() {
-    let mut known = roster([engine_start("i-1", 1)]);
-    known.update(vec![engine_start("i-1", 2)]);
+    let mut known = roster([listed_engine("i-1", 1)]);
+    known.update(vec![listed_engine("i-1", 2)]);
     // Late, older lists, also long afterwards.
     for _ in 0..300 {
-        assert!(!known.update(vec![engine_start("i-1", 1)]), "an older list has no effect");
+        assert!(!known.update(vec![listed_engine("i-1", 1)]), "an older list has no effect");
         assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
-        known.update(vec![engine_start("i-1", 2)]);
+        known.update(vec![listed_engine("i-1", 2)]);
     }
     // Also after a list without the target.
     known.update(vec![]);
-    known.update(vec![engine_start("i-1", 3)]);
-    assert!(!known.update(vec![engine_start("i-1", 2)]));
+    known.update(vec![listed_engine("i-1", 3)]);
+    assert!(!known.update(vec![listed_engine("i-1", 2)]));
     assert!(known.get(&born("i-1", 3)).is_some());
 }
 
 #[test]
 fn a_later_start_does_not_inherit_weights() {
-    let mut known = roster([engine_start("i-1", 1)]);
+    let mut known = roster([listed_engine("i-1", 1)]);
     assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
-    known.update(vec![engine_start("i-1", 1)]);
+    known.update(vec![listed_engine("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags behind");
-    known.update(vec![engine_start("i-1", 2)]);
+    known.update(vec![listed_engine("i-1", 2)]);
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
     // A late report about the earlier start.
     assert!(!known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
@@ -174,19 +174,19 @@
 
 #[test]
 fn a_target_missing_from_some_lists_is_used_again() {
-    let mut known = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
+    let mut known = roster([listed_engine("i-1", 1), listed_engine("i-2", 1)]);
     known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
-        known.update(vec![engine_start("i-2", 1)]);
+        known.update(vec![listed_engine("i-2", 1)]);
         assert!(known.get(&born("i-1", 1)).is_none(), "a missing target gets no work");
     }
-    known.update(vec![engine_start("i-1", 1), engine_start("i-2", 1)]);
+    known.update(vec![listed_engine("i-1", 1), listed_engine("i-2", 1)]);
     let again = known.get(&born("i-1", 1)).expect("listed");
     assert_eq!((again.presence, again.weights["m"]), (Presence::Live, 4));
     // A leaving target is not used again.
-    known.update(vec![leaving(engine_start("i-1", 1))]);
+    known.update(vec![leaving(listed_engine("i-1", 1))]);
     known.update(vec![]);
-    known.update(vec![engine_start("i-1", 1)]);
+    known.update(vec![listed_engine("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
@@ -194,11 +194,11 @@
 /// that is never used again after such a restart.
 #[test]
 fn a_leaving_start_is_forgotten_after_many_lists_without_it() {
-    let mut known = roster([leaving(engine_start("i-1", 1))]);
+    let mut known = roster([leaving(listed_engine("i-1", 1))]);
     for _ in 0..50 {
-        known.update(vec![engine_start("i-2", 1)]);
+        known.update(vec![listed_engine("i-2", 1)]);
     }
-    known.update(vec![engine_start("i-1", 1)]);
+    known.update(vec![listed_engine("i-1", 1)]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
@@ -210,7 +210,7 @@
     for n in 0..9_000 {
         let born_ms = 1_700_000_000_000 + n;
         let other = format!("j-{n:04}");
-        known.update(vec![engine_start("i-1", born_ms), leaving(engine_start(&other, born_ms))]);
+        known.update(vec![listed_engine("i-1", born_ms), leaving(listed_engine(&other, born_ms))]);
         if n == 4_500 {
             size_halfway = size(&known);
         }
@@ -221,14 +221,14 @@
 #[test]
 fn a_list_without_birth_times_does_not_change_known_starts() {
     let without_birth = || target("i-1", "llm", address(1));
-    let mut known = roster([leaving(engine_start("i-1", 1))]);
+    let mut known = roster([leaving(listed_engine("i-1", 1))]);
     assert!(!known.update(vec![without_birth()]), "it is the known start");
-    assert!(known.update(vec![engine_start("i-1", 2)]));
+    assert!(known.update(vec![listed_engine("i-1", 2)]));
     assert!(!known.update(vec![without_birth()]));
     assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
     // Birth times that appear for the first time.
     let mut known = roster([without_birth()]);
-    known.update(vec![engine_start("i-1", 1)]);
+    known.update(vec![listed_engine("i-1", 1)]);
     known.update(vec![without_birth()]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
 }
@@ -239,29 +239,29 @@
     let mut known = Roster::default();
     // Listed on two pages, since entries shifted between the reads, and leaving in the second.
     known.update(vec![
-        engine_start("i-1", 1),
-        leaving(engine_start("i-1", 1)),
-        engine_start("i-2", 1),
+        listed_engine("i-1", 1),
+        leaving(listed_engine("i-1", 1)),
+        listed_engine("i-2", 1),
     ]);
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
     assert_eq!(known.len(), 2);
     // Restarted between the reads of two pages: the start that was not known is the later one.
     for list in [
-        vec![engine_start("i-2", 1), engine_start("i-2", 2)],
-        vec![engine_start("i-2", 2), engine_start("i-2", 1)],
+        vec![listed_engine("i-2", 1), listed_engine("i-2", 2)],
+        vec![listed_engine("i-2", 2), listed_engine("i-2", 1)],
     ] {
         known.update(list);
         assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
     }
     // Ambiguous starts or addresses: the target is dropped, and the other targets stay.
     for pair in [
-        [engine_start("i-3", 1), engine_start("i-3", 2)],
-        [engine_start("i-3", 1), at(9, engine_start("i-3", 1))],
-        [engine_start("i-2", 2), at(9, engine_start("i-2", 2))],
+        [listed_engine("i-3", 1), listed_engine("i-3", 2)],
+        [listed_engine("i-3", 1), at(9, listed_engine("i-3", 1))],
+        [listed_engine("i-2", 2), at(9, listed_engine("i-2", 2))],
     ] {
         let [one, other] = pair;
         let id = one.start.id.clone();
-        known.update(vec![engine_start("i-1", 1), one, other]);
+        known.update(vec![listed_engine("i-1", 1), one, other]);
         assert!(known.iter().all(|listed| listed.start.id != id));
         assert_eq!(known.len(), 1);
     }
@@ -269,11 +269,11 @@
 
 #[test]
 fn a_change_to_a_later_start_removes_the_earlier_one() {
-    let before = roster([engine_start("i-1", 1), engine_start("i-2", 1)]);
-    let later = roster([engine_start("i-1", 2), engine_start("i-2", 1)]);
+    let before = roster([listed_engine("i-1", 1), listed_engine("i-2", 1)]);
+    let later = roster([listed_engine("i-1", 2), listed_engine("i-2", 1)]);
     let change = before.change_to(&later);
     assert_eq!(change.gone, [born("i-1", 1)]);
-    assert_eq!(change.changed, [engine_start("i-1", 2)]);
+    assert_eq!(change.changed, [listed_engine("i-1", 2)]);
     let mut applied = before.clone();
     applied.apply(change);
     assert!(applied.iter().eq(later.iter()));
@@ -283,13 +283,13 @@
 fn a_later_start_does_not_inherit_load_or_failures() {
     let mut view = FleetView::default();
     let (first, second) = (born("i-1", 1), born("i-1", 2));
-    view.update(&roster([engine_start("i-1", 1)]));
+    view.update(&roster([listed_engine("i-1", 1)]));
     let dispatch = view.begin(&first, 500);
     let load = TargetLoad { running: 30, waiting: 9, slots: 48 };
     view.observe_load(&first, load, ms(0));
     (0..3).for_each(|_| view.failed(&first, FailureCause::Target, ms(0)));
     view.replaced(&first);
-    view.update(&roster([engine_start("i-1", 2)]));
+    view.update(&roster([listed_engine("i-1", 2)]));
     let assert_no_history = |view: &FleetView| {
         let live: Vec<&TargetStart> = view.live("llm").map(|state| &state.listed.start).collect();
         assert_eq!(live, [&second]);
@@ -306,17 +306,20 @@
     assert_no_history(&view);
     view.end(dispatch);
     assert_no_history(&view);
-    view.update(&roster([engine_start("i-1", 2)]));
+    view.update(&roster([listed_engine("i-1", 2)]));
     assert!(view.get(&first).is_none(), "no request is running");
 }
 
 #[test]
 fn retired_starts_are_merged_from_other_rosters() {
     let mut known =
-        roster([engine_start("i-1", 1), engine_start("i-2", 1), engine_start("i-3", 2)]);
-    let mut other =
-        roster([leaving(engine_start("i-1", 1)), engine_start("i-2", 1), engine_start("i-3", 1)]);
-    other.update(vec![engine_start("i-2", 2)]);
+        roster([listed_engine("i-1", 1), listed_engine("i-2", 1), listed_engine("i-3", 2)]);
+    let mut other = roster([
+        leaving(listed_engine("i-1", 1)),
+        listed_engine("i-2", 1),
+        listed_engine("i-3", 1),
+    ]);
+    other.update(vec![listed_engine("i-2", 2)]);
     assert!(known.merge_retired(&other));
     assert!(!known.merge_retired(&other), "already known");
     let leaves = |start| known.get(&start).expect("listed").presence == Presence::Leaving;
