--- a/tests/deployment/late_updates.rs
+++ b/tests/deployment/late_updates.rs
@@ -18,9 +18,10 @@
         let version = entry.gateway.table().expect("routing table").deployment().version;
         assert_eq!(version, 5);
         let known = entry.gateway.roster_name();
-        let late = VersionedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
-        assert!(late.version() < known);
-        entry.gateway.observe_roster(late);
+        let older_roster =
+            VersionedRoster::new(0, Arc::new(roster([target("i-1", "app", entry.address)])));
+        assert!(older_roster.version() < known);
+        entry.gateway.observe_roster(older_roster);
         assert!(entry.gateway.fleet.borrow().get(&start("i-1")).is_none());
     });
 }
@@ -41,14 +42,14 @@
         };
         let known = entry.gateway.roster_name();
         let is_listed = |id: &str| entry.gateway.fleet.borrow().get(&start(id)).is_some();
-        let another = list(1, &other);
-        assert_ne!(another, known, "same number, other targets");
+        let other_version = list(1, &other);
+        assert_ne!(other_version, known, "same number, other targets");
         assert!(
             entry.gateway.observe(change(list(2, &other), list(3, &other))).is_err(),
             "based on an unknown roster"
         );
         assert!(
-            entry.gateway.observe(change(another, list(2, &other))).is_err(),
+            entry.gateway.observe(change(other_version, list(2, &other))).is_err(),
             "based on another roster with the same number"
         );
         let third = list(2, &target("i-3", "app", address(3)));
@@ -73,17 +74,17 @@
     run(async {
         let answers = (0..4).map(|_| (ok("done"), Then::KeepOpen)).collect();
         let engine = StandIn::start(answers).await;
-        let listed_start = |born_ms| Listed {
+        let listed_with_birth = |born_ms| Listed {
             start: born("i-1", born_ms),
             ..target("i-1", "app", engine.address)
         };
-        let entry = entry(unhurried(), vec![listed_start(9)]).await;
+        let entry = entry(unhurried(), vec![listed_with_birth(9)]).await;
         for (id, connections) in [("r1", 1), ("r2", 1)] {
             assert_eq!(entry.call("/safe/a", id).await.status, 200);
             assert_eq!(engine.connections.get(), connections, "the connection is reused");
         }
         let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("an idle connection");
-        let roster = VersionedRoster::new(2, Arc::new(roster([listed_start(3)])));
+        let roster = VersionedRoster::new(2, Arc::new(roster([listed_with_birth(3)])));
         entry.gateway.observe_roster(roster);
         // A request to the earlier start ends and returns its connection.
         entry.gateway.return_connection(&born("i-1", 9), connection);
