--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -36,13 +36,13 @@
 use crate::stand_in::{StandIn, Then};
 
 /// Sends updates to entries as a replica does. Names weights 2 once `are_weights_named` is set.
-fn serve_as_replica(at: SocketAddr, are_weights_named: Arc<AtomicBool>) {
+fn serve_as_replica(replica_address: SocketAddr, are_weights_named: Arc<AtomicBool>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("build the runtime"), async {
         let shared = Rc::new(leader_state(1, VersionedRoster::default()));
         let scheduling =
             Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
-        let listener = TcpListener::bind(at).await.expect("bind the listener");
+        let listener = TcpListener::bind(replica_address).await.expect("bind the listener");
         let (inputs, _kept) = mpsc::channel(1);
         tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
         let mut is_announced = false;
@@ -64,14 +64,14 @@
 /// against ages that stay too low afterwards.
 #[test]
 fn an_entry_corrects_weight_ages_that_it_received_while_frozen() {
-    let frozen = ms(3_000);
+    let freeze = ms(3_000);
     run(async {
         let entry = entry(unhurried(), Vec::new()).await;
         let ip: IpAddr = "127.98.0.1".parse().expect("valid IP address");
-        let at = SocketAddr::new(ip, entry.gateway.host.peer_port);
+        let replica_address = SocketAddr::new(ip, entry.gateway.host.peer_port);
         let are_weights_named = Arc::new(AtomicBool::new(false));
         let flag = are_weights_named.clone();
-        std::thread::spawn(move || serve_as_replica(at, flag));
+        std::thread::spawn(move || serve_as_replica(replica_address, flag));
         entry.gateway.replicas.borrow_mut().insert(ip);
         let (tasks, _first_end) = essentials();
         subscription::start(&entry.gateway, &tasks);
@@ -81,7 +81,7 @@
         are_weights_named.store(true, Ordering::SeqCst);
         let named_at = boot_now();
         // Blocks the only thread of the entry.
-        std::thread::sleep(frozen);
+        std::thread::sleep(freeze);
         // Enough time for the replica to repeat the ages.
         tokio::time::sleep(ms(2_000)).await;
         let named = entry.gateway.rollouts.borrow().clone();
@@ -114,8 +114,8 @@
 fn a_prompt_placed_on_old_weights_is_not_sent_after_their_deadline() {
     run(async {
         let events = events(&["id: 1\ndata: a\n\n"], true);
-        let old = StandIn::start(vec![(events, Then::KeepOpen)]).await;
-        let entry = entry(unhurried(), vec![target("i-1", "llm", old.address)]).await;
+        let engine = StandIn::start(vec![(events, Then::KeepOpen)]).await;
+        let entry = entry(unhurried(), vec![target("i-1", "llm", engine.address)]).await;
         let ip = "127.98.0.2".parse().expect("an address");
         let listener =
             TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("bind the listener");
@@ -127,8 +127,8 @@
         let weights = NamedWeights { version: 2, age: ms(11_930) };
         let named = [("m".to_string(), vec![weights])].into();
         entry.gateway.observe(Update::Weights(named)).expect("valid update");
-        let got = entry.call_with("/stream/", "r1", PROMPT).await;
-        assert_eq!(old.seen(), 0, "the prompt was sent to replaced weights: {}", got.text);
+        let response = entry.call_with("/stream/", "r1", PROMPT).await;
+        assert_eq!(engine.seen(), 0, "the prompt was sent to replaced weights: {}", response.text);
     });
 }
 
@@ -195,8 +195,8 @@
         }
     }
     let recorded = state.weight_ages["m"][&2];
-    let passed = now.saturating_sub(named_at);
-    assert!(recorded <= passed + ms(1_000), "{recorded:?} recorded, {passed:?} passed");
+    let since_naming = now.saturating_sub(named_at);
+    assert!(recorded <= since_naming + ms(1_000), "{recorded:?} recorded, {since_naming:?} passed");
 }
 
 /// The log holds an age only once a quorum has synced it. Guards against a restarted replica that
@@ -244,9 +244,10 @@
                 }
             }
         };
-        let told = runtime.block_on(async { tokio::time::timeout(ms(2_000), exchange).await });
-        let told = told.ok().and_then(Result::ok);
-        told.is_some_and(|named| named["m"].last().is_some_and(|weights| weights.age >= ms(60_000)))
+        let received = runtime.block_on(async { tokio::time::timeout(ms(2_000), exchange).await });
+        let received = received.ok().and_then(Result::ok);
+        received
+            .is_some_and(|named| named["m"].last().is_some_and(|weights| weights.age >= ms(60_000)))
     });
 }
 
@@ -317,25 +318,26 @@
         let name = format!("entry-{n}");
         core.eventually("an entry receives a count", |core| {
             let exchange = read_entry_count(core.peer_address(n % 2), &name);
-            let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
-            heard.ok().and_then(Result::ok).map(|(_, stream)| connections.push(stream)).is_some()
+            let result =
+                runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
+            result.ok().and_then(Result::ok).map(|(_, stream)| connections.push(stream)).is_some()
         });
     }
     // Replicas exchange their counts.
     std::thread::sleep(Duration::from_millis(1_500));
     core.kill(2);
     core.run(2, false);
-    let mut told = None;
+    let mut received = None;
     core.eventually("the restarted replica sends a count", |core| {
         let exchange = read_entry_count(core.peer_address(2), "entry-8");
-        let heard = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
-        told = heard.ok().and_then(Result::ok).map(|(entries, _)| entries);
-        told.is_some()
+        let result = runtime.block_on(async { tokio::time::timeout(ms(5_000), exchange).await });
+        received = result.ok().and_then(Result::ok).map(|(entries, _)| entries);
+        received.is_some()
     });
-    let told = told.expect("a count was received") as usize;
+    let received = received.expect("a count was received") as usize;
     assert!(
-        told >= ENTRIES,
-        "{} entries share the retries, but the replica counts {told}",
+        received >= ENTRIES,
+        "{} entries share the retries, but the replica counts {received}",
         ENTRIES + 1
     );
 }
