--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -129,13 +129,13 @@
 #[test]
 fn part_transfers_are_encoded() {
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let kept = PartTransfers {
+    let transfers = PartTransfers {
         fetch: &[Some(address(1)), None, None],
         save: &[None, Some(address(2)), None],
         fetch_until_ms: 1_234,
     };
     let metadata =
-        ForwardingMetadata { transfers: Some(kept), ..forwarding_metadata(&target, &account) };
+        ForwardingMetadata { transfers: Some(transfers), ..forwarding_metadata(&target, &account) };
     let target_headers = headers::for_target(&HeaderMap::new(), &metadata);
     assert_eq!(target_headers["x-kv-fetch"], "10.0.0.1:1,-,-");
     assert_eq!(target_headers["x-kv-save"], "-,10.0.0.1:2,-");
@@ -144,7 +144,7 @@
 
 #[test]
 fn response_metadata_is_decoded() {
-    let answer = header_map(&[
+    let response_headers = header_map(&[
         ("x-request-id", "r1"),
         ("x-not-run", "1"),
         ("x-instance-id", "i-2"),
@@ -153,12 +153,15 @@
         ("keep-alive", "timeout=5, max=100"),
         ("connection", "close"),
     ]);
-    let outcome = headers::decode_metadata(&answer);
-    assert!(outcome.did_not_run && outcome.closes);
-    assert_eq!(outcome.answered_by.as_deref(), Some("i-2"));
-    assert_eq!(outcome.load.map(|load| (load.running, load.waiting, load.slots)), Some((3, 1, 48)));
-    assert_eq!(outcome.weight_version, Some(2));
-    assert_eq!(outcome.idle_timeout, Some(Duration::from_secs(5)));
+    let metadata = headers::decode_metadata(&response_headers);
+    assert!(metadata.did_not_run && metadata.closes);
+    assert_eq!(metadata.answered_by.as_deref(), Some("i-2"));
+    assert_eq!(
+        metadata.load.map(|load| (load.running, load.waiting, load.slots)),
+        Some((3, 1, 48))
+    );
+    assert_eq!(metadata.weight_version, Some(2));
+    assert_eq!(metadata.idle_timeout, Some(Duration::from_secs(5)));
     let broken =
         headers::decode_metadata(&header_map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
     assert_eq!((broken.load, broken.idle_timeout), (None, None));
