--- a/tests/deployment/boundary.rs
+++ b/tests/deployment/boundary.rs
@@ -2,8 +2,8 @@
 
 use std::path::{Path, PathBuf};
 
-/// Headers of the platform, and field names of its settings, documents, lists and calls that are unique
-/// to it.
+/// Headers of the platform, and field names of its settings, documents, lists and calls that are
+/// unique to it.
 const PLATFORM_NAMES: [&str; 26] = [
     "PathPrefix",
     "TimeoutMs",
--- a/tests/deployment/late_updates.rs
+++ b/tests/deployment/late_updates.rs
@@ -1,4 +1,5 @@
-//! Updates that are late or based on another roster, and connections to an earlier start of a target.
+//! Updates that are late or based on another roster, and connections to an earlier start of a
+//! target.
 
 use std::sync::Arc;
 
@@ -67,8 +68,8 @@
     });
 }
 
-/// Guards against sending requests over a connection to an earlier start, when a target restarts with
-/// the same id and address.
+/// Guards against sending requests over a connection to an earlier start, when a target restarts
+/// with the same id and address.
 #[test]
 fn a_connection_to_an_earlier_start_is_not_used_for_the_later_one() {
     run(async {
--- a/tests/deployment/monotonic_state.rs
+++ b/tests/deployment/monotonic_state.rs
@@ -1,6 +1,7 @@
 //! State that must not go back: weight ages, rosters, leaving targets and the count of entries.
 //!
-//! Each test guards against one way in which an entry or a replica loses state that it had received.
+//! Each test guards against one way in which an entry or a replica loses state that it had
+//! received.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -116,7 +117,7 @@
         let events = events(&["id: 1\ndata: a\n\n"], true);
         let engine = StandIn::start(vec![(events, Then::KeepOpen)]).await;
         let entry = entry(unhurried(), vec![target("i-1", "llm", engine.address)]).await;
-        let ip = "127.98.0.2".parse().expect("an address");
+        let ip = "127.98.0.2".parse().expect("valid IP address");
         let listener =
             TcpListener::bind((ip, entry.gateway.host.peer_port)).await.expect("bind the listener");
         entry.gateway.leader.set(Some(ip));
@@ -160,8 +161,8 @@
     assert_eq!(known_weights(&leader), 2, "a later roster reverted the weights");
 }
 
-/// An engine that reports older weights than recorded lowers the record. Guards against a merge that
-/// always keeps the newest weights.
+/// An engine that reports older weights than recorded lowers the record. Guards against a merge
+/// that always keeps the newest weights.
 #[test]
 fn an_older_roster_does_not_revert_a_weight_downgrade() {
     let leader = leader_state(4, VersionedRoster::default());
@@ -251,8 +252,8 @@
     });
 }
 
-/// Guards against new work for a target that was reported as leaving while the entry's roster lacked
-/// it, and that the next roster lists as live.
+/// Guards against new work for a target that was reported as leaving while the entry's roster
+/// lacked it, and that the next roster lists as live.
 #[test]
 fn an_entry_remembers_a_leaving_target_that_its_roster_lacks() {
     run(async {
@@ -267,8 +268,8 @@
     });
 }
 
-/// Late rosters may list a target again for a while. Guards against a record of leaving targets that
-/// grows without bound.
+/// Late rosters may list a target again for a while. Guards against a record of leaving targets
+/// that grows without bound.
 #[test]
 fn an_entry_forgets_a_leaving_target_after_many_rosters_without_it() {
     let mut fleet = FleetView::default();
@@ -287,8 +288,8 @@
     assert!(fleet.takes_work(&start("i-1")), "never forgotten");
 }
 
-/// Connects as an entry and returns the first count of entries that the replica sends. A replica sends
-/// none until its count is complete.
+/// Connects as an entry and returns the first count of entries that the replica sends. A replica
+/// sends none until its count is complete.
 async fn read_entry_count(replica: SocketAddr, name: &str) -> std::io::Result<(u32, TcpStream)> {
     let mut stream = TcpStream::connect(replica).await?;
     let entry = Handshake::Entry {
@@ -305,8 +306,8 @@
     }
 }
 
-/// Entries share a retry budget, divided by their count. Guards against a restarted replica that sends
-/// a count before it has heard of all entries.
+/// Entries share a retry budget, divided by their count. Guards against a restarted replica that
+/// sends a count before it has heard of all entries.
 #[test]
 fn a_restarted_replica_does_not_undercount_entries() {
     const ENTRIES: usize = 8;
--- a/tests/deployment/reader_election.rs
+++ b/tests/deployment/reader_election.rs
@@ -25,8 +25,9 @@
 /// Simulates a leader whose reads fail after the first one, and one other replica. Returns when the
 /// successful reads of both begin.
 ///
-/// `jitter` and `rank` are those of the other replica; the replicas of lower rank do not read. It checks
-/// for the first time at `phase`. `sends_requests` is whether the leader asks others to read.
+/// `jitter` and `rank` are those of the other replica; the replicas of lower rank do not read. It
+/// checks for the first time at `phase`. `sends_requests` is whether the leader asks others to
+/// read.
 fn simulate_reads(
     read_duration: Duration,
     (jitter, rank): (f64, usize),
@@ -69,8 +70,8 @@
     read_times
 }
 
-/// The longest time from a change of the list to the end of the first read that shows it, over all times
-/// of the change, durations of reads, jitters and phases.
+/// The longest time from a change of the list to the end of the first read that shows it, over all
+/// times of the change, durations of reads, jitters and phases.
 fn longest_detection_delay(rank: usize, sends_requests: bool) -> Duration {
     let mut longest = ms(0);
     for read_duration in [ms(5), ms(340), ms(690)] {
@@ -94,7 +95,7 @@
 #[test]
 fn changes_are_detected_in_time_when_the_leader_cannot_read_the_list() {
     for rank in 0..4 {
-        // Replicas of a higher rank read when the takeover timeout expires, which is earlier.
+        // From rank 2 on, the takeover timeout may expire before the replica's turn on request.
         let limit = if rank < 2 { ms(2_150) } else { ms(2_600) };
         let longest = longest_detection_delay(rank, true);
         assert!(longest <= limit, "{longest:?} at rank {rank}");
@@ -107,8 +108,8 @@
     assert!(longest <= ms(2_600), "{longest:?}");
 }
 
-/// Simulates a leader and four other replicas that all reach the list, and returns how often they read
-/// `within` that time.
+/// Simulates a leader and four other replicas that all reach the list, and returns how often they
+/// read `within` that time.
 fn count_reads(read_duration: Duration, within: Duration) -> usize {
     const OTHERS: usize = 4;
     let mut elections = [ReaderElection::new(ms(0)); OTHERS];
--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -10,7 +10,8 @@
 use crate::fixtures::{ms, roster, start};
 use crate::load::{ask_of, end, engines, placed, scheduler};
 
-/// Old weights are allowed for this long after newer ones are named, or after the scheduler started.
+/// Old weights are allowed for this long after newer ones are named, or after the scheduler
+/// started.
 const WITHIN: Duration = ms_const(6_000);
 /// The bound since the naming, regardless of when the scheduler started.
 const HARD_WITHIN: Duration = ms_const(8_400);
@@ -111,8 +112,8 @@
     assert!(scheduler.submit(2, request(2), hard_limit).is_none());
 }
 
-/// Guards against a scheduler that remembers only the newest naming, and allows weights 1 for the whole
-/// bound again when weights 3 are named.
+/// Guards against a scheduler that remembers only the newest naming, and allows weights 1 for the
+/// whole bound again when weights 3 are named.
 #[test]
 fn naming_later_weights_does_not_extend_earlier_deadlines() {
     let request = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -37,8 +37,8 @@
     assert_eq!(known.get(&start("i-2")).expect("listed").weights["m"], 1);
 }
 
-/// Entries keep their roster while all replicas restart. Guards against entries that ignore the next
-/// roster as older.
+/// Entries keep their roster while all replicas restart. Guards against entries that ignore the
+/// next roster as older.
 #[test]
 fn a_roster_of_a_later_leader_supersedes_earlier_rosters() {
     let before = leader_state(4, VersionedRoster::default());
@@ -190,8 +190,8 @@
     assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
-/// Two starts with the same birth time differ only in the time between them. Guards against a target
-/// that is never used again after such a restart.
+/// Two starts with the same birth time differ only in the time between them. Guards against a
+/// target that is never used again after such a restart.
 #[test]
 fn a_leaving_start_is_forgotten_after_many_lists_without_it() {
     let mut known = roster([leaving(listed_engine("i-1", 1))]);
@@ -253,7 +253,7 @@
         known.update(list);
         assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
     }
-    // Ambiguous starts or addresses: the target is dropped, and the other targets stay.
+    // If the later start or the address is ambiguous, only the other targets stay.
     for pair in [
         [listed_engine("i-3", 1), listed_engine("i-3", 2)],
         [listed_engine("i-3", 1), at(9, listed_engine("i-3", 1))],
@@ -326,8 +326,8 @@
     assert!(leaves(born("i-1", 1)) && leaves(born("i-2", 1)) && !leaves(born("i-3", 2)));
 }
 
-/// Another writer may list a target under the same id, of a service that no deployment names. Guards
-/// against taking it for a later start, after which the engine gets no prompts.
+/// Another writer may list a target under the same id, of a service that no deployment names.
+/// Guards against taking it for a later start, after which the engine gets no prompts.
 #[test]
 fn a_target_of_an_unnamed_service_does_not_replace_one_with_the_same_id() {
     let is_named = |service: &ServiceId| service != "nobody";
--- a/tests/deployment/roster_file.rs
+++ b/tests/deployment/roster_file.rs
@@ -42,7 +42,8 @@
     assert_eq!(load(folder.path()).version(), sample_roster(3).version());
 }
 
-/// Guards against loading a file that was partly written at a power failure, or that the disk corrupted.
+/// Guards against loading a file that was partly written at a power failure, or that the disk
+/// corrupted.
 #[test]
 fn a_damaged_roster_file_is_ignored() {
     let folder = tempfile::tempdir().expect("create a folder");
@@ -61,7 +62,8 @@
     assert_eq!(load(folder.path()).number, 0);
 }
 
-/// Guards against a replica that restarts with a roster from before the first read of the target list.
+/// Guards against a replica that restarts with a roster from before the first read of the target
+/// list.
 #[test]
 fn a_roster_file_without_targets_is_ignored() {
     let folder = tempfile::tempdir().expect("create a folder");
--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// Guards against dropping store inventories that arrive before leadership is confirmed. They are read
-/// again only after 10 s, and the parts in the stores are recomputed meanwhile.
+/// Guards against dropping store inventories that arrive before leadership is confirmed. They are
+/// read again only after 10 s, and the parts in the stores are recomputed meanwhile.
 #[test]
 fn inventories_read_before_leadership_is_confirmed_are_kept() {
     run(async |scheduling| {
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Repeats a placement request until the scheduler is active. The scheduler first waits for the cache
-    /// contents of engines.
+    /// Repeats a placement request until the scheduler is active. The scheduler first waits for the
+    /// cache contents of engines.
     async fn place_when_active(&mut self) -> Placement {
         loop {
             self.send(SchedulerRequest::Place(1, long_prompt())).await;
@@ -201,7 +201,7 @@
         other.send(SchedulerRequest::Place(7, long_prompt())).await;
         assert_eq!(other.receive().await, SchedulerReply::Queued(7), "the engine is busy");
         drop(killed);
-        // Otherwise the scheduler drops placements of unknown state after 20 s.
+        // Well before 20 s, after which the scheduler drops the placements anyway.
         let reply = tokio::time::timeout(ms(15_000), other.receive()).await;
         let SchedulerReply::Placed(7, Ok(placed)) = reply.expect("a reply within the timeout")
         else {
@@ -211,7 +211,8 @@
     });
 }
 
-/// Guards against placements that stay active when an entry is killed before it reports a first token.
+/// Guards against placements that stay active when an entry is killed before it reports a first
+/// token.
 #[test]
 fn placements_from_the_queue_end_with_the_connection_of_their_entry() {
     run(|scheduling| async move {
@@ -261,8 +262,8 @@
     });
 }
 
-/// Guards against an entry that places prompts itself, without knowledge of engine caches and stores,
-/// while a new leader is not active yet.
+/// Guards against an entry that places prompts itself, without knowledge of engine caches and
+/// stores, while a new leader is not active yet.
 #[test]
 fn a_prompt_is_retried_until_the_scheduler_is_active() {
     crate::gateway::run(async {
@@ -319,8 +320,8 @@
     });
 }
 
-/// An engine that is listed with weights 2 rejects a prompt, since it runs weights 1. Guards against an
-/// engine that is never ordered to load weights 2.
+/// An engine that is listed with weights 2 rejects a prompt, since it runs weights 1. Guards
+/// against an engine that is never ordered to load weights 2.
 #[test]
 fn a_weight_mismatch_updates_the_weights_in_the_roster() {
     crate::gateway::run(async {
--- a/tests/deployment/voter_set.rs
+++ b/tests/deployment/voter_set.rs
@@ -70,8 +70,8 @@
     assert_successor_replaces(activity_of(&[2, 3, 4, 15]));
 }
 
-/// Guards against removing the successor of a replica that had once sent a join request from the same
-/// host itself.
+/// Guards against removing the successor of a replica that had once sent a join request from the
+/// same host itself.
 #[test]
 fn an_earlier_join_request_does_not_displace_the_successor() {
     let mut activity = activity_of(&[2, 3, 4, 15]);
