--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -42,7 +42,7 @@
     let published = Some(Published { text: Arc::default(), deployment });
     let state = ControlState { published, ..ControlState::bootstrap(BTreeMap::new()) };
     let view = ReplicaView { state, term, leads: true, leader: None };
-    let ip = "127.0.0.1".parse().expect("an address");
+    let ip = "127.0.0.1".parse().expect("valid IP address");
     Shared {
         node: 1,
         view: watch::Sender::new(view),
