--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn the_connection_header_cannot_remove_required_headers() {
+fn hop_by_hop_headers_are_dropped_but_required_headers_are_kept() {
     let request_headers = header_map(&[
         ("connection", "close, x-model, x-request-id, x-other, host"),
         ("x-model", "m"),
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -237,7 +237,7 @@
 fn a_duplicate_id_in_a_list_yields_one_target_or_none() {
     let at = |n, listed: Listed| Listed { address: address(n), ..listed };
     let mut known = Roster::default();
-    // Listed on two pages, since entries shifted between the reads, and leaving in the second.
+    // Listed on two pages, since the list shifted between the reads, and leaving on the second.
     known.update(vec![
         listed_engine("i-1", 1),
         leaving(listed_engine("i-1", 1)),
--- a/tests/deployment/scheduler_service.rs
+++ b/tests/deployment/scheduler_service.rs
@@ -79,16 +79,16 @@
         while !scheduling.is_active(1) {
             tokio::time::sleep(ms(5)).await;
         }
-        let reading = async {
+        let inventory_read = async {
             let is_leader = scheduling.wait_for_leadership(1).await;
             is_leader && scheduling.with_scheduler(|_| {}).is_some()
         };
-        let elected = async {
+        let confirmation = async {
             tokio::time::sleep(ms(20)).await;
             assert!(scheduling.with_scheduler(|_| {}).is_none(), "leadership is not confirmed yet");
             scheduling.shared.caught_up_at.set(Some(boot_now() + ms(600_000)));
         };
-        let (is_kept, ()) = tokio::join!(reading, elected);
+        let (is_kept, ()) = tokio::join!(inventory_read, confirmation);
         assert!(is_kept, "the inventory would be dropped");
     });
 }
@@ -105,6 +105,7 @@
     });
 }
 
+/// The end of a connection to the scheduler service that an entry holds.
 struct EntryClient {
     stream: BufReader<TcpStream>,
 }
