--- a/tests/deployment/headers.rs
+++ b/tests/deployment/headers.rs
@@ -1,4 +1,4 @@
-//! Headers: what is read of a caller's request, and what passes on.
+//! Decoding of request and response headers, and the headers that are forwarded to a target.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use crate::fixtures::address;
 
-fn map(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
+fn header_map(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let pair = |(name, value): &(&'static str, &'static str)| {
         (HeaderName::from_static(name), HeaderValue::from_static(value))
     };
     pairs.iter().map(pair).collect()
 }
 
-fn forwarded<'a>(target: &'a String, account: &'a String) -> ForwardingMetadata<'a> {
+fn forwarding_metadata<'a>(target: &'a String, account: &'a String) -> ForwardingMetadata<'a> {
     ForwardingMetadata {
         target,
         account: Some(account),
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_call_is_read() {
-    let headers = map(&[
+fn request_headers_are_decoded() {
+    let headers = header_map(&[
         ("host", "shop.example:8080"),
         ("x-request-id", "r1"),
         ("x-deadline-ms", "1500"),
@@ -45,17 +45,17 @@
     assert_eq!(call.deadline, Some(Duration::from_millis(1_500)));
     assert_eq!(call.key.as_deref(), Some("key-a"));
     assert_eq!(call.resume_after.as_deref(), Some("4"));
-    let prompt = call.prompt.expect("a prompt");
+    let prompt = call.prompt.expect("prompt headers");
     assert_eq!((prompt.prompt_tokens, prompt.output_tokens), (1_460, 80));
     assert_eq!(
         prompt.parts.iter().map(|part| part.id.as_str()).collect::<Vec<_>>(),
         ["5c1e", "91bd", "e440"]
     );
-    assert_eq!(prompt.shared_tokens(), 1_210, "the last part is the request's own");
+    assert_eq!(prompt.shared_tokens(), 1_210, "the last part is not shared");
 }
 
 #[test]
-fn nonsense_is_no_panic_and_no_value() {
+fn malformed_headers_are_ignored() {
     let cases = [
         ("x-deadline-ms", "soon"),
         ("x-token-count", "many"),
@@ -64,7 +64,7 @@
         ("host", ":::"),
     ];
     for (name, value) in cases {
-        let headers = map(&[("x-model", "m"), (name, value)]);
+        let headers = header_map(&[("x-model", "m"), (name, value)]);
         let call = headers::decode_request(&Uri::from_static("/"), &headers);
         assert_eq!(call.deadline, None, "{name}");
         assert_eq!(call.key, None, "{name}");
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn what_only_this_system_may_set_is_replaced() {
-    let ours = [
+fn reserved_headers_from_a_caller_are_replaced() {
+    let reserved = [
         ("x-tenant", "forged"),
         ("x-expect-instance", "forged"),
         ("x-expect-version", "9"),
@@ -91,8 +91,11 @@
         ("authorization", "Bearer key-a"),
     ];
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::request_for_target(&map(&ours), &forwarded(&target, &account));
-    let expected = map(&[
+    let target_headers = headers::request_for_target(
+        &header_map(&reserved),
+        &forwarding_metadata(&target, &account),
+    );
+    let expected = header_map(&[
         ("x-deadline-ms", "750"),
         ("x-expect-instance", "i-1"),
         ("x-tenant", "alpha"),
@@ -100,12 +103,12 @@
         ("x-cache-salt", "all/m/1"),
         ("x-expect-version", "1"),
     ]);
-    assert_eq!(passed, expected);
+    assert_eq!(target_headers, expected);
 }
 
 #[test]
-fn hop_headers_end_here_but_a_caller_can_take_out_nothing_that_decides() {
-    let from = map(&[
+fn hop_by_hop_headers_are_dropped_but_required_headers_are_kept() {
+    let request_headers = header_map(&[
         ("connection", "close, x-model, x-request-id, x-other, host"),
         ("x-model", "m"),
         ("x-request-id", "r1"),
@@ -115,33 +118,35 @@
         ("x-kept", "yes"),
     ]);
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let passed = headers::request_for_target(&from, &forwarded(&target, &account));
+    let target_headers =
+        headers::request_for_target(&request_headers, &forwarding_metadata(&target, &account));
     for kept in ["x-model", "x-request-id", "host", "x-kept"] {
-        assert!(passed.contains_key(kept), "{kept}");
+        assert!(target_headers.contains_key(kept), "{kept}");
     }
-    for ended in ["connection", "x-other", "transfer-encoding"] {
-        assert!(!passed.contains_key(ended), "{ended}");
+    for dropped in ["connection", "x-other", "transfer-encoding"] {
+        assert!(!target_headers.contains_key(dropped), "{dropped}");
     }
 }
 
 #[test]
-fn parts_come_from_and_go_to_their_stores() {
+fn part_transfers_are_encoded() {
     let (target, account) = ("i-1".to_string(), "alpha".to_string());
-    let kept = PartTransfers {
+    let transfers = PartTransfers {
         fetch: &[Some(address(1)), None, None],
         save: &[None, Some(address(2)), None],
         fetch_until_ms: 1_234,
     };
-    let with_kept = ForwardingMetadata { transfers: Some(kept), ..forwarded(&target, &account) };
-    let passed = headers::request_for_target(&HeaderMap::new(), &with_kept);
-    assert_eq!(passed["x-kv-fetch"], "10.0.0.1:1,-,-");
-    assert_eq!(passed["x-kv-save"], "-,10.0.0.1:2,-");
-    assert_eq!(passed["x-kv-until"], "1234", "every fetch has an end");
+    let metadata =
+        ForwardingMetadata { transfers: Some(transfers), ..forwarding_metadata(&target, &account) };
+    let target_headers = headers::request_for_target(&HeaderMap::new(), &metadata);
+    assert_eq!(target_headers["x-kv-fetch"], "10.0.0.1:1,-,-");
+    assert_eq!(target_headers["x-kv-save"], "-,10.0.0.1:2,-");
+    assert_eq!(target_headers["x-kv-until"], "1234", "every fetch has a deadline");
 }
 
 #[test]
-fn an_outcome_is_read() {
-    let answer = map(&[
+fn response_metadata_is_decoded() {
+    let response_headers = header_map(&[
         ("x-request-id", "r1"),
         ("x-not-run", "1"),
         ("x-instance-id", "i-2"),
@@ -150,12 +155,16 @@
         ("keep-alive", "timeout=5, max=100"),
         ("connection", "close"),
     ]);
-    let outcome = headers::decode_response(&answer);
-    assert!(outcome.did_not_run && outcome.closes);
-    assert_eq!(outcome.answered_by.as_deref(), Some("i-2"));
-    assert_eq!(outcome.load.map(|load| (load.running, load.waiting, load.slots)), Some((3, 1, 48)));
-    assert_eq!(outcome.weight_version, Some(2));
-    assert_eq!(outcome.idle_timeout, Some(Duration::from_secs(5)));
-    let broken = headers::decode_response(&map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
+    let metadata = headers::decode_response(&response_headers);
+    assert!(metadata.did_not_run && metadata.closes);
+    assert_eq!(metadata.answered_by.as_deref(), Some("i-2"));
+    assert_eq!(
+        metadata.load.map(|load| (load.running, load.waiting, load.slots)),
+        Some((3, 1, 48))
+    );
+    assert_eq!(metadata.weight_version, Some(2));
+    assert_eq!(metadata.idle_timeout, Some(Duration::from_secs(5)));
+    let broken =
+        headers::decode_response(&header_map(&[("x-server-load", "3,"), ("keep-alive", "x")]));
     assert_eq!((broken.load, broken.idle_timeout), (None, None));
 }
