--- a/tests/deployment/explaining.rs
+++ b/tests/deployment/diagnostics.rs
@@ -13,13 +13,13 @@
 use crate::fixtures::ms;
 
 /// An output whose reader has stopped until it is released; hands out what was written at its end.
-struct Stuck {
+struct BlockedWriter {
     released: Receiver<()>,
     written: Vec<u8>,
     ended: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         // Fails once the other side is dropped, which releases it.
         let _ = self.released.recv();
@@ -32,19 +32,19 @@
     }
 }
 
-impl Drop for Stuck {
+impl Drop for BlockedWriter {
     fn drop(&mut self) {
         let _ = self.ended.send(std::mem::take(&mut self.written));
     }
 }
 
 #[test]
-fn a_reader_that_has_stopped_keeps_nobody_waiting_and_each_line_is_written_or_counted() {
+fn a_blocked_output_does_not_block_logging_and_each_line_is_written_or_counted() {
     const LINES: u64 = 20_000;
     let ((release, released), (ended, written)) = (channel(), channel());
     let appender =
-        NonBlockingAppender::new("{m}{n}", Stuck { released, written: Vec::new(), ended });
-    let begun = Instant::now();
+        NonBlockingAppender::new("{m}{n}", BlockedWriter { released, written: Vec::new(), ended });
+    let started_at = Instant::now();
     // As long as a request's line, so that a chunk holds some hundred.
     let text = format!("event=request {:>200}", "");
     for _ in 0..LINES {
@@ -53,7 +53,7 @@
         appender.append(&record).expect("it is only counted");
     }
     appender.flush();
-    assert!(begun.elapsed() < ms(5_000), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(5_000), "{:?}", started_at.elapsed());
     let not_reported = appender.dropped();
     drop(release);
     drop(appender);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn lines_of_requests_are_bounded_and_failures_go_first() {
+fn request_log_lines_are_rate_limited_and_failures_have_priority() {
     let limiter = RequestLogLimiter::default();
     let written = |is_success, second: u64| {
         let ids = (0..10_000).map(|n| format!("r{n}"));
@@ -105,21 +105,21 @@
 ];
 
 #[test]
-fn an_id_leads_to_its_whole_story() {
+fn a_request_id_finds_all_related_lines() {
     let lines: Vec<LogLine> =
         LOGS.iter().filter_map(|(process, text)| LogLine::parse(process, text)).collect();
     assert_eq!(lines.len(), LOGS.len());
-    let told: Vec<String> = related_lines(&lines, "r1");
+    let related: Vec<String> = related_lines(&lines, "r1");
     let events: Vec<&str> =
-        told.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
+        related.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
     assert_eq!(events, ["subscription_lost", "weights_ordered", "request"]);
-    assert!(told[1].starts_with("replica-1 ") && told[1].contains("engine=i-7"));
+    assert!(related[1].starts_with("replica-1 ") && related[1].contains("engine=i-7"));
     assert_eq!(related_lines(&lines, "r3"), Vec::<String>::new());
     assert_eq!(LogLine::parse("x", "no time here"), None);
 }
 
 #[test]
-fn metrics_tell_endings_by_route_and_reason() {
+fn requests_are_counted_by_route_and_reason() {
     let metrics = EntryMetrics::new().expect("instruments");
     metrics.record_request("r-1", "refused", "busy");
     metrics.record_request("r-1", "refused", "busy");
--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/untrusted_input.rs
@@ -48,7 +48,7 @@
         list.read_interval(1_000)
     });
     let _ = engines::decode_report(bytes);
-    follow_store(bytes);
+    apply_store_data(bytes);
     let _ = operator::decode(&http::Method::POST, "/version-put", bytes);
     let _ = ControlState::from_snapshot(bytes);
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
@@ -74,7 +74,7 @@
 }
 
 /// Has a scheduler take whatever a store and an engine tell.
-fn follow_store(bytes: &[u8]) {
+fn apply_store_data(bytes: &[u8]) {
     let mut scheduler = scheduler(2);
     let store = crate::fixtures::address(9_000);
     if let Ok((inventory, clock_ms)) = stores::decode_list(bytes) {
@@ -95,21 +95,21 @@
 
     /// Whatever another writer leaves in the list: the entries before and after it hold.
     #[test]
-    fn a_spoilt_entry_of_the_list_loses_no_other(
-        spoils in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
+    fn a_corrupt_list_entry_does_not_affect_the_others(
+        byte_changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
         cut in any::<prop::sample::Index>(),
         is_last in any::<bool>(),
     ) {
-        let mut spoilt = list_entry("i-2").into_bytes();
-        for (at, byte) in spoils {
-            let at = at.index(spoilt.len());
-            spoilt[at] = byte;
+        let mut corrupt = list_entry("i-2").into_bytes();
+        for (at, byte) in byte_changes {
+            let at = at.index(corrupt.len());
+            corrupt[at] = byte;
         }
-        for length in [spoilt.len(), cut.index(spoilt.len())] {
+        for length in [corrupt.len(), cut.index(corrupt.len())] {
             let third = list_entry("i-3").into_bytes();
             let (one, other) = match is_last {
-                true => (&third[..], &spoilt[..length]),
-                false => (&spoilt[..length], &third[..]),
+                true => (&third[..], &corrupt[..length]),
+                false => (&corrupt[..length], &third[..]),
             };
             let page = [b"{\"Instances\":[", list_entry("i-1").as_bytes(), b",", one, b",", other,
                 b"],\"NextToken\":\"p\"}"].concat();
@@ -128,13 +128,13 @@
     }
 
     #[test]
-    fn spoilt_documents_are_decoded_or_refused(
+    fn corrupt_documents_are_decoded_or_refused(
         document in 0..DOCUMENTS.len(),
-        spoils in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
+        byte_changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = DOCUMENTS[document].as_bytes().to_vec();
-        for (at, byte) in spoils {
+        for (at, byte) in byte_changes {
             let at = at.index(bytes.len());
             bytes[at] = byte;
         }
@@ -171,7 +171,7 @@
 
 /// Heads that two readers might understand differently, and what must come of each: a refusal, or one
 /// request whose body is what its length says.
-const DOUBTFUL_HEADS: [&str; 9] = [
+const AMBIGUOUS_HEADS: [&str; 9] = [
     "Content-Length: 4\r\nContent-Length: 5\r\n",
     "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
     "Transfer-Encoding: chunked, identity\r\n",
@@ -190,19 +190,19 @@
 #[test]
 fn no_request_is_smuggled_inside_another() {
     run(async {
-        for doubtful in DOUBTFUL_HEADS {
+        for ambiguous in AMBIGUOUS_HEADS {
             let answers = (0..6).map(|_| (ok("done"), Then::KeepOpen)).collect();
-            let one = StandIn::start(answers).await;
-            let entry = entry(unhurried(), vec![target("i-1", "app", one.address)]).await;
+            let stand_in = StandIn::start(answers).await;
+            let entry = entry(unhurried(), vec![target("i-1", "app", stand_in.address)]).await;
             let head = "POST /once/a HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: r1\r\n\
                         X-Deadline-Ms: 60000\r\nAuthorization: Bearer key-a\r\n";
-            send(&entry, &format!("{head}{doubtful}\r\nbody{SMUGGLED}")).await;
-            for request in one.requests.borrow().iter() {
-                assert_eq!(header(request, "x-request-id").as_deref(), Some("r1"), "{doubtful}");
+            send(&entry, &format!("{head}{ambiguous}\r\nbody{SMUGGLED}")).await;
+            for request in stand_in.requests.borrow().iter() {
+                assert_eq!(header(request, "x-request-id").as_deref(), Some("r1"), "{ambiguous}");
                 let (_, body) = request.split_once("\r\n\r\n").expect("a head");
-                assert!(body == "body" || body.is_empty(), "{doubtful}: {body}");
+                assert!(body == "body" || body.is_empty(), "{ambiguous}: {body}");
             }
-            assert_eq!(entry.call("/once/b", "r2").await.status, 200, "it serves on: {doubtful}");
+            assert_eq!(entry.call("/once/b", "r2").await.status, 200, "it serves on: {ambiguous}");
         }
     });
 }
@@ -222,17 +222,17 @@
     #![proptest_config(cases(60))]
 
     #[test]
-    fn spoilt_heads_leave_an_entry_serving(
-        spoils in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..5),
+    fn corrupt_request_heads_do_not_stop_an_entry(
+        byte_changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..5),
     ) {
         run(async {
             let answers = (0..4).map(|_| (ok("done"), Then::KeepOpen)).collect();
-            let one = Rc::new(StandIn::start(answers).await);
-            let entry = entry(unhurried(), vec![target("i-1", "app", one.address)]).await;
+            let stand_in = Rc::new(StandIn::start(answers).await);
+            let entry = entry(unhurried(), vec![target("i-1", "app", stand_in.address)]).await;
             let mut bytes = b"POST /once/a HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: r1\r\n\
                               Authorization: Bearer key-a\r\nContent-Length: 4\r\n\r\nbody"
                 .to_vec();
-            for (at, byte) in spoils {
+            for (at, byte) in byte_changes {
                 let at = at.index(bytes.len());
                 // Text only: it is sent as such.
                 bytes[at] = byte & 0x7f;
