--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -25,14 +25,14 @@
     }
 }
 
-fn ask<'a>(prompt: &'a Prompt, wall: &'a str, tie_breaker: u64) -> Criteria<'a> {
+fn criteria<'a>(prompt: &'a Prompt, cache_namespace: &'a str, tie_breaker: u64) -> Criteria<'a> {
     let named = const { &RolloutHistories::new() };
     let old_weights = OldWeightsPolicy::default();
     let prompt = Some(prompt);
     Criteria {
         service: "llm",
         prompt,
-        cache_namespace: wall,
+        cache_namespace,
         tried: &[],
         tie_breaker,
         named,
@@ -50,27 +50,27 @@
 /// A returning context goes where it was, whichever entry it reaches, also after another engine
 /// has come or gone: entries don't talk about it.
 #[test]
-fn a_context_keeps_its_home() {
-    let (all, one_less) = (view(12), view(11));
+fn contexts_keep_their_engine_across_entries_and_fleet_changes() {
+    let (all, without_last) = (view(12), view(11));
     let mut moved = 0;
     for context in 0..500 {
         let prompt = prompt(context, 9_000);
-        let home = |view: &FleetView, drawn| {
-            choose(view, &ask(&prompt, "all", drawn), ms(0)).expect("an engine").target
+        let chosen_target = |view: &FleetView, tie_breaker| {
+            choose(view, &criteria(&prompt, "all", tie_breaker), ms(0)).expect("an engine").target
         };
-        assert_eq!(home(&all, 1), home(&all, 2));
-        moved += usize::from(home(&all, 1) != home(&one_less, 1));
+        assert_eq!(chosen_target(&all, 1), chosen_target(&all, 2));
+        moved += usize::from(chosen_target(&all, 1) != chosen_target(&without_last, 1));
     }
     assert!((20..=80).contains(&moved), "only those of the engine that went: {moved}");
 }
 
 #[test]
-fn contexts_spread_and_accounts_with_a_wall_share_no_home_by_design() {
+fn contexts_spread_evenly_over_engines() {
     let view = view(10);
     let mut counts = std::collections::BTreeMap::new();
     for context in 0..1_000 {
         let prompt = prompt(context, 9_000);
-        let choice = choose(&view, &ask(&prompt, "all", 0), ms(0)).expect("an engine");
+        let choice = choose(&view, &criteria(&prompt, "all", 0), ms(0)).expect("an engine");
         *counts.entry(choice.target).or_insert(0) += 1;
     }
     assert!(counts.values().all(|count| (60..=140).contains(count)), "{counts:?}");
@@ -78,13 +78,14 @@
 
 /// A hot context: its home fills up, and the next ones go elsewhere rather than wait.
 #[test]
-fn a_busy_home_is_left() {
+fn a_full_preferred_engine_overflows_to_the_others() {
     let mut view = view(4);
     let prompt = prompt(1, 2_000);
     let mut used = std::collections::BTreeSet::new();
     let mut dispatches = Vec::new();
-    for drawn in 0..24 {
-        let choice = choose(&view, &ask(&prompt, "all", drawn), ms(0)).expect("an engine");
+    for tie_breaker in 0..24 {
+        let choice =
+            choose(&view, &criteria(&prompt, "all", tie_breaker), ms(0)).expect("an engine");
         dispatches.push(view.begin(&choice.target, 2_100));
         used.insert(choice.target);
     }
@@ -92,38 +93,42 @@
 }
 
 #[test]
-fn engines_out_of_order_and_tried_ones_are_left_out() {
+fn unhealthy_and_already_tried_engines_are_excluded() {
     let mut view = view(2);
     let prompt = prompt(1, 2_000);
     let id = |n: u64| start(&format!("i-{n}"));
     view.unreachable(&id(0), ms(0));
     for context in 0..20 {
         let prompt = self::prompt(context, 2_000);
-        let choice = choose(&view, &ask(&prompt, "all", 0), ms(1)).expect("an engine");
+        let choice = choose(&view, &criteria(&prompt, "all", 0), ms(1)).expect("an engine");
         assert_eq!(choice.target, id(1));
     }
     for _ in 0..3 {
         view.failed(&id(1), FailureCause::Target, ms(1));
     }
-    assert_eq!(choose(&view, &ask(&prompt, "all", 0), ms(2)), Err(SelectionError::NoHealthyTarget));
-    assert!(choose(&view, &ask(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
+    assert_eq!(
+        choose(&view, &criteria(&prompt, "all", 0), ms(2)),
+        Err(SelectionError::NoHealthyTarget)
+    );
+    assert!(choose(&view, &criteria(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
     let tried = [id(0), id(1)];
-    let again = Criteria { tried: &tried, ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &again, ms(600)), Err(SelectionError::NoHealthyTarget));
-    let elsewhere = Criteria { service: "nowhere", ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &elsewhere, ms(0)), Err(SelectionError::NoTargetListed));
+    let retry_criteria = Criteria { tried: &tried, ..criteria(&prompt, "all", 0) };
+    assert_eq!(choose(&view, &retry_criteria, ms(600)), Err(SelectionError::NoHealthyTarget));
+    let unlisted_service = Criteria { service: "nowhere", ..criteria(&prompt, "all", 0) };
+    assert_eq!(choose(&view, &unlisted_service, ms(0)), Err(SelectionError::NoTargetListed));
 }
 
 /// Plain services: calls spread over their targets by what runs there.
 #[test]
-fn plain_calls_go_where_least_runs() {
+fn plain_calls_go_to_the_least_loaded_target() {
     let mut view = FleetView::default();
     view.update(&roster((0..3).map(|n| target(&format!("i-{n}"), "app", address(n)))));
     let mut dispatches = Vec::new();
-    for drawn in 0..30 {
+    for tie_breaker in 0..30 {
         let unused = prompt(0, 0);
-        let ask = Criteria { service: "app", prompt: None, ..ask(&unused, "", drawn) };
-        let choice = choose(&view, &ask, ms(0)).expect("a target");
+        let criteria =
+            Criteria { service: "app", prompt: None, ..criteria(&unused, "", tie_breaker) };
+        let choice = choose(&view, &criteria, ms(0)).expect("a target");
         dispatches.push(view.begin(&choice.target, 0));
     }
     assert!(view.live("app").all(|state| state.running == 10));
@@ -132,7 +137,7 @@
 /// An entry alone while the engines of a model are brought to newer weights, which must be in force
 /// 6 s after they were named.
 #[test]
-fn the_newest_weights_are_preferred_and_older_ones_end_with_the_bound() {
+fn newest_weights_are_preferred_and_older_ones_refused_after_the_bound() {
     let mut listed = [0, 1].map(|n| target(&format!("i-{n}"), "llm", address(n)));
     listed[1].weights.insert("m".to_string(), 2);
     let mut view = FleetView::default();
@@ -142,16 +147,16 @@
     // A returning context would go home to either engine, and reading it again takes 76 ms.
     for context in 0..20 {
         let prompt = prompt(context, 7_000);
-        let ask = Criteria { named: &named, old_weights, ..ask(&prompt, "all", context) };
-        let choice = choose(&view, &ask, ms(1_100)).expect("an engine");
+        let criteria = Criteria { named: &named, old_weights, ..criteria(&prompt, "all", context) };
+        let choice = choose(&view, &criteria, ms(1_100)).expect("an engine");
         assert_eq!((choice.target.id.as_str(), choice.weight_version), ("i-1", Some(2)));
         let tried = [start("i-1")];
-        let again = Criteria { tried: &tried, ..ask };
-        let older = choose(&view, &again, ms(1_100)).expect("an engine");
+        let retry_criteria = Criteria { tried: &tried, ..criteria };
+        let older = choose(&view, &retry_criteria, ms(1_100)).expect("an engine");
         assert_eq!((older.target.id.as_str(), older.weight_version), ("i-0", Some(1)));
         // A prompt begins up to 0.8 s after it was placed, and after what the engine reads before it.
-        assert_eq!(choose(&view, &again, ms(6_200)), Err(SelectionError::OldWeights));
-        assert!(choose(&view, &ask, ms(60_000)).is_ok());
+        assert_eq!(choose(&view, &retry_criteria, ms(6_200)), Err(SelectionError::OldWeights));
+        assert!(choose(&view, &criteria, ms(60_000)).is_ok());
     }
 }
 
@@ -162,15 +167,15 @@
     let named = named_at(ms(1_000));
     let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
     let prompt = prompt(1, 2_000);
-    let ask = Criteria { named: &named, old_weights, ..ask(&prompt, "all", 0) };
-    assert_eq!(choose(&view, &ask, ms(60_000)), Err(SelectionError::OldWeights));
+    let criteria = Criteria { named: &named, old_weights, ..criteria(&prompt, "all", 0) };
+    assert_eq!(choose(&view, &criteria, ms(60_000)), Err(SelectionError::OldWeights));
     view.refused_weights(&start("i-0"), &"m".to_string(), None);
-    let choice = choose(&view, &ask, ms(60_000)).expect("the engine decides");
+    let choice = choose(&view, &criteria, ms(60_000)).expect("the engine decides");
     assert_eq!(choice.weight_version, Some(2));
 }
 
 #[test]
-fn what_an_engine_says_of_its_weights_holds_until_the_list_says_something_new() {
+fn weights_reported_by_an_engine_hold_until_the_list_changes() {
     let (id, model) = (start("i-0"), "m".to_string());
     let listed = |version| {
         let mut listed = target("i-0", "llm", address(0));
@@ -178,17 +183,17 @@
         roster([listed])
     };
     let mut view = FleetView::default();
-    let has = |view: &FleetView| {
+    let weight_version_of = |view: &FleetView| {
         view.get(&start("i-0")).and_then(|state| state.weights.get("m").copied())
     };
     view.update(&listed(1));
     view.observe_weights(&id, &model, 2);
     view.update(&listed(1));
-    assert_eq!(has(&view), Some(2), "the list lags");
+    assert_eq!(weight_version_of(&view), Some(2), "the list lags");
     view.observe_weights(&id, &model, 1);
-    assert_eq!(has(&view), Some(2), "an answer that was overtaken");
+    assert_eq!(weight_version_of(&view), Some(2), "an answer that was overtaken");
     view.refused_weights(&id, &model, Some(1));
-    assert_eq!(has(&view), Some(1), "it refuses, and says why");
+    assert_eq!(weight_version_of(&view), Some(1), "it refuses, and says why");
     view.update(&listed(2));
-    assert_eq!(has(&view), Some(2));
+    assert_eq!(weight_version_of(&view), Some(2));
 }
