--- a/tests/deployment/events.rs
+++ b/tests/deployment/events.rs
@@ -7,8 +7,8 @@
 const STREAM: &str = "id: 1\ndata: a\n\nid: 2\nx-weight-versions: 2\ndata: b\n\nid: 3\ndata: c\n\n";
 
 #[test]
-fn parts_of_events_are_held_back() {
-    let mut events = EventSplitter::default();
+fn partial_events_are_held_back() {
+    let mut splitter = EventSplitter::default();
     let cases = [
         ("id: 1\nda", "", None),
         ("ta: a\n\nid: 2\n", "id: 1\ndata: a\n\n", Some("1")),
@@ -18,54 +18,54 @@
         ("data: no id\n\n", "data: no id\n\n", Some("4")),
     ];
     for (pushed, expected, last) in cases {
-        let whole = events.push(&Bytes::from_static(pushed.as_bytes())).expect("it is small");
+        let whole = splitter.push(&Bytes::from_static(pushed.as_bytes())).expect("it is small");
         assert_eq!(whole, expected, "{pushed:?}");
-        assert_eq!(events.last_id(), last, "{pushed:?}");
+        assert_eq!(splitter.last_id(), last, "{pushed:?}");
     }
-    assert!(!events.has_partial());
+    assert!(!splitter.has_partial());
 }
 
 #[test]
-fn a_part_whose_rest_wont_come_is_dropped() {
-    let mut events = EventSplitter::default();
-    events.push(&Bytes::from_static(b"id: 1\n\nid: 2\nda")).expect("it is small");
-    assert!(events.has_partial());
-    events.discard_partial();
-    let whole = events.push(&Bytes::from_static(b"id: 2\n\n")).expect("it is small");
+fn a_discarded_partial_event_is_not_relayed() {
+    let mut splitter = EventSplitter::default();
+    splitter.push(&Bytes::from_static(b"id: 1\n\nid: 2\nda")).expect("it is small");
+    assert!(splitter.has_partial());
+    splitter.discard_partial();
+    let whole = splitter.push(&Bytes::from_static(b"id: 2\n\n")).expect("it is small");
     assert_eq!(whole, "id: 2\n\n");
 }
 
 #[test]
-fn an_event_without_end_is_given_up() {
-    let mut events = EventSplitter::default();
+fn an_oversized_event_is_refused() {
+    let mut splitter = EventSplitter::default();
     let long = Bytes::from(vec![b'x'; 600 << 10]);
-    assert_eq!(events.push(&long), Ok(Bytes::new()));
-    assert_eq!(events.push(&long), Err(Oversized));
+    assert_eq!(splitter.push(&long), Ok(Bytes::new()));
+    assert_eq!(splitter.push(&long), Err(Oversized));
 }
 
 proptest! {
     #[test]
-    fn however_it_is_cut_all_bytes_pass_in_order(cuts in prop::collection::vec(0..STREAM.len(), 0..8)) {
+    fn all_bytes_pass_in_order_for_any_chunking(cuts in prop::collection::vec(0..STREAM.len(), 0..8)) {
         let mut cuts = cuts;
         cuts.extend([0, STREAM.len()]);
         cuts.sort_unstable();
-        let mut events = EventSplitter::default();
+        let mut splitter = EventSplitter::default();
         let mut passed = Vec::new();
         for pair in cuts.windows(2) {
             let piece = Bytes::copy_from_slice(&STREAM.as_bytes()[pair[0]..pair[1]]);
-            let whole = events.push(&piece).expect("it is small");
+            let whole = splitter.push(&piece).expect("it is small");
             prop_assert!(whole.is_empty() || whole.ends_with(b"\n\n"));
             passed.extend_from_slice(&whole);
         }
         prop_assert_eq!(passed, STREAM.as_bytes());
-        prop_assert_eq!(events.last_id(), Some("3"));
+        prop_assert_eq!(splitter.last_id(), Some("3"));
     }
 
     #[test]
-    fn foreign_bytes_are_no_panic(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..64), 0..16)) {
-        let mut events = EventSplitter::default();
+    fn arbitrary_bytes_do_not_panic(pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..64), 0..16)) {
+        let mut splitter = EventSplitter::default();
         for piece in pieces {
-            let _ = events.push(&Bytes::from(piece));
+            let _ = splitter.push(&Bytes::from(piece));
         }
     }
 }
--- a/tests/deployment/identity.rs
+++ b/tests/deployment/identity.rs
@@ -5,7 +5,7 @@
 use kumquatpost::platform::settings;
 use serde_json::json;
 
-fn host(ip: &str, is_first_start: bool) -> HostSettings {
+fn host_settings(ip: &str, is_first_start: bool) -> HostSettings {
     let file = json!({
         "NodeName": "core", "Ip": ip, "Zone": "hall", "PortRange": [7700, 7715],
         "Seeds": ["10.1.0.1:8000", "10.1.0.2:8000", "10.1.0.3:8000"],
@@ -15,18 +15,18 @@
     settings::decode(file.to_string().as_bytes()).expect("it is valid")
 }
 
-fn opened(host: &HostSettings, folder: &std::path::Path) -> Identity {
-    Identity::open(folder, host).expect("the folder can be used")
+fn open_identity(host_settings: &HostSettings, folder: &std::path::Path) -> Identity {
+    Identity::open(folder, host_settings).expect("the folder can be used")
 }
 
 #[test]
-fn founders_name_each_other_without_talking() {
+fn founders_agree_on_the_founder_set_without_communication() {
     let folders: Vec<_> = (0..4).map(|_| tempfile::tempdir().expect("a folder")).collect();
     let ips = ["10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4"];
     let identities: Vec<Identity> = ips
         .iter()
         .zip(&folders)
-        .map(|(ip, folder)| opened(&host(ip, true), folder.path()))
+        .map(|(ip, folder)| open_identity(&host_settings(ip, true), folder.path()))
         .collect();
     assert!(identities.windows(2).all(|pair| pair[0].founders == pair[1].founders));
     let is_founder = |identity: &Identity| identity.founders.contains_key(&identity.node);
@@ -34,26 +34,26 @@
 }
 
 #[test]
-fn an_identity_lives_and_dies_with_its_disk() {
+fn an_identity_is_kept_across_restarts_and_lost_with_its_disk() {
     let folder = tempfile::tempdir().expect("a folder");
-    let first = opened(&host("10.1.0.1", true), folder.path());
-    let again = opened(&host("10.1.0.1", false), folder.path());
+    let first = open_identity(&host_settings("10.1.0.1", true), folder.path());
+    let again = open_identity(&host_settings("10.1.0.1", false), folder.path());
     assert_eq!(first, again, "a restart with its disk");
     let empty = tempfile::tempdir().expect("a folder");
-    let replaced = opened(&host("10.1.0.1", false), empty.path());
+    let replaced = open_identity(&host_settings("10.1.0.1", false), empty.path());
     assert_ne!(replaced.node, first.node, "its votes and acknowledgements are gone");
     assert!(replaced.founders.is_empty(), "it must not found a system of its own");
 }
 
 #[test]
-fn a_log_without_its_identity_is_not_used() {
+fn a_log_with_a_torn_identity_file_is_removed() {
     let folder = tempfile::tempdir().expect("a folder");
-    opened(&host("10.1.0.1", true), folder.path());
+    open_identity(&host_settings("10.1.0.1", true), folder.path());
     let log = Identity::log_folder(folder.path());
     std::fs::create_dir_all(&log).expect("a folder");
     std::fs::write(log.join("vote"), b"x").expect("a file");
     std::fs::write(folder.path().join("identity"), b"{torn").expect("a file");
-    let torn = opened(&host("10.1.0.1", false), folder.path());
+    let torn = open_identity(&host_settings("10.1.0.1", false), folder.path());
     assert!(torn.founders.is_empty());
     assert!(!log.exists());
 }
--- a/tests/deployment/instances.rs
+++ b/tests/deployment/instances.rs
@@ -14,7 +14,7 @@
    "State":"draining","ColdLeftMs":0,"Id":"i-2"}],"NextToken":"p-50"}"#;
 
 /// An entry that can be read, with another one's place in the page.
-fn sound(n: usize) -> String {
+fn valid_entry(n: usize) -> String {
     format!(
         r#"{{"Service":"llm","Addr":"10.1.0.{n}:80","Zone":"z","Version":"v1","Slots":4,"State":"ready",
         "ColdLeftMs":12.5,"Stage":"colocated","Models":[{{"Name":"m","Version":1,"Adapters":[]}}],
@@ -25,11 +25,11 @@
 /// A page with something between two entries that can be read.
 fn page_around(between: &[u8]) -> Vec<u8> {
     let mut page = b"{\"Instances\":[".to_vec();
-    page.extend_from_slice(sound(1).as_bytes());
+    page.extend_from_slice(valid_entry(1).as_bytes());
     page.push(b',');
     page.extend_from_slice(between);
     page.push(b',');
-    page.extend_from_slice(sound(2).as_bytes());
+    page.extend_from_slice(valid_entry(2).as_bytes());
     page.extend_from_slice(b"],\"NextToken\":\"p-3\"}");
     page
 }
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn a_state_that_is_not_known_names_no_target_and_the_others_hold() {
+fn an_entry_with_an_unknown_state_is_skipped() {
     let page = PAGE.replace("\"ready\"", "\"evacuating\"");
     assert_eq!(ids(&targets(decode(page.as_bytes()))), ["i-2"]);
 }
 
 #[test]
-fn a_page_that_breaks_off_is_no_page() {
+fn a_truncated_page_is_refused() {
     for length in 0..PAGE.len() {
         assert!(instances::decode(&PAGE.as_bytes()[..length]).is_err(), "cut at {length}");
     }
@@ -81,7 +81,7 @@
 
 /// What other writers may leave in the place of a field, and of a whole entry.
 #[test]
-fn an_entry_that_can_not_be_read_names_no_target_and_the_others_hold() {
+fn an_unreadable_entry_is_skipped_and_the_others_are_kept() {
     let fields = [
         (
             "\"Service\":\"llm\",",
@@ -134,9 +134,9 @@
             ],
         ),
     ];
-    for (field, spoilt) in fields {
-        for other in spoilt {
-            let entry = sound(9);
+    for (field, corrupt) in fields {
+        for other in corrupt {
+            let entry = valid_entry(9);
             assert!(entry.contains(field), "{field}");
             let page = decode(&page_around(entry.replace(field, other).as_bytes()));
             assert_eq!(page.entries.len(), 3, "{other} in place of {field}");
@@ -152,22 +152,22 @@
             "{entry}"
         );
     }
-    let long = sound(9).replace("i-9", &"i".repeat(5_000));
+    let long = valid_entry(9).replace("i-9", &"i".repeat(5_000));
     assert_eq!(ids(&targets(decode(&page_around(long.as_bytes())))), ["i-1", "i-2"]);
 }
 
 #[test]
-fn bytes_that_can_not_be_read_lose_their_entry_alone() {
-    let entry = sound(9).into_bytes();
+fn invalid_utf8_affects_only_its_own_entry() {
+    let entry = valid_entry(9).into_bytes();
     for at in 0..entry.len() {
-        let mut spoilt = entry.clone();
-        spoilt[at] = 0xff;
-        let found = targets(decode(&page_around(&spoilt)));
+        let mut corrupt = entry.clone();
+        corrupt[at] = 0xff;
+        let found = targets(decode(&page_around(&corrupt)));
         assert!(ids(&found).contains(&"i-1") && ids(&found).contains(&"i-2"), "at {at}");
         assert!(!ids(&found).iter().any(|id| id.contains('9')), "at {at}");
     }
     // In a field that nothing reads.
-    let noted = sound(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
+    let noted = valid_entry(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
     let noted: Vec<u8> = noted.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
     let page = decode(&page_around(&noted));
     let flaw = UnreadableEntry { id: Some("i-9".to_string()), flaw: EntryError::NotText };
@@ -175,14 +175,18 @@
 }
 
 #[test]
-fn an_entry_that_is_broken_loses_no_other_wherever_it_breaks_off() {
-    let entry = sound(9);
+fn a_truncated_entry_does_not_affect_the_others() {
+    let entry = valid_entry(9);
     for length in 0..entry.len() {
         for page in [
             page_around(&entry.as_bytes()[..length]),
             // The last entry of the page.
-            format!("{{\"Instances\":[{},{}],\"NextToken\":null}}", sound(1), &entry[..length])
-                .into_bytes(),
+            format!(
+                "{{\"Instances\":[{},{}],\"NextToken\":null}}",
+                valid_entry(1),
+                &entry[..length]
+            )
+            .into_bytes(),
         ] {
             let has_second = page.ends_with(b"\"p-3\"}");
             let found = targets(decode(&page));
@@ -197,7 +201,7 @@
 }
 
 #[test]
-fn births_are_whole_numbers_however_they_are_written() {
+fn births_are_parsed_from_any_json_number_notation() {
     for (written, born_ms) in [
         ("1700000000001", 1_700_000_000_001),
         ("1700000000001.0", 1_700_000_000_001),
@@ -205,7 +209,7 @@
         ("0", 0),
         ("-5", -5),
     ] {
-        let entry = sound(1).replace("1700000000001", written);
+        let entry = valid_entry(1).replace("1700000000001", written);
         let page = format!("{{\"Instances\":[{entry}],\"NextToken\":null}}");
         let found = targets(decode(page.as_bytes()));
         assert_eq!(found[0].start.born_ms, Some(born_ms), "{written}");
@@ -225,14 +229,18 @@
 }
 
 #[test]
-fn a_list_tells_births_or_it_does_not() {
-    let unborn = |n| sound(n).replace(&format!("\"born\":17000000000{n:02},"), "");
+fn an_entry_without_birth_is_unreadable_if_others_have_one() {
+    let entry_without_birth =
+        |n| valid_entry(n).replace(&format!("\"born\":17000000000{n:02},"), "");
     // Nobody tells births: a start is its id alone.
-    let none = listing(&[&page_of(&[unborn(1)]), &page_of(&[unborn(2)])]).finish();
+    let none = listing(&[&page_of(&[entry_without_birth(1)]), &page_of(&[entry_without_birth(2)])])
+        .finish();
     let none = none.expect("it can be read").into_targets();
     assert!(none.iter().all(|target| target.start.born_ms.is_none()) && none.len() == 2);
     // Others do, on whichever page: an entry without is another writer's.
-    for pages in [[unborn(1), sound(2)], [sound(2), unborn(1)]] {
+    for pages in
+        [[entry_without_birth(1), valid_entry(2)], [valid_entry(2), entry_without_birth(1)]]
+    {
         let pages = pages.map(|entry| page_of(&[entry]));
         let list = listing(&[&pages[0], &pages[1]]).finish().expect("it can be read");
         let flaw = UnreadableEntry { id: Some("i-1".to_string()), flaw: EntryError::NoBirth };
@@ -242,28 +250,28 @@
 }
 
 #[test]
-fn a_list_of_which_nothing_can_be_read_is_no_list() {
-    let strange = sound(1).replace("\"ready\"", "\"strange\"");
+fn a_list_without_any_readable_entry_is_refused() {
+    let strange = valid_entry(1).replace("\"ready\"", "\"strange\"");
     assert!(listing(&[&page_of(std::slice::from_ref(&strange))]).finish().is_err());
     assert!(listing(&[&page_of(&[])]).finish().is_ok(), "no target runs");
-    let one = listing(&[&page_of(&[strange, sound(2)])]).finish().expect("it can be read");
+    let one = listing(&[&page_of(&[strange, valid_entry(2)])]).finish().expect("it can be read");
     assert_eq!((one.unreadable_count(), one.into_targets().len()), (1, 1));
 }
 
 #[test]
-fn what_is_told_of_unreadable_entries_is_bounded() {
+fn details_of_unreadable_entries_are_bounded() {
     let long = "x".repeat(10_000);
     let entries: Vec<String> =
-        (0..500).map(|n| sound(1).replace("\"ready\"", &format!("\"{long}{n}\""))).collect();
+        (0..500).map(|n| valid_entry(1).replace("\"ready\"", &format!("\"{long}{n}\""))).collect();
     let mut listing = listing(&[&page_of(&entries)]);
-    decode(page_of(&[sound(2)]).as_bytes()).entries.into_iter().for_each(|e| listing.add(e));
+    decode(page_of(&[valid_entry(2)]).as_bytes()).entries.into_iter().for_each(|e| listing.add(e));
     let listing = listing.finish().expect("one can be read");
     assert_eq!(listing.unreadable_count(), 500);
     assert!(format!("{:?}", listing.unreadable()).len() < 20_000);
 }
 
 #[test]
-fn a_long_list_is_read_as_often_as_it_may_be_asked() {
+fn the_read_interval_follows_the_allowed_request_rate() {
     let list = |rate_per_s| TargetListSource { address: crate::fixtures::address(1), rate_per_s };
     assert_eq!(list(44.0).read_interval(3), ms(500));
     assert_eq!(list(50.0).read_interval(60), ms(2_000), "60 pages, 30 calls a second");
