--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -16,12 +16,12 @@
 const ENTRIES: usize = 4;
 const ENGINES: [&str; 6] = ["i-0", "i-1", "i-2", "i-3", "i-4", "i-5"];
 /// The prompt.
-const ENDING: &str = "ends its target";
+const CRASHING_PROMPT: &str = "ends its target";
 /// Its caller sends it again this long after each answer.
-const AGAIN_AFTER: Duration = Duration::from_millis(120);
+const RESEND_DELAY: Duration = Duration::from_millis(120);
 
 /// Until all hosts that are in touch know the prompt.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A caller that sends one prompt again and again, at one entry after the other.
 struct Repeater {
@@ -35,30 +35,30 @@
         Repeater { kind, count: 0, answers: Vec::new() }
     }
 
-    async fn repeat(&mut self, site: &Site, lasts: Duration) {
-        let begun = Instant::now();
-        while begun.elapsed() < lasts {
+    async fn send_for(&mut self, site: &Site, duration: Duration) {
+        let started_at = Instant::now();
+        while started_at.elapsed() < duration {
             self.count += 1;
             let id = format!("{}-ending-{}", self.kind, self.count);
             let entry = site.system.callers(self.count % ENTRIES);
-            let body = ENDING.to_string();
+            let body = CRASHING_PROMPT.to_string();
             let got = stream_with_body(site.client.clone(), entry, self.kind, &id, 5, body).await;
             self.answers.push(got);
-            tokio::time::sleep(AGAIN_AFTER).await;
+            tokio::time::sleep(RESEND_DELAY).await;
         }
     }
 }
 
 /// No engine gets the prompt once all have had time to know it for what it is, but for a few tries.
-fn assert_known(site: &Site, when: &str) {
+fn assert_crashing_prompt_is_quarantined(site: &Site, when: &str) {
     let platform = site.platform.lock();
-    let ending = platform.account.ending.get(ENDING).expect("it has reached engines");
-    assert_eq!(ending.reached_too_often(KNOWN_WITHIN, |_| true), None, "{when}");
+    let ending = platform.account.ending.get(CRASHING_PROMPT).expect("it has reached engines");
+    assert_eq!(ending.reached_too_often(QUARANTINE_TIMEOUT, |_| true), None, "{when}");
 }
 
 /// Another prompt is answered, as soon as the system serves at all, and is never held.
-async fn assert_serves_another(site: &Site, number: usize) {
-    let begun = Instant::now();
+async fn assert_other_prompt_is_answered(site: &Site, number: usize) {
+    let started_at = Instant::now();
     for again in 0.. {
         let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
         let (id, body) = (format!("stream-{number}-{again}"), format!("question {number}"));
@@ -67,56 +67,59 @@
         if got.status == 200 && got.is_whole {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "{number} gets {}: {}", got.status, got.body);
+        assert!(started_at.elapsed() < PATIENCE, "{number} gets {}: {}", got.status, got.body);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-async fn is_kept_from_engines(kind: &'static str, network: u8) {
+async fn check_quarantine_of_crashing_prompt(kind: &'static str, network: u8) {
     let mut site = Site::start_with_entries(ENTRIES, &ENGINES, Vec::new(), network).await;
-    assert_serves_another(&site, 0).await;
+    assert_other_prompt_is_answered(&site, 0).await;
     let mut caller = Repeater::new(kind);
-    caller.repeat(&site, Duration::from_secs(6)).await;
-    assert_known(&site, "calm");
+    caller.send_for(&site, Duration::from_secs(6)).await;
+    assert_crashing_prompt_is_quarantined(&site, "calm");
 
     let replicas = site.system.replicas();
     for replica in replicas.clone().take(2) {
         site.system.kill(replica);
-        caller.repeat(&site, Duration::from_secs(1)).await;
+        caller.send_for(&site, Duration::from_secs(1)).await;
         site.system.start_again(replica, true);
-        caller.repeat(&site, Duration::from_secs(1)).await;
+        caller.send_for(&site, Duration::from_secs(1)).await;
     }
-    assert_known(&site, "replicas are lost, the leader perhaps among them");
+    assert_crashing_prompt_is_quarantined(
+        &site,
+        "replicas are lost, the leader perhaps among them",
+    );
 
     replicas.clone().for_each(|replica| site.system.kill(replica));
     replicas.clone().for_each(|replica| site.system.start_again(replica, false));
-    caller.repeat(&site, Duration::from_secs(3)).await;
-    assert_known(&site, "all replicas start again");
+    caller.send_for(&site, Duration::from_secs(3)).await;
+    assert_crashing_prompt_is_quarantined(&site, "all replicas start again");
 
     (0..ENTRIES).for_each(|entry| site.system.kill(entry));
     (0..ENTRIES).for_each(|entry| site.system.start_again(entry, false));
-    caller.repeat(&site, Duration::from_secs(3)).await;
-    assert_known(&site, "all entries start again");
+    caller.send_for(&site, Duration::from_secs(3)).await;
+    assert_crashing_prompt_is_quarantined(&site, "all entries start again");
 
     (0..ENTRIES).chain(replicas.clone()).for_each(|n| site.system.kill(n));
     (0..ENTRIES).chain(replicas).for_each(|n| site.system.start_again(n, false));
-    caller.repeat(&site, Duration::from_secs(4)).await;
-    assert_known(&site, "all processes start again");
+    caller.send_for(&site, Duration::from_secs(4)).await;
+    assert_crashing_prompt_is_quarantined(&site, "all processes start again");
 
     let last = caller.answers.last().expect("there are some");
     assert_eq!(last.status, 503, "refused as not run: {}", last.body);
     for number in 1_000..1_020 {
-        assert_serves_another(&site, number).await;
+        assert_other_prompt_is_answered(&site, number).await;
     }
     assert_eq!(site.platform.lock().account.violations, Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_under_which_engines_end_is_kept_from_them_at_all_entries_and_over_restarts() {
-    is_kept_from_engines("stream", 241).await;
+async fn a_prompt_that_crashes_engines_is_quarantined_at_all_entries_and_across_restarts() {
+    check_quarantine_of_crashing_prompt("stream", 241).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumable_prompt_under_which_engines_end_is_kept_from_them_as_well() {
-    is_kept_from_engines("resumable", 242).await;
+async fn a_resumable_prompt_that_crashes_engines_is_quarantined_as_well() {
+    check_quarantine_of_crashing_prompt("resumable", 242).await;
 }
--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -14,7 +14,7 @@
 const ENGINES: usize = 6;
 
 /// Replicas before engines with weights 1. The engines end with the runtime.
-fn before_engines(runtime: &tokio::runtime::Runtime) -> (Platform, Core) {
+fn start_replicas_with_engines(runtime: &tokio::runtime::Runtime) -> (Platform, Core) {
     let platform = Platform::new();
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let list = runtime.block_on(async {
@@ -38,7 +38,7 @@
 #[test]
 fn named_weights_are_loaded_by_all_engines() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let (platform, core) = before_engines(&runtime);
+    let (platform, core) = start_replicas_with_engines(&runtime);
     platform.lock().named_weights = 2;
     name_weights_2(&core);
     core.eventually("all engines run them", |_| {
@@ -50,7 +50,7 @@
 }
 
 /// The weights that a replica tells an entry of first, with the time since they were named.
-async fn told_first(replica: SocketAddr) -> std::io::Result<(u64, Duration)> {
+async fn first_reported_weights(replica: SocketAddr) -> std::io::Result<(u64, Duration)> {
     let mut stream = TcpStream::connect(replica).await?;
     let entry = Handshake::Entry {
         name: "entry".into(),
@@ -85,7 +85,7 @@
         core.run(host, false);
         let mut told = None;
         core.eventually("it is sure to know all that was decided", |core| {
-            let telling = told_first(core.peer_address(host));
+            let telling = first_reported_weights(core.peer_address(host));
             let heard = runtime
                 .block_on(async { tokio::time::timeout(Duration::from_secs(10), telling).await });
             told = heard.ok().and_then(Result::ok);
@@ -103,9 +103,9 @@
 /// was told for as long.
 /// What proved it: the order lines of that day's log, and engines that hold their orders, below.
 #[test]
-fn engines_that_do_not_answer_their_order_do_not_hold_up_the_others() {
+fn engines_that_do_not_answer_their_order_do_not_delay_the_others() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let (platform, core) = before_engines(&runtime);
+    let (platform, core) = start_replicas_with_engines(&runtime);
     {
         let mut inner = platform.lock();
         (inner.named_weights, inner.holds_orders) = (2, true);
