--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -50,50 +50,50 @@
 /// One entry as it starts, on a virtual clock.
 struct Entry {
     domain: DomainId,
-    sources: Subscriptions,
-    hearings: Vec<Subscription>,
+    subscriptions: Subscriptions,
+    active: Vec<Subscription>,
     held: HeldRoster,
     /// Bytes of lists that it was sent, and those of them from other failure domains.
     bytes: usize,
-    bytes_between: usize,
-    whole_at: Option<Duration>,
+    cross_domain_bytes: usize,
+    complete_at: Option<Duration>,
 }
 
 impl Entry {
     fn new(n: usize) -> Entry {
         Entry {
             domain: domain(n),
-            sources: Subscriptions::new(domain(n)),
-            hearings: Vec::new(),
+            subscriptions: Subscriptions::new(domain(n)),
+            active: Vec::new(),
             held: HeldRoster::default(),
             bytes: 0,
-            bytes_between: 0,
-            whole_at: None,
+            cross_domain_bytes: 0,
+            complete_at: None,
         }
     }
 
     /// Hears a regular word of each replica that it hears, and is sent what it asks for.
-    fn hear(
+    fn observe_replicas(
         &mut self,
         replicas: &BTreeMap<IpAddr, DomainId>,
         list: &VersionedRoster,
         now: Duration,
     ) {
         let known: BTreeSet<IpAddr> = replicas.keys().copied().collect();
-        self.sources.observe_domains(replicas.clone());
+        self.subscriptions.observe_domains(replicas.clone());
         let mut random = SmallRng::seed_from_u64(self.bytes as u64);
         let mut kept = Vec::new();
-        for hearing in std::mem::take(&mut self.hearings) {
-            if self.sources.should_switch(&hearing, &known, now) {
-                let last = Some(hearing.replica);
-                self.sources.end(hearing, false, now);
-                kept.extend(self.sources.begin(&known, last, now, &mut random));
+        for subscription in std::mem::take(&mut self.active) {
+            if self.subscriptions.should_switch(&subscription, &known, now) {
+                let last = Some(subscription.replica);
+                self.subscriptions.end(subscription, false, now);
+                kept.extend(self.subscriptions.begin(&known, last, now, &mut random));
             } else {
-                kept.push(hearing);
+                kept.push(subscription);
             }
         }
-        for hearing in &mut kept {
-            let asked = self.sources.request(hearing, self.held, &known, now);
+        for subscription in &mut kept {
+            let asked = self.subscriptions.request(subscription, self.held, &known, now);
             if asked.is_none_or(|asked| asked.whole == list.version()) {
                 continue;
             }
@@ -102,16 +102,16 @@
                 .map(|piece| encode(&Update::RosterPiece(piece)).len())
                 .sum();
             self.bytes += bytes;
-            if replicas[&hearing.replica] != self.domain {
-                self.bytes_between += bytes;
+            if replicas[&subscription.replica] != self.domain {
+                self.cross_domain_bytes += bytes;
             }
-            let takes = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
-            self.whole_at.get_or_insert(now + takes);
+            let transfer_time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
+            self.complete_at.get_or_insert(now + transfer_time);
         }
-        self.hearings = kept;
-        if self.whole_at.is_some_and(|at| at <= now) {
+        self.active = kept;
+        if self.complete_at.is_some_and(|at| at <= now) {
             self.held.whole = list.version();
-            self.sources.roster_complete();
+            self.subscriptions.roster_complete();
         }
     }
 }
@@ -123,11 +123,11 @@
     for (n, entry) in entries.iter_mut().enumerate() {
         let mut random = SmallRng::seed_from_u64(n as u64);
         for _ in 0..2 {
-            entry.hearings.extend(entry.sources.begin(&seeds, None, ms(0), &mut random));
+            entry.active.extend(entry.subscriptions.begin(&seeds, None, ms(0), &mut random));
         }
         // Connecting takes some milliseconds, a regular word comes four times a second.
         for now in [ms(5), ms(10), ms(255), ms(260), ms(505), ms(755), ms(1_005), ms(2_005)] {
-            entry.hear(replicas, list, now);
+            entry.observe_replicas(replicas, list, now);
         }
     }
     entries
@@ -144,71 +144,71 @@
 /// DecisionTrace: the list is at most 40 bytes a target, sent once to each entry and from its own failure
 /// domain; an entry's link of 10 Mbit/s takes a tenth of a second for that.
 #[test]
-fn entries_that_start_at_once_are_sent_the_list_once_and_from_their_own_domain() {
+fn entries_starting_together_get_the_list_once_and_from_their_own_domain() {
     let (replicas, list) = (replicas_in(0..DOMAINS), list(1));
     for entry in start_all(&replicas, &list) {
         assert!(entry.bytes > 0 && entry.bytes <= usize::from(TARGETS) * 40, "{}", entry.bytes);
-        assert_eq!(entry.bytes_between, 0);
-        assert!(entry.whole_at.is_some_and(|at| at < ms(150)), "{:?}", entry.whole_at);
-        assert!(entry.sources_are_near(&replicas));
+        assert_eq!(entry.cross_domain_bytes, 0);
+        assert!(entry.complete_at.is_some_and(|at| at < ms(150)), "{:?}", entry.complete_at);
+        assert!(entry.has_subscription_in_own_domain(&replicas));
     }
 }
 
 impl Entry {
-    fn sources_are_near(&self, replicas: &BTreeMap<IpAddr, DomainId>) -> bool {
-        self.hearings.len() == 2
-            && self.hearings.iter().any(|hearing| replicas[&hearing.replica] == self.domain)
+    fn has_subscription_in_own_domain(&self, replicas: &BTreeMap<IpAddr, DomainId>) -> bool {
+        self.active.len() == 2
+            && self.active.iter().any(|subscription| replicas[&subscription.replica] == self.domain)
     }
 }
 
 /// No replica is in the entry's failure domain: the list comes from another one, once.
 #[test]
-fn entries_without_a_replica_of_their_domain_are_sent_the_list_once() {
+fn entries_without_a_replica_in_their_domain_get_the_list_once() {
     let (replicas, list) = (replicas_in(0..3), list(1));
     for entry in start_all(&replicas, &list) {
         assert!(entry.bytes > 0 && entry.bytes <= usize::from(TARGETS) * 40, "{}", entry.bytes);
-        assert!(entry.whole_at.is_some_and(|at| at < ms(150)), "{:?}", entry.whole_at);
+        assert!(entry.complete_at.is_some_and(|at| at < ms(150)), "{:?}", entry.complete_at);
     }
 }
 
 /// The only replica of the failure domain is gone: it costs one timeout, not the list.
 #[test]
-fn a_replica_of_the_own_domain_that_is_gone_is_not_waited_for() {
+fn an_unreachable_replica_of_the_own_domain_does_not_delay_an_entry() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
-    let mut sources = Subscriptions::new(domain(0));
-    sources.observe_domains(replicas_in(0..3));
+    let mut subscriptions = Subscriptions::new(domain(0));
+    subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let near = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     assert_eq!(near.replica, replica(0));
-    sources.end(near, true, ms(250));
+    subscriptions.end(near, true, ms(250));
     let mut other =
-        sources.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
+        subscriptions.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
     assert_ne!(other.replica, replica(0));
     let held = HeldRoster::default();
-    assert!(!sources.should_switch(&other, &replicas, ms(310)), "it has just failed");
-    assert!(sources.request(&mut other, held, &replicas, ms(310)).is_some());
-    sources.roster_complete();
-    assert!(sources.should_switch(&other, &replicas, ms(4_000)), "it may be back");
+    assert!(!subscriptions.should_switch(&other, &replicas, ms(310)), "it has just failed");
+    assert!(subscriptions.request(&mut other, held, &replicas, ms(310)).is_some());
+    subscriptions.roster_complete();
+    assert!(subscriptions.should_switch(&other, &replicas, ms(4_000)), "it may be back");
 }
 
 /// The replica that tells the list dies in the midst: another one goes on where it was.
 #[test]
-fn a_list_goes_on_where_it_was_at_another_replica() {
+fn a_transfer_resumes_at_another_replica() {
     let list = list(7);
     let publisher = shared(1, list.clone());
     let mut assembly = Assembly::default();
-    let whole = take_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
+    let whole = receive_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
     assert_eq!(whole, None);
     let part = assembly.progress();
     assert_eq!(part, (list.version(), 4));
     let request = RosterSubscription { part, ..RosterSubscription::default() };
     let (other, rest) = (shared(2, list.clone()), split(&list).len() - 4);
-    let whole = take_pieces(&other, request, rest, &mut assembly);
+    let whole = receive_pieces(&other, request, rest, &mut assembly);
     assert_eq!(whole.map(|whole| whole.version()), Some(list.version()));
 }
 
 /// Has a replica tell so many pieces.
-fn take_pieces(
+fn receive_pieces(
     replica: &Shared,
     request: RosterSubscription,
     count: usize,
@@ -233,7 +233,7 @@
 
 /// An entry that turns to another replica is told the differences, not the list.
 #[test]
-fn an_entry_that_holds_an_earlier_list_is_told_what_has_changed() {
+fn an_entry_with_an_earlier_list_gets_only_the_changes() {
     let earlier = list(7);
     let replica = shared(1, earlier.clone());
     let leaves = earlier.roster.iter().next().expect("a target").clone();
@@ -254,19 +254,19 @@
 /// The other one of the two replicas that an entry hears tells who leaves, and not what else changes, as
 /// long as the first one does.
 #[test]
-fn changes_are_told_by_one_replica_and_who_leaves_by_both() {
+fn one_replica_sends_changes_and_both_send_leaving_targets() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
-    let mut sources = Subscriptions::new(domain(0));
-    sources.observe_domains(replicas_in(0..3));
+    let mut subscriptions = Subscriptions::new(domain(0));
+    subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let mut near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
-    let mut far = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut near = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut far = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let (earlier, later) = (list(7), changed_list(&list(7)));
     let held = HeldRoster { whole: earlier.version(), ..HeldRoster::default() };
     let detail = |asked: Option<RosterSubscription>| asked.map(|asked| asked.detail);
-    let asked = sources.request(&mut near, held, &replicas, ms(5));
+    let asked = subscriptions.request(&mut near, held, &replicas, ms(5));
     assert_eq!(detail(asked), Some(RosterDetail::Changes));
-    let asked = sources.request(&mut far, held, &replicas, ms(5)).expect("it follows");
+    let asked = subscriptions.request(&mut far, held, &replicas, ms(5)).expect("it follows");
     assert_eq!(asked.detail, RosterDetail::Versions);
     let replica = shared(1, earlier);
     let mut publisher = RosterPublisher::default();
@@ -280,8 +280,12 @@
     };
     assert_eq!((version, leaving.len()), (later.version(), 1));
     far.observe_name(version, ms(300));
-    assert_eq!(sources.request(&mut far, held, &replicas, ms(400)), None, "the other one tells it");
-    let asked = sources.request(&mut far, held, &replicas, ms(560));
+    assert_eq!(
+        subscriptions.request(&mut far, held, &replicas, ms(400)),
+        None,
+        "the other one tells it"
+    );
+    let asked = subscriptions.request(&mut far, held, &replicas, ms(560));
     assert_eq!(detail(asked), Some(RosterDetail::Changes), "the other one has not");
 }
 
@@ -298,7 +302,7 @@
 /// An entry holds a later list than the replica that it turns to: it is told nothing older, and follows
 /// once the replica has that list.
 #[test]
-fn a_replica_that_is_behind_tells_no_list() {
+fn a_lagging_replica_sends_no_older_list() {
     let (earlier, later) = (list(7), list(8));
     let replica = shared(1, earlier);
     let mut publisher = RosterPublisher::default();
@@ -315,7 +319,7 @@
 /// Replicas tell each other what has changed. A replica that takes a change knows all that the other one does,
 /// also who left before: it may have to read the next list itself.
 #[test]
-fn a_replica_that_is_told_a_change_remembers_who_leaves() {
+fn a_replica_that_applies_a_change_keeps_leaving_targets() {
     let (before, after) = (list(7), changed_list(&list(7)));
     let leaves = before.roster.iter().next().expect("a target").start.clone();
     // The reader saw it leave, and lists it no more.
@@ -350,7 +354,7 @@
 
 /// Bytes that make no list, and pieces out of order.
 #[test]
-fn pieces_that_make_no_list_are_refused() {
+fn damaged_or_mismatched_pieces_are_refused() {
     let pieces = split(&list(7));
     let mut assembly = Assembly::default();
     assert_eq!(assembly.take(&pieces[1]).err(), Some(PieceError::Damaged), "one is missing");
@@ -383,15 +387,18 @@
 /// the end of a read.
 #[test]
 fn replicas_wait_for_a_leader_that_reads_a_long_list() {
-    let lasts = ms(900);
-    let mut turn = ReaderElection::new(ms(0));
-    let mut begins = ms(0);
+    let read_duration = ms(900);
+    let mut election = ReaderElection::new(ms(0));
+    let mut read_start = ms(0);
     for _ in 0..10 {
-        let ends = begins + lasts;
-        let due = turn.takeover_at(0.0, 0, READ_INTERVAL);
-        assert!(begins == ms(0) || due >= ends, "it reads at {due:?}, the leader until {ends:?}");
-        turn.record_read(begins);
-        turn.record_duration(lasts);
-        begins = ends + READ_INTERVAL;
+        let read_end = read_start + read_duration;
+        let due = election.takeover_at(0.0, 0, READ_INTERVAL);
+        assert!(
+            read_start == ms(0) || due >= read_end,
+            "it reads at {due:?}, the leader until {read_end:?}"
+        );
+        election.record_read(read_start);
+        election.record_duration(read_duration);
+        read_start = read_end + READ_INTERVAL;
     }
 }
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -14,7 +14,7 @@
 
 use crate::fixtures::{address, ms, roster, target};
 
-fn engines_with(versions: &[u64]) -> Roster {
+fn engines_with_versions(versions: &[u64]) -> Roster {
     let engine = |(n, version): (usize, &u64)| -> Listed {
         let mut engine = target(&format!("i-{n:02}"), "llm", address(n as u16));
         engine.weights.insert("m".to_string(), *version);
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn a_quarter_of_the_engines_is_kept_from_prompts_and_a_sixth_loads() {
-    let roster = engines_with(&[1; 12]);
+fn at_most_a_quarter_of_the_engines_is_ordered_and_a_sixth_loads() {
+    let roster = engines_with_versions(&[1; 12]);
     assert_eq!(max_concurrent_loads(&roster, &"m".to_string()), 2);
     let mut under_way = BTreeSet::new();
     for expected in [3, 0] {
@@ -45,24 +45,24 @@
 
 /// Orders that are carried out seconds late: a quarter changes at a time, and half and a quarter wait.
 #[test]
-fn engines_that_are_awaited_leave_their_place_to_others_but_some_are_never_told_at_once() {
-    let roster = engines_with(&[1; 12]);
+fn unanswered_orders_do_not_block_others_but_some_engines_are_never_ordered_at_once() {
+    let roster = engines_with_versions(&[1; 12]);
     let (changing, mut unanswered) = (BTreeSet::new(), BTreeSet::new());
-    let mut told = Vec::new();
+    let mut order_counts = Vec::new();
     for _ in 0..5 {
         let next = next_loads(&roster, &named(2), &changing, &unanswered, is_llm);
-        told.push(next.len());
+        order_counts.push(next.len());
         unanswered.extend(next.into_iter().map(|lagging| lagging.engine));
     }
-    assert_eq!(told, [3, 3, 3, 0, 0]);
+    assert_eq!(order_counts, [3, 3, 3, 0, 0]);
 }
 
 #[test]
-fn a_small_fleet_goes_on_one_by_one() {
-    assert_eq!(max_concurrent_loads(&engines_with(&[1, 1, 1]), &"m".to_string()), 1);
+fn a_small_fleet_loads_one_engine_at_a_time() {
+    assert_eq!(max_concurrent_loads(&engines_with_versions(&[1, 1, 1]), &"m".to_string()), 1);
     assert_eq!(
         next_loads(
-            &engines_with(&[1, 1, 1]),
+            &engines_with_versions(&[1, 1, 1]),
             &named(2),
             &BTreeSet::new(),
             &BTreeSet::new(),
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn engines_that_lag_are_found_whichever_version_they_have() {
+fn engines_furthest_behind_are_ordered_first() {
     // One that starts again with old weights, one that missed a version, one that is ahead.
-    let roster = engines_with(&[4, 3, 2, 5, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4]);
+    let roster = engines_with_versions(&[4, 3, 2, 5, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4]);
     let next = next_loads(&roster, &named(4), &BTreeSet::new(), &BTreeSet::new(), is_llm);
     let names: Vec<&str> = next.iter().map(|lagging| lagging.engine.id.as_str()).collect();
     assert_eq!(names, ["i-02", "i-01"], "what has missed most goes first");
 }
 
 #[test]
-fn a_leaving_engine_and_other_models_are_left_alone() {
+fn leaving_engines_and_other_models_get_no_orders() {
     let mut leaving = target("i-1", "llm", address(1));
     leaving.presence = Presence::Leaving;
     let mut other = target("i-2", "llm", address(2));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_order_names_its_holder_and_what_it_expects() {
+fn an_order_carries_its_holder_fencing_token_and_precondition() {
     let order = WeightOrder {
         model: "m".to_string(),
         version: 2,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_report_is_read() {
+fn an_engine_report_is_decoded() {
     let text = br#"{"Stage":"colocated","Models":[{"Name":"m","Version":2,"Adapters":[]}],
         "Busy":true,"Seq":2,"Waiting":1,"Running":12,"KvUsed":41000,"KvTotal":90000,"Handles":0}"#;
     let report = engines::decode_report(text).expect("a report");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_report_tells_which_start_it_is_of() {
+fn a_report_identifies_the_start_of_its_engine() {
     let report = |born: &str| engines::decode_report(format!(r#"{{"Seq":2{born}}}"#).as_bytes());
     assert_eq!(report("").expect("a report").born_ms, None);
     assert_eq!(
@@ -146,17 +146,17 @@
 }
 
 #[test]
-fn an_entry_of_an_unknown_service_is_told_nothing_and_keeps_nobody_waiting() {
-    let mut strange = target("a-first", "unheard", address(1));
-    strange.weights = BTreeMap::from([("m".to_string(), 1)]);
-    let roster = roster([strange, target("i-1", "llm", address(2))]);
+fn a_target_of_an_unknown_service_gets_no_order_and_does_not_delay_others() {
+    let mut unknown_service = target("a-first", "unheard", address(1));
+    unknown_service.weights = BTreeMap::from([("m".to_string(), 1)]);
+    let roster = roster([unknown_service, target("i-1", "llm", address(2))]);
     let next = next_loads(&roster, &named(2), &BTreeSet::new(), &BTreeSet::new(), is_llm);
     assert_eq!(next.iter().map(|next| next.engine.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
 }
 
 /// Weights 2 are named at 10 s; older ones may be used for 8.4 s.
 #[test]
-fn the_age_of_a_naming_is_recorded_each_second_until_nothing_depends_on_it() {
+fn weight_age_is_recorded_each_second_until_the_bound_has_passed() {
     let mut named = RolloutHistories::new();
     observe_named(&mut named, &"m".to_string(), 2, ms(10_000), ms(10_000));
     let mut state = ControlState::default();
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_replica_that_hears_of_a_naming_late_takes_it_for_old() {
+fn a_replica_that_learns_of_weights_late_assumes_a_minimum_age() {
     let mut state = ControlState::default();
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     let age =
