--- a/tests/deployment/budget.rs
+++ b/tests/deployment/budget.rs
@@ -1,4 +1,4 @@
-//! Retries that one entry may make.
+//! Retry budgets of single entries.
 
 use kumquatpost::fleet::budget::{RetryBudget, RetryLimit};
 
@@ -32,7 +32,7 @@
     let mut budget = RetryBudget::new(RETRY_LIMIT, 8);
     (0..100).for_each(|_| budget.record_request(&"app".to_string(), ms(0)));
     assert!(count_allowed_retries(&mut budget, 1) > 10);
-    assert_eq!(count_allowed_retries(&mut budget, 5_000), 0, "used up");
+    assert_eq!(count_allowed_retries(&mut budget, 5_000), 0, "the budget is used up");
     assert!(count_allowed_retries(&mut budget, 10_500) > 0, "earlier retries have left the window");
 }
 
--- a/tests/deployment/essential_tasks.rs
+++ b/tests/deployment/essential_tasks.rs
@@ -1,11 +1,11 @@
-//! Essential tasks.
+//! Detection of essential tasks that panic or return.
 
 use std::time::Duration;
 
 use kumquatpost::essential_tasks::essential_tasks;
 use tokio::task::LocalSet;
 
-/// An end that is noticed is noticed at once; one that is not must not keep the test for ever.
+/// Keeps the test from hanging if an exit goes unnoticed.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn first_exit_message(task: impl Future<Output = ()> + 'static) -> String {
@@ -16,7 +16,7 @@
         tasks.spawn("other", std::future::pending());
         tasks.spawn("ordering", task);
         let first = tokio::time::timeout(EXIT_TIMEOUT, first_exit.wait()).await;
-        first.expect("the end is noticed").to_string()
+        first.expect("the exit is reported").to_string()
     })
 }
 
--- a/tests/deployment/events.rs
+++ b/tests/deployment/events.rs
@@ -1,4 +1,4 @@
-//! Whole events of a stream.
+//! Splitting of a response stream into complete events.
 
 use bytes::Bytes;
 use kumquatpost::gateway::events::{EventSplitter, Oversized};
--- a/tests/deployment/identity.rs
+++ b/tests/deployment/identity.rs
@@ -1,4 +1,4 @@
-//! Who a replica is, over restarts and lost disks.
+//! Identity of a replica across restarts and disk loss.
 
 use kumquatpost::control::identity::Identity;
 use kumquatpost::host::HostSettings;
@@ -12,11 +12,11 @@
         "FirstStart": is_first_start, "Limits": {"MemoryMb": 256, "MaxFds": 4096},
         "DataDir": null, "Cloud": null, "Bounds": {}
     });
-    settings::decode(file.to_string().as_bytes()).expect("it is valid")
+    settings::decode(file.to_string().as_bytes()).expect("the settings are valid")
 }
 
 fn open_identity(host_settings: &HostSettings, folder: &std::path::Path) -> Identity {
-    Identity::open(folder, host_settings).expect("the folder can be used")
+    Identity::open(folder, host_settings).expect("the folder is writable")
 }
 
 #[test]
@@ -38,11 +38,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let first = open_identity(&host_settings("10.1.0.1", true), folder.path());
     let again = open_identity(&host_settings("10.1.0.1", false), folder.path());
-    assert_eq!(first, again, "a restart with its disk");
+    assert_eq!(first, again, "restart with the same disk");
     let empty = tempfile::tempdir().expect("a folder");
     let replaced = open_identity(&host_settings("10.1.0.1", false), empty.path());
-    assert_ne!(replaced.node, first.node, "its votes and acknowledgements are gone");
-    assert!(replaced.founders.is_empty(), "it must not found a system of its own");
+    assert_ne!(replaced.node, first.node, "votes and acknowledgements were lost with the disk");
+    assert!(replaced.founders.is_empty(), "a replaced replica must not found a second system");
 }
 
 #[test]
--- a/tests/deployment/main.rs
+++ b/tests/deployment/main.rs
@@ -1,5 +1,5 @@
-//! Tests of what runs on the platform: translation, deployments, the fleet, replicas' decisions, the
-//! scheduler on a virtual clock, and an entry before stand-in targets.
+//! Tests of the platform deployment: decoding of platform documents, deployments, the fleet, replicas, the
+//! scheduler on a virtual clock, and an entry in front of stand-in targets.
 
 mod asking;
 mod boundary;
@@ -26,10 +26,10 @@
 mod memory;
 mod orders;
 mod placement;
-#[allow(dead_code, reason = "the soak uses the rest")]
+#[allow(dead_code, reason = "the soak test uses the rest")]
 #[path = "../platform_stand_in/mod.rs"]
 mod platform_stand_in;
-#[allow(dead_code, reason = "the soak uses the rest")]
+#[allow(dead_code, reason = "the soak test uses the rest")]
 #[path = "../soak/system.rs"]
 mod processes;
 mod reading;
