--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by an entry alone.
+//! Target selection by an entry without a scheduler.
 
 use std::time::Duration;
 
@@ -40,15 +40,15 @@
     }
 }
 
-/// Weights 2 were named then.
+/// A history in which weights 2 were named at the given time.
 fn named_at(at: Duration) -> RolloutHistories {
     let mut named = RolloutHistories::new();
     observe_named(&mut named, &"m".to_string(), 2, at, at);
     named
 }
 
-/// A returning context goes where it was, whichever entry it reaches, also after another engine
-/// has come or gone: entries don't talk about it.
+/// Entries choose the same engine for a context without exchanging state; removing an engine moves
+/// only the contexts that were placed on it.
 #[test]
 fn contexts_keep_their_engine_across_entries_and_fleet_changes() {
     let (all, without_last) = (view(12), view(11));
@@ -61,7 +61,7 @@
         assert_eq!(chosen_target(&all, 1), chosen_target(&all, 2));
         moved += usize::from(chosen_target(&all, 1) != chosen_target(&without_last, 1));
     }
-    assert!((20..=80).contains(&moved), "only those of the engine that went: {moved}");
+    assert!((20..=80).contains(&moved), "only contexts of the removed engine move: {moved}");
 }
 
 #[test]
@@ -76,7 +76,7 @@
     assert!(counts.values().all(|count| (60..=140).contains(count)), "{counts:?}");
 }
 
-/// A hot context: its home fills up, and the next ones go elsewhere rather than wait.
+/// Prompts with a popular context must not queue on one full engine while others are free.
 #[test]
 fn a_full_preferred_engine_overflows_to_the_others() {
     let mut view = view(4);
@@ -110,7 +110,10 @@
         choose(&view, &criteria(&prompt, "all", 0), ms(2)),
         Err(SelectionError::NoHealthyTarget)
     );
-    assert!(choose(&view, &criteria(&prompt, "all", 0), ms(600)).is_ok(), "one is tried again");
+    assert!(
+        choose(&view, &criteria(&prompt, "all", 0), ms(600)).is_ok(),
+        "unhealthy engines are tried again"
+    );
     let tried = [id(0), id(1)];
     let retry_criteria = Criteria { tried: &tried, ..criteria(&prompt, "all", 0) };
     assert_eq!(choose(&view, &retry_criteria, ms(600)), Err(SelectionError::NoHealthyTarget));
@@ -118,7 +121,6 @@
     assert_eq!(choose(&view, &unlisted_service, ms(0)), Err(SelectionError::NoTargetListed));
 }
 
-/// Plain services: calls spread over their targets by what runs there.
 #[test]
 fn plain_calls_go_to_the_least_loaded_target() {
     let mut view = FleetView::default();
@@ -134,8 +136,8 @@
     assert!(view.live("app").all(|state| state.running == 10));
 }
 
-/// An entry alone while the engines of a model are brought to newer weights, which must be in force
-/// 6 s after they were named.
+/// Weights are rolled out while the entry has no scheduler; older weights are allowed until 6 s after
+/// newer ones were named.
 #[test]
 fn newest_weights_are_preferred_and_older_ones_refused_after_the_bound() {
     let mut listed = [0, 1].map(|n| target(&format!("i-{n}"), "llm", address(n)));
@@ -144,7 +146,7 @@
     view.update(&roster(listed));
     let named = named_at(ms(1_000));
     let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
-    // A returning context would go home to either engine, and reading it again takes 76 ms.
+    // Contexts prefer either engine, and prefilling one on the other engine takes 76 ms.
     for context in 0..20 {
         let prompt = prompt(context, 7_000);
         let criteria = Criteria { named: &named, old_weights, ..criteria(&prompt, "all", context) };
@@ -154,13 +156,13 @@
         let retry_criteria = Criteria { tried: &tried, ..criteria };
         let older = choose(&view, &retry_criteria, ms(1_100)).expect("an engine");
         assert_eq!((older.target.id.as_str(), older.weight_version), ("i-0", Some(1)));
-        // A prompt begins up to 0.8 s after it was placed, and after what the engine reads before it.
+        // A prompt starts up to 0.8 s after its placement, plus the prefill time of prompts ahead of it.
         assert_eq!(choose(&view, &retry_criteria, ms(6_200)), Err(SelectionError::OldWeights));
         assert!(choose(&view, &criteria, ms(60_000)).is_ok());
     }
 }
 
-/// Nothing is known of what an engine runs, or it refused and did not say.
+/// The list does not tell the weights of the engine, or the engine refused a prompt without telling them.
 #[test]
 fn an_engine_whose_weights_are_unknown_must_run_the_newest_named_ones() {
     let mut view = view(1);
@@ -170,7 +172,8 @@
     let criteria = Criteria { named: &named, old_weights, ..criteria(&prompt, "all", 0) };
     assert_eq!(choose(&view, &criteria, ms(60_000)), Err(SelectionError::OldWeights));
     view.refused_weights(&start("i-0"), &"m".to_string(), None);
-    let choice = choose(&view, &criteria, ms(60_000)).expect("the engine decides");
+    let choice =
+        choose(&view, &criteria, ms(60_000)).expect("the engine checks the version itself");
     assert_eq!(choice.weight_version, Some(2));
 }
 
@@ -189,11 +192,11 @@
     view.update(&listed(1));
     view.observe_weights(&id, &model, 2);
     view.update(&listed(1));
-    assert_eq!(weight_version_of(&view), Some(2), "the list lags");
+    assert_eq!(weight_version_of(&view), Some(2), "an outdated list is ignored");
     view.observe_weights(&id, &model, 1);
-    assert_eq!(weight_version_of(&view), Some(2), "an answer that was overtaken");
+    assert_eq!(weight_version_of(&view), Some(2), "an outdated answer is ignored");
     view.refused_weights(&id, &model, Some(1));
-    assert_eq!(weight_version_of(&view), Some(1), "it refuses, and says why");
+    assert_eq!(weight_version_of(&view), Some(1), "a refusal tells the actual version");
     view.update(&listed(2));
     assert_eq!(weight_version_of(&view), Some(2));
 }
--- a/tests/deployment/untrusted_input.rs
+++ b/tests/deployment/untrusted_input.rs
@@ -1,4 +1,4 @@
-//! Whatever comes from outside: nothing panics, and a target sees only what a caller sent.
+//! Malformed input from outside: decoding never panics, and targets get only requests that a caller sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::load::{ask_of, scheduler};
 use crate::stand_in::{StandIn, Then, header};
 
-/// Documents of each kind that is decoded, to be spoilt.
+/// Valid documents of each decoded kind, which the tests corrupt.
 const DOCUMENTS: [&str; 7] = [
     r#"{"NodeName":"c","Ip":"10.1.0.3","Zone":"h","Listen":{"Control":"10.1.0.3:8000"},"PortRange":[7700,7715],"Seeds":["10.1.0.3:8000"],"FirstStart":true,"Limits":{"MemoryMb":256,"MaxFds":4096},"DataDir":"/x","Cloud":{"Addr":"10.2.0.1:80","RatePerS":44.0},"Tolerate":{"Machines":2},"Bounds":{"GraceS":8,"LeaseMs":3000,"ThawMs":300,"VersionMs":60,"BudgetRatio":0.2,"BudgetWindowS":10,"BudgetSlack":56}}"#,
     r#"{"Version":7,"Routes":[{"Name":"r","Host":"h","PathPrefix":"/a/","Kind":"stream","TimeoutMs":15000,"SloMs":800,"Split":[{"Service":"s","Weight":9}]}],"Services":[{"Name":"s","Engine":{"Slots":64,"KvCapacity":9,"KvTokenBytes":3}}],"Tenants":[{"Name":"t","ApiKeys":["k"]}]}"#,
@@ -32,7 +32,7 @@
     r#"{"Model":"m","Version":2}"#,
 ];
 
-/// Decodes bytes as everything that comes from the platform, and from other processes of ours.
+/// Decodes the bytes as every document of the platform and every frame between processes.
 fn decode_all(bytes: &[u8]) {
     let _ = documents::decode(bytes).map(|deployment| validate::problems(&deployment));
     let _ = instances::decode(bytes).map(|page| {
@@ -65,7 +65,7 @@
     }
 }
 
-/// An entry of the list that can be read.
+/// A valid entry of the target list.
 fn list_entry(id: &str) -> String {
     format!(
         r#"{{"Service":"s","Addr":"10.1.0.9:80","Zone":"z","Version":"v1","Slots":64,"State":"ready",
@@ -73,7 +73,7 @@
     )
 }
 
-/// Has a scheduler take whatever a store and an engine tell.
+/// Applies the bytes to a scheduler as the inventory and the events of a store.
 fn apply_store_data(bytes: &[u8]) {
     let mut scheduler = scheduler(2);
     let store = crate::fixtures::address(9_000);
@@ -93,7 +93,7 @@
 proptest! {
     #![proptest_config(cases(400))]
 
-    /// Whatever another writer leaves in the list: the entries before and after it hold.
+    /// The valid entries before and after a corrupt one are still decoded.
     #[test]
     fn a_corrupt_list_entry_does_not_affect_the_others(
         byte_changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
@@ -113,7 +113,7 @@
             };
             let page = [b"{\"Instances\":[", list_entry("i-1").as_bytes(), b",", one, b",", other,
                 b"],\"NextToken\":\"p\"}"].concat();
-            let page = instances::decode(&page).expect("the page ends well");
+            let page = instances::decode(&page).expect("the page is well-formed around its entries");
             prop_assert_eq!(page.next.as_deref(), Some("p"));
             let targets: Vec<_> = page.entries.into_iter().filter_map(Result::ok).collect();
             for id in ["i-1", "i-3"] {
@@ -143,7 +143,7 @@
         decode_all(&bytes);
     }
 
-    /// What a caller says of its prompt may be anything, and reaches the scheduler.
+    /// Arbitrary token counts and prefixes in request headers must not make the scheduler panic.
     #[test]
     fn any_prompt_is_placed_or_refused(
         counts in "[0-9]{0,22},[0-9]{0,22}",
@@ -154,7 +154,7 @@
         values.insert("x-token-count", counts.parse().expect("a header"));
         values.insert("x-prompt-prefix", prefix.parse().expect("a header"));
         let call = headers::decode_call(&"/a/".parse().expect("a path"), &values);
-        let prompt = call.prompt.expect("it names a model");
+        let prompt = call.prompt.expect("the headers name a model");
         let mut scheduler = scheduler(2);
         for waiter in 0..3 {
             let ask = PlacementRequest {
@@ -169,8 +169,8 @@
     }
 }
 
-/// Heads that two readers might understand differently, and what must come of each: a refusal, or one
-/// request whose body is what its length says.
+/// Header fields that parsers may interpret differently. The entry must refuse the request, or forward
+/// one request with the body that its length delimits.
 const AMBIGUOUS_HEADS: [&str; 9] = [
     "Content-Length: 4\r\nContent-Length: 5\r\n",
     "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
@@ -202,19 +202,23 @@
                 let (_, body) = request.split_once("\r\n\r\n").expect("a head");
                 assert!(body == "body" || body.is_empty(), "{ambiguous}: {body}");
             }
-            assert_eq!(entry.call("/once/b", "r2").await.status, 200, "it serves on: {ambiguous}");
+            assert_eq!(
+                entry.call("/once/b", "r2").await.status,
+                200,
+                "the entry still serves after {ambiguous}"
+            );
         }
     });
 }
 
-/// Sends bytes and then no more, and waits until the entry has answered and closed, or has nothing
-/// more to say.
+/// Sends the bytes, closes the sending side, and reads until the entry closes the connection or a timeout.
 async fn send(entry: &Entry, bytes: &str) {
-    let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
-    stream.write_all(bytes.as_bytes()).await.expect("it reads");
-    stream.shutdown().await.expect("it is open");
+    let mut stream =
+        TcpStream::connect(entry.address).await.expect("the entry accepts connections");
+    stream.write_all(bytes.as_bytes()).await.expect("the entry reads");
+    stream.shutdown().await.expect("the connection is open");
     let mut answer = Vec::new();
-    // An entry may reset what it refuses.
+    // The entry may reset the connection of a request that it refuses.
     let _ = tokio::time::timeout(Duration::from_secs(60), stream.read_to_end(&mut answer)).await;
 }
 
@@ -234,7 +238,7 @@
                 .to_vec();
             for (at, byte) in byte_changes {
                 let at = at.index(bytes.len());
-                // Text only: it is sent as such.
+                // ASCII only, because `send` takes a string.
                 bytes[at] = byte & 0x7f;
             }
             send(&entry, &String::from_utf8(bytes).expect("text")).await;
