--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -1,4 +1,4 @@
-//! Named weights reach all engines: replicas as processes before stand-in engines.
+//! Roll-out of named weights to all engines, with replicas as processes and stand-in engines.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const ENGINES: usize = 6;
 
-/// Replicas before engines with weights 1. The engines end with the runtime.
+/// Starts replicas and stand-in engines with weights 1. The engines stop with the runtime.
 fn start_replicas_with_engines(runtime: &tokio::runtime::Runtime) -> (Platform, Core) {
     let platform = Platform::new();
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -41,15 +41,15 @@
     let (platform, core) = start_replicas_with_engines(&runtime);
     platform.lock().named_weights = 2;
     name_weights_2(&core);
-    core.eventually("all engines run them", |_| {
+    core.eventually("all engines run the named weights", |_| {
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each was told once");
+    assert_eq!(inner.account.orders, ENGINES as u64, "each engine gets one order");
     assert_eq!(inner.account.violations, Vec::<String>::new());
 }
 
-/// The weights that a replica tells an entry of first, with the time since they were named.
+/// The first weights that a replica reports to a new entry, with the time since they were named.
 async fn first_reported_weights(replica: SocketAddr) -> std::io::Result<(u64, Duration)> {
     let mut stream = TcpStream::connect(replica).await?;
     let entry = Handshake::Entry {
@@ -67,11 +67,8 @@
     }
 }
 
-/// What was seen: prompts began on older weights long after newer ones had been named, where
-/// replicas had been replaced or started again in between.
-/// What caused it in this test: a replica counted from when its own process heard of the naming, so one that
-/// started again took weights that had been named long ago for new, and allowed older ones for the
-/// whole bound once more.
+/// A restarted replica must not measure the age of weights from its own start: it would allow older
+/// weights for the whole bound again.
 #[test]
 fn a_replica_that_starts_again_knows_how_long_ago_weights_were_named() {
     let in_force = Duration::from_millis(2_800);
@@ -84,24 +81,21 @@
         core.kill(host);
         core.run(host, false);
         let mut told = None;
-        core.eventually("it is sure to know all that was decided", |core| {
+        core.eventually("the replica has caught up and reports the weights", |core| {
             let telling = first_reported_weights(core.peer_address(host));
             let heard = runtime
                 .block_on(async { tokio::time::timeout(Duration::from_secs(10), telling).await });
             told = heard.ok().and_then(Result::ok);
             told.is_some()
         });
-        let (version, age) = told.expect("it was told");
+        let (version, age) = told.expect("the replica reported the weights");
         assert_eq!(version, 2);
-        assert!(age >= in_force, "replica {host} believes that they were named {age:?} ago");
+        assert!(age >= in_force, "replica {host} reports an age of {age:?}");
     }
 }
 
-/// What was seen: 26 s after weights had been named, 7 of 18 engines still ran older ones.
-/// How it came about: orders to load them were not answered, and carried out seconds later.
-/// What caused it: engines that wait for such an order counted as changing, so that no other engine
-/// was told for as long.
-/// What proved it: the order lines of that day's log, and engines that hold their orders, below.
+/// Engines with an unanswered order must not count as loading: the other engines would get no order
+/// until those answer.
 #[test]
 fn engines_that_do_not_answer_their_order_do_not_delay_the_others() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
@@ -111,14 +105,14 @@
         (inner.named_weights, inner.holds_orders) = (2, true);
     }
     name_weights_2(&core);
-    core.eventually("more than half of the engines are told", |_| {
+    core.eventually("more than half of the engines get an order", |_| {
         platform.lock().ordered.len() > ENGINES / 2
     });
     platform.lock().holds_orders = false;
-    core.eventually("all engines run them", |_| {
+    core.eventually("all engines run the named weights", |_| {
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each has loaded once");
+    assert_eq!(inner.account.orders, ENGINES as u64, "each engine loads once");
     assert_eq!(inner.account.violations, Vec::<String>::new());
 }
