--- a/tests/deployment/diagnostics.rs
+++ b/tests/deployment/diagnostics.rs
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn request_log_lines_are_rate_limited_and_failures_have_priority() {
+fn request_log_lines_are_rate_limited_with_a_higher_limit_for_failures() {
     let limiter = RequestLogLimiter::default();
     let written = |is_success, second: u64| {
         let ids = (0..10_000).map(|n| format!("r{n}"));
         ids.filter(|id| limiter.should_log(id, is_success, ms(second * 1_000))).count()
     };
-    let whole = written(true, 1);
-    assert!((500..1_000).contains(&whole), "{whole}");
+    let successes = written(true, 1);
+    assert!((500..1_000).contains(&successes), "{successes}");
     assert_eq!(written(false, 1), 2_000);
-    assert_eq!(written(true, 2), whole, "the same ids each time");
+    assert_eq!(written(true, 2), successes, "the same ids each time");
 }
 
 const LOGS: [(&str, &str); 7] = [
--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -21,7 +21,7 @@
 const RESEND_DELAY: Duration = Duration::from_millis(120);
 
 /// Until all hosts that are in touch know the prompt.
-const QUARANTINE_TIMEOUT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A caller that sends one prompt again and again, at one entry after the other.
 struct Repeater {
@@ -53,7 +53,7 @@
 fn assert_crashing_prompt_is_quarantined(site: &Site, when: &str) {
     let platform = site.platform.lock();
     let ending = platform.account.ending.get(CRASHING_PROMPT).expect("it has reached engines");
-    assert_eq!(ending.reached_too_often(QUARANTINE_TIMEOUT, |_| true), None, "{when}");
+    assert_eq!(ending.reached_too_often(PROPAGATION_TIMEOUT, |_| true), None, "{when}");
 }
 
 /// Another prompt is answered, as soon as the system serves at all, and is never held.
--- a/tests/deployment/instances.rs
+++ b/tests/deployment/instances.rs
@@ -134,18 +134,18 @@
             ],
         ),
     ];
-    for (field, corrupt) in fields {
-        for other in corrupt {
+    for (field, replacements) in fields {
+        for replacement in replacements {
             let entry = valid_entry(9);
             assert!(entry.contains(field), "{field}");
-            let page = decode(&page_around(entry.replace(field, other).as_bytes()));
-            assert_eq!(page.entries.len(), 3, "{other} in place of {field}");
+            let page = decode(&page_around(entry.replace(field, replacement).as_bytes()));
+            assert_eq!(page.entries.len(), 3, "{replacement} in place of {field}");
             assert_eq!(page.next.as_deref(), Some("p-3"));
-            assert_eq!(ids(&targets(page)), ["i-1", "i-2"], "{other} in place of {field}");
+            assert_eq!(ids(&targets(page)), ["i-1", "i-2"], "{replacement} in place of {field}");
         }
     }
-    let wholes = ["null", "7", "\"i-9\"", "[]", "{}", "[{}]", "{\"Id\":\"i-9\"}", "true"];
-    for entry in wholes {
+    let invalid_entries = ["null", "7", "\"i-9\"", "[]", "{}", "[{}]", "{\"Id\":\"i-9\"}", "true"];
+    for entry in invalid_entries {
         assert_eq!(
             ids(&targets(decode(&page_around(entry.as_bytes())))),
             ["i-1", "i-2"],
@@ -167,9 +167,10 @@
         assert!(!ids(&found).iter().any(|id| id.contains('9')), "at {at}");
     }
     // In a field that nothing reads.
-    let noted = valid_entry(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
-    let noted: Vec<u8> = noted.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
-    let page = decode(&page_around(&noted));
+    let with_note = valid_entry(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
+    let with_note: Vec<u8> =
+        with_note.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
+    let page = decode(&page_around(&with_note));
     let flaw = UnreadableEntry { id: Some("i-9".to_string()), flaw: EntryError::NotText };
     assert_eq!(page.entries[1], Err(flaw));
 }
@@ -251,10 +252,11 @@
 
 #[test]
 fn a_list_without_any_readable_entry_is_refused() {
-    let strange = valid_entry(1).replace("\"ready\"", "\"strange\"");
-    assert!(listing(&[&page_of(std::slice::from_ref(&strange))]).finish().is_err());
+    let unknown_state = valid_entry(1).replace("\"ready\"", "\"strange\"");
+    assert!(listing(&[&page_of(std::slice::from_ref(&unknown_state))]).finish().is_err());
     assert!(listing(&[&page_of(&[])]).finish().is_ok(), "no target runs");
-    let one = listing(&[&page_of(&[strange, valid_entry(2)])]).finish().expect("it can be read");
+    let one =
+        listing(&[&page_of(&[unknown_state, valid_entry(2)])]).finish().expect("it can be read");
     assert_eq!((one.unreadable_count(), one.into_targets().len()), (1, 1));
 }
 
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -82,19 +82,19 @@
         let known: BTreeSet<IpAddr> = replicas.keys().copied().collect();
         self.subscriptions.observe_domains(replicas.clone());
         let mut random = SmallRng::seed_from_u64(self.bytes as u64);
-        let mut kept = Vec::new();
+        let mut still_active = Vec::new();
         for subscription in std::mem::take(&mut self.active) {
             if self.subscriptions.should_switch(&subscription, &known, now) {
                 let last = Some(subscription.replica);
                 self.subscriptions.end(subscription, false, now);
-                kept.extend(self.subscriptions.begin(&known, last, now, &mut random));
+                still_active.extend(self.subscriptions.begin(&known, last, now, &mut random));
             } else {
-                kept.push(subscription);
+                still_active.push(subscription);
             }
         }
-        for subscription in &mut kept {
-            let asked = self.subscriptions.request(subscription, self.held, &known, now);
-            if asked.is_none_or(|asked| asked.whole == list.version()) {
+        for subscription in &mut still_active {
+            let request = self.subscriptions.request(subscription, self.held, &known, now);
+            if request.is_none_or(|request| request.whole == list.version()) {
                 continue;
             }
             let bytes: usize = split(list)
@@ -108,7 +108,7 @@
             let transfer_time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
             self.complete_at.get_or_insert(now + transfer_time);
         }
-        self.active = kept;
+        self.active = still_active;
         if self.complete_at.is_some_and(|at| at <= now) {
             self.held.whole = list.version();
             self.subscriptions.roster_complete();
@@ -178,9 +178,9 @@
     let mut subscriptions = Subscriptions::new(domain(0));
     subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let near = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
-    assert_eq!(near.replica, replica(0));
-    subscriptions.end(near, true, ms(250));
+    let local = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    assert_eq!(local.replica, replica(0));
+    subscriptions.end(local, true, ms(250));
     let mut other =
         subscriptions.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
     assert_ne!(other.replica, replica(0));
@@ -236,8 +236,8 @@
 fn an_entry_with_an_earlier_list_gets_only_the_changes() {
     let earlier = list(7);
     let replica = shared(1, earlier.clone());
-    let leaves = earlier.roster.iter().next().expect("a target").clone();
-    let later = Listed { presence: Presence::Leaving, ..leaves };
+    let leaving_target = earlier.roster.iter().next().expect("a target").clone();
+    let later = Listed { presence: Presence::Leaving, ..leaving_target };
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
     targets[0] = later;
     assert!(replica.change_roster(|known| known.update(targets)));
@@ -259,18 +259,18 @@
     let mut subscriptions = Subscriptions::new(domain(0));
     subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let mut near = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
-    let mut far = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut local = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut remote = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let (earlier, later) = (list(7), changed_list(&list(7)));
     let held = HeldRoster { whole: earlier.version(), ..HeldRoster::default() };
-    let detail = |asked: Option<RosterSubscription>| asked.map(|asked| asked.detail);
-    let asked = subscriptions.request(&mut near, held, &replicas, ms(5));
-    assert_eq!(detail(asked), Some(RosterDetail::Changes));
-    let asked = subscriptions.request(&mut far, held, &replicas, ms(5)).expect("it follows");
-    assert_eq!(asked.detail, RosterDetail::Versions);
+    let detail = |request: Option<RosterSubscription>| request.map(|request| request.detail);
+    let request = subscriptions.request(&mut local, held, &replicas, ms(5));
+    assert_eq!(detail(request), Some(RosterDetail::Changes));
+    let request = subscriptions.request(&mut remote, held, &replicas, ms(5)).expect("it follows");
+    assert_eq!(request.detail, RosterDetail::Versions);
     let replica = shared(1, earlier);
     let mut publisher = RosterPublisher::default();
-    publisher.subscribe(asked, &replica);
+    publisher.subscribe(request, &replica);
     replica.observe_roster(later.clone());
     let frame = publisher.next_frame(&replica).expect("news");
     let Update::RosterVersionOnly { version, leaving } =
@@ -279,14 +279,14 @@
         panic!("the whole change was told");
     };
     assert_eq!((version, leaving.len()), (later.version(), 1));
-    far.observe_name(version, ms(300));
+    remote.observe_name(version, ms(300));
     assert_eq!(
-        subscriptions.request(&mut far, held, &replicas, ms(400)),
+        subscriptions.request(&mut remote, held, &replicas, ms(400)),
         None,
         "the other one tells it"
     );
-    let asked = subscriptions.request(&mut far, held, &replicas, ms(560));
-    assert_eq!(detail(asked), Some(RosterDetail::Changes), "the other one has not");
+    let request = subscriptions.request(&mut remote, held, &replicas, ms(560));
+    assert_eq!(detail(request), Some(RosterDetail::Changes), "the other one has not");
 }
 
 /// A list in which one target leaves and a thousand others run newer weights.
@@ -321,35 +321,43 @@
 #[test]
 fn a_replica_that_applies_a_change_keeps_leaving_targets() {
     let (before, after) = (list(7), changed_list(&list(7)));
-    let leaves = before.roster.iter().next().expect("a target").start.clone();
+    let leaving_target = before.roster.iter().next().expect("a target").start.clone();
     // The reader saw it leave, and lists it no more.
-    let mut read = Roster::clone(&before.roster);
-    assert!(read.update(after.roster.iter().cloned().collect()));
-    let left = VersionedRoster::new(8, Arc::new(read.clone()));
-    let rest = after.roster.iter().filter(|listed| listed.start != leaves).cloned();
-    assert!(read.update(rest.collect()));
-    let gone = VersionedRoster::new(9, Arc::new(read));
+    let mut reader_roster = Roster::clone(&before.roster);
+    assert!(reader_roster.update(after.roster.iter().cloned().collect()));
+    let with_leaving = VersionedRoster::new(8, Arc::new(reader_roster.clone()));
+    let rest = after.roster.iter().filter(|listed| listed.start != leaving_target).cloned();
+    assert!(reader_roster.update(rest.collect()));
+    let without_leaving = VersionedRoster::new(9, Arc::new(reader_roster));
     let change = |from: &VersionedRoster, to: &VersionedRoster| {
         (from.roster.change_to(&to.roster), from.roster.history_change_to(&to.roster))
     };
-    let (first, first_remembered) = change(&before, &left);
-    let (second, second_remembered) = change(&left, &gone);
-    let told = before.with_change(
+    let (first, first_history) = change(&before, &with_leaving);
+    let (second, second_history) = change(&with_leaving, &without_leaving);
+    let applied = before.with_change(
         before.version(),
-        left.version(),
+        with_leaving.version(),
         first.clone(),
-        first_remembered.clone(),
+        first_history.clone(),
     );
-    let told = told.expect("it is of that list");
-    let told = told.with_change(left.version(), gone.version(), second, second_remembered);
-    let told = told.expect("it is of that list");
-    assert_eq!(told.version(), gone.version());
+    let applied = applied.expect("it is of that list");
+    let applied = applied.with_change(
+        with_leaving.version(),
+        without_leaving.version(),
+        second,
+        second_history,
+    );
+    let applied = applied.expect("it is of that list");
+    assert_eq!(applied.version(), without_leaving.version());
     // A lagging list shows it once more, as live.
-    let mut roster = Roster::clone(&told.roster);
+    let mut roster = Roster::clone(&applied.roster);
     roster.update(before.roster.iter().cloned().collect());
-    assert_eq!(roster.get(&leaves).map(|listed| listed.presence), Some(Presence::Leaving));
+    assert_eq!(roster.get(&leaving_target).map(|listed| listed.presence), Some(Presence::Leaving));
     let other = VersionedRoster::new(6, before.roster.clone());
-    assert_eq!(other.with_change(before.version(), left.version(), first, first_remembered), None);
+    assert_eq!(
+        other.with_change(before.version(), with_leaving.version(), first, first_history),
+        None
+    );
 }
 
 /// Bytes that make no list, and pieces out of order.
@@ -362,15 +370,15 @@
     assert!(assembly.take(&pieces[0]).is_ok(), "it came twice");
     assert_eq!(assembly.progress().1, 1);
     // Another list under the same name.
-    let others =
+    let other_pieces =
         split(&VersionedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
-    let mut forged = others[0].clone();
+    let mut forged = other_pieces[0].clone();
     forged.of = pieces[0].of;
     assert_eq!(Assembly::default().take(&forged).err(), Some(PieceError::VersionMismatch));
     let last = u32::MAX;
-    let mut endless = pieces[0].clone();
-    endless.count = last;
-    assert_eq!(Assembly::default().take(&endless).err(), Some(PieceError::Damaged));
+    let mut oversized = pieces[0].clone();
+    oversized.count = last;
+    assert_eq!(Assembly::default().take(&oversized).err(), Some(PieceError::Damaged));
 }
 
 /// Plain services have few targets, and their routes can be served after the first piece.
