--- a/tests/deployment/instances.rs
+++ b/tests/deployment/instances.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list.
+//! Decoding of the pages of the platform's instance list.
 
 use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::fleet::listing::EntryError;
@@ -13,7 +13,7 @@
   {"Service":"app","Addr":"10.128.0.10:8080","Zone":"hall","Version":"v1","Slots":6,
    "State":"draining","ColdLeftMs":0,"Id":"i-2"}],"NextToken":"p-50"}"#;
 
-/// An entry that can be read, with another one's place in the page.
+/// A valid entry whose address, birth and id contain `n`.
 fn valid_entry(n: usize) -> String {
     format!(
         r#"{{"Service":"llm","Addr":"10.1.0.{n}:80","Zone":"z","Version":"v1","Slots":4,"State":"ready",
@@ -22,7 +22,7 @@
     )
 }
 
-/// A page with something between two entries that can be read.
+/// A page with the given bytes between two valid entries.
 fn page_around(between: &[u8]) -> Vec<u8> {
     let mut page = b"{\"Instances\":[".to_vec();
     page.extend_from_slice(valid_entry(1).as_bytes());
@@ -79,7 +79,7 @@
     }
 }
 
-/// What other writers may leave in the place of a field, and of a whole entry.
+/// Other writers may leave invalid fields or invalid entries in the list.
 #[test]
 fn an_unreadable_entry_is_skipped_and_the_others_are_kept() {
     let fields = [
@@ -166,7 +166,7 @@
         assert!(ids(&found).contains(&"i-1") && ids(&found).contains(&"i-2"), "at {at}");
         assert!(!ids(&found).iter().any(|id| id.contains('9')), "at {at}");
     }
-    // In a field that nothing reads.
+    // Also in a field that is not decoded.
     let with_note = valid_entry(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
     let with_note: Vec<u8> =
         with_note.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
@@ -181,7 +181,7 @@
     for length in 0..entry.len() {
         for page in [
             page_around(&entry.as_bytes()[..length]),
-            // The last entry of the page.
+            // As the last entry of the page.
             format!(
                 "{{\"Instances\":[{},{}],\"NextToken\":null}}",
                 valid_entry(1),
@@ -233,17 +233,17 @@
 fn an_entry_without_birth_is_unreadable_if_others_have_one() {
     let entry_without_birth =
         |n| valid_entry(n).replace(&format!("\"born\":17000000000{n:02},"), "");
-    // Nobody tells births: a start is its id alone.
+    // No entry has a birth: starts are identified by id alone.
     let none = listing(&[&page_of(&[entry_without_birth(1)]), &page_of(&[entry_without_birth(2)])])
         .finish();
-    let none = none.expect("it can be read").into_targets();
+    let none = none.expect("the list is readable").into_targets();
     assert!(none.iter().all(|target| target.start.born_ms.is_none()) && none.len() == 2);
-    // Others do, on whichever page: an entry without is another writer's.
+    // Other entries have one, on any page: the entry without it is unreadable.
     for pages in
         [[entry_without_birth(1), valid_entry(2)], [valid_entry(2), entry_without_birth(1)]]
     {
         let pages = pages.map(|entry| page_of(&[entry]));
-        let list = listing(&[&pages[0], &pages[1]]).finish().expect("it can be read");
+        let list = listing(&[&pages[0], &pages[1]]).finish().expect("the list is readable");
         let flaw = UnreadableEntry { id: Some("i-1".to_string()), flaw: EntryError::NoBirth };
         assert_eq!(list.unreadable().iter().collect::<Vec<_>>(), [&flaw]);
         assert_eq!(ids(&list.into_targets()), ["i-2"]);
@@ -254,9 +254,10 @@
 fn a_list_without_any_readable_entry_is_refused() {
     let unknown_state = valid_entry(1).replace("\"ready\"", "\"strange\"");
     assert!(listing(&[&page_of(std::slice::from_ref(&unknown_state))]).finish().is_err());
-    assert!(listing(&[&page_of(&[])]).finish().is_ok(), "no target runs");
-    let one =
-        listing(&[&page_of(&[unknown_state, valid_entry(2)])]).finish().expect("it can be read");
+    assert!(listing(&[&page_of(&[])]).finish().is_ok(), "an empty list is valid");
+    let one = listing(&[&page_of(&[unknown_state, valid_entry(2)])])
+        .finish()
+        .expect("the list is readable");
     assert_eq!((one.unreadable_count(), one.into_targets().len()), (1, 1));
 }
 
@@ -267,7 +268,7 @@
         (0..500).map(|n| valid_entry(1).replace("\"ready\"", &format!("\"{long}{n}\""))).collect();
     let mut listing = listing(&[&page_of(&entries)]);
     decode(page_of(&[valid_entry(2)]).as_bytes()).entries.into_iter().for_each(|e| listing.add(e));
-    let listing = listing.finish().expect("one can be read");
+    let listing = listing.finish().expect("one entry is readable");
     assert_eq!(listing.unreadable_count(), 500);
     assert!(format!("{:?}", listing.unreadable()).len() < 20_000);
 }
@@ -277,7 +278,7 @@
     let list = |rate_per_s| TargetListSource { address: crate::fixtures::address(1), rate_per_s };
     assert_eq!(list(44.0).read_interval(3), ms(500));
     assert_eq!(list(50.0).read_interval(60), ms(2_000), "60 pages, 30 calls a second");
-    assert_eq!(list(0.0).read_interval(60), ms(500), "no rate is told");
-    assert_eq!(list(1e-300).read_interval(60), ms(60_000), "however rarely it may be asked");
+    assert_eq!(list(0.0).read_interval(60), ms(500), "no rate is set");
+    assert_eq!(list(1e-300).read_interval(60), ms(60_000), "the interval is bounded");
     assert_eq!(list(-1.0).read_interval(60), ms(500));
 }
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -1,4 +1,4 @@
-//! Hundreds of hosts start at once: what reaches them, how often, and over which links.
+//! Transfer of the target list to hundreds of hosts that start at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -22,11 +22,10 @@
 use crate::asking::shared;
 use crate::fixtures::{address, ms, roster, target};
 
-/// A fifth of the two-year size.
 const HOSTS: usize = 300;
 const TARGETS: u16 = 3_000;
 const DOMAINS: usize = 5;
-/// An entry's own link.
+/// The bandwidth of an entry's link, 10 Mbit/s.
 const LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
 
 fn domain(n: usize) -> DomainId {
@@ -37,7 +36,7 @@
     IpAddr::from([10, n as u8, 0, 1])
 }
 
-/// A list as the platform shows it: many engines, and a plain service with few targets.
+/// A target list with many engines and a plain service with few targets.
 fn list(number: u64) -> VersionedRoster {
     let listed = (0..TARGETS).map(|n| Listed {
         failure_domain: domain(n as usize),
@@ -47,14 +46,15 @@
     VersionedRoster::new(number, Arc::new(roster(listed)))
 }
 
-/// One entry as it starts, on a virtual clock.
+/// A starting entry on a virtual clock.
 struct Entry {
     domain: DomainId,
     subscriptions: Subscriptions,
     active: Vec<Subscription>,
     held: HeldRoster,
-    /// Bytes of lists that it was sent, and those of them from other failure domains.
+    /// Bytes of lists that the entry received.
     bytes: usize,
+    /// The part of `bytes` that came from other failure domains.
     cross_domain_bytes: usize,
     complete_at: Option<Duration>,
 }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Hears a regular word of each replica that it hears, and is sent what it asks for.
+    /// Handles a heartbeat of each subscribed replica, and receives the list that it requests.
     fn observe_replicas(
         &mut self,
         replicas: &BTreeMap<IpAddr, DomainId>,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Starts all entries at once, with the seeds of a deployment, and lets them hear replicas for two seconds.
+/// Starts all entries at once with three seeds, and runs their subscriptions for two seconds.
 fn start_all(replicas: &BTreeMap<IpAddr, DomainId>, list: &VersionedRoster) -> Vec<Entry> {
     let seeds: BTreeSet<IpAddr> = replicas.keys().take(3).copied().collect();
     let mut entries: Vec<Entry> = (0..HOSTS).map(Entry::new).collect();
@@ -125,7 +125,7 @@
         for _ in 0..2 {
             entry.active.extend(entry.subscriptions.begin(&seeds, None, ms(0), &mut random));
         }
-        // Connecting takes some milliseconds, a regular word comes four times a second.
+        // Connecting takes a few milliseconds; heartbeats come four times a second.
         for now in [ms(5), ms(10), ms(255), ms(260), ms(505), ms(755), ms(1_005), ms(2_005)] {
             entry.observe_replicas(replicas, list, now);
         }
@@ -137,12 +137,8 @@
     domains.enumerate().map(|(n, at)| (replica(n), domain(at))).collect()
 }
 
-/// Thundering herd. What was seen: 300 entries that started at once took the list of 3,000 targets from two
-/// replicas each, wherever these were: 0.25 GB between failure domains a day with two starts, a third of that
-/// day's worth, and the last of them served 1.6 s after its start.
-///
-/// DecisionTrace: the list is at most 40 bytes a target, sent once to each entry and from its own failure
-/// domain; an entry's link of 10 Mbit/s takes a tenth of a second for that.
+/// Entries that start together must not load the links between failure domains: each receives the list
+/// once, from its own domain, in at most 40 bytes per target.
 #[test]
 fn entries_starting_together_get_the_list_once_and_from_their_own_domain() {
     let (replicas, list) = (replicas_in(0..DOMAINS), list(1));
@@ -161,7 +157,6 @@
     }
 }
 
-/// No replica is in the entry's failure domain: the list comes from another one, once.
 #[test]
 fn entries_without_a_replica_in_their_domain_get_the_list_once() {
     let (replicas, list) = (replicas_in(0..3), list(1));
@@ -171,7 +166,7 @@
     }
 }
 
-/// The only replica of the failure domain is gone: it costs one timeout, not the list.
+/// An entry whose only local replica is unreachable requests the list from another replica.
 #[test]
 fn an_unreachable_replica_of_the_own_domain_does_not_delay_an_entry() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
@@ -191,7 +186,7 @@
     assert!(subscriptions.should_switch(&other, &replicas, ms(4_000)), "it may be back");
 }
 
-/// The replica that tells the list dies in the midst: another one goes on where it was.
+/// When a replica fails during a transfer, the next one sends only the remaining pieces.
 #[test]
 fn a_transfer_resumes_at_another_replica() {
     let list = list(7);
@@ -207,7 +202,7 @@
     assert_eq!(whole.map(|whole| whole.version()), Some(list.version()));
 }
 
-/// Has a replica tell so many pieces.
+/// Receives `count` pieces from a replica.
 fn receive_pieces(
     replica: &Shared,
     request: RosterSubscription,
@@ -219,19 +214,19 @@
     let mut whole = None;
     for _ in 0..count {
         let frame = publisher.next_frame(replica).expect("a piece");
-        whole = assembly.take(&piece_in(&frame)).expect("it is sound");
+        whole = assembly.take(&piece_in(&frame)).expect("the piece is valid");
     }
     whole
 }
 
 fn piece_in(frame: &[u8]) -> Piece {
-    match postcard::from_bytes(&frame[4..]).expect("news") {
+    match postcard::from_bytes(&frame[4..]).expect("an update") {
         Update::RosterPiece(piece) => piece,
         other => panic!("{other:?}"),
     }
 }
 
-/// An entry that turns to another replica is told the differences, not the list.
+/// An entry that switches replicas must not receive the complete list again.
 #[test]
 fn an_entry_with_an_earlier_list_gets_only_the_changes() {
     let earlier = list(7);
@@ -251,8 +246,8 @@
     assert_eq!(publisher.next_frame(&replica), None);
 }
 
-/// The other one of the two replicas that an entry hears tells who leaves, and not what else changes, as
-/// long as the first one does.
+/// Of the two replicas that an entry subscribes to, the second sends only leaving targets, unless the
+/// changes from the first are late.
 #[test]
 fn one_replica_sends_changes_and_both_send_leaving_targets() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
@@ -266,27 +261,27 @@
     let detail = |request: Option<RosterSubscription>| request.map(|request| request.detail);
     let request = subscriptions.request(&mut local, held, &replicas, ms(5));
     assert_eq!(detail(request), Some(RosterDetail::Changes));
-    let request = subscriptions.request(&mut remote, held, &replicas, ms(5)).expect("it follows");
+    let request = subscriptions.request(&mut remote, held, &replicas, ms(5)).expect("a request");
     assert_eq!(request.detail, RosterDetail::Versions);
     let replica = shared(1, earlier);
     let mut publisher = RosterPublisher::default();
     publisher.subscribe(request, &replica);
     replica.observe_roster(later.clone());
-    let frame = publisher.next_frame(&replica).expect("news");
+    let frame = publisher.next_frame(&replica).expect("an update");
     let Update::RosterVersionOnly { version, leaving } =
-        postcard::from_bytes(&frame[4..]).expect("news")
+        postcard::from_bytes(&frame[4..]).expect("an update")
     else {
-        panic!("the whole change was told");
+        panic!("the complete change was sent");
     };
     assert_eq!((version, leaving.len()), (later.version(), 1));
     remote.observe_name(version, ms(300));
     assert_eq!(
         subscriptions.request(&mut remote, held, &replicas, ms(400)),
         None,
-        "the other one tells it"
+        "the first replica is expected to send it"
     );
     let request = subscriptions.request(&mut remote, held, &replicas, ms(560));
-    assert_eq!(detail(request), Some(RosterDetail::Changes), "the other one has not");
+    assert_eq!(detail(request), Some(RosterDetail::Changes), "the first replica did not send it");
 }
 
 /// A list in which one target leaves and a thousand others run newer weights.
@@ -299,8 +294,7 @@
     VersionedRoster::new(earlier.number + 1, Arc::new(roster(targets)))
 }
 
-/// An entry holds a later list than the replica that it turns to: it is told nothing older, and follows
-/// once the replica has that list.
+/// A replica with an older list than the entry sends nothing, and has nothing to send once it has caught up.
 #[test]
 fn a_lagging_replica_sends_no_older_list() {
     let (earlier, later) = (list(7), list(8));
@@ -312,17 +306,17 @@
     );
     assert_eq!(publisher.next_frame(&replica), None);
     replica.observe_roster(later);
-    assert_eq!(publisher.next_frame(&replica), None, "it has that list");
+    assert_eq!(publisher.next_frame(&replica), None, "the entry has that list already");
     assert!(publisher.is_up_to_date(&replica));
 }
 
-/// Replicas tell each other what has changed. A replica that takes a change knows all that the other one does,
-/// also who left before: it may have to read the next list itself.
+/// A replica that applies changes from another one may have to read the next list itself, so it must also
+/// know which targets have left.
 #[test]
 fn a_replica_that_applies_a_change_keeps_leaving_targets() {
     let (before, after) = (list(7), changed_list(&list(7)));
     let leaving_target = before.roster.iter().next().expect("a target").start.clone();
-    // The reader saw it leave, and lists it no more.
+    // The reader sees the target leave, then no longer lists it.
     let mut reader_roster = Roster::clone(&before.roster);
     assert!(reader_roster.update(after.roster.iter().cloned().collect()));
     let with_leaving = VersionedRoster::new(8, Arc::new(reader_roster.clone()));
@@ -340,16 +334,16 @@
         first.clone(),
         first_history.clone(),
     );
-    let applied = applied.expect("it is of that list");
+    let applied = applied.expect("the change applies to that list");
     let applied = applied.with_change(
         with_leaving.version(),
         without_leaving.version(),
         second,
         second_history,
     );
-    let applied = applied.expect("it is of that list");
+    let applied = applied.expect("the change applies to that list");
     assert_eq!(applied.version(), without_leaving.version());
-    // A lagging list shows it once more, as live.
+    // An outdated list shows the target as live again.
     let mut roster = Roster::clone(&applied.roster);
     roster.update(before.roster.iter().cloned().collect());
     assert_eq!(roster.get(&leaving_target).map(|listed| listed.presence), Some(Presence::Leaving));
@@ -360,16 +354,20 @@
     );
 }
 
-/// Bytes that make no list, and pieces out of order.
+/// Pieces that are missing, damaged, or of another list than they claim.
 #[test]
 fn damaged_or_mismatched_pieces_are_refused() {
     let pieces = split(&list(7));
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(&pieces[1]).err(), Some(PieceError::Damaged), "one is missing");
+    assert_eq!(
+        assembly.take(&pieces[1]).err(),
+        Some(PieceError::Damaged),
+        "the first piece is missing"
+    );
     assert!(assembly.take(&pieces[0]).is_ok());
-    assert!(assembly.take(&pieces[0]).is_ok(), "it came twice");
+    assert!(assembly.take(&pieces[0]).is_ok(), "a repeated piece is ignored");
     assert_eq!(assembly.progress().1, 1);
-    // Another list under the same name.
+    // Pieces of another list under the same version.
     let other_pieces =
         split(&VersionedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
     let mut forged = other_pieces[0].clone();
@@ -381,18 +379,15 @@
     assert_eq!(Assembly::default().take(&oversized).err(), Some(PieceError::Damaged));
 }
 
-/// Plain services have few targets, and their routes can be served after the first piece.
+/// Routes of plain services can be served after the first piece, because those have few targets.
 #[test]
 fn the_first_piece_holds_all_targets_of_small_services() {
-    let first = split(&list(1))[0].listed().expect("it is sound");
+    let first = split(&list(1))[0].listed().expect("the piece is valid");
     assert_eq!(first.iter().filter(|listed| listed.service == "app").count(), 5);
 }
 
-/// Herd of readers. What was seen: the list of 3,000 targets has 60 pages and takes 0.9 s, so four replicas
-/// that don't lead took the leader for silent and read it as well, each time.
-///
-/// DecisionTrace: between the begins of two reads of the leader pass its duration and the pause; it is told at
-/// the end of a read.
+/// Other replicas must not take the leader for silent while it reads a long list: they learn of a read
+/// only at its end.
 #[test]
 fn replicas_wait_for_a_leader_that_reads_a_long_list() {
     let read_duration = ms(900);
@@ -403,7 +398,7 @@
         let due = election.takeover_at(0.0, 0, READ_INTERVAL);
         assert!(
             read_start == ms(0) || due >= read_end,
-            "it reads at {due:?}, the leader until {read_end:?}"
+            "takeover at {due:?}, the leader reads until {read_end:?}"
         );
         election.record_read(read_start);
         election.record_duration(read_duration);
