--- a/tests/deployment/diagnostics.rs
+++ b/tests/deployment/diagnostics.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics from which a failed request is explained.
+//! Logs and metrics for the diagnosis of failed requests.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -12,7 +12,7 @@
 
 use crate::fixtures::ms;
 
-/// An output whose reader has stopped until it is released; hands out what was written at its end.
+/// An output that blocks until it is released. Sends everything written to `ended` when it is dropped.
 struct BlockedWriter {
     released: Receiver<()>,
     written: Vec<u8>,
@@ -21,7 +21,7 @@
 
 impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // Fails once the other side is dropped, which releases it.
+        // Fails once the sender is dropped, which unblocks all writes.
         let _ = self.released.recv();
         self.written.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -45,12 +45,12 @@
     let appender =
         NonBlockingAppender::new("{m}{n}", BlockedWriter { released, written: Vec::new(), ended });
     let started_at = Instant::now();
-    // As long as a request's line, so that a chunk holds some hundred.
+    // The length of a typical request line, so that a chunk holds about a hundred lines.
     let text = format!("event=request {:>200}", "");
     for _ in 0..LINES {
         let args = format_args!("{text}");
         let record = log::Record::builder().args(args).build();
-        appender.append(&record).expect("it is only counted");
+        appender.append(&record).expect("a full buffer is no error");
     }
     appender.flush();
     assert!(started_at.elapsed() < ms(5_000), "{:?}", started_at.elapsed());
@@ -59,7 +59,7 @@
     drop(appender);
     let written = String::from_utf8(written.recv().expect("the writer ends")).expect("text");
     let lines = written.lines().filter(|line| line.starts_with("event=request")).count() as u64;
-    // The writer takes the count over into its lines whenever it gets to run.
+    // The writer thread moves the dropped count into report lines at its own pace.
     let reports = written.lines().filter_map(|line| line.split_once("log_lines_dropped count="));
     let reported: u64 = reports.map(|(_, count)| count.parse::<u64>().expect("a number")).sum();
     assert!(LINES - lines > 10_000, "{lines} lines were written");
@@ -76,7 +76,7 @@
     let successes = written(true, 1);
     assert!((500..1_000).contains(&successes), "{successes}");
     assert_eq!(written(false, 1), 2_000);
-    assert_eq!(written(true, 2), successes, "the same ids each time");
+    assert_eq!(written(true, 2), successes, "the sample has the same ids each time");
 }
 
 const LOGS: [(&str, &str); 7] = [
--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -1,13 +1,7 @@
-//! Prompts under which engines end ("queries of death"): entries and replicas as processes before
-//! stand-in engines.
+//! Quarantine of prompts that crash engines ("queries of death"), with entries and replicas as processes
+//! and stand-in engines.
 //!
-//! Seen: a prompt under which three engines had ended was sent to engines 14 times more, and 22 ended in all;
-//! with each, the answers of up to 27 other prompts broke off. How it came about: its caller sent it again,
-//! each time as an attempt with an id of its own and mostly at another entry. Each entry took it for a new
-//! prompt and sent it to the soundest engine that was left.
-//! What caused it: what an entry learnt of a request ended with that one attempt, and no process remembered that
-//! engines had ended under what it asks. Proof: the tests here, which sent it 10 to 12 times more within seconds,
-//! and three times in all since requests are known by what they ask.
+//! A caller that resends such a prompt with new ids at different entries must not crash engine after engine.
 
 use std::time::{Duration, Instant};
 
@@ -15,15 +9,15 @@
 
 const ENTRIES: usize = 4;
 const ENGINES: [&str; 6] = ["i-0", "i-1", "i-2", "i-3", "i-4", "i-5"];
-/// The prompt.
+/// The body under which a stand-in engine exits.
 const CRASHING_PROMPT: &str = "ends its target";
-/// Its caller sends it again this long after each answer.
+/// The delay between an answer and the next request of the caller.
 const RESEND_DELAY: Duration = Duration::from_millis(120);
 
-/// Until all hosts that are in touch know the prompt.
+/// The time in which a quarantine reaches all connected hosts.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A caller that sends one prompt again and again, at one entry after the other.
+/// A caller that sends the same prompt repeatedly, to the entries in turn.
 struct Repeater {
     kind: &'static str,
     count: usize,
@@ -49,25 +43,30 @@
     }
 }
 
-/// No engine gets the prompt once all have had time to know it for what it is, but for a few tries.
+/// Checks that engines hardly get the prompt any more after its quarantine has had time to propagate.
 fn assert_crashing_prompt_is_quarantined(site: &Site, when: &str) {
     let platform = site.platform.lock();
     let ending = platform.account.ending.get(CRASHING_PROMPT).expect("it has reached engines");
     assert_eq!(ending.reached_too_often(PROPAGATION_TIMEOUT, |_| true), None, "{when}");
 }
 
-/// Another prompt is answered, as soon as the system serves at all, and is never held.
+/// Checks that another prompt is answered once the system serves again, and is never quarantined.
 async fn assert_other_prompt_is_answered(site: &Site, number: usize) {
     let started_at = Instant::now();
     for again in 0.. {
         let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
         let (id, body) = (format!("stream-{number}-{again}"), format!("question {number}"));
         let got = stream_with_body(client, entry, "stream", &id, 5, body).await;
-        assert!(!got.body.contains("targets have ended"), "{number} is held");
+        assert!(!got.body.contains("targets have ended"), "prompt {number} is quarantined");
         if got.status == 200 && got.is_whole {
             return;
         }
-        assert!(started_at.elapsed() < PATIENCE, "{number} gets {}: {}", got.status, got.body);
+        assert!(
+            started_at.elapsed() < PATIENCE,
+            "prompt {number} gets {}: {}",
+            got.status,
+            got.body
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
@@ -77,7 +76,7 @@
     assert_other_prompt_is_answered(&site, 0).await;
     let mut caller = Repeater::new(kind);
     caller.send_for(&site, Duration::from_secs(6)).await;
-    assert_crashing_prompt_is_quarantined(&site, "calm");
+    assert_crashing_prompt_is_quarantined(&site, "before any restart");
 
     let replicas = site.system.replicas();
     for replica in replicas.clone().take(2) {
@@ -86,27 +85,24 @@
         site.system.start_again(replica, true);
         caller.send_for(&site, Duration::from_secs(1)).await;
     }
-    assert_crashing_prompt_is_quarantined(
-        &site,
-        "replicas are lost, the leader perhaps among them",
-    );
+    assert_crashing_prompt_is_quarantined(&site, "two replicas have lost their disks");
 
     replicas.clone().for_each(|replica| site.system.kill(replica));
     replicas.clone().for_each(|replica| site.system.start_again(replica, false));
     caller.send_for(&site, Duration::from_secs(3)).await;
-    assert_crashing_prompt_is_quarantined(&site, "all replicas start again");
+    assert_crashing_prompt_is_quarantined(&site, "all replicas have restarted");
 
     (0..ENTRIES).for_each(|entry| site.system.kill(entry));
     (0..ENTRIES).for_each(|entry| site.system.start_again(entry, false));
     caller.send_for(&site, Duration::from_secs(3)).await;
-    assert_crashing_prompt_is_quarantined(&site, "all entries start again");
+    assert_crashing_prompt_is_quarantined(&site, "all entries have restarted");
 
     (0..ENTRIES).chain(replicas.clone()).for_each(|n| site.system.kill(n));
     (0..ENTRIES).chain(replicas).for_each(|n| site.system.start_again(n, false));
     caller.send_for(&site, Duration::from_secs(4)).await;
-    assert_crashing_prompt_is_quarantined(&site, "all processes start again");
+    assert_crashing_prompt_is_quarantined(&site, "all processes have restarted");
 
-    let last = caller.answers.last().expect("there are some");
+    let last = caller.answers.last().expect("the caller got answers");
     assert_eq!(last.status, 503, "refused as not run: {}", last.body);
     for number in 1_000..1_020 {
         assert_other_prompt_is_answered(&site, number).await;
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -1,4 +1,4 @@
-//! Roll-out of weights.
+//! Planning of weight roll-outs, engine reports, and ages of named weights.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Orders that are carried out seconds late: a quarter changes at a time, and half and a quarter wait.
+/// Engines may carry out orders seconds late. Up to three quarters may have an unanswered order.
 #[test]
 fn unanswered_orders_do_not_block_others_but_some_engines_are_never_ordered_at_once() {
     let roster = engines_with_versions(&[1; 12]);
@@ -75,11 +75,11 @@
 
 #[test]
 fn engines_furthest_behind_are_ordered_first() {
-    // One that starts again with old weights, one that missed a version, one that is ahead.
+    // i-01 missed a version, i-02 restarted with older weights, and i-03 is ahead.
     let roster = engines_with_versions(&[4, 3, 2, 5, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4, 4]);
     let next = next_loads(&roster, &named(4), &BTreeSet::new(), &BTreeSet::new(), is_llm);
     let names: Vec<&str> = next.iter().map(|lagging| lagging.engine.id.as_str()).collect();
-    assert_eq!(names, ["i-02", "i-01"], "what has missed most goes first");
+    assert_eq!(names, ["i-02", "i-01"], "the engine furthest behind comes first");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     );
     assert!(
         crate::fixtures::start("i-1").may_match_birth(Some(8)),
-        "births may be told here alone"
+        "a start without a known birth matches any birth"
     );
 }
 
@@ -154,7 +154,7 @@
     assert_eq!(next.iter().map(|next| next.engine.id.as_str()).collect::<Vec<_>>(), ["i-1"]);
 }
 
-/// Weights 2 are named at 10 s; older ones may be used for 8.4 s.
+/// Weights 2 are named at 10 s; older ones may be used for another 8.4 s.
 #[test]
 fn weight_age_is_recorded_each_second_until_the_bound_has_passed() {
     let mut named = RolloutHistories::new();
@@ -181,9 +181,9 @@
     state.apply(Command::NameWeights { model: "m".into(), version: 2 });
     let age =
         |state: &ControlState, caught_up_at| estimated_age(state, "m", 2, caught_up_at, ms(50_000));
-    assert_eq!(age(&state, Some(ms(49_900))), ms(0), "it was there when it was named");
-    assert_eq!(age(&state, None), ms(1_000), "it has just started");
-    assert_eq!(age(&state, Some(ms(40_000))), ms(1_000), "it was away");
+    assert_eq!(age(&state, Some(ms(49_900))), ms(0), "caught up when the weights were named");
+    assert_eq!(age(&state, None), ms(1_000), "has not caught up yet");
+    assert_eq!(age(&state, Some(ms(40_000))), ms(1_000), "was disconnected for a while");
     let weights = NamedWeights { version: 2, age: ms(5_000) };
     state.apply(Command::RecordAge { model: "m".into(), weights });
     assert_eq!(age(&state, None), ms(6_000));
