--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -85,7 +85,7 @@
         site.system.start_again(replica, true);
         caller.send_for(&site, Duration::from_secs(1)).await;
     }
-    assert_crashing_prompt_is_quarantined(&site, "two replicas have lost their disks");
+    assert_crashing_prompt_is_quarantined(&site, "two replicas have restarted with empty disks");
 
     replicas.clone().for_each(|replica| site.system.kill(replica));
     replicas.clone().for_each(|replica| site.system.start_again(replica, false));
--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -81,15 +81,15 @@
 fn a_full_preferred_engine_overflows_to_the_others() {
     let mut view = view(4);
     let prompt = prompt(1, 2_000);
-    let mut used = std::collections::BTreeSet::new();
+    let mut chosen = std::collections::BTreeSet::new();
     let mut dispatches = Vec::new();
     for tie_breaker in 0..24 {
         let choice =
             choose(&view, &criteria(&prompt, "all", tie_breaker), ms(0)).expect("an engine");
         dispatches.push(view.begin(&choice.target, 2_100));
-        used.insert(choice.target);
+        chosen.insert(choice.target);
     }
-    assert_eq!(used.len(), 4);
+    assert_eq!(chosen.len(), 4);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     view.update(&roster(listed));
     let named = named_at(ms(1_000));
     let old_weights = OldWeightsPolicy { within: Some(ms(6_000)), hard_within: Some(ms(8_400)) };
-    // Contexts prefer either engine, and prefilling one on the other engine takes 76 ms.
+    // Some contexts prefer i-0 and some i-1; prefilling one on the other engine takes 76 ms.
     for context in 0..20 {
         let prompt = prompt(context, 7_000);
         let criteria = Criteria { named: &named, old_weights, ..criteria(&prompt, "all", context) };
--- a/tests/deployment/untrusted_input.rs
+++ b/tests/deployment/untrusted_input.rs
@@ -107,11 +107,11 @@
         }
         for length in [corrupt.len(), cut.index(corrupt.len())] {
             let third = list_entry("i-3").into_bytes();
-            let (one, other) = match is_last {
+            let (first, second) = match is_last {
                 true => (&third[..], &corrupt[..length]),
                 false => (&corrupt[..length], &third[..]),
             };
-            let page = [b"{\"Instances\":[", list_entry("i-1").as_bytes(), b",", one, b",", other,
+            let page = [b"{\"Instances\":[", list_entry("i-1").as_bytes(), b",", first, b",", second,
                 b"],\"NextToken\":\"p\"}"].concat();
             let page = instances::decode(&page).expect("the page is well-formed around its entries");
             prop_assert_eq!(page.next.as_deref(), Some("p"));
@@ -157,13 +157,13 @@
         let prompt = call.prompt.expect("the headers name a model");
         let mut scheduler = scheduler(2);
         for waiter in 0..3 {
-            let ask = PlacementRequest {
+            let request = PlacementRequest {
                 parts: prompt.parts.clone(),
                 prompt_tokens: prompt.prompt_tokens,
                 output_tokens: prompt.output_tokens,
                 ..ask_of(1, 1, 1)
             };
-            scheduler.submit(waiter, ask, ms(waiter));
+            scheduler.submit(waiter, request, ms(waiter));
         }
         scheduler.dispatch(ms(5_000));
     }
--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -80,15 +80,15 @@
     for host in 0..3 {
         core.kill(host);
         core.run(host, false);
-        let mut told = None;
+        let mut reported = None;
         core.eventually("the replica has caught up and reports the weights", |core| {
-            let telling = first_reported_weights(core.peer_address(host));
-            let heard = runtime
-                .block_on(async { tokio::time::timeout(Duration::from_secs(10), telling).await });
-            told = heard.ok().and_then(Result::ok);
-            told.is_some()
+            let report = first_reported_weights(core.peer_address(host));
+            let result = runtime
+                .block_on(async { tokio::time::timeout(Duration::from_secs(10), report).await });
+            reported = result.ok().and_then(Result::ok);
+            reported.is_some()
         });
-        let (version, age) = told.expect("the replica reported the weights");
+        let (version, age) = reported.expect("the replica reported the weights");
         assert_eq!(version, 2);
         assert!(age >= in_force, "replica {host} reports an age of {age:?}");
     }
