--- a/tests/deployment/placement.rs
+++ b/tests/deployment/placement.rs
@@ -25,14 +25,14 @@
     }
 }
 
-fn criteria<'a>(prompt: &'a Prompt, cache_namespace: &'a str, tie_breaker: u64) -> Criteria<'a> {
+fn criteria<'a>(prompt: &'a Prompt, namespace: &'a str, tie_breaker: u64) -> Criteria<'a> {
     let named = const { &RolloutHistories::new() };
     let old_weights = OldWeightsPolicy::default();
     let prompt = Some(prompt);
     Criteria {
         service: "llm",
         prompt,
-        cache_namespace,
+        cache_namespace: namespace,
         tried: &[],
         tie_breaker,
         named,
