--- a/tests/deployment/explaining.rs
+++ b/tests/deployment/diagnostics.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics from which a failed request is explained.
+//! Logs and metrics for the diagnosis of failed requests.
 
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -12,16 +12,16 @@
 
 use crate::fixtures::ms;
 
-/// An output whose reader has stopped until it is released; hands out what was written at its end.
-struct Stuck {
+/// An output that blocks until it is released. Sends everything written to `ended` when it is dropped.
+struct BlockedWriter {
     released: Receiver<()>,
     written: Vec<u8>,
     ended: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // Fails once the other side is dropped, which releases it.
+        // Fails once the sender is dropped, which unblocks all writes.
         let _ = self.released.recv();
         self.written.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -32,34 +32,34 @@
     }
 }
 
-impl Drop for Stuck {
+impl Drop for BlockedWriter {
     fn drop(&mut self) {
         let _ = self.ended.send(std::mem::take(&mut self.written));
     }
 }
 
 #[test]
-fn a_reader_that_has_stopped_keeps_nobody_waiting_and_each_line_is_written_or_counted() {
+fn a_blocked_output_does_not_block_logging_and_each_line_is_written_or_counted() {
     const LINES: u64 = 20_000;
     let ((release, released), (ended, written)) = (channel(), channel());
     let appender =
-        NonBlockingAppender::new("{m}{n}", Stuck { released, written: Vec::new(), ended });
-    let begun = Instant::now();
-    // As long as a request's line, so that a chunk holds some hundred.
+        NonBlockingAppender::new("{m}{n}", BlockedWriter { released, written: Vec::new(), ended });
+    let started_at = Instant::now();
+    // The length of a typical request line, so that a chunk holds about a hundred lines.
     let text = format!("event=request {:>200}", "");
     for _ in 0..LINES {
         let args = format_args!("{text}");
         let record = log::Record::builder().args(args).build();
-        appender.append(&record).expect("it is only counted");
+        appender.append(&record).expect("a full buffer is no error");
     }
     appender.flush();
-    assert!(begun.elapsed() < ms(5_000), "{:?}", begun.elapsed());
+    assert!(started_at.elapsed() < ms(5_000), "{:?}", started_at.elapsed());
     let not_reported = appender.dropped();
     drop(release);
     drop(appender);
     let written = String::from_utf8(written.recv().expect("the writer ends")).expect("text");
     let lines = written.lines().filter(|line| line.starts_with("event=request")).count() as u64;
-    // The writer takes the count over into its lines whenever it gets to run.
+    // The writer thread moves the dropped count into report lines at its own pace.
     let reports = written.lines().filter_map(|line| line.split_once("log_lines_dropped count="));
     let reported: u64 = reports.map(|(_, count)| count.parse::<u64>().expect("a number")).sum();
     assert!(LINES - lines > 10_000, "{lines} lines were written");
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn lines_of_requests_are_bounded_and_failures_go_first() {
+fn request_log_lines_are_rate_limited_with_a_higher_limit_for_failures() {
     let limiter = RequestLogLimiter::default();
     let written = |is_success, second: u64| {
         let ids = (0..10_000).map(|n| format!("r{n}"));
         ids.filter(|id| limiter.should_log(id, is_success, ms(second * 1_000))).count()
     };
-    let whole = written(true, 1);
-    assert!((500..1_000).contains(&whole), "{whole}");
+    let successes = written(true, 1);
+    assert!((500..1_000).contains(&successes), "{successes}");
     assert_eq!(written(false, 1), 2_000);
-    assert_eq!(written(true, 2), whole, "the same ids each time");
+    assert_eq!(written(true, 2), successes, "the sample has the same ids each time");
 }
 
 const LOGS: [(&str, &str); 7] = [
@@ -105,21 +105,21 @@
 ];
 
 #[test]
-fn an_id_leads_to_its_whole_story() {
+fn a_request_id_finds_all_related_lines() {
     let lines: Vec<LogLine> =
         LOGS.iter().filter_map(|(process, text)| LogLine::parse(process, text)).collect();
     assert_eq!(lines.len(), LOGS.len());
-    let told: Vec<String> = related_lines(&lines, "r1");
+    let related: Vec<String> = related_lines(&lines, "r1");
     let events: Vec<&str> =
-        told.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
+        related.iter().filter_map(|line| line.split("event=").nth(1)?.split(' ').next()).collect();
     assert_eq!(events, ["subscription_lost", "weights_ordered", "request"]);
-    assert!(told[1].starts_with("replica-1 ") && told[1].contains("engine=i-7"));
+    assert!(related[1].starts_with("replica-1 ") && related[1].contains("engine=i-7"));
     assert_eq!(related_lines(&lines, "r3"), Vec::<String>::new());
     assert_eq!(LogLine::parse("x", "no time here"), None);
 }
 
 #[test]
-fn metrics_tell_endings_by_route_and_reason() {
+fn requests_are_counted_by_route_and_reason() {
     let metrics = EntryMetrics::new().expect("instruments");
     metrics.record_request("r-1", "refused", "busy");
     metrics.record_request("r-1", "refused", "busy");
--- a/tests/deployment/instances.rs
+++ b/tests/deployment/instances.rs
@@ -1,4 +1,4 @@
-//! Pages of the platform's list.
+//! Decoding of the pages of the platform's instance list.
 
 use kumquatpost::control::roster_reader::TargetListSource;
 use kumquatpost::fleet::listing::EntryError;
@@ -13,8 +13,8 @@
   {"Service":"app","Addr":"10.128.0.10:8080","Zone":"hall","Version":"v1","Slots":6,
    "State":"draining","ColdLeftMs":0,"Id":"i-2"}],"NextToken":"p-50"}"#;
 
-/// An entry that can be read, with another one's place in the page.
-fn sound(n: usize) -> String {
+/// A valid entry whose address, birth and id contain `n`.
+fn valid_entry(n: usize) -> String {
     format!(
         r#"{{"Service":"llm","Addr":"10.1.0.{n}:80","Zone":"z","Version":"v1","Slots":4,"State":"ready",
         "ColdLeftMs":12.5,"Stage":"colocated","Models":[{{"Name":"m","Version":1,"Adapters":[]}}],
@@ -22,14 +22,14 @@
     )
 }
 
-/// A page with something between two entries that can be read.
+/// A page with the given bytes between two valid entries.
 fn page_around(between: &[u8]) -> Vec<u8> {
     let mut page = b"{\"Instances\":[".to_vec();
-    page.extend_from_slice(sound(1).as_bytes());
+    page.extend_from_slice(valid_entry(1).as_bytes());
     page.push(b',');
     page.extend_from_slice(between);
     page.push(b',');
-    page.extend_from_slice(sound(2).as_bytes());
+    page.extend_from_slice(valid_entry(2).as_bytes());
     page.extend_from_slice(b"],\"NextToken\":\"p-3\"}");
     page
 }
@@ -63,13 +63,13 @@
 }
 
 #[test]
-fn a_state_that_is_not_known_names_no_target_and_the_others_hold() {
+fn an_entry_with_an_unknown_state_is_skipped() {
     let page = PAGE.replace("\"ready\"", "\"evacuating\"");
     assert_eq!(ids(&targets(decode(page.as_bytes()))), ["i-2"]);
 }
 
 #[test]
-fn a_page_that_breaks_off_is_no_page() {
+fn a_truncated_page_is_refused() {
     for length in 0..PAGE.len() {
         assert!(instances::decode(&PAGE.as_bytes()[..length]).is_err(), "cut at {length}");
     }
@@ -79,9 +79,9 @@
     }
 }
 
-/// What other writers may leave in the place of a field, and of a whole entry.
+/// Other writers may leave invalid fields or invalid entries in the list.
 #[test]
-fn an_entry_that_can_not_be_read_names_no_target_and_the_others_hold() {
+fn an_unreadable_entry_is_skipped_and_the_others_are_kept() {
     let fields = [
         (
             "\"Service\":\"llm\",",
@@ -134,55 +134,60 @@
             ],
         ),
     ];
-    for (field, spoilt) in fields {
-        for other in spoilt {
-            let entry = sound(9);
+    for (field, replacements) in fields {
+        for replacement in replacements {
+            let entry = valid_entry(9);
             assert!(entry.contains(field), "{field}");
-            let page = decode(&page_around(entry.replace(field, other).as_bytes()));
-            assert_eq!(page.entries.len(), 3, "{other} in place of {field}");
+            let page = decode(&page_around(entry.replace(field, replacement).as_bytes()));
+            assert_eq!(page.entries.len(), 3, "{replacement} in place of {field}");
             assert_eq!(page.next.as_deref(), Some("p-3"));
-            assert_eq!(ids(&targets(page)), ["i-1", "i-2"], "{other} in place of {field}");
+            assert_eq!(ids(&targets(page)), ["i-1", "i-2"], "{replacement} in place of {field}");
         }
     }
-    let wholes = ["null", "7", "\"i-9\"", "[]", "{}", "[{}]", "{\"Id\":\"i-9\"}", "true"];
-    for entry in wholes {
+    let invalid_entries = ["null", "7", "\"i-9\"", "[]", "{}", "[{}]", "{\"Id\":\"i-9\"}", "true"];
+    for entry in invalid_entries {
         assert_eq!(
             ids(&targets(decode(&page_around(entry.as_bytes())))),
             ["i-1", "i-2"],
             "{entry}"
         );
     }
-    let long = sound(9).replace("i-9", &"i".repeat(5_000));
+    let long = valid_entry(9).replace("i-9", &"i".repeat(5_000));
     assert_eq!(ids(&targets(decode(&page_around(long.as_bytes())))), ["i-1", "i-2"]);
 }
 
 #[test]
-fn bytes_that_can_not_be_read_lose_their_entry_alone() {
-    let entry = sound(9).into_bytes();
+fn invalid_utf8_affects_only_its_own_entry() {
+    let entry = valid_entry(9).into_bytes();
     for at in 0..entry.len() {
-        let mut spoilt = entry.clone();
-        spoilt[at] = 0xff;
-        let found = targets(decode(&page_around(&spoilt)));
+        let mut corrupt = entry.clone();
+        corrupt[at] = 0xff;
+        let found = targets(decode(&page_around(&corrupt)));
         assert!(ids(&found).contains(&"i-1") && ids(&found).contains(&"i-2"), "at {at}");
         assert!(!ids(&found).iter().any(|id| id.contains('9')), "at {at}");
     }
-    // In a field that nothing reads.
-    let noted = sound(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
-    let noted: Vec<u8> = noted.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
-    let page = decode(&page_around(&noted));
+    // Also in a field that is not decoded.
+    let with_note = valid_entry(9).replace("\"Slots\"", "\"Note\":\"X\",\"Slots\"").into_bytes();
+    let with_note: Vec<u8> =
+        with_note.into_iter().map(|b| if b == b'X' { 0xc3 } else { b }).collect();
+    let page = decode(&page_around(&with_note));
     let flaw = UnreadableEntry { id: Some("i-9".to_string()), flaw: EntryError::NotText };
     assert_eq!(page.entries[1], Err(flaw));
 }
 
 #[test]
-fn an_entry_that_is_broken_loses_no_other_wherever_it_breaks_off() {
-    let entry = sound(9);
+fn a_truncated_entry_does_not_affect_the_others() {
+    let entry = valid_entry(9);
     for length in 0..entry.len() {
         for page in [
             page_around(&entry.as_bytes()[..length]),
-            // The last entry of the page.
-            format!("{{\"Instances\":[{},{}],\"NextToken\":null}}", sound(1), &entry[..length])
-                .into_bytes(),
+            // As the last entry of the page.
+            format!(
+                "{{\"Instances\":[{},{}],\"NextToken\":null}}",
+                valid_entry(1),
+                &entry[..length]
+            )
+            .into_bytes(),
         ] {
             let has_second = page.ends_with(b"\"p-3\"}");
             let found = targets(decode(&page));
@@ -197,7 +202,7 @@
 }
 
 #[test]
-fn births_are_whole_numbers_however_they_are_written() {
+fn births_are_parsed_from_any_json_number_notation() {
     for (written, born_ms) in [
         ("1700000000001", 1_700_000_000_001),
         ("1700000000001.0", 1_700_000_000_001),
@@ -205,7 +210,7 @@
         ("0", 0),
         ("-5", -5),
     ] {
-        let entry = sound(1).replace("1700000000001", written);
+        let entry = valid_entry(1).replace("1700000000001", written);
         let page = format!("{{\"Instances\":[{entry}],\"NextToken\":null}}");
         let found = targets(decode(page.as_bytes()));
         assert_eq!(found[0].start.born_ms, Some(born_ms), "{written}");
@@ -225,16 +230,20 @@
 }
 
 #[test]
-fn a_list_tells_births_or_it_does_not() {
-    let unborn = |n| sound(n).replace(&format!("\"born\":17000000000{n:02},"), "");
-    // Nobody tells births: a start is its id alone.
-    let none = listing(&[&page_of(&[unborn(1)]), &page_of(&[unborn(2)])]).finish();
-    let none = none.expect("it can be read").into_targets();
+fn an_entry_without_birth_is_unreadable_if_others_have_one() {
+    let entry_without_birth =
+        |n| valid_entry(n).replace(&format!("\"born\":17000000000{n:02},"), "");
+    // No entry has a birth: starts are identified by id alone.
+    let none = listing(&[&page_of(&[entry_without_birth(1)]), &page_of(&[entry_without_birth(2)])])
+        .finish();
+    let none = none.expect("the list is readable").into_targets();
     assert!(none.iter().all(|target| target.start.born_ms.is_none()) && none.len() == 2);
-    // Others do, on whichever page: an entry without is another writer's.
-    for pages in [[unborn(1), sound(2)], [sound(2), unborn(1)]] {
+    // Other entries have one, on any page: the entry without it is unreadable.
+    for pages in
+        [[entry_without_birth(1), valid_entry(2)], [valid_entry(2), entry_without_birth(1)]]
+    {
         let pages = pages.map(|entry| page_of(&[entry]));
-        let list = listing(&[&pages[0], &pages[1]]).finish().expect("it can be read");
+        let list = listing(&[&pages[0], &pages[1]]).finish().expect("the list is readable");
         let flaw = UnreadableEntry { id: Some("i-1".to_string()), flaw: EntryError::NoBirth };
         assert_eq!(list.unreadable().iter().collect::<Vec<_>>(), [&flaw]);
         assert_eq!(ids(&list.into_targets()), ["i-2"]);
@@ -242,32 +251,34 @@
 }
 
 #[test]
-fn a_list_of_which_nothing_can_be_read_is_no_list() {
-    let strange = sound(1).replace("\"ready\"", "\"strange\"");
-    assert!(listing(&[&page_of(std::slice::from_ref(&strange))]).finish().is_err());
-    assert!(listing(&[&page_of(&[])]).finish().is_ok(), "no target runs");
-    let one = listing(&[&page_of(&[strange, sound(2)])]).finish().expect("it can be read");
+fn a_list_without_any_readable_entry_is_refused() {
+    let unknown_state = valid_entry(1).replace("\"ready\"", "\"strange\"");
+    assert!(listing(&[&page_of(std::slice::from_ref(&unknown_state))]).finish().is_err());
+    assert!(listing(&[&page_of(&[])]).finish().is_ok(), "an empty list is valid");
+    let one = listing(&[&page_of(&[unknown_state, valid_entry(2)])])
+        .finish()
+        .expect("the list is readable");
     assert_eq!((one.unreadable_count(), one.into_targets().len()), (1, 1));
 }
 
 #[test]
-fn what_is_told_of_unreadable_entries_is_bounded() {
+fn details_of_unreadable_entries_are_bounded() {
     let long = "x".repeat(10_000);
     let entries: Vec<String> =
-        (0..500).map(|n| sound(1).replace("\"ready\"", &format!("\"{long}{n}\""))).collect();
+        (0..500).map(|n| valid_entry(1).replace("\"ready\"", &format!("\"{long}{n}\""))).collect();
     let mut listing = listing(&[&page_of(&entries)]);
-    decode(page_of(&[sound(2)]).as_bytes()).entries.into_iter().for_each(|e| listing.add(e));
-    let listing = listing.finish().expect("one can be read");
+    decode(page_of(&[valid_entry(2)]).as_bytes()).entries.into_iter().for_each(|e| listing.add(e));
+    let listing = listing.finish().expect("one entry is readable");
     assert_eq!(listing.unreadable_count(), 500);
     assert!(format!("{:?}", listing.unreadable()).len() < 20_000);
 }
 
 #[test]
-fn a_long_list_is_read_as_often_as_it_may_be_asked() {
+fn the_read_interval_follows_the_allowed_request_rate() {
     let list = |rate_per_s| TargetListSource { address: crate::fixtures::address(1), rate_per_s };
     assert_eq!(list(44.0).read_interval(3), ms(500));
     assert_eq!(list(50.0).read_interval(60), ms(2_000), "60 pages, 30 calls a second");
-    assert_eq!(list(0.0).read_interval(60), ms(500), "no rate is told");
-    assert_eq!(list(1e-300).read_interval(60), ms(60_000), "however rarely it may be asked");
+    assert_eq!(list(0.0).read_interval(60), ms(500), "no rate is set");
+    assert_eq!(list(1e-300).read_interval(60), ms(60_000), "the interval is bounded");
     assert_eq!(list(-1.0).read_interval(60), ms(500));
 }
--- a/tests/deployment/main.rs
+++ b/tests/deployment/main.rs
@@ -1,16 +1,15 @@
-//! Tests of what runs on the platform: translation, deployments, the fleet, replicas' decisions, the
-//! scheduler on a virtual clock, and an entry before stand-in targets.
+//! Tests of the platform deployment: decoding of platform documents, deployments, the fleet, replicas, the
+//! scheduler on a virtual clock, and an entry in front of stand-in targets.
 
 mod boundary;
 mod budget;
+mod diagnostics;
 mod documents;
 mod ending_prompts;
-mod essential;
+mod essential_tasks;
 mod events;
-mod explaining;
 mod final_refusals;
 mod fixtures;
-mod foreign_bytes;
 mod freshness;
 mod gateway;
 mod headers;
@@ -25,10 +24,10 @@
 mod monotonic_state;
 mod orders;
 mod placement;
-#[allow(dead_code, reason = "the soak uses the rest")]
+#[allow(dead_code, reason = "the soak test uses the rest")]
 #[path = "../platform_stand_in/mod.rs"]
 mod platform_stand_in;
-#[allow(dead_code, reason = "the soak uses the rest")]
+#[allow(dead_code, reason = "the soak test uses the rest")]
 #[path = "../soak/system.rs"]
 mod processes;
 mod reader_election;
@@ -46,6 +45,7 @@
 mod state;
 mod stores;
 mod table;
+mod untrusted_input;
 mod voter_set;
 mod weights;
 mod weights_alone;
--- a/tests/deployment/many_hosts.rs
+++ b/tests/deployment/many_hosts.rs
@@ -1,4 +1,4 @@
-//! Hundreds of hosts start at once: what reaches them, how often, and over which links.
+//! Transfer of the target list to hundreds of hosts that start at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -22,11 +22,10 @@
 use crate::fixtures::{address, ms, roster, target};
 use crate::scheduler_service::leader_state;
 
-/// A fifth of the two-year size.
 const HOSTS: usize = 300;
 const TARGETS: u16 = 3_000;
 const DOMAINS: usize = 5;
-/// An entry's own link.
+/// The bandwidth of an entry's link, 10 Mbit/s.
 const LINK_BYTES_PER_S: f64 = 10e6 / 8.0;
 
 fn domain(n: usize) -> DomainId {
@@ -37,7 +36,7 @@
     IpAddr::from([10, n as u8, 0, 1])
 }
 
-/// A list as the platform shows it: many engines, and a plain service with few targets.
+/// A target list with many engines and a plain service with few targets.
 fn list(number: u64) -> VersionedRoster {
     let listed = (0..TARGETS).map(|n| Listed {
         failure_domain: domain(n as usize),
@@ -47,54 +46,55 @@
     VersionedRoster::new(number, Arc::new(roster(listed)))
 }
 
-/// One entry as it starts, on a virtual clock.
+/// A starting entry on a virtual clock.
 struct Entry {
     domain: DomainId,
-    sources: Subscriptions,
-    hearings: Vec<Subscription>,
+    subscriptions: Subscriptions,
+    active: Vec<Subscription>,
     held: HeldRoster,
-    /// Bytes of lists that it was sent, and those of them from other failure domains.
+    /// Bytes of lists that the entry received.
     bytes: usize,
-    bytes_between: usize,
-    whole_at: Option<Duration>,
+    /// The part of `bytes` that came from other failure domains.
+    cross_domain_bytes: usize,
+    complete_at: Option<Duration>,
 }
 
 impl Entry {
     fn new(n: usize) -> Entry {
         Entry {
             domain: domain(n),
-            sources: Subscriptions::new(domain(n)),
-            hearings: Vec::new(),
+            subscriptions: Subscriptions::new(domain(n)),
+            active: Vec::new(),
             held: HeldRoster::default(),
             bytes: 0,
-            bytes_between: 0,
-            whole_at: None,
+            cross_domain_bytes: 0,
+            complete_at: None,
         }
     }
 
-    /// Hears a regular word of each replica that it hears, and is sent what it asks for.
-    fn hear(
+    /// Handles a heartbeat of each subscribed replica, and receives the list that it requests.
+    fn observe_replicas(
         &mut self,
         replicas: &BTreeMap<IpAddr, DomainId>,
         list: &VersionedRoster,
         now: Duration,
     ) {
         let known: BTreeSet<IpAddr> = replicas.keys().copied().collect();
-        self.sources.observe_domains(replicas.clone());
+        self.subscriptions.observe_domains(replicas.clone());
         let mut random = SmallRng::seed_from_u64(self.bytes as u64);
-        let mut kept = Vec::new();
-        for hearing in std::mem::take(&mut self.hearings) {
-            if self.sources.should_switch(&hearing, &known, now) {
-                let last = Some(hearing.replica);
-                self.sources.end(hearing, false, now);
-                kept.extend(self.sources.begin(&known, last, now, &mut random));
+        let mut still_active = Vec::new();
+        for subscription in std::mem::take(&mut self.active) {
+            if self.subscriptions.should_switch(&subscription, &known, now) {
+                let last = Some(subscription.replica);
+                self.subscriptions.end(subscription, false, now);
+                still_active.extend(self.subscriptions.begin(&known, last, now, &mut random));
             } else {
-                kept.push(hearing);
+                still_active.push(subscription);
             }
         }
-        for hearing in &mut kept {
-            let asked = self.sources.request(hearing, self.held, &known, now);
-            if asked.is_none_or(|asked| asked.whole == list.version()) {
+        for subscription in &mut still_active {
+            let request = self.subscriptions.request(subscription, self.held, &known, now);
+            if request.is_none_or(|request| request.whole == list.version()) {
                 continue;
             }
             let bytes: usize = split(list)
@@ -102,32 +102,32 @@
                 .map(|piece| encode(&Update::RosterPiece(piece)).len())
                 .sum();
             self.bytes += bytes;
-            if replicas[&hearing.replica] != self.domain {
-                self.bytes_between += bytes;
+            if replicas[&subscription.replica] != self.domain {
+                self.cross_domain_bytes += bytes;
             }
-            let takes = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
-            self.whole_at.get_or_insert(now + takes);
+            let transfer_time = Duration::from_secs_f64(bytes as f64 / LINK_BYTES_PER_S);
+            self.complete_at.get_or_insert(now + transfer_time);
         }
-        self.hearings = kept;
-        if self.whole_at.is_some_and(|at| at <= now) {
+        self.active = still_active;
+        if self.complete_at.is_some_and(|at| at <= now) {
             self.held.whole = list.version();
-            self.sources.roster_complete();
+            self.subscriptions.roster_complete();
         }
     }
 }
 
-/// Starts all entries at once, with the seeds of a deployment, and lets them hear replicas for two seconds.
+/// Starts all entries at once with three seeds, and runs their subscriptions for two seconds.
 fn start_all(replicas: &BTreeMap<IpAddr, DomainId>, list: &VersionedRoster) -> Vec<Entry> {
     let seeds: BTreeSet<IpAddr> = replicas.keys().take(3).copied().collect();
     let mut entries: Vec<Entry> = (0..HOSTS).map(Entry::new).collect();
     for (n, entry) in entries.iter_mut().enumerate() {
         let mut random = SmallRng::seed_from_u64(n as u64);
         for _ in 0..2 {
-            entry.hearings.extend(entry.sources.begin(&seeds, None, ms(0), &mut random));
+            entry.active.extend(entry.subscriptions.begin(&seeds, None, ms(0), &mut random));
         }
-        // Connecting takes some milliseconds, a regular word comes four times a second.
+        // Connecting takes a few milliseconds; heartbeats come four times a second.
         for now in [ms(5), ms(10), ms(255), ms(260), ms(505), ms(755), ms(1_005), ms(2_005)] {
-            entry.hear(replicas, list, now);
+            entry.observe_replicas(replicas, list, now);
         }
     }
     entries
@@ -137,78 +137,73 @@
     domains.enumerate().map(|(n, at)| (replica(n), domain(at))).collect()
 }
 
-/// Thundering herd. What was seen: 300 entries that started at once took the list of 3,000 targets from two
-/// replicas each, wherever these were: 0.25 GB between failure domains a day with two starts, a third of that
-/// day's worth, and the last of them served 1.6 s after its start.
-///
-/// DecisionTrace: the list is at most 40 bytes a target, sent once to each entry and from its own failure
-/// domain; an entry's link of 10 Mbit/s takes a tenth of a second for that.
+/// Entries that start together must not load the links between failure domains: each receives the list
+/// once, from its own domain, in at most 40 bytes per target.
 #[test]
-fn entries_that_start_at_once_are_sent_the_list_once_and_from_their_own_domain() {
+fn entries_starting_together_get_the_list_once_and_from_their_own_domain() {
     let (replicas, list) = (replicas_in(0..DOMAINS), list(1));
     for entry in start_all(&replicas, &list) {
         assert!(entry.bytes > 0 && entry.bytes <= usize::from(TARGETS) * 40, "{}", entry.bytes);
-        assert_eq!(entry.bytes_between, 0);
-        assert!(entry.whole_at.is_some_and(|at| at < ms(150)), "{:?}", entry.whole_at);
-        assert!(entry.sources_are_near(&replicas));
+        assert_eq!(entry.cross_domain_bytes, 0);
+        assert!(entry.complete_at.is_some_and(|at| at < ms(150)), "{:?}", entry.complete_at);
+        assert!(entry.has_subscription_in_own_domain(&replicas));
     }
 }
 
 impl Entry {
-    fn sources_are_near(&self, replicas: &BTreeMap<IpAddr, DomainId>) -> bool {
-        self.hearings.len() == 2
-            && self.hearings.iter().any(|hearing| replicas[&hearing.replica] == self.domain)
+    fn has_subscription_in_own_domain(&self, replicas: &BTreeMap<IpAddr, DomainId>) -> bool {
+        self.active.len() == 2
+            && self.active.iter().any(|subscription| replicas[&subscription.replica] == self.domain)
     }
 }
 
-/// No replica is in the entry's failure domain: the list comes from another one, once.
 #[test]
-fn entries_without_a_replica_of_their_domain_are_sent_the_list_once() {
+fn entries_without_a_replica_in_their_domain_get_the_list_once() {
     let (replicas, list) = (replicas_in(0..3), list(1));
     for entry in start_all(&replicas, &list) {
         assert!(entry.bytes > 0 && entry.bytes <= usize::from(TARGETS) * 40, "{}", entry.bytes);
-        assert!(entry.whole_at.is_some_and(|at| at < ms(150)), "{:?}", entry.whole_at);
+        assert!(entry.complete_at.is_some_and(|at| at < ms(150)), "{:?}", entry.complete_at);
     }
 }
 
-/// The only replica of the failure domain is gone: it costs one timeout, not the list.
+/// An entry whose only local replica is unreachable requests the list from another replica.
 #[test]
-fn a_replica_of_the_own_domain_that_is_gone_is_not_waited_for() {
+fn an_unreachable_replica_of_the_own_domain_does_not_delay_an_entry() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
-    let mut sources = Subscriptions::new(domain(0));
-    sources.observe_domains(replicas_in(0..3));
+    let mut subscriptions = Subscriptions::new(domain(0));
+    subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
-    assert_eq!(near.replica, replica(0));
-    sources.end(near, true, ms(250));
+    let local = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    assert_eq!(local.replica, replica(0));
+    subscriptions.end(local, true, ms(250));
     let mut other =
-        sources.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
+        subscriptions.begin(&replicas, Some(replica(0)), ms(300), &mut random).expect("a replica");
     assert_ne!(other.replica, replica(0));
     let held = HeldRoster::default();
-    assert!(!sources.should_switch(&other, &replicas, ms(310)), "it has just failed");
-    assert!(sources.request(&mut other, held, &replicas, ms(310)).is_some());
-    sources.roster_complete();
-    assert!(sources.should_switch(&other, &replicas, ms(4_000)), "it may be back");
+    assert!(!subscriptions.should_switch(&other, &replicas, ms(310)), "it has just failed");
+    assert!(subscriptions.request(&mut other, held, &replicas, ms(310)).is_some());
+    subscriptions.roster_complete();
+    assert!(subscriptions.should_switch(&other, &replicas, ms(4_000)), "it may be back");
 }
 
-/// The replica that tells the list dies in the midst: another one goes on where it was.
+/// When a replica fails during a transfer, the next one sends only the remaining pieces.
 #[test]
-fn a_list_goes_on_where_it_was_at_another_replica() {
+fn a_transfer_resumes_at_another_replica() {
     let list = list(7);
     let publisher = leader_state(1, list.clone());
     let mut assembly = Assembly::default();
-    let whole = take_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
+    let whole = receive_pieces(&publisher, RosterSubscription::default(), 4, &mut assembly);
     assert_eq!(whole, None);
     let part = assembly.progress();
     assert_eq!(part, (list.version(), 4));
     let request = RosterSubscription { part, ..RosterSubscription::default() };
     let (other, rest) = (leader_state(2, list.clone()), split(&list).len() - 4);
-    let whole = take_pieces(&other, request, rest, &mut assembly);
+    let whole = receive_pieces(&other, request, rest, &mut assembly);
     assert_eq!(whole.map(|whole| whole.version()), Some(list.version()));
 }
 
-/// Has a replica tell so many pieces.
-fn take_pieces(
+/// Receives `count` pieces from a replica.
+fn receive_pieces(
     replica: &Shared,
     request: RosterSubscription,
     count: usize,
@@ -219,25 +214,25 @@
     let mut whole = None;
     for _ in 0..count {
         let frame = publisher.next_frame(replica).expect("a piece");
-        whole = assembly.take(&piece_in(&frame)).expect("it is sound");
+        whole = assembly.take(&piece_in(&frame)).expect("the piece is valid");
     }
     whole
 }
 
 fn piece_in(frame: &[u8]) -> Piece {
-    match postcard::from_bytes(&frame[4..]).expect("news") {
+    match postcard::from_bytes(&frame[4..]).expect("an update") {
         Update::RosterPiece(piece) => piece,
         other => panic!("{other:?}"),
     }
 }
 
-/// An entry that turns to another replica is told the differences, not the list.
+/// An entry that switches replicas must not receive the complete list again.
 #[test]
-fn an_entry_that_holds_an_earlier_list_is_told_what_has_changed() {
+fn an_entry_with_an_earlier_list_gets_only_the_changes() {
     let earlier = list(7);
     let replica = leader_state(1, earlier.clone());
-    let leaves = earlier.roster.iter().next().expect("a target").clone();
-    let later = Listed { presence: Presence::Leaving, ..leaves };
+    let leaving_target = earlier.roster.iter().next().expect("a target").clone();
+    let later = Listed { presence: Presence::Leaving, ..leaving_target };
     let mut targets: Vec<Listed> = earlier.roster.iter().cloned().collect();
     targets[0] = later;
     assert!(replica.change_roster(|known| known.update(targets)));
@@ -251,38 +246,42 @@
     assert_eq!(publisher.next_frame(&replica), None);
 }
 
-/// The other one of the two replicas that an entry hears tells who leaves, and not what else changes, as
-/// long as the first one does.
+/// Of the two replicas that an entry subscribes to, the second sends only leaving targets, unless the
+/// changes from the first are late.
 #[test]
-fn changes_are_told_by_one_replica_and_who_leaves_by_both() {
+fn one_replica_sends_changes_and_both_send_leaving_targets() {
     let replicas: BTreeSet<IpAddr> = (0..3).map(replica).collect();
-    let mut sources = Subscriptions::new(domain(0));
-    sources.observe_domains(replicas_in(0..3));
+    let mut subscriptions = Subscriptions::new(domain(0));
+    subscriptions.observe_domains(replicas_in(0..3));
     let mut random = SmallRng::seed_from_u64(1);
-    let mut near = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
-    let mut far = sources.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut local = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
+    let mut remote = subscriptions.begin(&replicas, None, ms(0), &mut random).expect("a replica");
     let (earlier, later) = (list(7), changed_list(&list(7)));
     let held = HeldRoster { whole: earlier.version(), ..HeldRoster::default() };
-    let detail = |asked: Option<RosterSubscription>| asked.map(|asked| asked.detail);
-    let asked = sources.request(&mut near, held, &replicas, ms(5));
-    assert_eq!(detail(asked), Some(RosterDetail::Changes));
-    let asked = sources.request(&mut far, held, &replicas, ms(5)).expect("it follows");
-    assert_eq!(asked.detail, RosterDetail::Versions);
+    let detail = |request: Option<RosterSubscription>| request.map(|request| request.detail);
+    let request = subscriptions.request(&mut local, held, &replicas, ms(5));
+    assert_eq!(detail(request), Some(RosterDetail::Changes));
+    let request = subscriptions.request(&mut remote, held, &replicas, ms(5)).expect("a request");
+    assert_eq!(request.detail, RosterDetail::Versions);
     let replica = leader_state(1, earlier);
     let mut publisher = RosterPublisher::default();
-    publisher.subscribe(asked, &replica);
+    publisher.subscribe(request, &replica);
     replica.observe_roster(later.clone());
-    let frame = publisher.next_frame(&replica).expect("news");
+    let frame = publisher.next_frame(&replica).expect("an update");
     let Update::RosterVersionOnly { version, leaving } =
-        postcard::from_bytes(&frame[4..]).expect("news")
+        postcard::from_bytes(&frame[4..]).expect("an update")
     else {
-        panic!("the whole change was told");
+        panic!("the complete change was sent");
     };
     assert_eq!((version, leaving.len()), (later.version(), 1));
-    far.observe_name(version, ms(300));
-    assert_eq!(sources.request(&mut far, held, &replicas, ms(400)), None, "the other one tells it");
-    let asked = sources.request(&mut far, held, &replicas, ms(560));
-    assert_eq!(detail(asked), Some(RosterDetail::Changes), "the other one has not");
+    remote.observe_name(version, ms(300));
+    assert_eq!(
+        subscriptions.request(&mut remote, held, &replicas, ms(400)),
+        None,
+        "the first replica is expected to send it"
+    );
+    let request = subscriptions.request(&mut remote, held, &replicas, ms(560));
+    assert_eq!(detail(request), Some(RosterDetail::Changes), "the first replica did not send it");
 }
 
 /// A list in which one target leaves and a thousand others run newer weights.
@@ -295,10 +294,9 @@
     VersionedRoster::new(earlier.number + 1, Arc::new(roster(targets)))
 }
 
-/// An entry holds a later list than the replica that it turns to: it is told nothing older, and follows
-/// once the replica has that list.
+/// A replica with an older list than the entry sends nothing, and has nothing to send once it has caught up.
 #[test]
-fn a_replica_that_is_behind_tells_no_list() {
+fn a_lagging_replica_sends_no_older_list() {
     let (earlier, later) = (list(7), list(8));
     let replica = leader_state(1, earlier);
     let mut publisher = RosterPublisher::default();
@@ -308,90 +306,102 @@
     );
     assert_eq!(publisher.next_frame(&replica), None);
     replica.observe_roster(later);
-    assert_eq!(publisher.next_frame(&replica), None, "it has that list");
+    assert_eq!(publisher.next_frame(&replica), None, "the entry has that list already");
     assert!(publisher.is_up_to_date(&replica));
 }
 
-/// Replicas tell each other what has changed. A replica that takes a change knows all that the other one does,
-/// also who left before: it may have to read the next list itself.
+/// A replica that applies changes from another one may have to read the next list itself, so it must also
+/// know which targets have left.
 #[test]
-fn a_replica_that_is_told_a_change_remembers_who_leaves() {
+fn a_replica_that_applies_a_change_keeps_leaving_targets() {
     let (before, after) = (list(7), changed_list(&list(7)));
-    let leaves = before.roster.iter().next().expect("a target").start.clone();
-    // The reader saw it leave, and lists it no more.
-    let mut read = Roster::clone(&before.roster);
-    assert!(read.update(after.roster.iter().cloned().collect()));
-    let left = VersionedRoster::new(8, Arc::new(read.clone()));
-    let rest = after.roster.iter().filter(|listed| listed.start != leaves).cloned();
-    assert!(read.update(rest.collect()));
-    let gone = VersionedRoster::new(9, Arc::new(read));
+    let leaving_target = before.roster.iter().next().expect("a target").start.clone();
+    // The reader sees the target leave, then no longer lists it.
+    let mut reader_roster = Roster::clone(&before.roster);
+    assert!(reader_roster.update(after.roster.iter().cloned().collect()));
+    let with_leaving = VersionedRoster::new(8, Arc::new(reader_roster.clone()));
+    let rest = after.roster.iter().filter(|listed| listed.start != leaving_target).cloned();
+    assert!(reader_roster.update(rest.collect()));
+    let without_leaving = VersionedRoster::new(9, Arc::new(reader_roster));
     let change = |from: &VersionedRoster, to: &VersionedRoster| {
         (from.roster.change_to(&to.roster), from.roster.history_change_to(&to.roster))
     };
-    let (first, first_remembered) = change(&before, &left);
-    let (second, second_remembered) = change(&left, &gone);
-    let told = before.with_change(
+    let (first, first_history) = change(&before, &with_leaving);
+    let (second, second_history) = change(&with_leaving, &without_leaving);
+    let applied = before.with_change(
         before.version(),
-        left.version(),
+        with_leaving.version(),
         first.clone(),
-        first_remembered.clone(),
+        first_history.clone(),
+    );
+    let applied = applied.expect("the change applies to that list");
+    let applied = applied.with_change(
+        with_leaving.version(),
+        without_leaving.version(),
+        second,
+        second_history,
     );
-    let told = told.expect("it is of that list");
-    let told = told.with_change(left.version(), gone.version(), second, second_remembered);
-    let told = told.expect("it is of that list");
-    assert_eq!(told.version(), gone.version());
-    // A lagging list shows it once more, as live.
-    let mut roster = Roster::clone(&told.roster);
+    let applied = applied.expect("the change applies to that list");
+    assert_eq!(applied.version(), without_leaving.version());
+    // An outdated list shows the target as live again.
+    let mut roster = Roster::clone(&applied.roster);
     roster.update(before.roster.iter().cloned().collect());
-    assert_eq!(roster.get(&leaves).map(|listed| listed.presence), Some(Presence::Leaving));
+    assert_eq!(roster.get(&leaving_target).map(|listed| listed.presence), Some(Presence::Leaving));
     let other = VersionedRoster::new(6, before.roster.clone());
-    assert_eq!(other.with_change(before.version(), left.version(), first, first_remembered), None);
+    assert_eq!(
+        other.with_change(before.version(), with_leaving.version(), first, first_history),
+        None
+    );
 }
 
-/// Bytes that make no list, and pieces out of order.
+/// Pieces that are missing, damaged, or of another list than they claim.
 #[test]
-fn pieces_that_make_no_list_are_refused() {
+fn damaged_or_mismatched_pieces_are_refused() {
     let pieces = split(&list(7));
     let mut assembly = Assembly::default();
-    assert_eq!(assembly.take(&pieces[1]).err(), Some(PieceError::Damaged), "one is missing");
+    assert_eq!(
+        assembly.take(&pieces[1]).err(),
+        Some(PieceError::Damaged),
+        "the first piece is missing"
+    );
     assert!(assembly.take(&pieces[0]).is_ok());
-    assert!(assembly.take(&pieces[0]).is_ok(), "it came twice");
+    assert!(assembly.take(&pieces[0]).is_ok(), "a repeated piece is ignored");
     assert_eq!(assembly.progress().1, 1);
-    // Another list under the same name.
-    let others =
+    // Pieces of another list under the same version.
+    let other_pieces =
         split(&VersionedRoster::new(7, Arc::new(roster([target("x", "app", address(1))]))));
-    let mut forged = others[0].clone();
+    let mut forged = other_pieces[0].clone();
     forged.of = pieces[0].of;
     assert_eq!(Assembly::default().take(&forged).err(), Some(PieceError::VersionMismatch));
     let last = u32::MAX;
-    let mut endless = pieces[0].clone();
-    endless.count = last;
-    assert_eq!(Assembly::default().take(&endless).err(), Some(PieceError::Damaged));
+    let mut oversized = pieces[0].clone();
+    oversized.count = last;
+    assert_eq!(Assembly::default().take(&oversized).err(), Some(PieceError::Damaged));
 }
 
-/// Plain services have few targets, and their routes can be served after the first piece.
+/// Routes of plain services can be served after the first piece, because those have few targets.
 #[test]
 fn the_first_piece_holds_all_targets_of_small_services() {
-    let first = split(&list(1))[0].listed().expect("it is sound");
+    let first = split(&list(1))[0].listed().expect("the piece is valid");
     assert_eq!(first.iter().filter(|listed| listed.service == "app").count(), 5);
 }
 
-/// Herd of readers. What was seen: the list of 3,000 targets has 60 pages and takes 0.9 s, so four replicas
-/// that don't lead took the leader for silent and read it as well, each time.
-///
-/// DecisionTrace: between the begins of two reads of the leader pass its duration and the pause; it is told at
-/// the end of a read.
+/// Other replicas must not take the leader for silent while it reads a long list: they learn of a read
+/// only at its end.
 #[test]
 fn replicas_wait_for_a_leader_that_reads_a_long_list() {
-    let lasts = ms(900);
-    let mut turn = ReaderElection::new(ms(0));
-    let mut begins = ms(0);
+    let read_duration = ms(900);
+    let mut election = ReaderElection::new(ms(0));
+    let mut read_start = ms(0);
     for _ in 0..10 {
-        let ends = begins + lasts;
-        let due = turn.takeover_at(0.0, 0, READ_INTERVAL);
-        assert!(begins == ms(0) || due >= ends, "it reads at {due:?}, the leader until {ends:?}");
-        turn.record_read(begins);
-        turn.record_duration(lasts);
-        begins = ends + READ_INTERVAL;
+        let read_end = read_start + read_duration;
+        let due = election.takeover_at(0.0, 0, READ_INTERVAL);
+        assert!(
+            read_start == ms(0) || due >= read_end,
+            "takeover at {due:?}, the leader reads until {read_end:?}"
+        );
+        election.record_read(read_start);
+        election.record_duration(read_duration);
+        read_start = read_end + READ_INTERVAL;
     }
 }
