--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -40,37 +40,37 @@
     store.grant_save(part_key(SALT, id), SALT, &part(id, tokens), now);
 }
 
-fn whole(store: &mut Store, id: &str, tokens: u64, now: Duration) {
+fn save_complete(store: &mut Store, id: &str, tokens: u64, now: Duration) {
     save(store, id, tokens, now);
     store.observe_event(StoreEvent::Stored(stored(id, tokens)), now);
 }
 
-fn is_whole(store: &Store, id: &str) -> bool {
+fn is_complete(store: &Store, id: &str) -> bool {
     store.is_complete(part_key(SALT, id))
 }
 
-fn freed(plan: &Option<FreePlan>) -> Vec<&str> {
+fn freed_ids(plan: &Option<FreePlan>) -> Vec<&str> {
     plan.iter().flat_map(|plan| &plan.parts).map(|part| part.id.as_str()).collect()
 }
 
 #[test]
-fn a_part_is_fetched_only_once_it_is_whole() {
+fn a_part_is_fetchable_only_once_it_is_complete() {
     let mut store = store(10_000);
     save(&mut store, "a", 1_000, ms(0));
-    assert!(!is_whole(&store, "a"), "its save has only been granted");
+    assert!(!is_complete(&store, "a"), "its save has only been granted");
     store.observe_event(StoreEvent::Stored(stored("a", 512)), ms(10));
-    assert!(!is_whole(&store, "a"), "half of it is there");
+    assert!(!is_complete(&store, "a"), "half of it is there");
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(20));
-    assert!(is_whole(&store, "a"));
+    assert!(is_complete(&store, "a"));
     store.observe_event(StoreEvent::Removed(stored("a", 1_000)), ms(30));
-    assert!(!is_whole(&store, "a"));
+    assert!(!is_complete(&store, "a"));
     assert_eq!(store.free_tokens(), 10_000);
 }
 
 #[test]
-fn parts_of_other_walls_and_weights_are_other_parts() {
+fn parts_under_different_salts_are_distinct() {
     let mut store = store(10_000);
-    whole(&mut store, "a", 1_000, ms(0));
+    save_complete(&mut store, "a", 1_000, ms(0));
     for salt in ["only:beta/m/1", "all/m/2", "all/other/1", "all/m/1a", "all/m"] {
         assert!(!store.is_complete(part_key(salt, "a")), "{salt}");
     }
@@ -79,47 +79,47 @@
 }
 
 #[test]
-fn an_event_of_an_unknown_part_makes_it_not_whole() {
+fn a_stored_event_does_not_complete_an_unknown_part() {
     let mut store = store(10_000);
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(0));
-    assert!(!is_whole(&store, "a"), "how long it is to be is not known");
+    assert!(!is_complete(&store, "a"), "how long it is to be is not known");
 }
 
 #[test]
-fn a_store_that_started_anew_has_nothing() {
+fn a_restarted_store_is_empty() {
     let mut store = store(10_000);
-    whole(&mut store, "a", 1_000, ms(0));
+    save_complete(&mut store, "a", 1_000, ms(0));
     store.reset();
-    assert!(!is_whole(&store, "a") && !store.has_inventory());
+    assert!(!is_complete(&store, "a") && !store.has_inventory());
     store.observe_inventory(Inventory { start: store_start(2), ..Inventory::default() }, ms(100));
-    assert!(store.has_inventory() && !is_whole(&store, "a"));
+    assert!(store.has_inventory() && !is_complete(&store, "a"));
 }
 
 #[test]
-fn nothing_is_freed_while_a_fetch_may_be_under_way() {
+fn no_part_is_freed_while_its_fetch_may_be_in_progress() {
     let mut store = store(10_000);
     for id in ["a", "b", "c", "d", "e", "f"] {
-        whole(&mut store, id, 1_600, ms(0));
+        save_complete(&mut store, id, 1_600, ms(0));
     }
     let keys: Vec<_> = ["a", "b", "c", "d", "e", "f"].map(|id| part_key(SALT, id)).to_vec();
     let later = FETCH_GRANT_TTL * 2;
     keys.iter().for_each(|key| store.grant_fetch(*key, later));
     assert_eq!(store.plan_frees(later + FETCH_GRANT_TTL), None, "the grants have only just ended");
     let plan = store.plan_frees(later + FETCH_GRANT_TTL + ms(400));
-    assert_eq!(freed(&plan).len(), 1);
-    let gone = freed(&plan)[0].to_string();
-    assert!(!is_whole(&store, &gone), "it may be gone at any moment");
+    assert_eq!(freed_ids(&plan).len(), 1);
+    let freed_id = freed_ids(&plan)[0].to_string();
+    assert!(!is_complete(&store, &freed_id), "it may be gone at any moment");
 }
 
 #[test]
-fn the_least_recently_used_go_first() {
+fn least_recently_used_parts_are_freed_first() {
     let mut store = store(10_000);
     for (at, id) in ["a", "b", "c", "d", "e", "f"].into_iter().enumerate() {
-        whole(&mut store, id, 1_600, ms(at as u64));
+        save_complete(&mut store, id, 1_600, ms(at as u64));
     }
     store.touch(part_key(SALT, "a"), ms(50));
     let plan = store.plan_frees(ms(60_000));
-    assert_eq!(freed(&plan), ["b"]);
+    assert_eq!(freed_ids(&plan), ["b"]);
     let plan = plan.expect("a plan");
     assert_eq!(plan.start.epoch, 1);
     store.confirm_freed(&plan);
@@ -128,18 +128,18 @@
 }
 
 #[test]
-fn a_free_without_a_clear_answer_is_sent_again() {
+fn an_unconfirmed_free_is_repeated() {
     let mut store = store(10_000);
     for id in ["a", "b", "c", "d", "e", "f"] {
-        whole(&mut store, id, 1_600, ms(0));
+        save_complete(&mut store, id, 1_600, ms(0));
     }
     let first = store.plan_frees(ms(10_000));
-    assert_eq!(freed(&first).len(), 1);
+    assert_eq!(freed_ids(&first).len(), 1);
     assert_eq!(store.plan_frees(ms(10_200)), first);
 }
 
 #[test]
-fn a_failed_save_gives_its_room_back() {
+fn a_failed_save_releases_its_space() {
     let mut store = store(10_000);
     save(&mut store, "a", 1_000, ms(0));
     assert_eq!(store.free_tokens(), 10_000 - 1_008, "by blocks of 16 tokens");
@@ -150,18 +150,18 @@
 }
 
 #[test]
-fn a_late_event_does_not_make_a_part_whole_that_is_being_freed() {
+fn a_late_event_does_not_complete_a_part_being_freed() {
     let mut store = store(10_000);
     save(&mut store, "a", 1_000, ms(0));
     assert!(store.plan_frees(ms(6_000)).is_some());
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(6_001));
-    assert!(!is_whole(&store, "a"));
+    assert!(!is_complete(&store, "a"));
 }
 
 /// Events come late: the word that a save is whole which was given up long ago must not be taken for
 /// that of another save of the same part, which has only begun.
 #[test]
-fn a_part_whose_save_has_failed_is_not_saved_again_at_once() {
+fn a_failed_save_is_not_retried_immediately() {
     let mut store = store(10_000);
     let key = part_key(SALT, "a");
     save(&mut store, "a", 1_000, ms(0));
@@ -173,11 +173,11 @@
 }
 
 #[test]
-fn an_inventory_tells_what_events_did_not() {
+fn an_inventory_corrects_state_after_missed_events() {
     let mut store = store(10_000);
     save(&mut store, "lost event", 1_000, ms(0));
     save(&mut store, "broken off", 1_000, ms(0));
-    whole(&mut store, "gone", 1_000, ms(0));
+    save_complete(&mut store, "gone", 1_000, ms(0));
     save(&mut store, "not begun", 1_000, ms(990));
     let inventory = Inventory {
         start: store_start(1),
@@ -186,7 +186,7 @@
         partial: vec![stored("broken off", 1_000)],
     };
     store.observe_inventory(inventory, ms(1_000));
-    let found = |id: &str| (store.contains(part_key(SALT, id)), is_whole(&store, id));
+    let found = |id: &str| (store.contains(part_key(SALT, id)), is_complete(&store, id));
     assert_eq!(found("lost event"), (true, true));
     assert_eq!(found("of an earlier scheduler"), (true, true));
     assert_eq!(found("broken off"), (true, false));
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn the_wire() {
+fn store_messages_are_decoded_and_encoded() {
     let list = r#"{"BootEpoch":77,"NextToken":120,"clock_ms":5000.5,
         "Held":[["s1","5c1e",800,"m"]],"Partial":[["s1","91bd",128,512]]}"#;
     let (inventory, clock_ms) = stores::decode_list(list.as_bytes()).expect("a list");
@@ -217,27 +217,27 @@
 }
 
 #[test]
-fn a_store_that_starts_again_under_its_epoch_holds_nothing_of_before() {
-    let born = |born_ms| StoreStart { epoch: 1, born_ms: Some(born_ms) };
+fn a_restart_under_the_same_epoch_discards_the_earlier_state() {
+    let start_at = |born_ms| StoreStart { epoch: 1, born_ms: Some(born_ms) };
     let inventory = |start, complete| Inventory { start, complete, ..Inventory::default() };
     let mut store = store(1_000);
-    store.observe_inventory(inventory(born(9), vec![stored("a", 990)]), ms(0));
+    store.observe_inventory(inventory(start_at(9), vec![stored("a", 990)]), ms(0));
     save(&mut store, "b", 10, ms(10));
     let plan = store.plan_frees(ms(6_000)).expect("it is full");
-    store.observe_inventory(inventory(born(9), vec![stored("a", 990)]), ms(6_010));
-    assert!(!is_whole(&store, "a"), "it is being freed");
-    store.observe_inventory(inventory(born(3), vec![stored("a", 990)]), ms(6_020));
-    assert!(is_whole(&store, "a"), "the later start frees nothing");
+    store.observe_inventory(inventory(start_at(9), vec![stored("a", 990)]), ms(6_010));
+    assert!(!is_complete(&store, "a"), "it is being freed");
+    store.observe_inventory(inventory(start_at(3), vec![stored("a", 990)]), ms(6_020));
+    assert!(is_complete(&store, "a"), "the later start frees nothing");
     assert!(!store.contains(part_key(SALT, "b")), "and saves nothing");
     // Word that the earlier start has freed it comes late.
     store.confirm_freed(&plan);
-    assert!(is_whole(&store, "a"));
+    assert!(is_complete(&store, "a"));
     // Answers that tell no birth are of the same start.
-    assert!(born(3).may_equal(&store_start(1)) && !born(3).may_equal(&born(9)));
+    assert!(start_at(3).may_equal(&store_start(1)) && !start_at(3).may_equal(&start_at(9)));
 }
 
 #[test]
-fn what_can_not_be_read_of_a_list_or_page_loses_nothing_else() {
+fn malformed_inventory_and_event_entries_are_skipped() {
     let list = r#"{"BootEpoch":7,"NextToken":1,"clock_ms":1e300,"born":1700000000001,
         "Held":[["s","a",1,"m"],["s",2,3,"m"],null,["s","x"],["s","b",18446744073709551615,"m"],
                 ["s","c",5,"m"]],
