--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -13,64 +13,64 @@
 use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
 
 /// Two engines and a store that is lost, after one engine was given a context.
-fn after_one() -> (Scheduler, PlacementRequest, Placement) {
+fn scheduler_after_one_placement() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
     scheduler.reset_store(address(9_000));
     let ask = ask_of(0, 1, 1);
-    let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
-    (scheduler, ask, one)
+    let placement = placed(scheduler.submit(1, ask.clone(), ms(10)));
+    (scheduler, ask, placement)
 }
 
-fn elsewhere(ask: &PlacementRequest, one: &Placement) -> PlacementRequest {
-    PlacementRequest { avoid: vec![one.target.clone()], ..ask.clone() }
+fn avoiding_target_of(ask: &PlacementRequest, placement: &Placement) -> PlacementRequest {
+    PlacementRequest { avoid: vec![placement.target.clone()], ..ask.clone() }
 }
 
 #[test]
-fn what_no_store_has_is_fetched_from_an_engine_that_has_read_it() {
-    let (mut scheduler, ask, one) = after_one();
-    let early = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(20)));
+fn parts_missing_from_stores_are_fetched_from_an_engine_that_holds_them() {
+    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    let early = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(20)));
     assert_eq!(early.fetch[0], None, "it may not be whole yet");
     assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
     end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
-    first(&mut scheduler, one.ticket, ms(130));
-    let later = placed(scheduler.submit(3, elsewhere(&ask, &one), ms(140)));
-    let from = if one.target.id == "i-00" { address(0) } else { address(1) };
+    first(&mut scheduler, placement.ticket, ms(130));
+    let later = placed(scheduler.submit(3, avoiding_target_of(&ask, &placement), ms(140)));
+    let from = if placement.target.id == "i-00" { address(0) } else { address(1) };
     assert_eq!((later.fetch[0], later.trace.fetched_tokens), (Some(from), 9_100));
     assert_eq!(later.trace.recomputed.total(), 0);
 }
 
 #[test]
-fn nothing_is_fetched_from_engines_that_leave_or_fail() {
-    let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
+fn nothing_is_fetched_from_leaving_or_unreachable_engines() {
+    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    first(&mut scheduler, placement.ticket, ms(130));
     let mut leaving = engines(2);
-    leaving.iter_mut().filter(|listed| listed.start == one.target).for_each(|listed| {
+    leaving.iter_mut().filter(|listed| listed.start == placement.target).for_each(|listed| {
         listed.presence = Presence::Leaving;
     });
     scheduler.observe_roster(&roster(leaving));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
-    assert_eq!(two.fetch[0], None);
+    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    assert_eq!(second.fetch[0], None);
 
-    let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(135));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
-    assert_eq!(two.fetch[0], None);
+    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    first(&mut scheduler, placement.ticket, ms(130));
+    end(&mut scheduler, placement.ticket, EndReason::Unreachable, ms(135));
+    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    assert_eq!(second.fetch[0], None);
 }
 
 #[test]
-fn an_engine_that_changed_its_weights_has_nothing_to_fetch() {
-    let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
-    assert_eq!((two.weight_version, two.fetch[0]), (Some(1), None));
+fn nothing_is_fetched_from_an_engine_with_other_weights() {
+    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    first(&mut scheduler, placement.ticket, ms(130));
+    end(&mut scheduler, placement.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
+    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    assert_eq!((second.weight_version, second.fetch[0]), (Some(1), None));
 }
 
 /// The only store is lost in the midst of a day: what engines hold is fetched from them, so that of the
 /// contexts that engines hold few are read again, and nobody is late for it.
 #[test]
-fn a_lost_store_does_not_make_engines_read_again_what_others_hold() {
+fn a_lost_store_does_not_cause_recomputation_of_parts_held_by_engines() {
     let mut world = World::new(12);
     world.run(10, 1.0);
     world.scheduler.reset_store(address(9_000));
@@ -83,7 +83,7 @@
 /// reads engines' memories and stores: placed unread, 260,000 tokens of contexts were read again in that
 /// second (measured on 18 engines).
 #[test]
-fn prompts_wait_until_a_new_scheduler_knows_what_is_kept() {
+fn prompts_wait_until_a_new_scheduler_knows_the_cache_state() {
     let mut scheduler = Scheduler::new(1, ms(0));
     scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn prompts_do_not_wait_for_long_for_a_store_that_does_not_answer() {
+fn waiting_for_an_unresponsive_store_is_bounded() {
     let mut scheduler = Scheduler::new(1, ms(0));
     scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
@@ -122,7 +122,7 @@
 /// that is no sign of slow links. Else contexts are read again that could be fetched, just when engines
 /// have no time for it.
 #[test]
-fn links_are_not_taken_for_slow_because_engines_are_busy() {
+fn queueing_on_busy_engines_is_not_attributed_to_links() {
     let mut world = World::new(12);
     world.run(10, 1.0);
     let busy_until = world.now + ms(400);
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn what_delays_most_answers_is_usual() {
+fn lateness_median_ignores_a_slow_minority_and_is_never_negative() {
     let mut lateness = Lateness::default();
     assert_eq!(lateness.median_ms(), 0.0);
     (0..15).for_each(|_| lateness.add(200.0));
@@ -145,7 +145,7 @@
 /// Two engines that are equally busy: the one in the store's failure domain gets the prompt, since its
 /// fetch keeps the store's link half as long from others.
 #[test]
-fn of_engines_that_are_as_soon_the_one_that_keeps_links_for_less_time_fetches() {
+fn of_equally_fast_engines_the_one_with_the_shorter_link_occupancy_fetches() {
     let mut scheduler = scheduler(2);
     let mut listed = engines(2);
     listed[0].failure_domain = "b".to_string();
@@ -169,7 +169,7 @@
 /// After an outage links are full, and most of those who have waited can't be on time: they wait for
 /// their fetch, and leave engines to read for others.
 #[test]
-fn who_cannot_be_on_time_waits_longer_for_a_fetch() {
+fn a_prompt_already_late_waits_longer_for_a_fetch() {
     let mut scheduler = scheduler(1);
     let salt = "all/m/1".to_string();
     let part = |n: u64| {
@@ -184,9 +184,9 @@
         let placed = placed(scheduler.submit(n, ask_of(0, n, n), ms(10)));
         end(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
     }
-    let hurried = placed(scheduler.submit(50, ask_of(0, 50, 50), ms(11)));
-    assert_eq!(hurried.trace.recomputed.link_full_tokens, 9_100);
-    end(&mut scheduler, hurried.ticket, EndReason::Cancelled, ms(11));
+    let on_time = placed(scheduler.submit(50, ask_of(0, 50, 50), ms(11)));
+    assert_eq!(on_time.trace.recomputed.link_full_tokens, 9_100);
+    end(&mut scheduler, on_time.ticket, EndReason::Cancelled, ms(11));
     let late = PlacementRequest { elapsed: ms(600), ..ask_of(0, 51, 51) };
     assert_eq!(placed(scheduler.submit(51, late, ms(12))).trace.fetched_tokens, 9_100);
 }
