--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::restarts::{Got, PATIENCE, Site, stream_with_body};
+use crate::restarts::{EVENT_TIMEOUT, Site, StreamResponse, send_prompt_with_body};
 
 const ENTRIES: usize = 4;
 const ENGINES: [&str; 6] = ["i-0", "i-1", "i-2", "i-3", "i-4", "i-5"];
@@ -27,7 +27,7 @@
 struct Repeater {
     kind: &'static str,
     count: usize,
-    answers: Vec<Got>,
+    answers: Vec<StreamResponse>,
 }
 
 impl Repeater {
@@ -42,7 +42,8 @@
             let id = format!("{}-ending-{}", self.kind, self.count);
             let entry = site.system.callers(self.count % ENTRIES);
             let body = ENDING.to_string();
-            let got = stream_with_body(site.client.clone(), entry, self.kind, &id, 5, body).await;
+            let got =
+                send_prompt_with_body(site.client.clone(), entry, self.kind, &id, 5, body).await;
             self.answers.push(got);
             tokio::time::sleep(AGAIN_AFTER).await;
         }
@@ -62,12 +63,12 @@
     for again in 0.. {
         let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
         let (id, body) = (format!("stream-{number}-{again}"), format!("question {number}"));
-        let got = stream_with_body(client, entry, "stream", &id, 5, body).await;
+        let got = send_prompt_with_body(client, entry, "stream", &id, 5, body).await;
         assert!(!got.body.contains("targets have ended"), "{number} is held");
         if got.status == 200 && got.is_whole {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "{number} gets {}: {}", got.status, got.body);
+        assert!(begun.elapsed() < EVENT_TIMEOUT, "{number} gets {}: {}", got.status, got.body);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -14,11 +14,11 @@
 use crate::processes::{REPLICAS, System};
 
 /// Longest wait for what must happen: many times what it takes, for busy machines.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 /// Prompts at a time: more than one engine would get of its own accord.
-const PROMPTS_AT_A_TIME: usize = 12;
+const CONCURRENT_PROMPTS: usize = 12;
 /// Events of a stream that goes on while its target is told to load weights and starts again.
-const LONG_STREAM: u64 = 400;
+const LONG_STREAM_EVENTS: u64 = 400;
 
 /// One entry, replicas, and what they run before.
 pub struct Site {
@@ -49,32 +49,32 @@
 }
 
 /// What a caller got: the status, what came of the body, and whether it ended as it should.
-pub struct Got {
+pub struct StreamResponse {
     pub status: u16,
     pub body: String,
     pub is_whole: bool,
 }
 
 /// Sends a prompt and reads its stream.
-async fn stream(
+async fn send_prompt(
     client: reqwest::Client,
     entry: SocketAddr,
     kind: &str,
     id: &str,
     events: u64,
-) -> Got {
-    stream_with_body(client, entry, kind, id, events, "a question".to_string()).await
+) -> StreamResponse {
+    send_prompt_with_body(client, entry, kind, id, events, "a question".to_string()).await
 }
 
 /// Sends a prompt with a body and reads its stream.
-pub async fn stream_with_body(
+pub async fn send_prompt_with_body(
     client: reqwest::Client,
     entry: SocketAddr,
     kind: &str,
     id: &str,
     events: u64,
     content: String,
-) -> Got {
+) -> StreamResponse {
     let asking = client
         .post(format!("http://{entry}/{kind}/"))
         .header("host", "shop.example")
@@ -86,7 +86,7 @@
         .header("x-prompt-prefix", format!("c-{id}:1000,{id}:200"))
         .body(content);
     let Ok(mut answer) = asking.send().await else {
-        return Got { status: 0, body: String::new(), is_whole: false };
+        return StreamResponse { status: 0, body: String::new(), is_whole: false };
     };
     let (status, mut body) = (answer.status().as_u16(), Vec::new());
     let is_whole = loop {
@@ -96,7 +96,7 @@
             Err(_) => break false,
         }
     };
-    Got { status, body: String::from_utf8_lossy(&body).into_owned(), is_whole }
+    StreamResponse { status, body: String::from_utf8_lossy(&body).into_owned(), is_whole }
 }
 
 impl Site {
@@ -121,7 +121,7 @@
         let system = System::start(entries, vec![list; REPLICAS], network);
         let client = reqwest::Client::new();
         let site = Site { platform, system, client, requests: 0 };
-        site.tell("PUT", "config", &document()).await;
+        site.send_operator_request("PUT", "config", &document()).await;
         site
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Tells any replica that takes it, as the operator does.
-    async fn tell(&self, method: &str, path: &str, body: &Value) {
+    async fn send_operator_request(&self, method: &str, path: &str, body: &Value) {
         let begun = Instant::now();
         loop {
             for replica in self.system.replicas() {
@@ -146,7 +146,7 @@
                     return;
                 }
             }
-            assert!(begun.elapsed() < PATIENCE, "{path} is not acknowledged");
+            assert!(begun.elapsed() < EVENT_TIMEOUT, "{path} is not acknowledged");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -158,24 +158,30 @@
 
     /// Sends short prompts, many at a time and without shared contexts, until something holds. Returns
     /// whether it came to hold.
-    async fn serves_until(&mut self, holds: impl Fn(&Site) -> bool) -> bool {
+    async fn send_prompts_until(&mut self, holds: impl Fn(&Site) -> bool) -> bool {
         let begun = Instant::now();
         while !holds(self) {
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > EVENT_TIMEOUT {
                 return false;
             }
             let (client, entry) = (self.client.clone(), self.system.callers(0));
-            let ids: Vec<String> = (0..PROMPTS_AT_A_TIME).map(|_| self.next_id("stream")).collect();
-            let prompts = ids.iter().map(|id| stream(client.clone(), entry, "stream", id, 5));
+            let ids: Vec<String> =
+                (0..CONCURRENT_PROMPTS).map(|_| self.next_id("stream")).collect();
+            let prompts = ids.iter().map(|id| send_prompt(client.clone(), entry, "stream", id, 5));
             futures::future::join_all(prompts).await;
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         true
     }
 
-    async fn names(&self, version: u64) {
+    async fn name_weights(&self, version: u64) {
         self.platform.lock().named_weights = version;
-        self.tell("POST", "version-put", &json!({"Model": "m", "Version": version})).await;
+        self.send_operator_request(
+            "POST",
+            "version-put",
+            &json!({"Model": "m", "Version": version}),
+        )
+        .await;
     }
 
     fn violations(&self) -> Vec<String> {
@@ -184,26 +190,26 @@
 }
 
 /// What is right of a stream: its events in order, each once, and whole only if they are all there.
-fn assert_not_spliced(id: &str, got: &Got) {
-    let expected: String = (1..=LONG_STREAM).map(|number| event_of(id, number)).collect();
+fn assert_own_events_in_order(id: &str, got: &StreamResponse) {
+    let expected: String = (1..=LONG_STREAM_EVENTS).map(|number| event_of(id, number)).collect();
     assert!(expected.starts_with(&got.body), "{id} got {:?}", got.body);
     let is_refused = got.status != 200 && got.body.is_empty();
     assert!(is_refused || !got.is_whole || got.body == expected, "{id} looks whole: {}", got.body);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_starts_again_with_an_order_and_a_stream_under_way_loads_named_weights() {
+async fn an_engine_restarted_during_a_load_order_and_streams_loads_the_named_weights() {
     let mut site = Site::start(&["i-0", "i-1"], Vec::new(), 231).await;
-    assert!(site.serves_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
+    assert!(site.send_prompts_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
     let mut streams = tokio::task::JoinSet::new();
     for kind in ["stream", "resumable"].repeat(6) {
         let (client, entry, id) = (site.client.clone(), site.system.callers(0), site.next_id(kind));
         streams.spawn(async move {
-            let got = stream(client, entry, kind, &id, LONG_STREAM).await;
+            let got = send_prompt(client, entry, kind, &id, LONG_STREAM_EVENTS).await;
             (id, got)
         });
     }
-    site.names(2).await;
+    site.name_weights(2).await;
     // The first that is told to load is in the middle of streams: they are not waited for so long.
     let loads = |site: &Site| {
         let platform = site.platform.lock();
@@ -215,7 +221,7 @@
         if let Some(loading) = loads(&site) {
             break loading;
         }
-        assert!(begun.elapsed() < PATIENCE, "no engine is told to load");
+        assert!(begun.elapsed() < EVENT_TIMEOUT, "no engine is told to load");
         tokio::time::sleep(Duration::from_millis(5)).await;
     };
     assert_eq!(site.engine(&loading, |engine| engine.weights), Some(1), "it loads still");
@@ -226,59 +232,63 @@
         ..Restart::at(any_address())
     };
     site.platform.restart_target(&loading, restart).await.expect("it starts again");
-    let mut broken = 0;
+    let mut broken_streams = 0;
     while let Some(ended) = streams.join_next().await {
         let (id, got) = ended.expect("no panic");
-        assert_not_spliced(&id, &got);
-        broken += u32::from(!got.is_whole || got.status != 200);
+        assert_own_events_in_order(&id, &got);
+        broken_streams += u32::from(!got.is_whole || got.status != 200);
         if id.starts_with("resumable") {
             assert!(got.is_whole && got.status == 200, "{id} goes on elsewhere: {}", got.status);
         }
     }
-    assert!(broken <= 6, "only streams that may not be resumed break: {broken}");
-    let have_named = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
-    site.serves_until(|site| have_named(site) == [Some(2); 2]).await;
-    assert_eq!(have_named(&site), [Some(2); 2], "weights of the engines");
+    assert!(broken_streams <= 6, "only streams that may not be resumed break: {broken_streams}");
+    let engine_weights = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
+    site.send_prompts_until(|site| engine_weights(site) == [Some(2); 2]).await;
+    assert_eq!(engine_weights(&site), [Some(2); 2], "weights of the engines");
     let before = site.engine(&loading, |engine| engine.begun);
-    let takes_work = |site: &Site| site.engine(&loading, |engine| engine.begun) > before;
-    assert!(site.serves_until(takes_work).await, "{loading} takes work again");
+    let accepts_work = |site: &Site| site.engine(&loading, |engine| engine.begun) > before;
+    assert!(site.send_prompts_until(accepts_work).await, "{loading} takes work again");
     assert_eq!(site.violations(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_start_that_left_is_replaced_by_one_that_takes_work() {
+async fn a_restart_after_a_drain_accepts_work() {
     let mut site = Site::start(&["i-0", "i-1"], Vec::new(), 232).await;
-    assert!(site.serves_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
+    assert!(site.send_prompts_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
     site.platform.drain_target("i-0");
     // Long enough for all to know that it leaves.
     let drained = Instant::now();
-    site.serves_until(|_| drained.elapsed() > Duration::from_secs(4)).await;
+    site.send_prompts_until(|_| drained.elapsed() > Duration::from_secs(4)).await;
     // Its clock was put back meanwhile.
     let restart = Restart { born_ms: clock_ms() - 60_000, ..Restart::at(any_address()) };
     site.platform.restart_target("i-0", restart).await.expect("it starts again");
-    let takes_work = site.serves_until(|site| site.engine("i-0", |e| e.begun > 0)).await;
-    assert!(takes_work, "start 2 of i-0 got no prompt within {PATIENCE:?}");
+    let accepts_work = site.send_prompts_until(|site| site.engine("i-0", |e| e.begun > 0)).await;
+    assert!(accepts_work, "start 2 of i-0 got no prompt within {EVENT_TIMEOUT:?}");
     assert_eq!(site.violations(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_other_writers_take_no_other_entry_away_and_get_no_request() {
-    let nobody_knows = Platform::new();
-    let nobody = nobody_knows.serve_nobody(any_address()).await;
-    let foreign =
-        |(number, kind): (usize, &Foreign)| kind.entry(&format!("i-foreign-{number}"), nobody);
+async fn foreign_list_entries_hide_no_target_and_get_no_request() {
+    let unused_platform = Platform::new();
+    let unused_address = unused_platform.serve_nobody(any_address()).await;
+    let foreign = |(number, kind): (usize, &Foreign)| {
+        kind.entry(&format!("i-foreign-{number}"), unused_address)
+    };
     let mut entries: Vec<Vec<u8>> = FOREIGN.iter().enumerate().map(foreign).collect();
     // And one under the id of an engine.
-    entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", nobody));
+    entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", unused_address));
     let mut site = Site::start(&["i-0", "i-1"], entries, 233).await;
     for id in ["i-0", "i-1"] {
-        let gets_work = site.serves_until(|site| site.engine(id, |e| e.begun > 0)).await;
-        assert!(gets_work, "{id} got no prompt within {PATIENCE:?} beside other writers' entries");
+        let receives_work = site.send_prompts_until(|site| site.engine(id, |e| e.begun > 0)).await;
+        assert!(
+            receives_work,
+            "{id} got no prompt within {EVENT_TIMEOUT:?} beside other writers' entries"
+        );
     }
-    site.names(2).await;
-    let have_named = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
-    site.serves_until(|site| have_named(site) == [Some(2); 2]).await;
-    assert_eq!(have_named(&site), [Some(2); 2], "weights of the engines");
+    site.name_weights(2).await;
+    let engine_weights = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
+    site.send_prompts_until(|site| engine_weights(site) == [Some(2); 2]).await;
+    assert_eq!(engine_weights(&site), [Some(2); 2], "weights of the engines");
     assert_eq!(site.violations(), Vec::<String>::new());
-    assert_eq!(nobody_knows.lock().account.violations, Vec::<String>::new());
+    assert_eq!(unused_platform.lock().account.violations, Vec::<String>::new());
 }
