--- a/tests/deployment/state.rs
+++ b/tests/deployment/state.rs
@@ -1,4 +1,4 @@
-//! The state that replicas agree on.
+//! The control state that replicas agree on by consensus.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -15,8 +15,8 @@
 }
 
 fn published_text(state: &ControlState) -> String {
-    let published = state.published.as_ref().expect("something is published");
-    String::from_utf8(published.text.to_vec()).expect("text")
+    let published = state.published.as_ref().expect("a deployment is published");
+    String::from_utf8(published.text.to_vec()).expect("UTF-8")
 }
 
 #[test]
@@ -26,7 +26,7 @@
         (3, "three", 3, "three"),
         (7, "seven", 7, "seven"),
         (5, "five, late", 7, "seven"),
-        (7, "other content under the version held", 7, "seven"),
+        (7, "other content under the current version", 7, "seven"),
         (7, "seven", 7, "seven"),
         (8, "eight", 8, "eight"),
     ];
@@ -50,7 +50,7 @@
     Command::RecordAge { model: "m".into(), weights: NamedWeights { version, age: ms(age_ms) } }
 }
 
-/// A new leader may believe in a shorter time than the one before it.
+/// A new leader may compute a lower age than its predecessor recorded.
 #[test]
 fn recorded_ages_of_named_weights_never_decrease() {
     let mut state = ControlState::default();
@@ -59,7 +59,7 @@
         state.apply(record_age(version, age_ms));
         assert_eq!(state.weight_ages["m"][&version], ms(held_ms));
     }
-    assert_eq!(state.weight_ages["m"][&2], ms(2_000), "each version has its own");
+    assert_eq!(state.weight_ages["m"][&2], ms(2_000), "each version has its own age");
     for version in 4..100 {
         state.apply(record_age(version, 0));
     }
@@ -87,6 +87,6 @@
     let bytes = state.snapshot();
     assert_eq!(ControlState::from_snapshot(&bytes), Ok(state));
     for length in 0..bytes.len() {
-        assert!(ControlState::from_snapshot(&bytes[..length]).is_err(), "cut at {length}");
+        assert!(ControlState::from_snapshot(&bytes[..length]).is_err(), "truncated at {length}");
     }
 }
--- a/tests/deployment/stores.rs
+++ b/tests/deployment/stores.rs
@@ -1,4 +1,4 @@
-//! What a store keeps, and when it may be fetched or freed.
+//! Scheduler bookkeeping of cache stores: when parts may be fetched, saved and freed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -59,7 +59,7 @@
     save(&mut store, "a", 1_000, ms(0));
     assert!(!is_complete(&store, "a"), "its save has only been granted");
     store.observe_event(StoreEvent::Stored(stored("a", 512)), ms(10));
-    assert!(!is_complete(&store, "a"), "half of it is there");
+    assert!(!is_complete(&store, "a"), "only half of its tokens are stored");
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(20));
     assert!(is_complete(&store, "a"));
     store.observe_event(StoreEvent::Removed(stored("a", 1_000)), ms(30));
@@ -74,7 +74,7 @@
     for salt in ["only:beta/m/1", "all/m/2", "all/other/1", "all/m/1a", "all/m"] {
         assert!(!store.is_complete(part_key(salt, "a")), "{salt}");
     }
-    // Text and id can't be shifted against each other.
+    // Moving characters between salt and id must change the key.
     assert_ne!(part_key("all/m/1", "2a"), part_key("all/m/12", "a"));
 }
 
@@ -82,7 +82,7 @@
 fn a_stored_event_does_not_complete_an_unknown_part() {
     let mut store = store(10_000);
     store.observe_event(StoreEvent::Stored(stored("a", 1_000)), ms(0));
-    assert!(!is_complete(&store, "a"), "how long it is to be is not known");
+    assert!(!is_complete(&store, "a"), "the full length of the part is unknown");
 }
 
 #[test]
@@ -104,11 +104,15 @@
     let keys: Vec<_> = ["a", "b", "c", "d", "e", "f"].map(|id| part_key(SALT, id)).to_vec();
     let later = FETCH_GRANT_TTL * 2;
     keys.iter().for_each(|key| store.grant_fetch(*key, later));
-    assert_eq!(store.plan_frees(later + FETCH_GRANT_TTL), None, "the grants have only just ended");
+    assert_eq!(
+        store.plan_frees(later + FETCH_GRANT_TTL),
+        None,
+        "the grants have ended, but the safety margin has not"
+    );
     let plan = store.plan_frees(later + FETCH_GRANT_TTL + ms(400));
     assert_eq!(freed_ids(&plan).len(), 1);
     let freed_id = freed_ids(&plan)[0].to_string();
-    assert!(!is_complete(&store, &freed_id), "it may be gone at any moment");
+    assert!(!is_complete(&store, &freed_id), "a part being freed may disappear at any time");
 }
 
 #[test]
@@ -142,8 +146,8 @@
 fn a_failed_save_releases_its_space() {
     let mut store = store(10_000);
     save(&mut store, "a", 1_000, ms(0));
-    assert_eq!(store.free_tokens(), 10_000 - 1_008, "by blocks of 16 tokens");
-    assert_eq!(store.plan_frees(ms(4_000)), None, "it may still go on");
+    assert_eq!(store.free_tokens(), 10_000 - 1_008, "1,000 tokens rounded up to blocks of 16");
+    assert_eq!(store.plan_frees(ms(4_000)), None, "the save may still be in progress");
     let plan = store.plan_frees(ms(6_000)).expect("a plan");
     store.confirm_freed(&plan);
     assert_eq!(store.free_tokens(), 10_000);
@@ -158,8 +162,7 @@
     assert!(!is_complete(&store, "a"));
 }
 
-/// Events come late: the word that a save is whole which was given up long ago must not be taken for
-/// that of another save of the same part, which has only begun.
+/// A delayed completion event of a timed-out save must not complete a later save of the same part.
 #[test]
 fn a_failed_save_is_not_retried_immediately() {
     let mut store = store(10_000);
@@ -175,23 +178,26 @@
 #[test]
 fn an_inventory_corrects_state_after_missed_events() {
     let mut store = store(10_000);
-    save(&mut store, "lost event", 1_000, ms(0));
-    save(&mut store, "broken off", 1_000, ms(0));
-    save_complete(&mut store, "gone", 1_000, ms(0));
-    save(&mut store, "not begun", 1_000, ms(990));
+    save(&mut store, "missed event", 1_000, ms(0));
+    save(&mut store, "partial", 1_000, ms(0));
+    save_complete(&mut store, "removed", 1_000, ms(0));
+    save(&mut store, "just granted", 1_000, ms(990));
     let inventory = Inventory {
         start: store_start(1),
         next_event: 9,
-        complete: vec![stored("lost event", 1_000), stored("of an earlier scheduler", 1_000)],
-        partial: vec![stored("broken off", 1_000)],
+        complete: vec![
+            stored("missed event", 1_000),
+            stored("saved by an earlier scheduler", 1_000),
+        ],
+        partial: vec![stored("partial", 1_000)],
     };
     store.observe_inventory(inventory, ms(1_000));
     let found = |id: &str| (store.contains(part_key(SALT, id)), is_complete(&store, id));
-    assert_eq!(found("lost event"), (true, true));
-    assert_eq!(found("of an earlier scheduler"), (true, true));
-    assert_eq!(found("broken off"), (true, false));
-    assert_eq!(found("gone"), (false, false));
-    assert_eq!(found("not begun"), (true, false));
+    assert_eq!(found("missed event"), (true, true));
+    assert_eq!(found("saved by an earlier scheduler"), (true, true));
+    assert_eq!(found("partial"), (true, false));
+    assert_eq!(found("removed"), (false, false));
+    assert_eq!(found("just granted"), (true, false));
     assert_eq!(store.free_tokens(), 10_000 - 4 * 1_008);
 }
 
@@ -202,7 +208,7 @@
     let (inventory, clock_ms) = stores::decode_list(list.as_bytes()).expect("a list");
     assert_eq!((inventory.start.epoch, inventory.next_event, clock_ms), (77, 120, Some(5_000)));
     assert_eq!(inventory.complete[0].id, "5c1e");
-    assert_eq!(inventory.partial[0].tokens, 512, "what it takes up");
+    assert_eq!(inventory.partial[0].tokens, 512, "a partial part counts by its allocated size");
     let page = r#"{"BootEpoch":77,"NextToken":121,"Lost":true,
         "Events":[[119,"+","s1","5c1e",800,"m"],[120,"-","s1","91bd",128,"m"]]}"#;
     let events = stores::decode_events(page.as_bytes()).expect("a page");
@@ -212,8 +218,8 @@
     let plan = FreePlan { store: address(1), start: store_start(77), parts: vec![stored("a", 1)] };
     let sent: Value = serde_json::from_slice(&stores::encode_free(&plan, 9)).expect("JSON");
     assert_eq!(sent, json!({"parts": [[SALT, "a"]], "BootEpoch": 77, "until_ms": 9}));
-    let none: [Option<SocketAddr>; 2] = [None, Some(address(1))];
-    assert_eq!(stores::encode_addresses(&none), "-,10.0.0.1:1");
+    let addresses: [Option<SocketAddr>; 2] = [None, Some(address(1))];
+    assert_eq!(stores::encode_addresses(&addresses), "-,10.0.0.1:1");
 }
 
 #[test]
@@ -223,16 +229,16 @@
     let mut store = store(1_000);
     store.observe_inventory(inventory(start_at(9), vec![stored("a", 990)]), ms(0));
     save(&mut store, "b", 10, ms(10));
-    let plan = store.plan_frees(ms(6_000)).expect("it is full");
+    let plan = store.plan_frees(ms(6_000)).expect("a plan");
     store.observe_inventory(inventory(start_at(9), vec![stored("a", 990)]), ms(6_010));
-    assert!(!is_complete(&store, "a"), "it is being freed");
+    assert!(!is_complete(&store, "a"), "the part is being freed");
     store.observe_inventory(inventory(start_at(3), vec![stored("a", 990)]), ms(6_020));
-    assert!(is_complete(&store, "a"), "the later start frees nothing");
-    assert!(!store.contains(part_key(SALT, "b")), "and saves nothing");
-    // Word that the earlier start has freed it comes late.
+    assert!(is_complete(&store, "a"), "the free belongs to the earlier start");
+    assert!(!store.contains(part_key(SALT, "b")), "the save belongs to the earlier start");
+    // A late confirmation of the earlier start's free has no effect.
     store.confirm_freed(&plan);
     assert!(is_complete(&store, "a"));
-    // Answers that tell no birth are of the same start.
+    // Responses without a birth time match any start with the same epoch.
     assert!(start_at(3).may_equal(&store_start(1)) && !start_at(3).may_equal(&start_at(9)));
 }
 
@@ -249,7 +255,7 @@
     assert_eq!(ids(&inventory.complete), ["a", "c"]);
     assert_eq!(ids(&inventory.partial), ["d"]);
     assert_eq!(inventory.start, StoreStart { epoch: 7, born_ms: Some(1_700_000_000_001) });
-    assert_eq!(clock_ms, None, "no clock tells that");
+    assert_eq!(clock_ms, None, "the clock value is out of range");
     let page = r#"{"BootEpoch":7,"NextToken":9,"born":1700000000001,
         "Events":[[1,"+","s","a",1,"m"],[2,"*","s","b",1,"m"],[3],"x",[4,"-","s","c",1,"m"]]}"#;
     let events = stores::decode_events(page.as_bytes()).expect("a page");
