--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -1,8 +1,5 @@
-//! Where kept parts are fetched from when stores are lost, full or slow.
-//!
-//! The pattern: a store is lost, or its link turns slow, while engines still hold the contexts that it
-//! kept. Measured on a day of 18 engines before six stores: 1.2 of 1.5 million tokens that were read again
-//! lay in a store that was not fetched from, and nearly all of them in some engine's memory as well.
+//! Selection of the source of cached parts when stores are lost, full or slow: contexts that another
+//! engine still holds must be fetched from it instead of being recomputed.
 
 use kumquatpost::fleet::Presence;
 use kumquatpost::scheduler::lateness::Lateness;
@@ -12,7 +9,8 @@
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
 
-/// Two engines and a store that is lost, after one engine was given a context.
+/// Returns a scheduler with two engines and a lost store after placing a prompt, with the request and
+/// its placement.
 fn scheduler_after_one_placement() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
     scheduler.reset_store(address(9_000));
@@ -29,7 +27,7 @@
 fn parts_missing_from_stores_are_fetched_from_an_engine_that_holds_them() {
     let (mut scheduler, ask, placement) = scheduler_after_one_placement();
     let early = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(20)));
-    assert_eq!(early.fetch[0], None, "it may not be whole yet");
+    assert_eq!(early.fetch[0], None, "the first engine may not have read the context yet");
     assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
     end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
     first(&mut scheduler, placement.ticket, ms(130));
@@ -67,8 +65,8 @@
     assert_eq!((second.weight_version, second.fetch[0]), (Some(1), None));
 }
 
-/// The only store is lost in the midst of a day: what engines hold is fetched from them, so that of the
-/// contexts that engines hold few are read again, and nobody is late for it.
+/// When the only store is lost under load, contexts must be fetched from engines: few tokens are
+/// recomputed and prompts stay within their latency objective.
 #[test]
 fn a_lost_store_does_not_cause_recomputation_of_parts_held_by_engines() {
     let mut world = World::new(12);
@@ -79,9 +77,8 @@
     assert!(without.again_tokens * 20 < without.read_tokens, "{without:?}");
 }
 
-/// After an outage more than a hundred prompts come to a scheduler at once, within the 50 ms in which it
-/// reads engines' memories and stores: placed unread, 260,000 tokens of contexts were read again in that
-/// second (measured on 18 engines).
+/// Prompts that arrive before a new scheduler has read the contents of engines and stores must wait, or
+/// their contexts are recomputed.
 #[test]
 fn prompts_wait_until_a_new_scheduler_knows_the_cache_state() {
     let mut scheduler = Scheduler::new(1, ms(0));
@@ -94,16 +91,16 @@
     let part =
         StoredPart { salt: "all/m/1".into(), id: context.id.clone(), tokens: context.tokens };
     scheduler.observe_cache_events(&start("i-01"), vec![StoreEvent::Stored(part)]);
-    assert_eq!(scheduler.dispatch(ms(20)), [], "the store's contents are not known");
+    assert_eq!(scheduler.dispatch(ms(20)), [], "the contents of the store are unknown");
     let empty = Inventory { start: store_start(1), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), empty, ms(25));
-    assert_eq!(scheduler.dispatch(ms(30)), [], "nothing can be fetched without the engines' clock");
+    assert_eq!(scheduler.dispatch(ms(30)), [], "the clock for fetch deadlines is unknown");
     scheduler.read_clock(5, ms(35));
-    assert_eq!(scheduler.dispatch(ms(60)), [], "frees of an earlier scheduler may be under way");
-    assert_eq!(scheduler.dispatch(ms(75)), [], "engines' memories are not all read");
+    assert_eq!(scheduler.dispatch(ms(60)), [], "frees of an earlier scheduler may be in flight");
+    assert_eq!(scheduler.dispatch(ms(75)), [], "the contents of some engines are unknown");
     scheduler.set_engine_caches_known();
     let (waiter, outcome) = scheduler.dispatch(ms(80)).remove(0);
-    let placed = outcome.expect("it is placed");
+    let placed = outcome.expect("a placement");
     assert_eq!((waiter, placed.target, placed.trace.resident_tokens), (1, start("i-01"), 9_100));
 }
 
@@ -118,9 +115,8 @@
     assert_eq!(scheduler.dispatch(ms(160)).len(), 1);
 }
 
-/// A scheduler takes over when all engines have more to read than it knows: first parts come late, and
-/// that is no sign of slow links. Else contexts are read again that could be fetched, just when engines
-/// have no time for it.
+/// A new scheduler does not know the queues of the engines. If it attributed late first tokens to slow
+/// links, it would recompute contexts on overloaded engines instead of fetching them.
 #[test]
 fn queueing_on_busy_engines_is_not_attributed_to_links() {
     let mut world = World::new(12);
@@ -137,13 +133,13 @@
     assert_eq!(lateness.median_ms(), 0.0);
     (0..15).for_each(|_| lateness.add(200.0));
     (0..6).for_each(|_| lateness.add(2_000.0));
-    assert_eq!(lateness.median_ms(), 200.0, "a slow link's are not most");
+    assert_eq!(lateness.median_ms(), 200.0, "answers over a slow link are a minority");
     (0..21).for_each(|_| lateness.add(-30.0));
     assert_eq!(lateness.median_ms(), 0.0);
 }
 
-/// Two engines that are equally busy: the one in the store's failure domain gets the prompt, since its
-/// fetch keeps the store's link half as long from others.
+/// Of two equally busy engines, the one in the failure domain of the store gets the prompt: its fetch
+/// occupies the link of the store for half as long.
 #[test]
 fn of_equally_fast_engines_the_one_with_the_shorter_link_occupancy_fetches() {
     let mut scheduler = scheduler(2);
@@ -157,7 +153,7 @@
     let inventory =
         Inventory { start: store_start(1), complete: vec![part], ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
-    // Each has 2,400 tokens of another prompt to read, for longer than the fetch takes.
+    // Each engine has 2,400 tokens of another prompt queued, which takes longer than the fetch.
     for (waiter, other) in [(1, "i-01"), (2, "i-00")] {
         let busy = PlacementRequest { avoid: vec![start(other)], ..ask_of(2, waiter, waiter) };
         placed(scheduler.submit(waiter, busy, ms(10)));
@@ -166,8 +162,8 @@
     assert_eq!((fetches.target, fetches.trace.fetched_tokens), (start("i-01"), 9_100));
 }
 
-/// After an outage links are full, and most of those who have waited can't be on time: they wait for
-/// their fetch, and leave engines to read for others.
+/// When links are saturated after an outage, prompts that already miss their objective must wait for a
+/// fetch and leave the compute of engines to prompts that can still meet theirs.
 #[test]
 fn a_prompt_already_late_waits_longer_for_a_fetch() {
     let mut scheduler = scheduler(1);
@@ -179,7 +175,7 @@
     let complete = (0..60).map(part).collect();
     let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
-    // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
+    // 50 fetches of 9 ms each occupy the link of the engine; their prompts are cancelled.
     for n in 0..50 {
         let placed = placed(scheduler.submit(n, ask_of(0, n, n), ms(10)));
         end(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
