--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -1,5 +1,5 @@
-//! Selection of the source of cached parts when stores are lost, full or slow: contexts that another
-//! engine still holds must be fetched from it instead of being recomputed.
+//! Selection of the source of cached parts when stores are lost, full or slow: contexts that
+//! another engine still holds must be fetched from it instead of being recomputed.
 
 use kumquatpost::fleet::Presence;
 use kumquatpost::scheduler::lateness::Lateness;
@@ -9,29 +9,29 @@
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
 
-/// Returns a scheduler with two engines and a lost store after placing a prompt, with the request and
-/// its placement.
+/// Returns a scheduler with two engines and a lost store after placing a prompt, with the request
+/// and its placement.
 fn scheduler_after_one_placement() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
     scheduler.reset_store(address(9_000));
-    let ask = ask_of(0, 1, 1);
-    let placement = placed(scheduler.submit(1, ask.clone(), ms(10)));
-    (scheduler, ask, placement)
+    let request = ask_of(0, 1, 1);
+    let placement = placed(scheduler.submit(1, request.clone(), ms(10)));
+    (scheduler, request, placement)
 }
 
-fn avoiding_target_of(ask: &PlacementRequest, placement: &Placement) -> PlacementRequest {
-    PlacementRequest { avoid: vec![placement.target.clone()], ..ask.clone() }
+fn avoiding_target_of(request: &PlacementRequest, placement: &Placement) -> PlacementRequest {
+    PlacementRequest { avoid: vec![placement.target.clone()], ..request.clone() }
 }
 
 #[test]
 fn parts_missing_from_stores_are_fetched_from_an_engine_that_holds_them() {
-    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
-    let early = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(20)));
+    let (mut scheduler, request, placement) = scheduler_after_one_placement();
+    let early = placed(scheduler.submit(2, avoiding_target_of(&request, &placement), ms(20)));
     assert_eq!(early.fetch[0], None, "the first engine may not have read the context yet");
     assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
     end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
     first(&mut scheduler, placement.ticket, ms(130));
-    let later = placed(scheduler.submit(3, avoiding_target_of(&ask, &placement), ms(140)));
+    let later = placed(scheduler.submit(3, avoiding_target_of(&request, &placement), ms(140)));
     let from = if placement.target.id == "i-00" { address(0) } else { address(1) };
     assert_eq!((later.fetch[0], later.trace.fetched_tokens), (Some(from), 9_100));
     assert_eq!(later.trace.recomputed.total(), 0);
@@ -39,29 +39,29 @@
 
 #[test]
 fn nothing_is_fetched_from_leaving_or_unreachable_engines() {
-    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    let (mut scheduler, request, placement) = scheduler_after_one_placement();
     first(&mut scheduler, placement.ticket, ms(130));
     let mut leaving = engines(2);
     leaving.iter_mut().filter(|listed| listed.start == placement.target).for_each(|listed| {
         listed.presence = Presence::Leaving;
     });
     scheduler.observe_roster(&roster(leaving));
-    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    let second = placed(scheduler.submit(2, avoiding_target_of(&request, &placement), ms(140)));
     assert_eq!(second.fetch[0], None);
 
-    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    let (mut scheduler, request, placement) = scheduler_after_one_placement();
     first(&mut scheduler, placement.ticket, ms(130));
     end(&mut scheduler, placement.ticket, EndReason::Unreachable, ms(135));
-    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    let second = placed(scheduler.submit(2, avoiding_target_of(&request, &placement), ms(140)));
     assert_eq!(second.fetch[0], None);
 }
 
 #[test]
 fn nothing_is_fetched_from_an_engine_with_other_weights() {
-    let (mut scheduler, ask, placement) = scheduler_after_one_placement();
+    let (mut scheduler, request, placement) = scheduler_after_one_placement();
     first(&mut scheduler, placement.ticket, ms(130));
     end(&mut scheduler, placement.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
-    let second = placed(scheduler.submit(2, avoiding_target_of(&ask, &placement), ms(140)));
+    let second = placed(scheduler.submit(2, avoiding_target_of(&request, &placement), ms(140)));
     assert_eq!((second.weight_version, second.fetch[0]), (Some(1), None));
 }
 
@@ -77,17 +77,17 @@
     assert!(without.again_tokens * 20 < without.read_tokens, "{without:?}");
 }
 
-/// Prompts that arrive before a new scheduler has read the contents of engines and stores must wait, or
-/// their contexts are recomputed.
+/// Prompts that arrive before a new scheduler has read the contents of engines and stores must
+/// wait, or their contexts are recomputed.
 #[test]
 fn prompts_wait_until_a_new_scheduler_knows_the_cache_state() {
     let mut scheduler = Scheduler::new(1, ms(0));
     scheduler.await_cache_state(ms(0));
     scheduler.observe_deployment(&site());
     scheduler.observe_roster(&roster(engines(2)));
-    let ask = ask_of(0, 1, 1);
-    assert_eq!(scheduler.submit(1, ask.clone(), ms(10)), None);
-    let context = &ask.parts[0];
+    let request = ask_of(0, 1, 1);
+    assert_eq!(scheduler.submit(1, request.clone(), ms(10)), None);
+    let context = &request.parts[0];
     let part =
         StoredPart { salt: "all/m/1".into(), id: context.id.clone(), tokens: context.tokens };
     scheduler.observe_cache_events(&start("i-01"), vec![StoreEvent::Stored(part)]);
@@ -115,8 +115,8 @@
     assert_eq!(scheduler.dispatch(ms(160)).len(), 1);
 }
 
-/// A new scheduler does not know the queues of the engines. If it attributed late first tokens to slow
-/// links, it would recompute contexts on overloaded engines instead of fetching them.
+/// A new scheduler does not know the queues of the engines. If it attributed late first tokens to
+/// slow links, it would recompute contexts on overloaded engines instead of fetching them.
 #[test]
 fn queueing_on_busy_engines_is_not_attributed_to_links() {
     let mut world = World::new(12);
@@ -138,16 +138,16 @@
     assert_eq!(lateness.median_ms(), 0.0);
 }
 
-/// Of two equally busy engines, the one in the failure domain of the store gets the prompt: its fetch
-/// occupies the link of the store for half as long.
+/// Of two equally busy engines, the one in the failure domain of the store gets the prompt: its
+/// fetch occupies the link of the store for half as long.
 #[test]
 fn of_equally_fast_engines_the_one_with_the_shorter_link_occupancy_fetches() {
     let mut scheduler = scheduler(2);
     let mut listed = engines(2);
     listed[0].failure_domain = "b".to_string();
     scheduler.observe_roster(&roster(listed));
-    let ask = ask_of(0, 1, 1);
-    let context = &ask.parts[0];
+    let request = ask_of(0, 1, 1);
+    let context = &request.parts[0];
     let salt = "all/m/1".to_string();
     let part = StoredPart { salt, id: context.id.clone(), tokens: context.tokens };
     let inventory =
@@ -158,12 +158,12 @@
         let busy = PlacementRequest { avoid: vec![start(other)], ..ask_of(2, waiter, waiter) };
         placed(scheduler.submit(waiter, busy, ms(10)));
     }
-    let fetches = placed(scheduler.submit(3, ask, ms(11)));
+    let fetches = placed(scheduler.submit(3, request, ms(11)));
     assert_eq!((fetches.target, fetches.trace.fetched_tokens), (start("i-01"), 9_100));
 }
 
-/// When links are saturated after an outage, prompts that already miss their objective must wait for a
-/// fetch and leave the compute of engines to prompts that can still meet theirs.
+/// When links are saturated after an outage, prompts that already miss their objective must wait
+/// for a fetch and leave the compute of engines to prompts that can still meet theirs.
 #[test]
 fn a_prompt_already_late_waits_longer_for_a_fetch() {
     let mut scheduler = scheduler(1);
