--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -1,4 +1,5 @@
-//! One entry before stand-in targets, over loopback: what callers get in each fault of a target.
+//! An entry in front of scripted targets, over loopback: the response to callers for each target
+//! fault.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,17 +23,17 @@
 use crate::fixtures::{deployment, ms, roster, start, target};
 use crate::stand_in::{Script, StandIn, Then, header};
 
-/// A running entry.
+/// An entry that serves callers over loopback.
 pub struct Entry {
     pub gateway: Rc<Gateway>,
     pub address: SocketAddr,
     closing: watch::Sender<bool>,
 }
 
-/// Longer than any test takes, also on a busy machine: no outcome depends on how fast it is.
+/// Exceeds the duration of any test on a busy machine, so that outcomes do not depend on its speed.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A deployment in which nothing is given up for being slow.
+/// A deployment whose timeouts no test reaches.
 pub fn deployment_with_long_timeouts() -> Deployment {
     let mut deployment = deployment(1);
     for route in &mut deployment.routes {
@@ -49,7 +50,7 @@
     entry
 }
 
-/// An entry that has just started.
+/// Starts an entry that knows neither a deployment nor targets.
 async fn start_unconfigured_entry() -> Entry {
     let file = json!({
         "NodeName": "entry", "Ip": "127.0.0.1", "Zone": "a", "PortRange": [7700, 7715],
@@ -58,7 +59,7 @@
         "Bounds": {"GraceS": 8, "BudgetRatio": 0.2, "BudgetWindowS": 10, "BudgetSlack": 5000,
                    "VersionMs": 6000, "VersionAllMs": 8400}
     });
-    let host = settings::decode(file.to_string().as_bytes()).expect("it is valid");
+    let host = settings::decode(file.to_string().as_bytes()).expect("valid settings");
     let metrics = EntryMetrics::new().expect("instruments");
     let gateway = Rc::new(Gateway::new(host, metrics));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -68,8 +69,7 @@
     Entry { gateway, address, closing }
 }
 
-/// What a caller gets: the status, the head, the body as bytes on the wire, and whether it ended as
-/// it should.
+/// Response to a caller; `text` is everything received, from the status line on.
 #[derive(Debug)]
 pub struct Response {
     pub status: u16,
@@ -78,11 +78,11 @@
 
 impl Entry {
     fn configure(&self, deployment: Deployment, targets: Vec<Listed>) {
-        self.gateway.observe(Update::Deployment(Arc::new(deployment))).expect("it is whole");
+        self.gateway.observe(Update::Deployment(Arc::new(deployment))).expect("a valid update");
         self.observe_targets(1, targets);
     }
 
-    /// A replica confirms from now on that what the entry knows is the newest.
+    /// Confirms from now on, as a replica does, that the state of the entry is current.
     pub fn start_confirming(&self) {
         let gateway = self.gateway.clone();
         tokio::task::spawn_local(async move {
@@ -90,7 +90,7 @@
             while requests.changed().await.is_ok() {
                 let id = *requests.borrow_and_update();
                 let confirmed = Update::Confirmed { id, age: Duration::ZERO };
-                gateway.observe(confirmed).expect("it is whole");
+                gateway.observe(confirmed).expect("a valid update");
             }
         });
     }
@@ -108,21 +108,22 @@
         self.send(path, id, "key-a", extra).await
     }
 
-    /// A call with another key.
+    /// Calls with the given API key.
     pub async fn call_as(&self, path: &str, id: &str, key: &str) -> Response {
         self.send(path, id, key, "").await
     }
 
     async fn send(&self, path: &str, id: &str, key: &str, extra: &str) -> Response {
-        let mut stream = TcpStream::connect(self.address).await.expect("it listens");
+        let mut stream =
+            TcpStream::connect(self.address).await.expect("the entry accepts connections");
         let request = format!(
             "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\n\
              X-Deadline-Ms: 120000\r\nAuthorization: Bearer {key}\r\nConnection: close\r\n{extra}\
              Content-Length: 4\r\n\r\nbody"
         );
-        stream.write_all(request.as_bytes()).await.expect("it reads");
+        stream.write_all(request.as_bytes()).await.expect("the entry reads the request");
         let mut bytes = Vec::new();
-        // An answer that was broken off ends in an error here, and what came before it counts.
+        // A truncated response ends in an error; the bytes before it are kept.
         let _ = stream.read_to_end(&mut bytes).await;
         let text = String::from_utf8_lossy(&bytes).into_owned();
         let status = text.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0);
@@ -159,7 +160,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// One entry before two stand-ins of a service, the first of which gets the first request.
+/// Starts an entry and two scripted targets of a service. The first target gets the first request.
 pub async fn entry_with_two_targets(
     service: &str,
     one: Script,
@@ -170,9 +171,9 @@
     let second = target("i-2", service, two.address);
     first.slots = 48;
     let entry = start_entry(deployment_with_long_timeouts(), vec![first, second]).await;
-    // The second looks busy, so that the first is chosen.
+    // The load report of the second target makes the entry prefer the first.
     let busy = kumquatpost::gateway::metadata::TargetLoad { running: 40, waiting: 0, slots: 48 };
-    // A report counts in full until then.
+    // A time in the future keeps the report at full weight for the whole test.
     let now = kumquatpost::clock::boot_now() + TEST_TIMEOUT;
     entry.gateway.fleet.borrow_mut().observe_load(&start("i-2"), busy, now);
     (entry, one, two)
@@ -181,9 +182,9 @@
 #[test]
 fn a_response_is_forwarded_unchanged_and_the_api_key_is_not() {
     run_local(async {
-        let answer = ok_response("four bytes and more").replace("200 OK", "201 Made");
+        let response = ok_response("four bytes and more").replace("200 OK", "201 Made");
         let (entry, one, _two) =
-            entry_with_two_targets("app", vec![(answer, Then::KeepOpen)], vec![]).await;
+            entry_with_two_targets("app", vec![(response, Then::KeepOpen)], vec![]).await;
         let got = entry.call("/once/x?y=z", "r1").await;
         assert_eq!(got.status, 201);
         assert!(got.text.contains("x-response-stamp: s") && got.text.ends_with("bytes and more"));
@@ -193,7 +194,7 @@
         assert_eq!(header(&request, "x-tenant").as_deref(), Some("alpha"));
         assert_eq!(header(&request, "authorization"), None);
         let left: u64 = header(&request, "x-deadline-ms").unwrap().parse().expect("a number");
-        assert!((60_000..=120_000).contains(&left), "what is left: {left}");
+        assert!((60_000..=120_000).contains(&left), "remaining deadline: {left}");
         assert!(request.ends_with("\r\n\r\nbody"));
     });
 }
@@ -204,12 +205,13 @@
         let (entry, one, two) = entry_with_two_targets("app", vec![], vec![]).await;
         entry.start_confirming();
         assert_eq!(entry.call("/elsewhere/", "r1").await.status, 404);
-        let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+        let mut stream =
+            TcpStream::connect(entry.address).await.expect("the entry accepts connections");
         let request = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Bearer no\r\n\
                        X-Request-Id: r2\r\nConnection: close\r\n\r\n";
-        stream.write_all(request.as_bytes()).await.expect("it reads");
+        stream.write_all(request.as_bytes()).await.expect("the entry reads the request");
         let mut text = String::new();
-        stream.read_to_string(&mut text).await.expect("an answer");
+        stream.read_to_string(&mut text).await.expect("a response");
         assert!(text.starts_with("HTTP/1.1 401"), "{text}");
         assert_eq!(one.seen() + two.seen(), 0);
     });
@@ -225,32 +227,33 @@
     });
 }
 
-/// Each fault of a first target, what the caller of each kind gets, and whether a second was asked.
 #[test]
 fn requests_that_arrive_during_startup_are_served_once_targets_are_known() {
     run_local(async {
         let one = StandIn::start(vec![(ok_response("done"), Then::KeepOpen)]).await;
         let entry = Rc::new(start_unconfigured_entry().await);
         let caller = entry.clone();
-        let asked = tokio::task::spawn_local(async move { caller.call("/once/a", "r1").await });
-        while entry.gateway.active_requests.get() == 0 && !asked.is_finished() {
+        let pending_call =
+            tokio::task::spawn_local(async move { caller.call("/once/a", "r1").await });
+        while entry.gateway.active_requests.get() == 0 && !pending_call.is_finished() {
             tokio::task::yield_now().await;
         }
         entry.configure(deployment_with_long_timeouts(), vec![target("i-1", "app", one.address)]);
-        assert_eq!(asked.await.expect("it ends").status, 200);
+        assert_eq!(pending_call.await.expect("the call does not panic").status, 200);
     });
 }
 
 #[test]
 fn the_startup_wait_is_at_most_a_third_of_the_deadline() {
-    // All hosts lost power: a leader is elected within a second. Callers of lookups have 1 s or 1.5 s
-    // in all, others 2.5 s and more.
+    // After a power loss of all hosts, a leader is elected within a second.
     let expected = [(Some(900), 300), (Some(1_500), 500), (Some(10_000), 1_200), (None, 1_200)];
     for (deadline_ms, waits_ms) in expected {
         assert_eq!(startup_wait(deadline_ms.map(ms)), ms(waits_ms));
     }
 }
 
+/// For each fault of the first target: the status that callers get on a route that must not repeat
+/// requests and on one that may, and whether the second target was tried.
 #[test]
 fn target_faults_before_a_response() {
     let closes = || vec![(String::new(), Then::Close)];
@@ -264,14 +267,14 @@
     let garbage = || vec![("no answer at all\r\n\r\n".to_string(), Then::Close)];
     type Fault = fn() -> Script;
     let cases: [(&str, Fault, u16, u16); 7] = [
-        // Fault, and what callers of `once` and of `safe` get.
-        ("it closes", closes, 502, 200),
-        ("it did not run it", not_run, 200, 200),
-        ("another target is there", elsewhere, 200, 200),
-        ("an answer to another request", other, 502, 200),
-        ("its own failure", failed, 500, 200),
-        ("an answer that breaks off", cut, 502, 502),
-        ("bytes that are no answer", garbage, 502, 200),
+        // Name, fault, status on `/once/`, status on `/safe/`.
+        ("the connection closes", closes, 502, 200),
+        ("the target did not run the request", not_run, 200, 200),
+        ("another target has the address", elsewhere, 200, 200),
+        ("a response to another request", other, 502, 200),
+        ("an application error", failed, 500, 200),
+        ("a truncated response", cut, 502, 502),
+        ("bytes that are not HTTP", garbage, 502, 200),
     ];
     for (name, fault, once, safe) in cases {
         for (path, expected) in [("/once/", once), ("/safe/", safe)] {
@@ -281,10 +284,13 @@
                 let got = entry.call(path, "r1").await;
                 assert_eq!(got.status, expected, "{name} {path}: {}", got.text);
                 assert_eq!(one.seen(), 1, "{name} {path}");
-                let asked_second = got.text.ends_with("second");
-                assert_eq!(two.seen(), usize::from(asked_second), "{name} {path}");
+                let used_second = got.text.ends_with("second");
+                assert_eq!(two.seen(), usize::from(used_second), "{name} {path}");
                 if [502, 503].contains(&got.status) {
-                    assert!(header(&got.text, "x-response-stamp").is_none(), "{name}: our own");
+                    assert!(
+                        header(&got.text, "x-response-stamp").is_none(),
+                        "{name}: the response is the entry's own"
+                    );
                 }
             });
         }
@@ -304,7 +310,7 @@
                 return;
             }
         }
-        panic!("the second target was never asked");
+        panic!("no request reached the second target");
     });
 }
 
@@ -330,7 +336,7 @@
         assert!(entry.call("/once/", "r1").await.text.ends_with("first"));
         let got = entry.call("/once/", "r2").await;
         assert!(got.text.ends_with("next"), "{}", got.text);
-        assert_eq!(one.connections.get(), 2, "the spoilt connection is not used again");
+        assert_eq!(one.connections.get(), 2, "the connection with extra bytes is not reused");
     });
 }
 
@@ -373,10 +379,14 @@
         let (entry, one, _two) = entry_with_two_targets("llm", script, vec![]).await;
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
         assert!(got.text.contains("id: 1\ndata: a\n\nid: 2\n\n"), "{}", got.text);
-        assert!(got.text.ends_with("0\r\n\r\n"), "it ends as a whole");
+        assert!(got.text.ends_with("0\r\n\r\n"), "the last chunk is missing");
         let request = one.requests.borrow()[0].clone();
-        let urgency = header(&request, "x-request-priority");
-        assert_eq!(urgency.as_deref(), Some("4"), "the route's rank as account's and as its own");
+        let priority = header(&request, "x-request-priority");
+        assert_eq!(
+            priority.as_deref(),
+            Some("4"),
+            "level for an account and a route of priority 1"
+        );
         assert_eq!(header(&request, "x-cache-salt").as_deref(), Some("all"));
     });
 }
@@ -422,12 +432,13 @@
             let service = if path == "/once/" { "app" } else { "llm" };
             let (entry, one, _two) =
                 entry_with_two_targets(service, vec![(sent, Then::Hang)], vec![]).await;
-            let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+            let mut stream =
+                TcpStream::connect(entry.address).await.expect("the entry accepts connections");
             let request = format!(
                 "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: r1\r\n{PROMPT}\
                  Authorization: Bearer key-a\r\nContent-Length: 0\r\n\r\n"
             );
-            stream.write_all(request.as_bytes()).await.expect("it reads");
+            stream.write_all(request.as_bytes()).await.expect("the entry reads the request");
             eventually(|| one.seen() == 1).await;
             drop(stream);
             eventually(|| one.left.get() == 1).await;
@@ -447,8 +458,11 @@
         let entry = start_entry(short, vec![target("i-1", "app", one.address)]).await;
         let begun = std::time::Instant::now();
         let got = entry.call("/once/", "r1").await;
-        assert_eq!(got.status, 504, "it may have run");
-        assert!(begun.elapsed() < TEST_TIMEOUT / 2, "not only when the caller's time is over");
+        assert_eq!(got.status, 504, "the target may have run the request");
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT / 2,
+            "answered at the route timeout, not at the deadline of the caller"
+        );
         eventually(|| one.left.get() == 1).await;
     });
 }
@@ -471,29 +485,31 @@
     run_local(async {
         let (entry, _one, _two) =
             entry_with_two_targets("app", vec![(ok_response("a"), Then::KeepOpen)], vec![]).await;
-        let mut stream = TcpStream::connect(entry.address).await.expect("it listens");
+        let mut stream =
+            TcpStream::connect(entry.address).await.expect("the entry accepts connections");
         let request = "GET /safe/ HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: r1\r\n\
                        Authorization: Bearer key-a\r\n\r\n";
         entry.gateway.stopping.set(true);
         assert!(!entry.gateway.is_ready());
-        stream.write_all(request.as_bytes()).await.expect("it reads");
+        stream.write_all(request.as_bytes()).await.expect("the entry reads the request");
         let mut text = String::new();
-        stream.read_to_string(&mut text).await.expect("an answer, and the end");
+        stream.read_to_string(&mut text).await.expect("a response and the end of the connection");
         assert!(text.ends_with("a"), "{text}");
         assert_eq!(header(&text, "connection").as_deref(), Some("close"));
-        let mut idle = TcpStream::connect(entry.address).await.expect("it listens");
+        let mut idle =
+            TcpStream::connect(entry.address).await.expect("the entry accepts connections");
         entry.closing.send_replace(true);
         let mut rest = Vec::new();
-        idle.read_to_end(&mut rest).await.expect("the end");
+        idle.read_to_end(&mut rest).await.expect("the connection closes");
         assert!(rest.is_empty());
     });
 }
 
-/// Waits for what other tasks bring about, and fails when it never comes.
+/// Waits until a condition holds; panics after `TEST_TIMEOUT`.
 pub async fn eventually(holds: impl Fn() -> bool) {
     let begun = std::time::Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < TEST_TIMEOUT, "it never held");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "the condition did not hold in time");
         tokio::time::sleep(ms(2)).await;
     }
 }
