--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -1,19 +1,9 @@
-//! Who leaves, as several replicas and an entry know it.
+//! Propagation of leaving targets between replicas and to entries.
 //!
-//! What was seen: 3.1 s after the platform's list showed that a target leaves, two entries still sent it
-//! plain requests, a few milliseconds after they had come; the leader was sound. The same day had
-//! replicas cut off, restarted in the cut, and all others killed.
-//!
-//! How it can come about: a list of targets has a number, and each replica that reads or finds out
-//! something gives its list the next one. Two that do so at the same time have two lists under one
-//! number. What an entry is then told, how the list differs from "the one with this number", is applied
-//! to the other one. What these two differ in is never told again, and nobody compares lists of the same
-//! number. Likewise a list with a higher number takes the place of one that knows more of who leaves.
-//!
-//! A target that the scheduler names is sent to, although the entry knows better.
-//!
-//! What shows it: these tests. That it was one of these on that day is suspected only: its logs were not
-//! at hand, and those of a like day tell neither numbers at entries nor who read the list.
+//! Two replicas that change the target list at the same time produce different lists with the same
+//! number, and a list with a higher number may lack a leaving target that an older one holds. In
+//! neither case may a replica or an entry treat a leaving target as live, or an entry send it a
+//! request.
 
 use std::rc::Rc;
 
@@ -41,7 +31,7 @@
     vec![leaving, target("i-2", "app", address(2)), target("i-3", "llm", address(3))]
 }
 
-/// A replica that knows a list, and does not lead.
+/// A replica that holds a list and is not the leader.
 fn follower(known: &VersionedRoster) -> Shared {
     let shared = shared(4, known.clone());
     shared.view.send_modify(|view| view.leads = false);
@@ -52,7 +42,7 @@
     shared.change_roster(|known| known.update(listed(presence)));
 }
 
-/// Finds an engine with newer weights than the list shows.
+/// Records newer weights of an engine than the platform's list shows.
 fn observe_newer_weights(shared: &Shared) {
     let weights = [("m".to_string(), 2)].into();
     shared.change_roster(|known| known.set_weights(&start("i-3"), &weights));
@@ -71,7 +61,7 @@
     gateway.fleet.borrow().live("app").any(|state| state.listed.start.id == LEAVING_ID)
 }
 
-/// An entry's connection to a replica, without the network.
+/// Delivery of target lists from a replica to an entry, without a network connection.
 struct EntrySession<'a> {
     gateway: &'a Rc<Gateway>,
     replica: &'a Shared,
@@ -85,12 +75,12 @@
         EntrySession { gateway, replica, sent_roster }
     }
 
-    /// Tells how the list has changed; the whole list if the entry does not know the one before.
+    /// Sends the change since the last list, or the full list if the entry rejects the change.
     async fn send_change(&mut self) {
         let now = current(self.replica);
         let frame = self.replica.roster_change_frame(&self.sent_roster, &now);
-        let news: Update = read(&mut &frame[..]).await.expect("a frame");
-        if self.gateway.observe(news).is_err() {
+        let update: Update = read(&mut &frame[..]).await.expect("a frame");
+        if self.gateway.observe(update).is_err() {
             self.gateway.observe_roster(now.clone());
         }
         self.sent_roster = now;
@@ -103,7 +93,7 @@
         let entry = start_entry(deployment_with_long_timeouts(), Vec::new()).await;
         let leader = shared(4, VersionedRoster::default());
         observe_list(&leader, Presence::Live);
-        // The leader finds weights while another replica reads that a target leaves.
+        // The leader and another replica change the same list: newer weights, and a leaving target.
         let (reader, third) = (follower(&current(&leader)), follower(&current(&leader)));
         observe_newer_weights(&leader);
         observe_list(&reader, Presence::Leaving);
@@ -111,12 +101,12 @@
         EntrySession::new(&entry.gateway, &leader);
         let mut third_session =
             EntrySession { gateway: &entry.gateway, replica: &third, sent_roster: current(&third) };
-        // Now the leader reads it, too, and tells the third one.
+        // The leader then reads that the target is leaving and sends its list to the third replica.
         observe_list(&leader, Presence::Leaving);
         third.observe_roster(current(&leader));
         third_session.send_change().await;
         assert!(lists_target_as_leaving(&third));
-        assert!(!accepts_work(&entry.gateway), "the entry sends work to a target that leaves");
+        assert!(!accepts_work(&entry.gateway), "the entry sends requests to a leaving target");
     });
 }
 
@@ -124,32 +114,39 @@
 fn no_list_reverts_or_drops_a_leaving_target() {
     let earlier = shared(4, VersionedRoster::default());
     observe_list(&earlier, Presence::Leaving);
-    // The next leader has started anew and reads a list that lags.
+    // The next leader has restarted and reads an outdated list.
     let leader = shared(5, VersionedRoster::default());
     observe_list(&leader, Presence::Live);
     earlier.observe_roster(current(&leader));
-    assert!(lists_target_as_leaving(&earlier), "a list with a higher number brought a target back");
+    assert!(
+        lists_target_as_leaving(&earlier),
+        "a list with a higher number reverted a leaving target"
+    );
     leader.observe_roster(current(&earlier));
-    assert!(lists_target_as_leaving(&leader), "what another replica knows is not heard");
+    assert!(
+        lists_target_as_leaving(&leader),
+        "the leader ignored a leaving target that another replica knows"
+    );
     assert_eq!(
         current(&leader).roster.get(&start(LEAVING_ID)),
         current(&earlier).roster.get(&start(LEAVING_ID))
     );
-    // Nor at an entry, which may have found out by itself that a target has ended.
+    // The same holds at an entry, which may also have detected by itself that a target was
+    // replaced.
     let live = |view: &FleetView| view.live("app").any(|state| state.listed.start.id == LEAVING_ID);
     let mut view = FleetView::default();
     view.update(&roster(listed(Presence::Leaving)));
     view.update(&roster(listed(Presence::Live)));
-    assert!(!live(&view), "a later list brought a leaving target back to an entry");
+    assert!(!live(&view), "a later list reverted a leaving target at an entry");
     let mut view = FleetView::default();
     view.update(&roster(listed(Presence::Live)));
     view.replaced(&start(LEAVING_ID));
     view.update(&roster(listed(Presence::Live)));
-    assert!(!live(&view), "a list that lags brought an ended target back to an entry");
+    assert!(!live(&view), "an outdated list restored a replaced target at an entry");
     let mut elsewhere = listed(Presence::Live);
     elsewhere[0].address = address(9);
     view.update(&roster(elsewhere));
-    assert!(live(&view), "at another address it is there");
+    assert!(live(&view), "a target at another address is live");
     run_local(an_entry_merges_leaving_targets_from_a_lower_numbered_list());
 }
 
@@ -159,14 +156,14 @@
     observe_list(&leader, Presence::Live);
     let reader = follower(&current(&leader));
     let mut reader_session = EntrySession::new(&entry.gateway, &reader);
-    // The leader's list has changed more often: it has the higher number.
+    // More changes give the leader's list the higher number.
     observe_newer_weights(&leader);
     leader.change_roster(|known| known.update(Vec::new()));
     observe_list(&leader, Presence::Live);
     EntrySession::new(&entry.gateway, &leader);
     observe_list(&reader, Presence::Leaving);
     reader_session.send_change().await;
-    assert!(!accepts_work(&entry.gateway), "the entry sends work to a target that leaves");
+    assert!(!accepts_work(&entry.gateway), "the entry sends requests to a leaving target");
 }
 
 #[test]
@@ -176,22 +173,31 @@
     let reader = follower(&current(&leader));
     observe_newer_weights(&leader);
     observe_list(&reader, Presence::Leaving);
-    let (one, other) = (current(&leader), current(&reader));
-    assert_eq!(one.number, other.number);
-    assert_ne!(one.version(), other.version(), "which one is meant can be told");
-    // Each hears the other's, as after a cut; who lacks something is told until nobody does.
-    let mut lacking =
-        [(&leader, leader.observe_roster(other)), (&reader, reader.observe_roster(one))];
+    let (leader_list, reader_list) = (current(&leader), current(&reader));
+    assert_eq!(leader_list.number, reader_list.number);
+    assert_ne!(
+        leader_list.version(),
+        reader_list.version(),
+        "versions distinguish lists of the same number"
+    );
+    // Both exchange lists, as after a network partition, until neither is stale.
+    let mut stale_peers = [
+        (&leader, leader.observe_roster(reader_list)),
+        (&reader, reader.observe_roster(leader_list)),
+    ];
     for _ in 0..3 {
-        lacking = lacking.map(|(from, lacking)| {
+        stale_peers = stale_peers.map(|(from, stale_peers)| {
             let to = if std::ptr::eq(from, &leader) { &reader } else { &leader };
-            match lacking {
-                StalePeers::Nobody => (to, lacking),
+            match stale_peers {
+                StalePeers::Nobody => (to, stale_peers),
                 _ => (to, to.observe_roster(current(from))),
             }
         });
     }
-    assert!(lacking.iter().all(|(_, lacking)| *lacking == StalePeers::Nobody), "it never ends");
+    assert!(
+        stale_peers.iter().all(|(_, stale_peers)| *stale_peers == StalePeers::Nobody),
+        "the exchange does not converge"
+    );
     assert_eq!(current(&leader).version(), current(&reader).version());
     assert!(lists_target_as_leaving(&leader));
 }
@@ -204,30 +210,33 @@
     let reader = follower(&early);
     observe_list(&reader, Presence::Leaving);
     let now = boot_now();
-    assert!(reader.observe_read(early.version(), now).is_lt(), "the leader lacks a list");
-    assert!(leader.observe_read(current(&reader).version(), now).is_gt(), "it asks for it");
+    assert!(reader.observe_read(early.version(), now).is_lt(), "the leader holds the earlier list");
+    assert!(
+        leader.observe_read(current(&reader).version(), now).is_gt(),
+        "the leader requests the later list"
+    );
     assert_eq!(reader.observe_roster(early), StalePeers::Sender);
     assert_eq!(leader.observe_roster(current(&reader)), StalePeers::Nobody);
     assert!(leader.observe_read(current(&reader).version(), now).is_eq());
 }
 
-/// A scheduler that places each prompt on the first engine that the entry does not avoid, and hears
-/// nothing of who leaves.
+/// Serves as a scheduler that places each prompt on the first engine that the entry does not avoid,
+/// leaving or not.
 async fn serve_placements_on_first_available(engines: [&str; 2], listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.expect("the entry connects");
     let (read_half, mut write) = stream.split();
     let mut from_entry = BufReader::new(read_half);
-    let _: Handshake = read(&mut from_entry).await.expect("who it is");
-    // It ends with the test.
+    let _: Handshake = read(&mut from_entry).await.expect("a handshake");
+    // The connection closes with the test.
     while let Ok(frame) = read(&mut from_entry).await {
         if let SchedulerRequest::Place(number, ask) = frame {
             let engine = engines
                 .iter()
                 .find(|engine| !ask.avoid.iter().any(|avoided| avoided.id == **engine));
-            let target = engine.expect("one is left").to_string();
+            let target = engine.expect("an engine is left").to_string();
             let placed = Placement { target: start(&target), ..Placement::default() };
             let answer = encode(&SchedulerReply::Placed(number, Ok(placed)));
-            write.write_all(&answer).await.expect("the entry reads");
+            write.write_all(&answer).await.expect("the entry reads the reply");
         }
     }
 }
@@ -245,7 +254,7 @@
         entry.gateway.leader.set(Some(ip));
         tokio::task::spawn_local(scheduler_connection::keep_connected(entry.gateway.clone()));
         tokio::task::spawn_local(serve_placements_on_first_available(["i-1", "i-2"], listener));
-        // The entry hears that the engine leaves before the scheduler does.
+        // The entry learns that the engine is leaving before the scheduler does.
         let replica = shared(4, VersionedRoster::default());
         let [mut first, second] = listed;
         first.presence = Presence::Leaving;
