--- a/tests/deployment/replicas.rs
+++ b/tests/deployment/replicas.rs
@@ -1,4 +1,5 @@
-//! Replicas as real processes on loopback: one host address each, as on the platform.
+//! Replicas as processes on loopback, one host address each: durability and availability of
+//! published documents.
 
 use std::fs::{File, read_to_string};
 use std::net::SocketAddr;
@@ -12,16 +13,16 @@
 
 use crate::fixtures::loopback;
 
-/// Longest wait for what must happen: many times what it takes, for busy machines.
+/// Timeout for expected events, generous for busy machines.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Most hosts of one system.
+/// Number of loopback addresses per cluster.
 const MAX_HOSTS_PER_CLUSTER: u8 = 8;
 
-/// Replicas of one system.
+/// Replica processes of one deployment.
 pub struct ReplicaCluster {
     folder: tempfile::TempDir,
-    /// Differs between tests, so that their hosts do.
+    /// Unique per cluster, so that tests running in parallel use distinct addresses.
     subnet: u8,
     port: u16,
     target_list: Option<SocketAddr>,
@@ -32,8 +33,8 @@
 impl Drop for ReplicaCluster {
     fn drop(&mut self) {
         for child in self.running.iter_mut().flatten() {
-            child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.kill().expect("the child can be killed");
+            child.wait().expect("the child exits");
         }
     }
 }
@@ -43,13 +44,13 @@
         ReplicaCluster::start_with_target_list(count, None)
     }
 
-    /// Replicas that read the list of targets at an address.
+    /// Starts replicas that read the platform's target list at an address.
     pub fn start_with_target_list(count: usize, target_list: Option<SocketAddr>) -> ReplicaCluster {
         static SUBNETS: AtomicU16 = AtomicU16::new(1);
         let mut cluster = ReplicaCluster {
             folder: tempfile::tempdir().expect("a folder"),
             subnet: SUBNETS.fetch_add(1, Ordering::Relaxed) as u8,
-            // Below the range from which systems take ports for outgoing connections.
+            // Below the ephemeral port range.
             port: 20_000 + (std::process::id() % 600) as u16 * 20,
             target_list,
             running: (0..count).map(|_| None).collect(),
@@ -63,7 +64,7 @@
         loopback(self.subnet * MAX_HOSTS_PER_CLUSTER + host as u8).to_string()
     }
 
-    /// Where a replica hears entries and other replicas.
+    /// Address at which a replica accepts entries and other replicas.
     pub fn peer_address(&self, host: usize) -> SocketAddr {
         format!("{}:{}", self.ip(host), self.port).parse().expect("an address")
     }
@@ -89,21 +90,21 @@
             .env("KUMQUATPOST_SETTINGS", path)
             .stdout(log.expect("a file"))
             .spawn()
-            .expect("it starts");
+            .expect("the replica starts");
         self.running[host] = Some(child);
     }
 
     pub fn kill(&mut self, host: usize) {
-        let mut child = self.running[host].take().expect("it runs");
-        child.kill().expect("it is ours");
-        child.wait().expect("it ends");
+        let mut child = self.running[host].take().expect("the replica is running");
+        child.kill().expect("the child can be killed");
+        child.wait().expect("the child exits");
     }
 
     fn delete_data(&self, host: usize) {
-        std::fs::remove_dir_all(self.file(host, "data")).expect("its folder");
+        std::fs::remove_dir_all(self.file(host, "data")).expect("the data folder");
     }
 
-    /// Lines of all logs that hold a text.
+    /// Number of lines in all logs that contain a text.
     fn count_log_lines(&self, text: &str) -> usize {
         let logs = (0..self.running.len()).map(|host| read_to_string(self.file(host, "log")));
         let lines = |log: String| log.lines().filter(|line| line.contains(text)).count();
@@ -120,7 +121,11 @@
     pub fn eventually(&self, what: &str, mut holds: impl FnMut(&ReplicaCluster) -> bool) {
         let begun = Instant::now();
         while !holds(self) {
-            assert!(begun.elapsed() < EVENT_TIMEOUT, "it never held: {what}\n{}", self.logs());
+            assert!(
+                begun.elapsed() < EVENT_TIMEOUT,
+                "condition not met in time: {what}\n{}",
+                self.logs()
+            );
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -144,7 +149,7 @@
         Some((answer.status().as_u16(), answer.text().ok()?))
     }
 
-    /// Publishes at any replica that takes it, as an operator does.
+    /// Publishes a document at the first replica that acknowledges it.
     pub fn publish(&self, version: u64) {
         let document = document(version);
         self.eventually(&format!("version {version} is acknowledged"), |cluster| {
@@ -152,14 +157,14 @@
         });
     }
 
-    /// What a read at any replica shows.
+    /// The document that the first answering replica returns.
     fn read(&self) -> Value {
         let mut found = None;
         self.eventually("a read is answered", |cluster| {
             found = cluster.first_success(|host| cluster.config_request(host, None));
             found.is_some()
         });
-        serde_json::from_str(&found.expect("it was found")).expect("JSON")
+        serde_json::from_str(&found.expect("a response")).expect("JSON")
     }
 
     pub fn first_success(&self, call: impl Fn(usize) -> Option<(u16, String)>) -> Option<String> {
@@ -180,27 +185,28 @@
 #[test]
 fn acknowledged_documents_survive_successive_disk_losses() {
     let mut cluster = ReplicaCluster::start(5);
-    cluster.eventually("five vote", |cluster| cluster.count_log_lines("change=Promote") >= 2);
+    cluster
+        .eventually("five replicas vote", |cluster| cluster.count_log_lines("change=Promote") >= 2);
     cluster.publish(3);
-    // Founders and one that joined lose their disks; the next one only once the last was replaced.
+    // Hosts lose their disks one after another, each once the previous replica has been replaced.
     for (lost, version) in [(0, 5), (3, 6), (1, 8), (2, 13)] {
         let (promoted, removed) =
             (cluster.count_log_lines("change=Promote"), cluster.count_log_lines("change=Remove"));
         cluster.kill(lost);
         cluster.delete_data(lost);
         cluster.start_replica(lost, false);
-        cluster.eventually("it is replaced", |cluster| {
+        cluster.eventually("the replica is replaced", |cluster| {
             cluster.count_log_lines("change=Promote") > promoted
                 && cluster.count_log_lines("change=Remove") > removed
         });
         cluster.publish(version);
     }
-    // Then two at once, while all others lose power.
+    // Then all hosts lose power, and two of them their disks.
     (0..5).for_each(|host| cluster.kill(host));
     cluster.delete_data(3);
     cluster.delete_data(4);
     (0..5).for_each(|host| cluster.start_replica(host, false));
-    assert_eq!(cluster.read(), document(13), "as it was sent");
+    assert_eq!(cluster.read(), document(13), "the document as published");
     cluster.publish(21);
 }
 
@@ -211,7 +217,7 @@
     cluster.publish(4);
     let mut other = document(7);
     other["Note"] = json!("other content");
-    cluster.eventually("it is acknowledged", |cluster| {
+    cluster.eventually("the document is acknowledged", |cluster| {
         cluster.first_success(|host| cluster.config_request(host, Some(&other))).is_some()
     });
     assert_eq!(cluster.read(), document(7));
@@ -228,7 +234,7 @@
     cluster.publish(2);
     cluster.kill(0);
     cluster.kill(1);
-    cluster.eventually("the last one sees that it is alone", |cluster| {
+    cluster.eventually("the last replica detects the loss of its quorum", |cluster| {
         cluster.config_request(2, None).is_some_and(|(status, _)| status == 503)
     });
     let status = cluster.config_request(2, Some(&document(3))).map(|(status, _)| status);
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -1,5 +1,5 @@
-//! Targets that start again under their ids, and entries of other writers on the list: an entry and
-//! replicas as processes before stand-in targets.
+//! Restarts of targets under their ids, and malformed entries on the platform's target list, with
+//! an entry and replicas as processes in front of stand-in targets.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 use crate::platform_stand_in::target::event_of;
 use crate::processes::{REPLICAS, System};
 
-/// Longest wait for what must happen: many times what it takes, for busy machines.
+/// Timeout for expected events, generous for busy machines.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
-/// Prompts at a time: more than one engine would get of its own accord.
+/// Prompts in flight at once, enough to use more than one engine.
 const CONCURRENT_PROMPTS: usize = 12;
-/// Events of a stream that goes on while its target is told to load weights and starts again.
+/// Length of a stream that outlasts the load order and the restart of its target.
 const LONG_STREAM_EVENTS: u64 = 400;
 
-/// One entry, replicas, and what they run before.
+/// Entry and replica processes with their platform and stand-in targets.
 pub struct Site {
     pub platform: Platform,
     pub system: System,
@@ -48,7 +48,7 @@
            "Tenants": [{"Name": "alpha", "ApiKeys": ["key-alpha"]}]})
 }
 
-/// What a caller got: the status, what came of the body, and whether it ended as it should.
+/// Response to a prompt: status, body as far as received, and whether the body was complete.
 pub struct StreamResponse {
     pub status: u16,
     pub body: String,
@@ -100,12 +100,12 @@
 }
 
 impl Site {
-    /// Starts targets and processes; `network` differs between tests.
+    /// Starts targets and processes; `network` is unique per test.
     async fn start(engines: &[&str], foreign: Vec<Vec<u8>>, network: u8) -> Site {
         Site::start_with_entries(1, engines, foreign, network).await
     }
 
-    /// Starts targets and processes, several entries among them.
+    /// Starts targets and processes with the given number of entries.
     pub async fn start_with_entries(
         entries: usize,
         engines: &[&str],
@@ -133,7 +133,7 @@
         look(&self.platform.lock().targets[id])
     }
 
-    /// Tells any replica that takes it, as the operator does.
+    /// Sends an operator request until any replica acknowledges it.
     async fn send_operator_request(&self, method: &str, path: &str, body: &Value) {
         let begun = Instant::now();
         loop {
@@ -156,8 +156,8 @@
         format!("{kind}-{}", self.requests)
     }
 
-    /// Sends short prompts, many at a time and without shared contexts, until something holds. Returns
-    /// whether it came to hold.
+    /// Sends short prompts concurrently, without shared contexts, until a condition holds. Returns
+    /// `false` if it does not hold within `EVENT_TIMEOUT`.
     async fn send_prompts_until(&mut self, holds: impl Fn(&Site) -> bool) -> bool {
         let begun = Instant::now();
         while !holds(self) {
@@ -189,12 +189,17 @@
     }
 }
 
-/// What is right of a stream: its events in order, each once, and whole only if they are all there.
+/// Asserts that a stream has its own events in order, each once, and is complete only with all of
+/// them.
 fn assert_own_events_in_order(id: &str, got: &StreamResponse) {
     let expected: String = (1..=LONG_STREAM_EVENTS).map(|number| event_of(id, number)).collect();
     assert!(expected.starts_with(&got.body), "{id} got {:?}", got.body);
     let is_refused = got.status != 200 && got.body.is_empty();
-    assert!(is_refused || !got.is_whole || got.body == expected, "{id} looks whole: {}", got.body);
+    assert!(
+        is_refused || !got.is_whole || got.body == expected,
+        "{id} appears complete: {}",
+        got.body
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -210,44 +215,55 @@
         });
     }
     site.name_weights(2).await;
-    // The first that is told to load is in the middle of streams: they are not waited for so long.
-    let loads = |site: &Site| {
+    // The first engine that gets a load order still has streams, which outlast the wait for them.
+    let loading_engine = |site: &Site| {
         let platform = site.platform.lock();
         let mut engines = platform.targets.values();
         engines.find(|engine| engine.loading.is_some()).map(|engine| engine.id.clone())
     };
     let begun = Instant::now();
     let loading = loop {
-        if let Some(loading) = loads(&site) {
+        if let Some(loading) = loading_engine(&site) {
             break loading;
         }
-        assert!(begun.elapsed() < EVENT_TIMEOUT, "no engine is told to load");
+        assert!(begun.elapsed() < EVENT_TIMEOUT, "no engine got a load order");
         tokio::time::sleep(Duration::from_millis(5)).await;
     };
-    assert_eq!(site.engine(&loading, |engine| engine.weights), Some(1), "it loads still");
+    assert_eq!(
+        site.engine(&loading, |engine| engine.weights),
+        Some(1),
+        "the engine is still loading"
+    );
     let restart = Restart {
         down: Duration::from_millis(300),
         entry_lags: Duration::from_millis(1_000),
         born_ms: clock_ms(),
         ..Restart::at(any_address())
     };
-    site.platform.restart_target(&loading, restart).await.expect("it starts again");
+    site.platform.restart_target(&loading, restart).await.expect("the target restarts");
     let mut broken_streams = 0;
     while let Some(ended) = streams.join_next().await {
-        let (id, got) = ended.expect("no panic");
+        let (id, got) = ended.expect("the stream task does not panic");
         assert_own_events_in_order(&id, &got);
         broken_streams += u32::from(!got.is_whole || got.status != 200);
         if id.starts_with("resumable") {
-            assert!(got.is_whole && got.status == 200, "{id} goes on elsewhere: {}", got.status);
+            assert!(
+                got.is_whole && got.status == 200,
+                "{id} is resumed on another engine: {}",
+                got.status
+            );
         }
     }
-    assert!(broken_streams <= 6, "only streams that may not be resumed break: {broken_streams}");
+    assert!(broken_streams <= 6, "resumable streams must not break: {broken_streams} broke");
     let engine_weights = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
     site.send_prompts_until(|site| engine_weights(site) == [Some(2); 2]).await;
     assert_eq!(engine_weights(&site), [Some(2); 2], "weights of the engines");
     let before = site.engine(&loading, |engine| engine.begun);
     let accepts_work = |site: &Site| site.engine(&loading, |engine| engine.begun) > before;
-    assert!(site.send_prompts_until(accepts_work).await, "{loading} takes work again");
+    assert!(
+        site.send_prompts_until(accepts_work).await,
+        "{loading} got no prompt after its restart"
+    );
     assert_eq!(site.violations(), Vec::<String>::new());
 }
 
@@ -256,12 +272,12 @@
     let mut site = Site::start(&["i-0", "i-1"], Vec::new(), 232).await;
     assert!(site.send_prompts_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
     site.platform.drain_target("i-0");
-    // Long enough for all to know that it leaves.
+    // Long enough for the replicas and the entry to learn that the target is leaving.
     let drained = Instant::now();
     site.send_prompts_until(|_| drained.elapsed() > Duration::from_secs(4)).await;
-    // Its clock was put back meanwhile.
+    // The clock of its host was set back before the restart.
     let restart = Restart { born_ms: clock_ms() - 60_000, ..Restart::at(any_address()) };
-    site.platform.restart_target("i-0", restart).await.expect("it starts again");
+    site.platform.restart_target("i-0", restart).await.expect("the target restarts");
     let accepts_work = site.send_prompts_until(|site| site.engine("i-0", |e| e.begun > 0)).await;
     assert!(accepts_work, "start 2 of i-0 got no prompt within {EVENT_TIMEOUT:?}");
     assert_eq!(site.violations(), Vec::<String>::new());
@@ -275,14 +291,14 @@
         kind.entry(&format!("i-foreign-{number}"), unused_address)
     };
     let mut entries: Vec<Vec<u8>> = FOREIGN.iter().enumerate().map(foreign).collect();
-    // And one under the id of an engine.
+    // One has the id of an engine.
     entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", unused_address));
     let mut site = Site::start(&["i-0", "i-1"], entries, 233).await;
     for id in ["i-0", "i-1"] {
         let receives_work = site.send_prompts_until(|site| site.engine(id, |e| e.begun > 0)).await;
         assert!(
             receives_work,
-            "{id} got no prompt within {EVENT_TIMEOUT:?} beside other writers' entries"
+            "{id} got no prompt within {EVENT_TIMEOUT:?} beside foreign list entries"
         );
     }
     site.name_weights(2).await;
