--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -11,7 +11,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::restarts::{EVENT_TIMEOUT, Site, StreamResponse, send_prompt_with_body};
+use crate::restarts::{EVENT_TIMEOUT, StreamResponse, TestDeployment, send_prompt_with_body};
 
 const ENTRIES: usize = 4;
 const ENGINES: [&str; 6] = ["i-0", "i-1", "i-2", "i-3", "i-4", "i-5"];
@@ -35,7 +35,7 @@
         Repeater { kind, count: 0, answers: Vec::new() }
     }
 
-    async fn repeat(&mut self, site: &Site, lasts: Duration) {
+    async fn repeat(&mut self, site: &TestDeployment, lasts: Duration) {
         let begun = Instant::now();
         while begun.elapsed() < lasts {
             self.count += 1;
@@ -51,14 +51,14 @@
 }
 
 /// No engine gets the prompt once all have had time to know it for what it is, but for a few tries.
-fn assert_known(site: &Site, when: &str) {
+fn assert_known(site: &TestDeployment, when: &str) {
     let platform = site.platform.lock();
     let ending = platform.account.ending.get(ENDING).expect("it has reached engines");
     assert_eq!(ending.reached_too_often(KNOWN_WITHIN, |_| true), None, "{when}");
 }
 
 /// Another prompt is answered, as soon as the system serves at all, and is never held.
-async fn assert_serves_another(site: &Site, number: usize) {
+async fn assert_serves_another(site: &TestDeployment, number: usize) {
     let begun = Instant::now();
     for again in 0.. {
         let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
@@ -74,7 +74,7 @@
 }
 
 async fn is_kept_from_engines(kind: &'static str, network: u8) {
-    let mut site = Site::start_with_entries(ENTRIES, &ENGINES, Vec::new(), network).await;
+    let mut site = TestDeployment::start_with_entries(ENTRIES, &ENGINES, Vec::new(), network).await;
     assert_serves_another(&site, 0).await;
     let mut caller = Repeater::new(kind);
     caller.repeat(&site, Duration::from_secs(6)).await;
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -21,7 +21,7 @@
 const LONG_STREAM_EVENTS: u64 = 400;
 
 /// Entry and replica processes with their platform and stand-in targets.
-pub struct Site {
+pub struct TestDeployment {
     pub platform: Platform,
     pub system: System,
     pub client: reqwest::Client,
@@ -99,10 +99,10 @@
     StreamResponse { status, body: String::from_utf8_lossy(&body).into_owned(), is_whole }
 }
 
-impl Site {
+impl TestDeployment {
     /// Starts targets and processes; `network` is unique per test.
-    async fn start(engines: &[&str], foreign: Vec<Vec<u8>>, network: u8) -> Site {
-        Site::start_with_entries(1, engines, foreign, network).await
+    async fn start(engines: &[&str], foreign: Vec<Vec<u8>>, network: u8) -> TestDeployment {
+        TestDeployment::start_with_entries(1, engines, foreign, network).await
     }
 
     /// Starts targets and processes with the given number of entries.
@@ -111,7 +111,7 @@
         engines: &[&str],
         foreign: Vec<Vec<u8>>,
         network: u8,
-    ) -> Site {
+    ) -> TestDeployment {
         let platform = Platform::new();
         platform.lock().list.foreign = foreign.into_iter().enumerate().collect();
         for id in engines {
@@ -120,9 +120,9 @@
         let list = platform.serve_list(any_address()).await;
         let system = System::start(entries, vec![list; REPLICAS], network);
         let client = reqwest::Client::new();
-        let site = Site { platform, system, client, requests: 0 };
-        site.send_operator_request("PUT", "config", &document()).await;
-        site
+        let deployment = TestDeployment { platform, system, client, requests: 0 };
+        deployment.send_operator_request("PUT", "config", &document()).await;
+        deployment
     }
 
     fn engine<T>(
@@ -158,7 +158,7 @@
 
     /// Sends short prompts concurrently, without shared contexts, until a condition holds. Returns
     /// `false` if it does not hold within `EVENT_TIMEOUT`.
-    async fn send_prompts_until(&mut self, holds: impl Fn(&Site) -> bool) -> bool {
+    async fn send_prompts_until(&mut self, holds: impl Fn(&TestDeployment) -> bool) -> bool {
         let begun = Instant::now();
         while !holds(self) {
             if begun.elapsed() > EVENT_TIMEOUT {
@@ -204,33 +204,38 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_restarted_during_a_load_order_and_streams_loads_the_named_weights() {
-    let mut site = Site::start(&["i-0", "i-1"], Vec::new(), 231).await;
-    assert!(site.send_prompts_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
+    let mut deployment = TestDeployment::start(&["i-0", "i-1"], Vec::new(), 231).await;
+    assert!(
+        deployment
+            .send_prompts_until(|deployment| deployment.engine("i-0", |engine| engine.begun > 0))
+            .await
+    );
     let mut streams = tokio::task::JoinSet::new();
     for kind in ["stream", "resumable"].repeat(6) {
-        let (client, entry, id) = (site.client.clone(), site.system.callers(0), site.next_id(kind));
+        let (client, entry, id) =
+            (deployment.client.clone(), deployment.system.callers(0), deployment.next_id(kind));
         streams.spawn(async move {
             let got = send_prompt(client, entry, kind, &id, LONG_STREAM_EVENTS).await;
             (id, got)
         });
     }
-    site.name_weights(2).await;
+    deployment.name_weights(2).await;
     // The first engine that gets a load order still has streams, which outlast the wait for them.
-    let loading_engine = |site: &Site| {
-        let platform = site.platform.lock();
+    let loading_engine = |deployment: &TestDeployment| {
+        let platform = deployment.platform.lock();
         let mut engines = platform.targets.values();
         engines.find(|engine| engine.loading.is_some()).map(|engine| engine.id.clone())
     };
     let begun = Instant::now();
     let loading = loop {
-        if let Some(loading) = loading_engine(&site) {
+        if let Some(loading) = loading_engine(&deployment) {
             break loading;
         }
         assert!(begun.elapsed() < EVENT_TIMEOUT, "no engine got a load order");
         tokio::time::sleep(Duration::from_millis(5)).await;
     };
     assert_eq!(
-        site.engine(&loading, |engine| engine.weights),
+        deployment.engine(&loading, |engine| engine.weights),
         Some(1),
         "the engine is still loading"
     );
@@ -240,7 +245,7 @@
         born_ms: clock_ms(),
         ..Restart::at(any_address())
     };
-    site.platform.restart_target(&loading, restart).await.expect("the target restarts");
+    deployment.platform.restart_target(&loading, restart).await.expect("the target restarts");
     let mut broken_streams = 0;
     while let Some(ended) = streams.join_next().await {
         let (id, got) = ended.expect("the stream task does not panic");
@@ -255,32 +260,39 @@
         }
     }
     assert!(broken_streams <= 6, "resumable streams must not break: {broken_streams} broke");
-    let engine_weights = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
-    site.send_prompts_until(|site| engine_weights(site) == [Some(2); 2]).await;
-    assert_eq!(engine_weights(&site), [Some(2); 2], "weights of the engines");
-    let before = site.engine(&loading, |engine| engine.begun);
-    let accepts_work = |site: &Site| site.engine(&loading, |engine| engine.begun) > before;
+    let engine_weights =
+        |deployment: &TestDeployment| ["i-0", "i-1"].map(|id| deployment.engine(id, |e| e.weights));
+    deployment.send_prompts_until(|deployment| engine_weights(deployment) == [Some(2); 2]).await;
+    assert_eq!(engine_weights(&deployment), [Some(2); 2], "weights of the engines");
+    let before = deployment.engine(&loading, |engine| engine.begun);
+    let accepts_work =
+        |deployment: &TestDeployment| deployment.engine(&loading, |engine| engine.begun) > before;
     assert!(
-        site.send_prompts_until(accepts_work).await,
+        deployment.send_prompts_until(accepts_work).await,
         "{loading} got no prompt after its restart"
     );
-    assert_eq!(site.violations(), Vec::<String>::new());
+    assert_eq!(deployment.violations(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_restart_after_a_drain_accepts_work() {
-    let mut site = Site::start(&["i-0", "i-1"], Vec::new(), 232).await;
-    assert!(site.send_prompts_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
-    site.platform.drain_target("i-0");
+    let mut deployment = TestDeployment::start(&["i-0", "i-1"], Vec::new(), 232).await;
+    assert!(
+        deployment
+            .send_prompts_until(|deployment| deployment.engine("i-0", |engine| engine.begun > 0))
+            .await
+    );
+    deployment.platform.drain_target("i-0");
     // Long enough for the replicas and the entry to learn that the target is leaving.
     let drained = Instant::now();
-    site.send_prompts_until(|_| drained.elapsed() > Duration::from_secs(4)).await;
+    deployment.send_prompts_until(|_| drained.elapsed() > Duration::from_secs(4)).await;
     // The clock of its host was set back before the restart.
     let restart = Restart { born_ms: clock_ms() - 60_000, ..Restart::at(any_address()) };
-    site.platform.restart_target("i-0", restart).await.expect("the target restarts");
-    let accepts_work = site.send_prompts_until(|site| site.engine("i-0", |e| e.begun > 0)).await;
+    deployment.platform.restart_target("i-0", restart).await.expect("the target restarts");
+    let accepts_work =
+        deployment.send_prompts_until(|deployment| deployment.engine("i-0", |e| e.begun > 0)).await;
     assert!(accepts_work, "start 2 of i-0 got no prompt within {EVENT_TIMEOUT:?}");
-    assert_eq!(site.violations(), Vec::<String>::new());
+    assert_eq!(deployment.violations(), Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -293,18 +305,21 @@
     let mut entries: Vec<Vec<u8>> = FOREIGN.iter().enumerate().map(foreign).collect();
     // One has the id of an engine.
     entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", unused_address));
-    let mut site = Site::start(&["i-0", "i-1"], entries, 233).await;
+    let mut deployment = TestDeployment::start(&["i-0", "i-1"], entries, 233).await;
     for id in ["i-0", "i-1"] {
-        let receives_work = site.send_prompts_until(|site| site.engine(id, |e| e.begun > 0)).await;
+        let receives_work = deployment
+            .send_prompts_until(|deployment| deployment.engine(id, |e| e.begun > 0))
+            .await;
         assert!(
             receives_work,
             "{id} got no prompt within {EVENT_TIMEOUT:?} beside foreign list entries"
         );
     }
-    site.name_weights(2).await;
-    let engine_weights = |site: &Site| ["i-0", "i-1"].map(|id| site.engine(id, |e| e.weights));
-    site.send_prompts_until(|site| engine_weights(site) == [Some(2); 2]).await;
-    assert_eq!(engine_weights(&site), [Some(2); 2], "weights of the engines");
-    assert_eq!(site.violations(), Vec::<String>::new());
+    deployment.name_weights(2).await;
+    let engine_weights =
+        |deployment: &TestDeployment| ["i-0", "i-1"].map(|id| deployment.engine(id, |e| e.weights));
+    deployment.send_prompts_until(|deployment| engine_weights(deployment) == [Some(2); 2]).await;
+    assert_eq!(engine_weights(&deployment), [Some(2); 2], "weights of the engines");
+    assert_eq!(deployment.violations(), Vec::<String>::new());
     assert_eq!(unused_platform.lock().account.violations, Vec::<String>::new());
 }
