--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -94,7 +94,11 @@
     assert_eq!(scheduler.dispatch(ms(20)), [], "the contents of the store are unknown");
     let empty = Inventory { start: store_start(1), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), empty, ms(25));
-    assert_eq!(scheduler.dispatch(ms(30)), [], "the clock for fetch deadlines is unknown");
+    assert_eq!(
+        scheduler.dispatch(ms(30)),
+        [],
+        "the clock of the engines is unknown, which fetch deadlines need"
+    );
     scheduler.read_clock(5, ms(35));
     assert_eq!(scheduler.dispatch(ms(60)), [], "frees of an earlier scheduler may be in flight");
     assert_eq!(scheduler.dispatch(ms(75)), [], "the contents of some engines are unknown");
