--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -198,7 +198,8 @@
     resume_after: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let placed = selected.placed.as_ref();
-    let salt = || placed.map_or_else(|| routed.cache_scope.clone(), |placed| placed.salt.clone());
+    let salt =
+        || placed.map_or_else(|| routed.cache_namespace.clone(), |placed| placed.salt.clone());
     let forwarded = ForwardingMetadata {
         target: &selected.target.id,
         account: routed.account.as_ref(),
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -43,8 +43,8 @@
 const MAX_STARTUP_WAIT: Duration = Duration::from_millis(1_200);
 /// Such a request waits for at most its deadline divided by this, so that its caller can retry.
 const STARTUP_WAIT_DIVISOR: u32 = 3;
-/// Cache scope of all requests whose account is not isolated.
-const SHARED_CACHE_SCOPE: &str = "all";
+/// Cache namespace of all requests whose account is not isolated.
+const SHARED_CACHE_NAMESPACE: &str = "all";
 
 /// Handles a request and returns the response for its caller.
 pub async fn handle(gateway: Rc<Gateway>, request: Request<Incoming>) -> GatewayResponse {
@@ -152,8 +152,8 @@
         headers: head.headers,
         body: Bytes::new(),
         account: found.account.map(|account| account.id.clone()),
-        cache_scope: isolated.map_or_else(
-            || SHARED_CACHE_SCOPE.to_string(),
+        cache_namespace: isolated.map_or_else(
+            || SHARED_CACHE_NAMESPACE.to_string(),
             |account| format!("only:{}", account.id),
         ),
         priority,
--- a/src/gateway/routed_request.rs
+++ b/src/gateway/routed_request.rs
@@ -28,8 +28,8 @@
     pub route: Route,
     /// The account of the caller's key, if any.
     pub account: Option<AccountId>,
-    /// Requests with equal scopes may share cached prompt parts.
-    pub cache_scope: String,
+    /// Requests with equal namespaces may share cached prompt parts.
+    pub cache_namespace: String,
     /// Its priority among other requests.
     pub priority: Priority,
     /// The service whose targets can run it.
--- a/src/gateway/target_selection.rs
+++ b/src/gateway/target_selection.rs
@@ -94,7 +94,7 @@
     let criteria = placement::Criteria {
         service: &routed.service,
         prompt: routed.metadata.prompt.as_ref(),
-        cache_namespace: &routed.cache_scope,
+        cache_namespace: &routed.cache_namespace,
         tried: avoid,
         tie_breaker: routed.tie_breaker,
         named: &gateway.rollouts.borrow(),
@@ -172,7 +172,7 @@
     Some(PlacementRequest {
         service: routed.service.clone(),
         model: prompt.model.clone(),
-        cache_namespace: routed.cache_scope.clone(),
+        cache_namespace: routed.cache_namespace.clone(),
         parts: prompt.parts.clone(),
         prompt_tokens: prompt.prompt_tokens,
         output_tokens: prompt.output_tokens,
