--- a/src/scheduler/candidate.rs
+++ b/src/scheduler/candidate.rs
@@ -114,7 +114,7 @@
     pub fn candidate(
         &self,
         engine: &Engine,
-        traits: &EngineSpec,
+        spec: &EngineSpec,
         estimator: &PrefillEstimator,
         now: BootTime,
     ) -> Option<Candidate> {
@@ -134,7 +134,7 @@
         let mut fetched_tokens = 0;
         let (mut fetch_ms, mut link_ms): (f64, f64) = (0.0, 0.0);
         for (index, fetch_from) in fetch.iter_mut().enumerate().take(self.shared_parts) {
-            let source = self.fastest_source(index, engine, traits, now);
+            let source = self.fastest_source(index, engine, spec, now);
             // Resident parts get a source, too: the engine may have evicted them unnoticed, and it
             // fetches only what it lacks.
             *fetch_from = source.map(|(address, _)| address);
@@ -194,10 +194,10 @@
         &self,
         index: usize,
         engine: &Engine,
-        traits: &EngineSpec,
+        spec: &EngineSpec,
         now: BootTime,
     ) -> Option<(SocketAddr, TransferEstimate)> {
-        let size_bytes = (self.request.parts[index].tokens * traits.token_bytes) as f64;
+        let size_bytes = (self.request.parts[index].tokens * spec.token_bytes) as f64;
         let estimates = self
             .sources_for(index, engine)
             .map(|source| (source.address, source.estimate(size_bytes, engine, now)));
--- a/src/scheduler/plan.rs
+++ b/src/scheduler/plan.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     engines: BTreeMap<TargetStart, Engine>,
-    traits: HashMap<ServiceId, EngineSpec>,
+    engine_specs: HashMap<ServiceId, EngineSpec>,
     stores: BTreeMap<SocketAddr, Store>,
     estimators: HashMap<ServiceId, PrefillEstimator>,
     /// Recent delay of first tokens beyond the expected time. It is subtracted from measured fetch
@@ -123,7 +123,7 @@
     pub fn new(first_ticket: TicketId, now: BootTime) -> Scheduler {
         Scheduler {
             engines: BTreeMap::new(),
-            traits: HashMap::new(),
+            engine_specs: HashMap::new(),
             stores: BTreeMap::new(),
             estimators: HashMap::new(),
             lateness: HashMap::new(),
@@ -217,7 +217,7 @@
     /// Places a prompt on the engine with the lowest cost.
     fn try_place(&mut self, queued: &QueuedPrompt, now: BootTime) -> PlacementAttempt {
         let request = &queued.request;
-        let Some(traits) = self.traits.get(&request.service) else {
+        let Some(spec) = self.engine_specs.get(&request.service) else {
             return PlacementAttempt::Done(Err(PlacementError::NoTargetListed));
         };
         let estimator = self.estimators.get(&request.service).copied().unwrap_or_default();
@@ -256,7 +256,7 @@
                 ));
                 required.len() - 1
             });
-            let Some(mut candidate) = required[index].1.candidate(engine, traits, &estimator, now)
+            let Some(mut candidate) = required[index].1.candidate(engine, spec, &estimator, now)
             else {
                 continue;
             };
@@ -367,12 +367,12 @@
         now: BootTime,
     ) {
         let Some(to) = self.engines.get(target).map(|engine| engine.listed.clone()) else { return };
-        let Some(traits) = self.traits.get(&to.service) else { return };
-        let size_bytes = (part.tokens * traits.token_bytes) as f64;
+        let Some(spec) = self.engine_specs.get(&to.service) else { return };
+        let size_bytes = (part.tokens * spec.token_bytes) as f64;
         let is_source = |engine: &&mut Engine| engine.listed.address == address;
         let (link, from_domain) = if let Some(store) = self.stores.get_mut(&address) {
             store.grant_fetch(key, now);
-            (&mut store.link, &store.traits.failure_domain)
+            (&mut store.link, &store.spec.failure_domain)
         } else if let Some(source) = self.engines.values_mut().find(is_source) {
             (&mut source.link, &source.listed.failure_domain)
         } else {
@@ -403,12 +403,12 @@
         let fits = |store: &&mut Store| store.can_save(key, part.tokens, now);
         let is_short = part.tokens <= SHORT_CONTEXT_TOKENS;
         let store = self.stores.values_mut().filter(fits).min_by_key(|store| {
-            let by_time = if is_short { store.traits.first_byte } else { Duration::ZERO };
+            let by_time = if is_short { store.spec.first_byte } else { Duration::ZERO };
             let must_free = !store.has_room_for(part.tokens);
             (must_free, by_time, std::cmp::Reverse(store.free_tokens()))
         })?;
         store.grant_save(key, salt, part, now);
-        Some(store.traits.address)
+        Some(store.spec.address)
     }
 
     /// Applies an event of a placement.
--- a/src/scheduler/plan/updates.rs
+++ b/src/scheduler/plan/updates.rs
@@ -55,18 +55,18 @@
 
     /// Applies a deployment. Stores that are unchanged keep their state.
     pub fn observe_deployment(&mut self, deployment: &Deployment) {
-        self.traits.clear();
+        self.engine_specs.clear();
         let mut stores = BTreeMap::new();
         for (name, service) in &deployment.services {
             match &service.role {
-                ServiceRole::Engines(traits) => {
-                    self.traits.insert(name.clone(), traits.clone());
+                ServiceRole::Engines(spec) => {
+                    self.engine_specs.insert(name.clone(), spec.clone());
                 }
-                ServiceRole::Store(traits) => {
-                    let known = self.stores.remove(&traits.address);
-                    let store = known.filter(|store| store.traits == *traits);
-                    let store = store.unwrap_or_else(|| Store::new(traits.clone()));
-                    stores.insert(traits.address, store);
+                ServiceRole::Store(spec) => {
+                    let known = self.stores.remove(&spec.address);
+                    let store = known.filter(|store| store.spec == *spec);
+                    let store = store.unwrap_or_else(|| Store::new(spec.clone()));
+                    stores.insert(spec.address, store);
                 }
                 ServiceRole::Plain => {}
             }
@@ -84,10 +84,10 @@
         }
         self.weights.unverified.retain(|id| roster.get(id).is_some());
         for listed in roster.iter() {
-            let Some(traits) = self.traits.get(&listed.service) else { continue };
+            let Some(spec) = self.engine_specs.get(&listed.service) else { continue };
             let version = listed.weights.values().next().copied();
             let engine = self.engines.entry(listed.start.clone()).or_insert_with(|| {
-                Engine::new(listed.clone(), version, traits.capacity_tokens, traits.link_mbps)
+                Engine::new(listed.clone(), version, spec.capacity_tokens, spec.link_mbps)
             });
             engine.listed.clone_from(listed);
             // The roster lags: it may name older weights than the engine has already reported.
--- a/src/scheduler/source.rs
+++ b/src/scheduler/source.rs
@@ -37,10 +37,10 @@
 impl<'a> Source<'a> {
     fn store(store: &'a Store) -> Source<'a> {
         Source {
-            address: store.traits.address,
-            failure_domain: &store.traits.failure_domain,
+            address: store.spec.address,
+            failure_domain: &store.spec.failure_domain,
             link: &store.link,
-            first_byte: store.traits.first_byte,
+            first_byte: store.spec.first_byte,
         }
     }
 
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -87,8 +87,8 @@
 /// A store.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// Its properties in the deployment.
-    pub traits: StoreSpec,
+    /// Its specification in the deployment.
+    pub spec: StoreSpec,
     /// The store's current start; `None` until its inventory is known.
     start: Option<StoreStart>,
     parts: FxHashMap<PartKey, TrackedPart>,
@@ -142,10 +142,10 @@
 
 impl Store {
     /// Creates a store with unknown contents.
-    pub fn new(traits: StoreSpec) -> Store {
-        let link = Link::new(traits.link_mbps);
+    pub fn new(spec: StoreSpec) -> Store {
+        let link = Link::new(spec.link_mbps);
         Store {
-            traits,
+            spec,
             start: None,
             parts: FxHashMap::default(),
             used_tokens: 0,
@@ -159,13 +159,13 @@
     }
 
     pub fn free_tokens(&self) -> u64 {
-        self.traits.capacity_tokens.saturating_sub(self.used_tokens)
+        self.spec.capacity_tokens.saturating_sub(self.used_tokens)
     }
 
     /// Whether a part fits without eviction.
     pub fn has_room_for(&self, tokens: u64) -> bool {
         let used = self.used_tokens + round_up_to_blocks(tokens);
-        used as f64 <= self.traits.capacity_tokens as f64 * EVICT_TO_FRACTION
+        used as f64 <= self.spec.capacity_tokens as f64 * EVICT_TO_FRACTION
     }
 
     /// Discards the known contents, since the store restarted or can't be reached.
@@ -304,7 +304,7 @@
             }
         }
         self.failed.retain(|_, until| now < *until);
-        let capacity = self.traits.capacity_tokens as f64;
+        let capacity = self.spec.capacity_tokens as f64;
         if self.used_tokens as f64 > capacity * EVICT_ABOVE_FRACTION {
             self.add_least_recently_used(&mut free, (capacity * EVICT_TO_FRACTION) as u64, now);
         }
@@ -318,7 +318,7 @@
                 parts.push(tracked.part.clone());
             }
         }
-        Some(FreePlan { store: self.traits.address, start, parts })
+        Some(FreePlan { store: self.spec.address, start, parts })
     }
 
     fn add_least_recently_used(&self, free: &mut Vec<PartKey>, target_tokens: u64, now: BootTime) {
--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -39,11 +39,11 @@
     let mut site = deployment(1);
     for service in site.services.values_mut() {
         match &mut service.role {
-            ServiceRole::Engines(traits) => traits.capacity_tokens = 109_900,
-            ServiceRole::Store(traits) => {
+            ServiceRole::Engines(spec) => spec.capacity_tokens = 109_900,
+            ServiceRole::Store(spec) => {
                 // Room for all contexts, and the links of the site's five stores in one.
-                traits.capacity_tokens = 7_000_000;
-                traits.link_mbps = 5_700_000.0;
+                spec.capacity_tokens = 7_000_000;
+                spec.link_mbps = 5_700_000.0;
             }
             ServiceRole::Plain => {}
         }
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -101,8 +101,8 @@
     let mut scheduler = Scheduler::new(1, ms(10_000));
     let mut site = site();
     for service in site.services.values_mut() {
-        if let ServiceRole::Store(traits) = &mut service.role {
-            traits.capacity_tokens = 10_000;
+        if let ServiceRole::Store(spec) = &mut service.role {
+            spec.capacity_tokens = 10_000;
         }
     }
     scheduler.observe_deployment(&site);
