--- a/src/capacity/role_loads.rs
+++ b/src/capacity/role_loads.rs
@@ -5,11 +5,11 @@
 use super::planned_scale::PlannedScale;
 use crate::route::residency::MAX_TRACKED_BLOCKS;
 
-/// Assumed share of requests that are marked not repeatable.
+/// Share of requests that are marked not repeatable.
 const NON_REPEATABLE_SHARE: f64 = 0.02;
-/// Assumed share of requests whose prompt returns and is therefore looked up in the prefix catalog.
+/// Share of requests whose prompt returns and is therefore looked up in the prefix catalog.
 const RETURNING_PROMPT_SHARE: f64 = 0.7;
-/// Assumed length of such a prompt in tokens.
+/// Length of such a prompt in tokens.
 const PROMPT_TOKENS: f64 = 2_000.0;
 /// Length of such a prompt in blocks.
 const PROMPT_BLOCKS: f64 = 16.0;
@@ -23,7 +23,7 @@
 const WATCHED_ENGINES_PER_MODEL: f64 = 64.0;
 /// Cached blocks tracked by a router, summed over all engines.
 const TRACKED_BLOCKS: f64 = 131_072.0;
-/// Assumed starts, departures and failures of targets per day; each makes every node read the whole list.
+/// Starts, departures and failures of targets per day; each makes every node read the whole list.
 const TARGET_CHANGES_PER_DAY: f64 = 2_000.0;
 /// Size of a request and a "not modified" response, with headers.
 const NOT_MODIFIED_BYTES: f64 = 300.0;
@@ -35,7 +35,7 @@
 const CLAIM_RETENTION_S: f64 = 86_400.0;
 /// Followers in a group of five replicas.
 const FOLLOWERS: f64 = 4.0;
-/// Assumed number of claims that one sync makes durable at the planned rate.
+/// Number of claims that one sync makes durable at the planned rate.
 const CLAIMS_PER_SYNC: f64 = 8.0;
 const US_PER_S: f64 = 1e6;
 
--- a/src/fleet/placement.rs
+++ b/src/fleet/placement.rs
@@ -17,7 +17,7 @@
 /// Delay added by each request that an engine already holds: the prefill of a mean prompt (3,600
 /// tokens at 140 tokens/ms).
 const DELAY_PER_REQUEST: Duration = Duration::from_millis(25);
-/// Assumed prefill speed of an engine: the slower of the deployed types.
+/// Prefill speed of an engine in cost estimates: that of the slower deployed type.
 const PREFILL_TOKENS_PER_MS: f64 = 92.0;
 /// Delay added by each request in a plain service's queue.
 const DELAY_PER_PLAIN_REQUEST: Duration = Duration::from_millis(15);
--- a/src/gateway/pool.rs
+++ b/src/gateway/pool.rs
@@ -24,7 +24,7 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// An idle connection is not reused this shortly before the target's idle timeout.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
-/// Idle timeout assumed for targets that don't send one.
+/// Idle timeout of targets that don't send one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Idle connections to targets.
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -14,7 +14,7 @@
 /// Every this many dequeues, the request that has waited longest goes first, so that low priorities
 /// don't starve.
 const OLDEST_FIRST_PERIOD: u64 = 16;
-/// Assumed time between two finished requests until two have finished.
+/// Initial value of the moving average of the time between finished requests.
 const INITIAL_FINISH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Identifies a waiting request.
--- a/src/route/decide.rs
+++ b/src/route/decide.rs
@@ -12,7 +12,7 @@
 
 /// Engines whose costs differ by no more than this are tied; the request number picks one of them.
 const COST_TIE_TOLERANCE: Duration = Duration::from_micros(500);
-/// Assumed time for which a request occupies a batch slot.
+/// Time for which a request occupies a batch slot, in the estimate of queueing delays.
 const BATCH_SLOT_HOLD_TIME: Duration = Duration::from_millis(100);
 /// Used while an engine has no fresh report of its prefill rate.
 const DEFAULT_PREFILL_TOKENS_PER_S: f64 = 10_000.0;
