--- a/src/commands/demo.rs
+++ b/src/commands/demo.rs
@@ -126,7 +126,11 @@
         tokio::time::sleep(node.settings.timing.load_poll * 2).await;
     };
     tokio::time::timeout(READY_TIMEOUT, ready).await.map_err(|_| {
-        Error::start("demo", "the node is not ready in time", "reduce the load of this machine")
+        Error::start(
+            "demo",
+            "the node did not become ready in time",
+            "reduce the load on this machine",
+        )
     })
 }
 
--- a/src/http_api/refusal.rs
+++ b/src/http_api/refusal.rs
@@ -92,7 +92,7 @@
                 "find out whether it took effect before a new order",
             ),
             RefusalCode::QueueFull => {
-                ("queue_full", S::TOO_MANY_REQUESTS, "retry after Retry-After")
+                ("queue_full", S::TOO_MANY_REQUESTS, "retry after the time given in Retry-After")
             }
             RefusalCode::DeadlineExceeded => {
                 ("deadline", S::SERVICE_UNAVAILABLE, "allow more time or retry later")
@@ -100,13 +100,15 @@
             RefusalCode::ShuttingDown => ("shutting_down", S::SERVICE_UNAVAILABLE, "retry"),
             RefusalCode::NotFresh => ("not_fresh", S::SERVICE_UNAVAILABLE, "retry on another node"),
             RefusalCode::NoLeader => {
-                ("no_leader", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
-            }
-            RefusalCode::Quarantined => {
-                ("held", S::SERVICE_UNAVAILABLE, "retry after Retry-After, or change the request")
+                ("no_leader", S::SERVICE_UNAVAILABLE, "retry after the time given in Retry-After")
             }
+            RefusalCode::Quarantined => (
+                "held",
+                S::SERVICE_UNAVAILABLE,
+                "retry after the time given in Retry-After, or change the request",
+            ),
             RefusalCode::NoTarget => {
-                ("no_target", S::SERVICE_UNAVAILABLE, "retry after Retry-After")
+                ("no_target", S::SERVICE_UNAVAILABLE, "retry after the time given in Retry-After")
             }
             RefusalCode::TargetFailed => {
                 ("target_failed", S::BAD_GATEWAY, "retry if it is safe to repeat")
