--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -316,7 +316,7 @@
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
-        if is_planned && has_run && !self.world.is_harmed(self.sent_at - BEFORE_A_STOP) {
+        if is_planned && has_run && !self.world.had_fault_since(self.sent_at - BEFORE_A_STOP) {
             self.violation(format!(
                 "cut off though nothing unplanned happened ({reason}, {done:?})"
             ));
--- a/tests/soak/disks.rs
+++ b/tests/soak/disks.rs
@@ -27,7 +27,7 @@
     while !settled.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(4_000..12_000))).await;
         let ends = Instant::now() + Duration::from_millis(random.random_range(1_000..5_000));
-        let harm = world.begin_harm();
+        let fault_index = world.begin_fault();
         let folder = world.system().folder.path().to_path_buf();
         let writers = (0..WRITERS).map(|n| {
             let path = folder.join(format!("busy-{n}"));
@@ -36,7 +36,7 @@
         for writer in writers.collect::<Vec<_>>() {
             writer.await.expect("it does not panic");
         }
-        world.end_harm(harm);
+        world.end_fault(fault_index);
     }
 }
 
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -108,7 +108,7 @@
         world.violation(format!("{held} of {sent} held, though no target ends under them"));
     }
     let ending = world.platform.lock().account.ending.clone();
-    let counts = |at: Instant| !world.was_harmed(at - IN_TOUCH_AFTER, at);
+    let counts = |at: Instant| !world.had_fault_between(at - IN_TOUCH_AFTER, at);
     for (body, ending) in ending {
         if let Some(what) = ending.reached_too_often(KNOWN_WITHIN, counts) {
             world.violation(format!("{body:?}: {what}"));
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -293,11 +293,11 @@
 
     pub(super) fn later(&mut self, after: Duration, end: impl FnOnce(&World) + Send + 'static) {
         let world = self.world.clone();
-        let harm = world.begin_harm();
+        let fault_index = world.begin_fault();
         self.healing.spawn(async move {
             tokio::time::sleep(after).await;
             end(&world);
-            world.end_harm(harm);
+            world.end_fault(fault_index);
         });
     }
 
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -76,7 +76,7 @@
     claims: Mutex<Vec<Claim>>,
     violations: Mutex<Vec<String>>,
     /// When something beside planned work was wrong.
-    harms: Mutex<Vec<(Instant, Option<Instant>)>>,
+    fault_periods: Mutex<Vec<(Instant, Option<Instant>)>>,
 }
 
 impl World {
@@ -102,26 +102,28 @@
     }
 
     /// Something is wrong from now on. Returns its number.
-    pub fn begin_harm(&self) -> usize {
-        let mut harms = self.harms.lock().expect("nobody panics with it");
-        harms.push((Instant::now(), None));
-        harms.len() - 1
+    pub fn begin_fault(&self) -> usize {
+        let mut fault_periods = self.fault_periods.lock().expect("nobody panics with it");
+        fault_periods.push((Instant::now(), None));
+        fault_periods.len() - 1
     }
 
     /// It is over.
-    pub fn end_harm(&self, number: usize) {
-        self.harms.lock().expect("nobody panics with it")[number].1 = Some(Instant::now());
+    pub fn end_fault(&self, number: usize) {
+        self.fault_periods.lock().expect("nobody panics with it")[number].1 = Some(Instant::now());
     }
 
     /// Whether something was wrong at or after a time.
-    pub fn is_harmed(&self, since: Instant) -> bool {
-        self.was_harmed(since, Instant::now())
+    pub fn had_fault_since(&self, since: Instant) -> bool {
+        self.had_fault_between(since, Instant::now())
     }
 
     /// Whether something was wrong between two times.
-    pub fn was_harmed(&self, from: Instant, to: Instant) -> bool {
-        let harms = self.harms.lock().expect("nobody panics with it");
-        harms.iter().any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
+    pub fn had_fault_between(&self, from: Instant, to: Instant) -> bool {
+        let fault_periods = self.fault_periods.lock().expect("nobody panics with it");
+        fault_periods
+            .iter()
+            .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
     }
 
     /// Makes a target do something wrong.
@@ -147,7 +149,8 @@
 
     fn check_left(&self, request: &str, at: Instant, entry: usize) {
         let done = self.system().disturbed_since(entry, at);
-        if self.was_harmed(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned) {
+        if self.had_fault_between(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned)
+        {
             return;
         }
         for run in self.platform.lock().account.runs_of(request) {
@@ -169,7 +172,7 @@
     fn latest(&self, promise: Promise) -> Option<Late> {
         let platform = self.platform.lock();
         let late = platform.account.late.iter().filter(|late| late.promise == promise);
-        let calm = late.filter(|late| !self.was_harmed(late.from, late.to));
+        let calm = late.filter(|late| !self.had_fault_between(late.from, late.to));
         calm.max_by_key(|late| late.late).cloned()
     }
 
@@ -180,7 +183,7 @@
         let most = platform.account.runs.len() as f64 * ratio + slack;
         let mut violations = platform.account.violations.clone();
         let late = platform.account.late.iter().filter(|late| late.late > late.promise.allowed());
-        let wrong = late.filter(|late| !self.was_harmed(late.from, late.to));
+        let wrong = late.filter(|late| !self.had_fault_between(late.from, late.to));
         violations.extend(wrong.map(|late| late.what.clone()));
         drop(platform);
         if repeats as f64 > most {
@@ -215,7 +218,7 @@
         published: Mutex::default(),
         claims: Mutex::default(),
         violations: Mutex::default(),
-        harms: Mutex::default(),
+        fault_periods: Mutex::default(),
     });
     let mut faults = Faults::new(world.clone(), lists, kinds).await;
     operator::check_recovery(&world).await;
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -212,7 +212,7 @@
         if !(200..300).contains(&status) && status != 404 {
             continue;
         }
-        let is_calm = !world.is_harmed(asked_at - IN_FORCE)
+        let is_calm = !world.had_fault_since(asked_at - IN_FORCE)
             && world.system().disturbed_since(entry, asked_at - IN_FORCE).is_empty()
             && world.system().processes[entry].starts == start;
         let (newest, at) = acknowledged;
