--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -13,7 +13,7 @@
 
 use crate::World;
 use crate::platform_stand_in::target::Fault;
-use crate::proxy::{Harm, Proxy};
+use crate::proxy::{NetworkFault, Proxy};
 
 /// How long faults strike before a calm phase.
 const STORM: Duration = Duration::from_secs(10);
@@ -231,24 +231,24 @@
 
     fn harm_connections(&mut self, lasts: Duration) {
         let Some(id) = self.any_target() else { return };
-        let harm = match self.random.random_range(0..4) {
-            0 => Harm::Delay(Duration::from_millis(self.random.random_range(5..150))),
-            1 => Harm::Silence,
-            2 => Harm::OneWay,
-            _ => Harm::Reset,
+        let network_fault = match self.random.random_range(0..4) {
+            0 => NetworkFault::Delay(Duration::from_millis(self.random.random_range(5..150))),
+            1 => NetworkFault::Silence,
+            2 => NetworkFault::OneWay,
+            _ => NetworkFault::Reset,
         };
-        self.set(self.targets[&id].clone(), harm, lasts);
+        self.set(self.targets[&id].clone(), network_fault, lasts);
     }
 
     fn harm_list(&mut self, lasts: Duration) {
         for list in self.lists.clone() {
-            self.set(list, Harm::Silence, lasts);
+            self.set(list, NetworkFault::Silence, lasts);
         }
     }
 
-    pub(super) fn set(&mut self, proxy: Proxy, harm: Harm, lasts: Duration) {
-        proxy.set(harm);
-        self.later(lasts, move |_| proxy.set(Harm::None));
+    pub(super) fn set(&mut self, proxy: Proxy, network_fault: NetworkFault, lasts: Duration) {
+        proxy.set(network_fault);
+        self.later(lasts, move |_| proxy.set(NetworkFault::None));
     }
 
     fn spoil_target(&mut self, lasts: Duration) {
--- a/tests/soak/listing.rs
+++ b/tests/soak/listing.rs
@@ -13,7 +13,7 @@
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
 use crate::platform_stand_in::target::Fault;
-use crate::proxy::{Harm, Proxy};
+use crate::proxy::{NetworkFault, Proxy};
 
 /// A target that starts again is down for so long at most.
 const DOWN_MS: u64 = 2_500;
@@ -69,11 +69,11 @@
 
     /// The list answers only some replicas.
     fn cut_list_readers(&mut self, random: &mut SmallRng, lasts: Duration) {
-        let harms = [Harm::Silence, Harm::OneWay, Harm::Reset];
-        let harm = *harms.choose(random).expect("there are some");
+        let network_faults = [NetworkFault::Silence, NetworkFault::OneWay, NetworkFault::Reset];
+        let network_fault = *network_faults.choose(random).expect("there are some");
         for list in self.lists.clone() {
             if random.random_ratio(1, 2) {
-                self.set(list, harm, lasts);
+                self.set(list, network_fault, lasts);
             }
         }
     }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms connections.
+//! A loopback proxy that network_faults connections.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 
 /// What a proxy does to connections through it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum NetworkFault {
     /// Nothing.
     None,
     /// Bytes come later.
@@ -30,7 +30,7 @@
 pub struct Proxy {
     /// Where it listens.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
+    network_fault: Arc<watch::Sender<NetworkFault>>,
     to: Arc<Mutex<SocketAddr>>,
 }
 
@@ -40,14 +40,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let proxy = Proxy {
             address: listener.local_addr().expect("an address"),
-            harm: Arc::new(watch::Sender::new(Harm::None)),
+            network_fault: Arc::new(watch::Sender::new(NetworkFault::None)),
             to: Arc::new(Mutex::new(to)),
         };
-        let (harm, to) = (proxy.harm.clone(), proxy.to.clone());
+        let (network_fault, to) = (proxy.network_fault.clone(), proxy.to.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let to = *to.lock().expect("nobody panics with it");
-                tokio::spawn(carry(stream, to, harm.subscribe()));
+                tokio::spawn(carry(stream, to, network_fault.subscribe()));
             }
         });
         proxy
@@ -59,12 +59,16 @@
     }
 
     /// Sets what happens to connections from now on, those that are open among them.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    pub fn set(&self, network_fault: NetworkFault) {
+        self.network_fault.send_replace(network_fault);
     }
 }
 
-async fn carry(stream: TcpStream, to: SocketAddr, mut harm: watch::Receiver<Harm>) {
+async fn carry(
+    stream: TcpStream,
+    to: SocketAddr,
+    mut network_fault: watch::Receiver<NetworkFault>,
+) {
     let reset = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     reset.expect("a TCP socket");
     let Ok(target) = TcpStream::connect(to).await else { return };
@@ -72,18 +76,18 @@
     target.set_nodelay(true).expect("a TCP socket");
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = target.into_split();
-    let there = pass(from_caller, to_target, harm.clone(), false);
-    let back = pass(from_target, to_caller, harm.clone(), true);
+    let there = pass(from_caller, to_target, network_fault.clone(), false);
+    let back = pass(from_target, to_caller, network_fault.clone(), true);
     tokio::select! {
         () = async { tokio::join!(there, back); } => {}
-        _ = harm.wait_for(|harm| *harm == Harm::Reset) => {}
+        _ = network_fault.wait_for(|network_fault| *network_fault == NetworkFault::Reset) => {}
     }
 }
 
 async fn pass(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
+    mut network_fault: watch::Receiver<NetworkFault>,
     is_back: bool,
 ) {
     let mut bytes = vec![0; 16 << 10];
@@ -92,12 +96,17 @@
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
-        let holds = |harm: &Harm| *harm == Harm::Silence || (*harm == Harm::OneWay && is_back);
-        if holds(&harm.borrow()) && harm.wait_for(|harm| !holds(harm)).await.is_err() {
+        let holds = |network_fault: &NetworkFault| {
+            *network_fault == NetworkFault::Silence
+                || (*network_fault == NetworkFault::OneWay && is_back)
+        };
+        if holds(&network_fault.borrow())
+            && network_fault.wait_for(|network_fault| !holds(network_fault)).await.is_err()
+        {
             return;
         }
-        let delay = match *harm.borrow() {
-            Harm::Delay(delay) => delay,
+        let delay = match *network_fault.borrow() {
+            NetworkFault::Delay(delay) => delay,
             _ => Duration::ZERO,
         };
         tokio::time::sleep(delay).await;
