--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -53,7 +53,7 @@
     pub(super) nobody: SocketAddr,
     starts: u64,
     /// What ends faults that have begun.
-    pub(super) healing: JoinSet<()>,
+    pub(super) clearing: JoinSet<()>,
     /// Targets that leave.
     leaving: JoinSet<()>,
     /// Replicas that are lost, until when.
@@ -76,7 +76,7 @@
             lists,
             nobody,
             starts: 0,
-            healing: JoinSet::new(),
+            clearing: JoinSet::new(),
             leaving: JoinSet::new(),
             lost: Vec::new(),
             count: 0,
@@ -109,18 +109,18 @@
             let storm_ends = (Instant::now() + STORM).min(end);
             while Instant::now() < storm_ends {
                 self.pause().await;
-                self.strike().await;
-                self.strike_list().await;
+                self.inject_fault().await;
+                self.inject_list_fault().await;
             }
-            self.heal().await;
+            self.wait_until_cleared().await;
             let calm_ends = (Instant::now() + CALM).min(end);
             while Instant::now() < calm_ends {
                 self.pause().await;
-                self.plan();
-                self.plan_list().await;
+                self.run_planned_operation();
+                self.change_list().await;
             }
         }
-        self.heal().await;
+        self.wait_until_cleared().await;
     }
 
     async fn pause(&mut self) {
@@ -128,11 +128,11 @@
         tokio::time::sleep(pause).await;
         let wrong = self.world.system().look_after();
         wrong.into_iter().for_each(|what| self.world.violation(what));
-        while self.healing.try_join_next().is_some() {}
+        while self.clearing.try_join_next().is_some() {}
     }
 
     /// Planned work: one entry at a time stops, or reads its settings.
-    fn plan(&mut self) {
+    fn run_planned_operation(&mut self) {
         let entry = self.random.random_range(0..self.world.entries);
         let mut system = self.world.system();
         let all_up = (0..self.world.entries).all(|entry| system.is_up(entry));
@@ -143,23 +143,23 @@
         }
     }
 
-    async fn strike(&mut self) {
+    async fn inject_fault(&mut self) {
         self.count += 1;
         let lasts = Duration::from_millis(self.random.random_range(300..3_000));
         match self.random.random_range(0..14) {
-            0 | 1 => self.harm_entry(lasts),
-            2..=4 => self.harm_replica(lasts),
+            0 | 1 => self.inject_entry_fault(lasts),
+            2..=4 => self.inject_replica_fault(lasts),
             5 => self.kill_all_replicas(lasts.min(Duration::from_secs(1))),
             6 => self.replace_target().await,
             7 => self.drain_target().await,
-            8 => self.harm_list(lasts),
+            8 => self.silence_list(lasts),
             9 => self.world.platform.lock().store.restart(),
-            10..=11 => self.harm_connections(lasts),
-            _ => self.spoil_target(lasts),
+            10..=11 => self.inject_network_fault(lasts),
+            _ => self.inject_target_fault(lasts),
         }
     }
 
-    fn harm_entry(&mut self, lasts: Duration) {
+    fn inject_entry_fault(&mut self, lasts: Duration) {
         let entry = self.random.random_range(0..self.world.entries);
         let mut system = self.world.system();
         if !system.is_up(entry) {
@@ -169,19 +169,19 @@
             0 => {
                 system.pause(entry);
                 drop(system);
-                self.later(lasts, move |world| world.system().resume(entry));
+                self.clear_after(lasts, move |world| world.system().resume(entry));
             }
             1 => {
                 system.kill(entry);
                 drop(system);
-                self.later(lasts, move |world| world.system().start_again(entry, false));
+                self.clear_after(lasts, move |world| world.system().start_again(entry, false));
             }
             2 => system.reload(entry),
             _ => system.stop(entry),
         }
     }
 
-    fn harm_replica(&mut self, lasts: Duration) {
+    fn inject_replica_fault(&mut self, lasts: Duration) {
         let replicas = self.world.system().replicas();
         let replica = self.random.random_range(replicas);
         self.lost.retain(|(_, until)| Instant::now() < *until);
@@ -195,11 +195,11 @@
         if drawn == 0 {
             system.pause(replica);
             drop(system);
-            self.later(lasts, move |world| world.system().resume(replica));
+            self.clear_after(lasts, move |world| world.system().resume(replica));
         } else {
             system.kill(replica);
             drop(system);
-            self.later(lasts, move |world| world.system().start_again(replica, drawn == 1));
+            self.clear_after(lasts, move |world| world.system().start_again(replica, drawn == 1));
         }
     }
 
@@ -213,7 +213,7 @@
         for replica in replicas {
             self.world.system().kill(replica);
             self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-            self.later(lasts, move |world| world.system().start_again(replica, false));
+            self.clear_after(lasts, move |world| world.system().start_again(replica, false));
         }
     }
 
@@ -229,7 +229,7 @@
         platform.targets.get(id).is_some_and(|target| platform.runs(id, target.start))
     }
 
-    fn harm_connections(&mut self, lasts: Duration) {
+    fn inject_network_fault(&mut self, lasts: Duration) {
         let Some(id) = self.any_target() else { return };
         let network_fault = match self.random.random_range(0..4) {
             0 => NetworkFault::Delay(Duration::from_millis(self.random.random_range(5..150))),
@@ -240,7 +240,7 @@
         self.set(self.targets[&id].clone(), network_fault, lasts);
     }
 
-    fn harm_list(&mut self, lasts: Duration) {
+    fn silence_list(&mut self, lasts: Duration) {
         for list in self.lists.clone() {
             self.set(list, NetworkFault::Silence, lasts);
         }
@@ -248,15 +248,15 @@
 
     pub(super) fn set(&mut self, proxy: Proxy, network_fault: NetworkFault, lasts: Duration) {
         proxy.set(network_fault);
-        self.later(lasts, move |_| proxy.set(NetworkFault::None));
+        self.clear_after(lasts, move |_| proxy.set(NetworkFault::None));
     }
 
-    fn spoil_target(&mut self, lasts: Duration) {
+    fn inject_target_fault(&mut self, lasts: Duration) {
         let Some(id) = self.any_target() else { return };
         let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
         let fault = *faults.choose(&mut self.random).expect("there are some");
         self.set_fault(&id, fault);
-        self.later(lasts, move |world| world.set_fault(&id, Fault::None));
+        self.clear_after(lasts, move |world| world.set_fault(&id, Fault::None));
     }
 
     fn set_fault(&self, id: &str, fault: Fault) {
@@ -291,10 +291,14 @@
         });
     }
 
-    pub(super) fn later(&mut self, after: Duration, end: impl FnOnce(&World) + Send + 'static) {
+    pub(super) fn clear_after(
+        &mut self,
+        after: Duration,
+        end: impl FnOnce(&World) + Send + 'static,
+    ) {
         let world = self.world.clone();
         let fault_index = world.begin_fault();
-        self.healing.spawn(async move {
+        self.clearing.spawn(async move {
             tokio::time::sleep(after).await;
             end(&world);
             world.end_fault(fault_index);
@@ -303,12 +307,12 @@
 
     /// Ends what is still to come.
     pub async fn close(mut self) {
-        self.healing.shutdown().await;
+        self.clearing.shutdown().await;
         self.leaving.shutdown().await;
     }
 
-    async fn heal(&mut self) {
-        while self.healing.join_next().await.is_some() {}
+    async fn wait_until_cleared(&mut self) {
+        while self.clearing.join_next().await.is_some() {}
     }
 }
 
--- a/tests/soak/listing.rs
+++ b/tests/soak/listing.rs
@@ -30,7 +30,7 @@
 
 impl Faults {
     /// Strikes beside another fault.
-    pub async fn strike_list(&mut self) {
+    pub async fn inject_list_fault(&mut self) {
         let Some(mut random) = self.list_random.take() else { return };
         let lasts = Duration::from_millis(random.random_range(300..3_000));
         match random.random_range(0..12) {
@@ -47,7 +47,7 @@
 
     /// What is no fault of the system's surroundings: targets leave and start again, and the list bears
     /// entries of other writers.
-    pub async fn plan_list(&mut self) {
+    pub async fn change_list(&mut self) {
         let Some(mut random) = self.list_random.take() else { return };
         match random.random_range(0..12) {
             0 => {
@@ -85,7 +85,7 @@
         platform.list.page_entries = random.random_range(0..PAGE_ENTRIES);
         platform.list.shift = shift;
         drop(platform);
-        self.later(lasts, move |world| world.platform.lock().list.shift = 0);
+        self.clear_after(lasts, move |world| world.platform.lock().list.shift = 0);
     }
 
     /// Other writers' entries come and go, some of them under ids of targets.
@@ -108,7 +108,7 @@
     fn delay_orders(&mut self, random: &mut SmallRng, lasts: Duration) {
         let Some(id) = self.any_listed(random) else { return };
         self.world.set_fault(&id, Fault::LateOrders);
-        self.later(lasts, move |world| world.set_fault(&id, Fault::None));
+        self.clear_after(lasts, move |world| world.set_fault(&id, Fault::None));
     }
 
     /// A target starts again under its id, rather one that loads weights.
@@ -152,7 +152,7 @@
             entry_lags: Duration::from_millis(lags),
             ..Restart::at(any_address())
         };
-        self.healing.spawn(async move {
+        self.clearing.spawn(async move {
             if let Some(address) = world.platform.restart_target(&id, restart).await {
                 listed.redirect(address);
             }
