--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -14,9 +14,9 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::World;
-use crate::ending::HELD;
 use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
 use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
+use crate::quarantine::HELD;
 use crate::system::Disturbance;
 
 /// How long a caller waits.
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -6,16 +6,16 @@
 //! arguments: short runs.
 
 mod callers;
-mod disks;
-mod ending;
+mod disk_load;
 mod faults;
-mod listing;
+mod list_faults;
 mod operator;
 #[path = "../platform_stand_in/mod.rs"]
 mod platform_stand_in;
 mod proxy;
-mod starts;
+mod quarantine;
 mod system;
+mod target_recovery;
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -230,13 +230,13 @@
     }
     let operator = tokio::spawn(operator::run(world.clone(), settled.clone()));
     tasks.spawn(operator::probe(world.clone(), ending.clone()));
-    tasks.spawn(ending::run(world.clone(), settled.clone()));
-    tasks.spawn(disks::run(world.clone(), settled.clone()));
+    tasks.spawn(quarantine::run(world.clone(), settled.clone()));
+    tasks.spawn(disk_load::run(world.clone(), settled.clone()));
     faults.run(lasts).await;
     settled.store(true, Ordering::Relaxed);
     operator.await.expect("it does not panic");
     operator::check_recovery(&world).await;
-    starts::check(&world).await;
+    target_recovery::check(&world).await;
     ending.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
         ended.expect("no task panics");
@@ -244,7 +244,7 @@
     tokio::time::sleep(LEAVING_TAKES).await;
     world.check_claims();
     world.check_repeats();
-    ending::check(&world);
+    quarantine::check(&world);
     let told = summary(&world, &faults, begun);
     let latest = [Promise::Leaving, Promise::Weights].map(|promise| world.latest(promise));
     faults.close().await;
