--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -13,7 +13,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::World;
+use crate::Harness;
 use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
 use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
 use crate::quarantine::HELD;
@@ -35,11 +35,11 @@
 
 /// What became of requests.
 #[derive(Default)]
-pub struct Tally {
+pub struct RequestCounts {
     /// Requests that were sent.
     pub sent: AtomicU64,
     /// Answers that were whole.
-    pub whole: AtomicU64,
+    pub completed: AtomicU64,
     /// Refusals.
     pub refused: AtomicU64,
     /// Answers that failed or broke off.
@@ -112,8 +112,8 @@
 }
 
 /// Sends requests until it is told to end.
-pub async fn run(world: Arc<World>, number: u64, ending: Arc<AtomicBool>) {
-    let mut random = SmallRng::seed_from_u64(world.seed ^ (number << 32));
+pub async fn run(harness: Arc<Harness>, number: u64, ending: Arc<AtomicBool>) {
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ (number << 32));
     let mut kept: Option<Kept> = None;
     let mut count = 0;
     while !ending.load(Ordering::Relaxed) {
@@ -124,18 +124,18 @@
         let request = format!("{}{number}-{count}", kind.prefix());
         let connection = match kept.take().filter(|kept| kept.sender.is_ready()) {
             Some(kept) => kept,
-            None => match connect(&world, &mut random).await {
+            None => match connect(&harness, &mut random).await {
                 Some(connected) => connected,
                 None => continue,
             },
         };
-        kept = one(&world, kind, request, connection, &mut random).await;
+        kept = one(&harness, kind, request, connection, &mut random).await;
     }
 }
 
-async fn connect(world: &World, random: &mut SmallRng) -> Option<Kept> {
+async fn connect(harness: &Harness, random: &mut SmallRng) -> Option<Kept> {
     let (entry, address) = {
-        let system = world.system();
+        let system = harness.system();
         let entry = random.random_range(0..system.entries());
         (entry, system.callers(entry))
     };
@@ -154,7 +154,7 @@
 }
 
 async fn one(
-    world: &World,
+    harness: &Harness,
     kind: Kind,
     request: String,
     mut connection: Kept,
@@ -183,7 +183,7 @@
     let message = head.body(body).expect("valid headers");
     let leaves_after = (random.random_ratio(1, LEAVES_ONE_IN))
         .then(|| Duration::from_millis(random.random_range(1..200)));
-    world.tally.sent.fetch_add(1, Ordering::Relaxed);
+    harness.request_counts.sent.fetch_add(1, Ordering::Relaxed);
     let sent_at = Instant::now();
     let getting = get(&mut connection, message);
     let got = match leaves_after {
@@ -191,7 +191,7 @@
         None => getting.await,
     };
     let checked =
-        Checked { world, kind, request, events, account, entry: connection.entry, sent_at };
+        Checked { harness, kind, request, events, account, entry: connection.entry, sent_at };
     checked.check(&got);
     matches!(got, Got::Answer { is_whole: true, .. }).then_some(connection)
 }
@@ -227,7 +227,7 @@
 
 /// One request and its answer, to be checked.
 struct Checked<'w> {
-    world: &'w World,
+    harness: &'w Harness,
     kind: Kind,
     request: String,
     events: u64,
@@ -238,24 +238,25 @@
 
 impl Checked<'_> {
     fn check(&self, got: &Got) {
-        let tally = &self.world.tally;
+        let request_counts = &self.harness.request_counts;
         match got {
             Got::Left => {
                 let (request, entry) = (self.request.clone(), self.entry);
-                self.world.claim(Claim::Left { request, at: Instant::now(), entry });
+                self.harness.claim(Claim::Left { request, at: Instant::now(), entry });
             }
             Got::Cut(reason) => {
-                tally.failed.fetch_add(1, Ordering::Relaxed);
+                request_counts.failed.fetch_add(1, Ordering::Relaxed);
                 self.check_stop(reason);
             }
             Got::Answer { status: 200, stamp, body, is_whole } => {
                 self.check_success(stamp.as_deref(), body, *is_whole);
-                let counter = if *is_whole { &tally.whole } else { &tally.failed };
+                let counter =
+                    if *is_whole { &request_counts.completed } else { &request_counts.failed };
                 counter.fetch_add(1, Ordering::Relaxed);
             }
             Got::Answer { status, stamp, body, .. } => {
                 if body.windows(HELD.len()).any(|part| part == HELD) {
-                    tally.held.fetch_add(1, Ordering::Relaxed);
+                    request_counts.held.fetch_add(1, Ordering::Relaxed);
                 }
                 self.check_failure(*status, stamp.is_some());
             }
@@ -264,7 +265,7 @@
 
     fn violation(&self, what: String) {
         let (request, entry) = (&self.request, self.entry);
-        self.world.violation(format!("{request} at entry-{entry}: {what}"));
+        self.harness.violation(format!("{request} at entry-{entry}: {what}"));
     }
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
@@ -280,7 +281,7 @@
             let body = String::from_utf8_lossy(body);
             self.violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
-        let platform = self.world.platform.lock();
+        let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
@@ -292,13 +293,13 @@
     }
 
     fn check_failure(&self, status: u16, is_stamped: bool) {
-        let tally = &self.world.tally;
+        let request_counts = &self.harness.request_counts;
         match status {
             408 | 421 | 429 | 503 if !is_stamped => {
-                tally.refused.fetch_add(1, Ordering::Relaxed);
-                self.world.claim(Claim::NotRun(self.request.clone()));
+                request_counts.refused.fetch_add(1, Ordering::Relaxed);
+                self.harness.claim(Claim::NotRun(self.request.clone()));
             }
-            500 | 502 | 504 => drop(tally.failed.fetch_add(1, Ordering::Relaxed)),
+            500 | 502 | 504 => drop(request_counts.failed.fetch_add(1, Ordering::Relaxed)),
             _ => self.violation(format!("answered {status}, which it must not be")),
         }
     }
@@ -306,17 +307,17 @@
     /// A connection that ends without an answer is no fault where something was done to the entry,
     /// unless that was a planned stop.
     fn check_stop(&self, reason: &str) {
-        let system = self.world.system();
+        let system = self.harness.system();
         let done = system.disturbed_since(self.entry, self.sent_at - BEFORE_A_STOP);
         let is_planned = done.iter().all(|what| *what != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
-        let platform = self.world.platform.lock();
+        let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request);
         // A target that ended may have broken off before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
-        if is_planned && has_run && !self.world.had_fault_since(self.sent_at - BEFORE_A_STOP) {
+        if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - BEFORE_A_STOP) {
             self.violation(format!(
                 "cut off though nothing unplanned happened ({reason}, {done:?})"
             ));
--- a/tests/soak/disk_load.rs
+++ b/tests/soak/disk_load.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::World;
+use crate::Harness;
 
 /// One seed of so many keeps its disk busy: it slows all that a machine writes.
 const ONE_SEED_OF: u64 = 4;
@@ -19,16 +19,16 @@
 const FILE_BYTES: usize = 16 << 20;
 
 /// Keeps the disk busy by turns until the run has settled.
-pub async fn run(world: Arc<World>, settled: Arc<AtomicBool>) {
-    if !world.seed.is_multiple_of(ONE_SEED_OF) {
+pub async fn run(harness: Arc<Harness>, settled: Arc<AtomicBool>) {
+    if !harness.seed.is_multiple_of(ONE_SEED_OF) {
         return;
     }
-    let mut random = SmallRng::seed_from_u64(world.seed ^ 0x6469_736b);
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6469_736b);
     while !settled.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(4_000..12_000))).await;
         let ends = Instant::now() + Duration::from_millis(random.random_range(1_000..5_000));
-        let fault_index = world.begin_fault();
-        let folder = world.system().folder.path().to_path_buf();
+        let fault_index = harness.begin_fault();
+        let folder = harness.system().folder.path().to_path_buf();
         let writers = (0..WRITERS).map(|n| {
             let path = folder.join(format!("busy-{n}"));
             tokio::task::spawn_blocking(move || write_until(path, ends))
@@ -36,7 +36,7 @@
         for writer in writers.collect::<Vec<_>>() {
             writer.await.expect("it does not panic");
         }
-        world.end_fault(fault_index);
+        harness.end_fault(fault_index);
     }
 }
 
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use tokio::task::JoinSet;
 
-use crate::World;
+use crate::Harness;
 use crate::platform_stand_in::target::Fault;
 use crate::proxy::{NetworkFault, Proxy};
 
@@ -32,7 +32,7 @@
 
 /// Which faults strike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kinds {
+pub enum FaultSet {
     /// All but those of the list and of targets that start again.
     Plain,
     /// All.
@@ -41,7 +41,7 @@
 
 /// Draws and applies faults.
 pub struct Faults {
-    pub(super) world: Arc<World>,
+    pub(super) harness: Arc<Harness>,
     random: SmallRng,
     /// Draws what befalls the list and the targets on it, if that is wanted: apart from the rest, so
     /// that earlier seeds draw what they drew.
@@ -64,14 +64,14 @@
 
 impl Faults {
     /// Starts the targets. Nothing is wrong yet.
-    pub async fn new(world: Arc<World>, lists: Vec<Proxy>, kinds: Kinds) -> Faults {
-        let random = SmallRng::seed_from_u64(world.seed);
-        let list_random = SmallRng::seed_from_u64(world.seed ^ 0x6c69_7374);
-        let nobody = world.platform.serve_nobody(any_address()).await;
+    pub async fn new(harness: Arc<Harness>, lists: Vec<Proxy>, fault_set: FaultSet) -> Faults {
+        let random = SmallRng::seed_from_u64(harness.seed);
+        let list_random = SmallRng::seed_from_u64(harness.seed ^ 0x6c69_7374);
+        let nobody = harness.platform.serve_nobody(any_address()).await;
         let mut faults = Faults {
-            world,
+            harness,
             random,
-            list_random: (kinds == Kinds::All).then_some(list_random),
+            list_random: (fault_set == FaultSet::All).then_some(list_random),
             targets: BTreeMap::new(),
             lists,
             nobody,
@@ -95,7 +95,7 @@
         let id = format!("i-{service}-{}", self.starts);
         let zone = format!("hall-{}", self.starts % 3);
         let proxy = Proxy::start(any_address()).await;
-        let platform = &self.world.platform;
+        let platform = &self.harness.platform;
         let listed = Some(proxy.address);
         let address = platform.start_target(&id, service, &zone, any_address(), listed).await;
         proxy.redirect(address);
@@ -126,16 +126,16 @@
     async fn pause(&mut self) {
         let pause = Duration::from_millis(self.random.random_range(50..PAUSE_MS));
         tokio::time::sleep(pause).await;
-        let wrong = self.world.system().look_after();
-        wrong.into_iter().for_each(|what| self.world.violation(what));
+        let wrong = self.harness.system().look_after();
+        wrong.into_iter().for_each(|what| self.harness.violation(what));
         while self.clearing.try_join_next().is_some() {}
     }
 
     /// Planned work: one entry at a time stops, or reads its settings.
     fn run_planned_operation(&mut self) {
-        let entry = self.random.random_range(0..self.world.entries);
-        let mut system = self.world.system();
-        let all_up = (0..self.world.entries).all(|entry| system.is_up(entry));
+        let entry = self.random.random_range(0..self.harness.entries);
+        let mut system = self.harness.system();
+        let all_up = (0..self.harness.entries).all(|entry| system.is_up(entry));
         match self.random.random_range(0..4) {
             0 if all_up => system.stop(entry),
             1 if all_up => system.reload(entry),
@@ -153,15 +153,15 @@
             6 => self.replace_target().await,
             7 => self.drain_target().await,
             8 => self.silence_list(lasts),
-            9 => self.world.platform.lock().store.restart(),
+            9 => self.harness.platform.lock().store.restart(),
             10..=11 => self.inject_network_fault(lasts),
             _ => self.inject_target_fault(lasts),
         }
     }
 
     fn inject_entry_fault(&mut self, lasts: Duration) {
-        let entry = self.random.random_range(0..self.world.entries);
-        let mut system = self.world.system();
+        let entry = self.random.random_range(0..self.harness.entries);
+        let mut system = self.harness.system();
         if !system.is_up(entry) {
             return;
         }
@@ -169,12 +169,12 @@
             0 => {
                 system.pause(entry);
                 drop(system);
-                self.clear_after(lasts, move |world| world.system().resume(entry));
+                self.clear_after(lasts, move |harness| harness.system().resume(entry));
             }
             1 => {
                 system.kill(entry);
                 drop(system);
-                self.clear_after(lasts, move |world| world.system().start_again(entry, false));
+                self.clear_after(lasts, move |harness| harness.system().start_again(entry, false));
             }
             2 => system.reload(entry),
             _ => system.stop(entry),
@@ -182,7 +182,7 @@
     }
 
     fn inject_replica_fault(&mut self, lasts: Duration) {
-        let replicas = self.world.system().replicas();
+        let replicas = self.harness.system().replicas();
         let replica = self.random.random_range(replicas);
         self.lost.retain(|(_, until)| Instant::now() < *until);
         let is_lost = self.lost.iter().any(|(lost, _)| *lost == replica);
@@ -191,15 +191,17 @@
         }
         self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
         let drawn = self.random.random_range(0..4);
-        let mut system = self.world.system();
+        let mut system = self.harness.system();
         if drawn == 0 {
             system.pause(replica);
             drop(system);
-            self.clear_after(lasts, move |world| world.system().resume(replica));
+            self.clear_after(lasts, move |harness| harness.system().resume(replica));
         } else {
             system.kill(replica);
             drop(system);
-            self.clear_after(lasts, move |world| world.system().start_again(replica, drawn == 1));
+            self.clear_after(lasts, move |harness| {
+                harness.system().start_again(replica, drawn == 1)
+            });
         }
     }
 
@@ -209,11 +211,11 @@
         if !self.lost.is_empty() {
             return;
         }
-        let replicas = self.world.system().replicas();
+        let replicas = self.harness.system().replicas();
         for replica in replicas {
-            self.world.system().kill(replica);
+            self.harness.system().kill(replica);
             self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-            self.clear_after(lasts, move |world| world.system().start_again(replica, false));
+            self.clear_after(lasts, move |harness| harness.system().start_again(replica, false));
         }
     }
 
@@ -225,7 +227,7 @@
 
     /// Whether a target runs: one that starts again is down for a while.
     pub(super) fn is_up(&self, id: &str) -> bool {
-        let platform = self.world.platform.lock();
+        let platform = self.harness.platform.lock();
         platform.targets.get(id).is_some_and(|target| platform.runs(id, target.start))
     }
 
@@ -256,19 +258,19 @@
         let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
         let fault = *faults.choose(&mut self.random).expect("there are some");
         self.set_fault(&id, fault);
-        self.clear_after(lasts, move |world| world.set_fault(&id, Fault::None));
+        self.clear_after(lasts, move |harness| harness.set_fault(&id, Fault::None));
     }
 
     fn set_fault(&self, id: &str, fault: Fault) {
-        self.world.set_fault(id, fault);
+        self.harness.set_fault(id, fault);
     }
 
     /// A target dies, and another one starts in its place.
     async fn replace_target(&mut self) {
         let Some(id) = self.any_target() else { return };
         self.targets.remove(&id);
-        let start = self.world.platform.lock().targets[&id].start;
-        self.world.platform.crash_target(&id, start);
+        let start = self.harness.platform.lock().targets[&id].start;
+        self.harness.platform.crash_target(&id, start);
         self.start_target(service_of(&id)).await;
     }
 
@@ -282,26 +284,26 @@
     pub(super) async fn drain(&mut self, id: String) {
         self.targets.remove(&id);
         self.start_target(service_of(&id)).await;
-        let start = self.world.platform.drain_target(&id);
+        let start = self.harness.platform.drain_target(&id);
         // Planned: nothing is wrong meanwhile.
-        let world = self.world.clone();
+        let harness = self.harness.clone();
         self.leaving.spawn(async move {
             tokio::time::sleep(LEAVES_AFTER).await;
-            world.platform.crash_target(&id, start);
+            harness.platform.crash_target(&id, start);
         });
     }
 
     pub(super) fn clear_after(
         &mut self,
         after: Duration,
-        end: impl FnOnce(&World) + Send + 'static,
+        end: impl FnOnce(&Harness) + Send + 'static,
     ) {
-        let world = self.world.clone();
-        let fault_index = world.begin_fault();
+        let harness = self.harness.clone();
+        let fault_index = harness.begin_fault();
         self.clearing.spawn(async move {
             tokio::time::sleep(after).await;
-            end(&world);
-            world.end_fault(fault_index);
+            end(&harness);
+            harness.end_fault(fault_index);
         });
     }
 
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -81,11 +81,11 @@
     /// The list comes in pages, which shift for a while.
     fn turn_pages(&mut self, random: &mut SmallRng, lasts: Duration) {
         let shift = *[-2, -1, 0, 1, 2].choose(random).expect("there are some");
-        let mut platform = self.world.platform.lock();
+        let mut platform = self.harness.platform.lock();
         platform.list.page_entries = random.random_range(0..PAGE_ENTRIES);
         platform.list.shift = shift;
         drop(platform);
-        self.clear_after(lasts, move |world| world.platform.lock().list.shift = 0);
+        self.clear_after(lasts, move |harness| harness.platform.lock().list.shift = 0);
     }
 
     /// Other writers' entries come and go, some of them under ids of targets.
@@ -99,7 +99,7 @@
             let kind = FOREIGN.choose(random).expect("there are some");
             foreign.push((random.random_range(0..PLACES), kind.entry(&id, self.nobody)));
         }
-        let mut platform = self.world.platform.lock();
+        let mut platform = self.harness.platform.lock();
         platform.list.foreign = foreign;
         platform.list_changed();
     }
@@ -107,14 +107,14 @@
     /// An engine answers no orders for a while, and carries them out later.
     fn delay_orders(&mut self, random: &mut SmallRng, lasts: Duration) {
         let Some(id) = self.any_listed(random) else { return };
-        self.world.set_fault(&id, Fault::LateOrders);
-        self.clear_after(lasts, move |world| world.set_fault(&id, Fault::None));
+        self.harness.set_fault(&id, Fault::LateOrders);
+        self.clear_after(lasts, move |harness| harness.set_fault(&id, Fault::None));
     }
 
     /// A target starts again under its id, rather one that loads weights.
     async fn restart_target(&mut self, random: &mut SmallRng) {
         let loads = {
-            let platform = self.world.platform.lock();
+            let platform = self.harness.platform.lock();
             let loads = |id: &&String| platform.targets[*id].loading.is_some();
             self.targets.keys().find(loads).cloned()
         };
@@ -126,7 +126,7 @@
     /// A target leaves, and starts again under its id instead of another one.
     async fn restart_leaving(&mut self, random: &mut SmallRng) {
         let Some(id) = self.any_listed(random) else { return };
-        self.world.platform.drain_target(&id);
+        self.harness.platform.drain_target(&id);
         tokio::time::sleep(Duration::from_millis(random.random_range(0..LEAVES_FOR_MS))).await;
         self.restart(id, random).await;
     }
@@ -140,7 +140,7 @@
         let (down, lags) = (drawn(DOWN_MS), drawn(ENTRY_LAGS_MS));
         let born_ms = clock_ms() + down - drawn(CLOCK_BACK_MS);
         let moves = random.random_ratio(1, 2);
-        let (world, known) = (self.world.clone(), self.targets[&id].clone());
+        let (harness, known) = (self.harness.clone(), self.targets[&id].clone());
         // Nobody else's while it is down.
         known.redirect(any_address());
         let listed = if moves { Proxy::start(any_address()).await } else { known };
@@ -153,7 +153,7 @@
             ..Restart::at(any_address())
         };
         self.clearing.spawn(async move {
-            if let Some(address) = world.platform.restart_target(&id, restart).await {
+            if let Some(address) = harness.platform.restart_target(&id, restart).await {
                 listed.redirect(address);
             }
         });
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -23,8 +23,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use callers::{Claim, Tally};
-use faults::{Faults, Kinds};
+use callers::{Claim, RequestCounts};
+use faults::{FaultSet, Faults};
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
@@ -42,12 +42,12 @@
 /// 108: after all replicas had started anew, entries took their lists of targets for old ones. 321: one
 /// entry of another writer took the whole list away; targets that had left and started again got nothing. 2048: an entry of another
 /// writer under an engine's id, of a service that is not named, was taken for a later start of that engine.
-const REGRESSIONS: [(u64, Kinds); 5] = [
-    (10, Kinds::Plain),
-    (19, Kinds::Plain),
-    (108, Kinds::Plain),
-    (321, Kinds::All),
-    (2048, Kinds::All),
+const REGRESSIONS: [(u64, FaultSet); 5] = [
+    (10, FaultSet::Plain),
+    (19, FaultSet::Plain),
+    (108, FaultSet::Plain),
+    (321, FaultSet::All),
+    (2048, FaultSet::All),
 ];
 /// Work for a caller who has left ends after this time. Longer than deployments ask for: a busy
 /// machine may keep a process waiting for a while.
@@ -56,7 +56,7 @@
 const REPEATS: (f64, f64) = (0.2, 50.0);
 
 /// What all tasks of one run share.
-pub struct World {
+pub struct Harness {
     /// The seed.
     pub seed: u64,
     /// How many entries there are.
@@ -66,11 +66,11 @@
     /// The store's address.
     pub store: SocketAddr,
     /// What became of requests.
-    pub tally: Tally,
+    pub request_counts: RequestCounts,
     /// Answers of entries about what is in force that could be judged.
-    pub judged: AtomicU64,
+    pub version_checks: AtomicU64,
     /// Requests of routes and keys that must not be refused for good.
-    pub finals: AtomicU64,
+    pub refusal_checks: AtomicU64,
     system: Mutex<System>,
     published: Mutex<Published>,
     claims: Mutex<Vec<Claim>>,
@@ -79,7 +79,7 @@
     fault_periods: Mutex<Vec<(Instant, Option<Instant>)>>,
 }
 
-impl World {
+impl Harness {
     /// The processes.
     pub fn system(&self) -> MutexGuard<'_, System> {
         self.system.lock().expect("nobody panics with it")
@@ -194,7 +194,7 @@
 }
 
 /// Runs one seed. Returns what must not have happened.
-async fn soak(seed: u64, entries: usize, lasts: Duration, kinds: Kinds) -> Vec<String> {
+async fn soak(seed: u64, entries: usize, lasts: Duration, fault_set: FaultSet) -> Vec<String> {
     let begun = Instant::now();
     let platform = Platform::new();
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -202,14 +202,14 @@
     let lists: Vec<Proxy> =
         futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list)).collect().await;
     let store = platform.serve_store(any).await;
-    let world = Arc::new(World {
+    let harness = Arc::new(Harness {
         seed,
         entries,
         platform,
         store,
-        tally: Tally::default(),
-        judged: AtomicU64::new(0),
-        finals: AtomicU64::new(0),
+        request_counts: RequestCounts::default(),
+        version_checks: AtomicU64::new(0),
+        refusal_checks: AtomicU64::new(0),
         system: Mutex::new(System::start(
             entries,
             lists.iter().map(|list| list.address).collect(),
@@ -220,66 +220,66 @@
         violations: Mutex::default(),
         fault_periods: Mutex::default(),
     });
-    let mut faults = Faults::new(world.clone(), lists, kinds).await;
-    operator::check_recovery(&world).await;
+    let mut faults = Faults::new(harness.clone(), lists, fault_set).await;
+    operator::check_recovery(&harness).await;
     let ending = Arc::new(AtomicBool::new(false));
     let settled = Arc::new(AtomicBool::new(false));
     let mut tasks = tokio::task::JoinSet::new();
     for number in 0..CALLERS {
-        tasks.spawn(callers::run(world.clone(), number, ending.clone()));
+        tasks.spawn(callers::run(harness.clone(), number, ending.clone()));
     }
-    let operator = tokio::spawn(operator::run(world.clone(), settled.clone()));
-    tasks.spawn(operator::probe(world.clone(), ending.clone()));
-    tasks.spawn(quarantine::run(world.clone(), settled.clone()));
-    tasks.spawn(disk_load::run(world.clone(), settled.clone()));
+    let operator = tokio::spawn(operator::run(harness.clone(), settled.clone()));
+    tasks.spawn(operator::probe(harness.clone(), ending.clone()));
+    tasks.spawn(quarantine::run(harness.clone(), settled.clone()));
+    tasks.spawn(disk_load::run(harness.clone(), settled.clone()));
     faults.run(lasts).await;
     settled.store(true, Ordering::Relaxed);
     operator.await.expect("it does not panic");
-    operator::check_recovery(&world).await;
-    target_recovery::check(&world).await;
+    operator::check_recovery(&harness).await;
+    target_recovery::check(&harness).await;
     ending.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
         ended.expect("no task panics");
     }
     tokio::time::sleep(LEAVING_TAKES).await;
-    world.check_claims();
-    world.check_repeats();
-    quarantine::check(&world);
-    let told = summary(&world, &faults, begun);
-    let latest = [Promise::Leaving, Promise::Weights].map(|promise| world.latest(promise));
+    harness.check_claims();
+    harness.check_repeats();
+    quarantine::check(&harness);
+    let told = summary(&harness, &faults, begun);
+    let latest = [Promise::Leaving, Promise::Weights].map(|promise| harness.latest(promise));
     faults.close().await;
-    close(world, &told, latest.into_iter().flatten().collect())
+    close(harness, &told, latest.into_iter().flatten().collect())
 }
 
-fn summary(world: &World, faults: &Faults, begun: Instant) -> String {
-    let platform = world.platform.lock();
+fn summary(harness: &Harness, faults: &Faults, begun: Instant) -> String {
+    let platform = harness.platform.lock();
     let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
     format!(
         "sent={} whole={} refused={} failed={} faults={} restarts={} orders={} freed={} fetched={} \
          judged={} finals={} ending={} ends={} held={} seconds={}",
-        of(&world.tally.sent),
-        of(&world.tally.whole),
-        of(&world.tally.refused),
-        of(&world.tally.failed),
+        of(&harness.request_counts.sent),
+        of(&harness.request_counts.completed),
+        of(&harness.request_counts.refused),
+        of(&harness.request_counts.failed),
         faults.count,
         platform.targets.values().map(|target| target.start - 1).sum::<u64>(),
         platform.account.orders,
         platform.store.freed,
         platform.store.fetched,
-        of(&world.judged),
-        of(&world.finals),
+        of(&harness.version_checks),
+        of(&harness.refusal_checks),
         platform.account.ending.len(),
         platform.account.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
-        of(&world.tally.held),
+        of(&harness.request_counts.held),
         begun.elapsed().as_secs(),
     )
 }
 
 /// Ends the processes; keeps their logs if something was wrong, or came late.
-fn close(world: Arc<World>, told: &str, late: Vec<Late>) -> Vec<String> {
-    let world = Arc::into_inner(world).expect("all tasks have ended");
-    let mut violations = world.violations.into_inner().expect("nobody panics with it");
-    let folder = world.system.into_inner().expect("nobody panics with it").close();
+fn close(harness: Arc<Harness>, told: &str, late: Vec<Late>) -> Vec<String> {
+    let harness = Arc::into_inner(harness).expect("all tasks have ended");
+    let mut violations = harness.violations.into_inner().expect("nobody panics with it");
+    let folder = harness.system.into_inner().expect("nobody panics with it").close();
     let logs = std::fs::read_dir(folder.path()).expect("a folder");
     for path in logs.map(|entry| entry.expect("an entry").path()).filter(|path| path.is_file()) {
         let text = std::fs::read(&path).unwrap_or_default();
@@ -287,10 +287,10 @@
         let panics = text.lines().filter(|line| line.contains("event=panic"));
         violations.extend(panics.map(|line| format!("{}: {line}", path.display())));
     }
-    println!("seed {}: {told} violations={}", world.seed, violations.len());
-    late.iter().for_each(|late| println!("seed {}: late: {}", world.seed, late.what));
+    println!("seed {}: {told} violations={}", harness.seed, violations.len());
+    late.iter().for_each(|late| println!("seed {}: late: {}", harness.seed, late.what));
     if !violations.is_empty() || !late.is_empty() {
-        println!("seed {}: logs in {}", world.seed, folder.keep().display());
+        println!("seed {}: logs in {}", harness.seed, folder.keep().display());
     }
     violations
 }
@@ -302,16 +302,16 @@
     let processes: Option<usize> = arguments.opt_value_from_str("--processes").expect("a number");
     let minutes: Option<f64> = arguments.opt_value_from_str("--minutes").expect("a number");
     let lasts = minutes.map_or(SHORT, |minutes| Duration::from_secs_f64(minutes * 60.0));
-    let kinds = if arguments.contains("--plain") { Kinds::Plain } else { Kinds::All };
+    let fault_set = if arguments.contains("--plain") { FaultSet::Plain } else { FaultSet::All };
     let entries = processes.unwrap_or(8).saturating_sub(REPLICAS).max(1);
-    let seeds: Vec<(u64, Kinds)> = match first {
-        Some(first) => (first..first + seeds).map(|seed| (seed, kinds)).collect(),
+    let seeds: Vec<(u64, FaultSet)> = match first {
+        Some(first) => (first..first + seeds).map(|seed| (seed, fault_set)).collect(),
         None => REGRESSIONS.to_vec(),
     };
     let mut failed = 0;
-    for (seed, kinds) in &seeds {
+    for (seed, fault_set) in &seeds {
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-        let violations = runtime.block_on(soak(*seed, entries, lasts, *kinds));
+        let violations = runtime.block_on(soak(*seed, entries, lasts, *fault_set));
         violations.iter().for_each(|what| println!("seed {seed}: {what}"));
         failed += u32::from(!violations.is_empty());
     }
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -11,7 +11,7 @@
 use rand::{RngExt, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::World;
+use crate::Harness;
 use crate::callers::{ACCOUNTS, open};
 use crate::system::REPLICAS;
 
@@ -78,34 +78,34 @@
 }
 
 /// Makes changes until it is told to end.
-pub async fn run(world: Arc<World>, ending: Arc<AtomicBool>) {
-    let mut random = SmallRng::seed_from_u64(world.seed ^ 0x6f70);
-    let mut version = world.published().newest();
+pub async fn run(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6f70);
+    let mut version = harness.published().newest();
     while !ending.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(50..900))).await;
         match random.random_range(0..10) {
             0..=3 => {
                 version += random.random_range(1..4);
-                publish(&world, version).await;
+                publish(&harness, version).await;
             }
-            4 => send_older(&world, version, &mut random).await,
-            5 => send_invalid(&world, version + 1, &mut random).await,
-            6 if random.random_ratio(1, 2) => name_weights(&world).await,
-            _ => read_back(&world, random.random_range(0..REPLICAS)).await,
+            4 => send_older(&harness, version, &mut random).await,
+            5 => send_invalid(&harness, version + 1, &mut random).await,
+            6 if random.random_ratio(1, 2) => name_weights(&harness).await,
+            _ => read_back(&harness, random.random_range(0..REPLICAS)).await,
         }
     }
 }
 
 /// Sends a version until a replica acknowledges it, or for some seconds.
-pub async fn publish(world: &World, version: u64) -> bool {
-    let document = document(version, &world.store.to_string());
-    world.published().sent.push((version, document.clone()));
+pub async fn publish(harness: &Harness, version: u64) -> bool {
+    let document = document(version, &harness.store.to_string());
+    harness.published().sent.push((version, document.clone()));
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call(world, replica, "PUT", "/config", Some(&document)).await;
+            let answer = call(harness, replica, "PUT", "/config", Some(&document)).await;
             match answer {
                 Some((200, _)) => {
-                    let mut published = world.published();
+                    let mut published = harness.published();
                     let newest = published.acknowledged.map_or(0, |(newest, _)| newest);
                     if version > newest {
                         published.acknowledged = Some((version, Instant::now()));
@@ -113,7 +113,7 @@
                     return true;
                 }
                 Some((status @ 400..=499, text)) if status != 408 && status != 429 => {
-                    world.violation(format!("version {version} is refused: {status} {text}"));
+                    harness.violation(format!("version {version} is refused: {status} {text}"));
                     return false;
                 }
                 _ => {}
@@ -123,21 +123,21 @@
     false
 }
 
-async fn send_older(world: &World, newest: u64, random: &mut SmallRng) {
+async fn send_older(harness: &Harness, newest: u64, random: &mut SmallRng) {
     let Some(older) = newest.checked_sub(random.random_range(0..3)).filter(|v| *v > 0) else {
         return;
     };
-    let mut other = document(older, &world.store.to_string());
+    let mut other = document(older, &harness.store.to_string());
     other["Note"] = json!("other content under a number that was used");
     // Only one that was sent before: its number is taken, or was passed by.
-    if !world.published().is_passed(older) {
+    if !harness.published().is_passed(older) {
         return;
     }
-    call(world, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
+    call(harness, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
 }
 
-async fn send_invalid(world: &World, version: u64, random: &mut SmallRng) {
-    let mut invalid = document(version, &world.store.to_string());
+async fn send_invalid(harness: &Harness, version: u64, random: &mut SmallRng) {
+    let mut invalid = document(version, &harness.store.to_string());
     match random.random_range(0..4) {
         0 => invalid["Routes"][0]["Service"] = json!("nobody"),
         1 => invalid["Routes"][1]["PathPrefix"] = invalid["Routes"][0]["PathPrefix"].clone(),
@@ -145,23 +145,23 @@
         _ => invalid["Tenants"][1]["ApiKeys"] = invalid["Tenants"][0]["ApiKeys"].clone(),
     }
     let replica = random.random_range(0..REPLICAS);
-    if let Some((200, _)) = call(world, replica, "PUT", "/config", Some(&invalid)).await {
-        world.violation(format!("an invalid deployment is acknowledged: {invalid}"));
+    if let Some((200, _)) = call(harness, replica, "PUT", "/config", Some(&invalid)).await {
+        harness.violation(format!("an invalid deployment is acknowledged: {invalid}"));
     }
 }
 
-async fn name_weights(world: &World) {
+async fn name_weights(harness: &Harness) {
     let version = {
-        let mut platform = world.platform.lock();
+        let mut platform = harness.platform.lock();
         platform.named_weights += 1;
         platform.named_weights
     };
     let body = json!({"Model": "m", "Version": version});
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call(world, replica, "POST", "/version-put", Some(&body)).await;
+            let answer = call(harness, replica, "POST", "/version-put", Some(&body)).await;
             if answer.is_some_and(|(status, _)| status == 200) {
-                let mut platform = world.platform.lock();
+                let mut platform = harness.platform.lock();
                 return platform.account.named.push((version, Instant::now()));
             }
         }
@@ -169,65 +169,69 @@
 }
 
 /// A read is never older than what was acknowledged before it was sent.
-async fn read_back(world: &World, replica: usize) {
-    let before = world.published().acknowledged.map_or(0, |(version, _)| version);
-    let Some((200, text)) = call(world, replica, "GET", "/config", None).await else { return };
+async fn read_back(harness: &Harness, replica: usize) {
+    let before = harness.published().acknowledged.map_or(0, |(version, _)| version);
+    let Some((200, text)) = call(harness, replica, "GET", "/config", None).await else { return };
     let read: Value = serde_json::from_str(&text).unwrap_or_default();
     let version = read["Version"].as_u64().unwrap_or(0);
     if version < before {
-        world.violation(format!(
+        harness.violation(format!(
             "replica-{replica} shows {version} after {before} was acknowledged"
         ));
     }
-    if !world.published().sent.iter().any(|(sent, document)| *sent == version && *document == read)
+    if !harness
+        .published()
+        .sent
+        .iter()
+        .any(|(sent, document)| *sent == version && *document == read)
     {
-        world.violation(format!("replica-{replica} shows what was not sent: {text}"));
+        harness.violation(format!("replica-{replica} shows what was not sent: {text}"));
     }
 }
 
 /// Asks entries for routes that only some versions have, until it is told to end.
-pub async fn probe(world: Arc<World>, ending: Arc<AtomicBool>) {
-    let mut random = SmallRng::seed_from_u64(world.seed ^ 0x7072);
-    let mut seen: Vec<(u32, u64)> = vec![(0, 0); world.entries];
+pub async fn probe(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x7072);
+    let mut seen: Vec<(u32, u64)> = vec![(0, 0); harness.entries];
     let mut count = 0;
     while !ending.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let entry = random.random_range(0..world.entries);
+        let entry = random.random_range(0..harness.entries);
         let (version, acknowledged) = {
-            let published = world.published();
+            let published = harness.published();
             let Some((newest, at)) = published.acknowledged else { continue };
             let back = random.random_range(0..3);
             let sent = published.sent.iter().map(|(version, _)| *version).rev();
             (sent.clone().nth(back).unwrap_or(newest), (newest, at))
         };
         let (address, start, asked_at) = {
-            let system = world.system();
+            let system = harness.system();
             (system.callers(entry), system.processes[entry].starts, Instant::now())
         };
         count += 1;
-        check_refusal(&world, entry, address, count).await;
+        check_refusal(&harness, entry, address, count).await;
         let Some(status) = ask(address, &only(version), ACCOUNTS[0].1, count).await else {
             continue;
         };
         if !(200..300).contains(&status) && status != 404 {
             continue;
         }
-        let is_calm = !world.had_fault_since(asked_at - IN_FORCE)
-            && world.system().disturbed_since(entry, asked_at - IN_FORCE).is_empty()
-            && world.system().processes[entry].starts == start;
+        let is_calm = !harness.had_fault_since(asked_at - IN_FORCE)
+            && harness.system().disturbed_since(entry, asked_at - IN_FORCE).is_empty()
+            && harness.system().processes[entry].starts == start;
         let (newest, at) = acknowledged;
-        world.judged.fetch_add(u64::from(is_calm), Ordering::Relaxed);
+        harness.version_checks.fetch_add(u64::from(is_calm), Ordering::Relaxed);
         let is_due = is_calm && asked_at.saturating_duration_since(at) > IN_FORCE;
         if is_due && status != 404 && version < newest {
-            world.violation(format!("entry-{entry} obeys {version} long after {newest}"));
+            harness.violation(format!("entry-{entry} obeys {version} long after {newest}"));
         }
-        if is_due && status == 404 && version == newest && world.published().is_newest(newest) {
-            world.violation(format!("entry-{entry} does not know {newest} after {IN_FORCE:?}"));
+        if is_due && status == 404 && version == newest && harness.published().is_newest(newest) {
+            harness.violation(format!("entry-{entry} does not know {newest} after {IN_FORCE:?}"));
         }
         if status != 404 {
             let (seen_start, seen_version) = &mut seen[entry];
             if *seen_start == start && version < *seen_version {
-                world.violation(format!("entry-{entry} obeys {version} after {seen_version}"));
+                harness.violation(format!("entry-{entry} obeys {version} after {seen_version}"));
             }
             if *seen_start != start || version > *seen_version {
                 (*seen_start, *seen_version) = (start, version);
@@ -237,8 +241,8 @@
 }
 
 /// Asks an entry for what only the newest deployment allows, a route or a key by turns.
-async fn check_refusal(world: &World, entry: usize, address: std::net::SocketAddr, count: u64) {
-    let Some((newest, at)) = world.published().acknowledged else { return };
+async fn check_refusal(harness: &Harness, entry: usize, address: std::net::SocketAddr, count: u64) {
+    let Some((newest, at)) = harness.published().acknowledged else { return };
     if at.elapsed() <= NOT_REFUSED_AFTER {
         return;
     }
@@ -247,11 +251,11 @@
         _ => ("safe".to_string(), key_of(newest)),
     };
     let Some(status) = ask(address, &route, &key, REFUSALS_FROM + count).await else { return };
-    world.finals.fetch_add(1, Ordering::Relaxed);
+    harness.refusal_checks.fetch_add(1, Ordering::Relaxed);
     let is_final = [401, 403, 404].contains(&status);
-    if is_final && world.published().is_newest(newest) {
+    if is_final && harness.published().is_newest(newest) {
         let after = at.elapsed();
-        world.violation(format!(
+        harness.violation(format!(
             "entry-{entry} refuses {route} with {key} for good: {status}, {after:?} after {newest}"
         ));
     }
@@ -273,43 +277,43 @@
 }
 
 /// After the last fault: a request is answered by each entry, a change is taken, and read back.
-pub async fn check_recovery(world: &World) {
+pub async fn check_recovery(harness: &Harness) {
     let begun = Instant::now();
-    let version = world.published().newest() + 1;
-    while !publish(world, version).await {
+    let version = harness.published().newest() + 1;
+    while !publish(harness, version).await {
         if begun.elapsed() > RECOVERS_WITHIN {
-            return world.violation("no change is taken after the last fault".to_string());
+            return harness.violation("no change is taken after the last fault".to_string());
         }
     }
-    for entry in 0..world.entries {
-        let address = world.system().callers(entry);
+    for entry in 0..harness.entries {
+        let address = harness.system().callers(entry);
         let mut count = 0;
         while ask(address, &only(version), ACCOUNTS[0].1, 1_000_000 + count).await != Some(200) {
             count += 1;
             // One that was stopped by plan may have to be started still.
-            let wrong = world.system().look_after();
-            wrong.into_iter().for_each(|what| world.violation(what));
+            let wrong = harness.system().look_after();
+            wrong.into_iter().for_each(|what| harness.violation(what));
             tokio::time::sleep(Duration::from_millis(100)).await;
             if begun.elapsed() > RECOVERS_WITHIN {
-                return world
+                return harness
                     .violation(format!("entry-{entry} does not serve after the last fault"));
             }
         }
     }
     for replica in 0..REPLICAS {
-        read_back(world, replica).await;
+        read_back(harness, replica).await;
     }
 }
 
 async fn call(
-    world: &World,
+    harness: &Harness,
     replica: usize,
     method: &str,
     path: &str,
     body: Option<&Value>,
 ) -> Option<(u16, String)> {
     let address = {
-        let system = world.system();
+        let system = harness.system();
         system.operators(system.replicas().start + replica)
     };
     let calling = async {
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::World;
+use crate::Harness;
 use crate::callers::{ACCOUNTS, open};
 use crate::platform_stand_in::target::ENDS_TARGETS;
 
@@ -35,8 +35,8 @@
 const IN_TOUCH_AFTER: Duration = Duration::from_secs(5);
 
 /// Sends such requests until it is told to end.
-pub async fn run(world: Arc<World>, ending: Arc<AtomicBool>) {
-    let mut random = SmallRng::seed_from_u64(world.seed ^ 0x656e_6473);
+pub async fn run(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x656e_6473);
     let mut number = 0;
     while !ending.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
@@ -50,7 +50,7 @@
             }
             let id = format!("{}ends-{number}-{again}", prefix_of(path));
             let _ =
-                tokio::time::timeout(PATIENCE, send(&world, path, key, &id, number, &mut random))
+                tokio::time::timeout(PATIENCE, send(&harness, path, key, &id, number, &mut random))
                     .await;
             tokio::time::sleep(Duration::from_millis(random.random_range(0..AGAIN_MS))).await;
         }
@@ -67,7 +67,7 @@
 }
 
 async fn send(
-    world: &World,
+    harness: &Harness,
     path: &str,
     key: &str,
     id: &str,
@@ -75,7 +75,7 @@
     random: &mut SmallRng,
 ) -> Option<()> {
     let address = {
-        let system = world.system();
+        let system = harness.system();
         system.callers(random.random_range(0..system.entries()))
     };
     let mut connection = open(address).await?;
@@ -101,17 +101,18 @@
 
 /// Records those that reached targets too often while nothing was wrong, and whether others were taken for
 /// them.
-pub fn check(world: &World) {
-    let tally = &world.tally;
-    let (sent, held) = (tally.sent.load(Ordering::Relaxed), tally.held.load(Ordering::Relaxed));
+pub fn check(harness: &Harness) {
+    let request_counts = &harness.request_counts;
+    let (sent, held) =
+        (request_counts.sent.load(Ordering::Relaxed), request_counts.held.load(Ordering::Relaxed));
     if held * HELD_ONE_IN > sent {
-        world.violation(format!("{held} of {sent} held, though no target ends under them"));
+        harness.violation(format!("{held} of {sent} held, though no target ends under them"));
     }
-    let ending = world.platform.lock().account.ending.clone();
-    let counts = |at: Instant| !world.had_fault_between(at - IN_TOUCH_AFTER, at);
+    let ending = harness.platform.lock().account.ending.clone();
+    let counts = |at: Instant| !harness.had_fault_between(at - IN_TOUCH_AFTER, at);
     for (body, ending) in ending {
         if let Some(what) = ending.reached_too_often(KNOWN_WITHIN, counts) {
-            world.violation(format!("{body:?}: {what}"));
+            harness.violation(format!("{body:?}: {what}"));
         }
     }
 }
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -3,28 +3,29 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::World;
+use crate::Harness;
 
 /// Longest time until each start has got work and has loaded weights.
 const WITHIN: Duration = Duration::from_secs(20);
 
 /// Waits until it is so, or records what is not.
-pub async fn check(world: &World) {
+pub async fn check(harness: &Harness) {
     let begun = Instant::now();
-    let at_first = requests_begun(world);
+    let at_first = requests_begun(harness);
     loop {
-        let now = requests_begun(world);
+        let now = requests_begun(harness);
         let gets_none = |(start, count): &(&(String, u64), &u64)| now.get(*start) == Some(*count);
         let idle: Vec<_> = at_first.iter().filter(gets_none).map(|(start, _)| start).collect();
-        let old = on_old_weights(world);
+        let old = on_old_weights(harness);
         if idle.is_empty() && old.is_empty() {
             return;
         }
         if begun.elapsed() > WITHIN {
             for (id, start) in idle {
-                world.violation(format!("start {start} of {id} gets no work though it takes some"));
+                harness
+                    .violation(format!("start {start} of {id} gets no work though it takes some"));
             }
-            old.into_iter().for_each(|what| world.violation(what));
+            old.into_iter().for_each(|what| harness.violation(what));
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -32,16 +33,16 @@
 }
 
 /// Requests that each start which takes work has begun.
-fn requests_begun(world: &World) -> BTreeMap<(String, u64), u64> {
-    let platform = world.platform.lock();
+fn requests_begun(harness: &Harness) -> BTreeMap<(String, u64), u64> {
+    let platform = harness.platform.lock();
     let taking = platform.targets.values().filter(|target| {
         target.is_listed && target.leaves_from.is_none() && platform.runs(&target.id, target.start)
     });
     taking.map(|target| ((target.id.clone(), target.start), target.begun)).collect()
 }
 
-fn on_old_weights(world: &World) -> Vec<String> {
-    let platform = world.platform.lock();
+fn on_old_weights(harness: &Harness) -> Vec<String> {
+    let platform = harness.platform.lock();
     let Some(named) = platform.account.named.iter().map(|(version, _)| *version).max() else {
         return Vec::new();
     };
