--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -49,13 +49,13 @@
 }
 
 /// A request that a caller was told has not run, or left.
-pub enum Claim {
+pub enum DeferredCheck {
     /// It must never run.
     NotRun(String),
     /// Its work must have ended soon after.
-    Left {
+    CallerLeft {
         /// The request.
-        request: String,
+        request_id: String,
         /// When its caller left.
         at: Instant,
         /// The entry.
@@ -102,7 +102,7 @@
     /// The connection failed.
     Cut(String),
     /// The caller left.
-    Left,
+    CallerLeft,
 }
 
 /// A connection to an entry.
@@ -121,7 +121,7 @@
         count += 1;
         let kind = [Kind::Unsafe, Kind::Safe, Kind::Stream, Kind::Stream, Kind::Resumable]
             [random.random_range(0..5)];
-        let request = format!("{}{number}-{count}", kind.prefix());
+        let request_id = format!("{}{number}-{count}", kind.prefix());
         let connection = match kept.take().filter(|kept| kept.sender.is_ready()) {
             Some(kept) => kept,
             None => match connect(&harness, &mut random).await {
@@ -129,7 +129,7 @@
                 None => continue,
             },
         };
-        kept = one(&harness, kind, request, connection, &mut random).await;
+        kept = one(&harness, kind, request_id, connection, &mut random).await;
     }
 }
 
@@ -156,7 +156,7 @@
 async fn one(
     harness: &Harness,
     kind: Kind,
-    request: String,
+    request_id: String,
     mut connection: Kept,
     random: &mut SmallRng,
 ) -> Option<Kept> {
@@ -167,7 +167,7 @@
         .method("POST")
         .uri(kind.path())
         .header("host", "shop.example")
-        .header("x-request-id", &request)
+        .header("x-request-id", &request_id)
         .header("x-deadline-ms", DEADLINE.as_millis() as u64)
         .header("authorization", format!("Bearer {key}"))
         // What only the system may set.
@@ -177,7 +177,7 @@
         head = head
             .header("x-model", "m")
             .header("x-token-count", format!("1200,{events}"))
-            .header("x-prompt-prefix", format!("c{context}:1000,{request}:200"));
+            .header("x-prompt-prefix", format!("c{context}:1000,{request_id}:200"));
     }
     let body = Full::new(Bytes::from_static(b"a question"));
     let message = head.body(body).expect("valid headers");
@@ -187,11 +187,11 @@
     let sent_at = Instant::now();
     let getting = get(&mut connection, message);
     let got = match leaves_after {
-        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Got::Left),
+        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Got::CallerLeft),
         None => getting.await,
     };
     let checked =
-        Checked { harness, kind, request, events, account, entry: connection.entry, sent_at };
+        Checked { harness, kind, request_id, events, account, entry: connection.entry, sent_at };
     checked.check(&got);
     matches!(got, Got::Answer { is_whole: true, .. }).then_some(connection)
 }
@@ -229,7 +229,7 @@
 struct Checked<'w> {
     harness: &'w Harness,
     kind: Kind,
-    request: String,
+    request_id: String,
     events: u64,
     account: &'static str,
     entry: usize,
@@ -240,9 +240,13 @@
     fn check(&self, got: &Got) {
         let request_counts = &self.harness.request_counts;
         match got {
-            Got::Left => {
-                let (request, entry) = (self.request.clone(), self.entry);
-                self.harness.claim(Claim::Left { request, at: Instant::now(), entry });
+            Got::CallerLeft => {
+                let (request_id, entry) = (self.request_id.clone(), self.entry);
+                self.harness.defer_check(DeferredCheck::CallerLeft {
+                    request_id,
+                    at: Instant::now(),
+                    entry,
+                });
             }
             Got::Cut(reason) => {
                 request_counts.failed.fetch_add(1, Ordering::Relaxed);
@@ -264,14 +268,14 @@
     }
 
     fn violation(&self, what: String) {
-        let (request, entry) = (&self.request, self.entry);
-        self.harness.violation(format!("{request} at entry-{entry}: {what}"));
+        let (request_id, entry) = (&self.request_id, self.entry);
+        self.harness.violation(format!("{request_id} at entry-{entry}: {what}"));
     }
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
         let expected: String = match self.kind.is_stream() {
-            true => (1..=self.events).map(|number| event_of(&self.request, number)).collect(),
-            false => text_of(&self.request),
+            true => (1..=self.events).map(|number| event_of(&self.request_id, number)).collect(),
+            false => text_of(&self.request_id),
         };
         let is_right = match is_whole {
             true => body == expected.as_bytes(),
@@ -282,7 +286,7 @@
             self.violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
         let platform = self.harness.platform.lock();
-        let runs = platform.account.runs_of(&self.request).to_vec();
+        let runs = platform.account.runs_of(&self.request_id).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
             self.violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
@@ -297,7 +301,7 @@
         match status {
             408 | 421 | 429 | 503 if !is_stamped => {
                 request_counts.refused.fetch_add(1, Ordering::Relaxed);
-                self.harness.claim(Claim::NotRun(self.request.clone()));
+                self.harness.defer_check(DeferredCheck::NotRun(self.request_id.clone()));
             }
             500 | 502 | 504 => drop(request_counts.failed.fetch_add(1, Ordering::Relaxed)),
             _ => self.violation(format!("answered {status}, which it must not be")),
@@ -312,7 +316,7 @@
         let is_planned = done.iter().all(|what| *what != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
         let platform = self.harness.platform.lock();
-        let runs = platform.account.runs_of(&self.request);
+        let runs = platform.account.runs_of(&self.request_id);
         // A target that ended may have broken off before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -23,7 +23,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use callers::{Claim, RequestCounts};
+use callers::{DeferredCheck, RequestCounts};
 use faults::{FaultSet, Faults};
 use futures::StreamExt;
 use operator::Published;
@@ -73,7 +73,7 @@
     pub refusal_checks: AtomicU64,
     system: Mutex<System>,
     published: Mutex<Published>,
-    claims: Mutex<Vec<Claim>>,
+    deferred_checks: Mutex<Vec<DeferredCheck>>,
     violations: Mutex<Vec<String>>,
     /// When something beside planned work was wrong.
     fault_periods: Mutex<Vec<(Instant, Option<Instant>)>>,
@@ -97,8 +97,8 @@
     }
 
     /// Records what is to be checked at the end.
-    pub fn claim(&self, claim: Claim) {
-        self.claims.lock().expect("nobody panics with it").push(claim);
+    pub fn defer_check(&self, check: DeferredCheck) {
+        self.deferred_checks.lock().expect("nobody panics with it").push(check);
     }
 
     /// Something is wrong from now on. Returns its number.
@@ -133,27 +133,29 @@
         }
     }
 
-    fn check_claims(&self) {
-        for claim in self.claims.lock().expect("nobody panics with it").drain(..) {
-            match claim {
-                Claim::NotRun(request) => {
-                    let runs = self.platform.lock().account.runs_of(&request).to_vec();
+    fn run_deferred_checks(&self) {
+        for check in self.deferred_checks.lock().expect("nobody panics with it").drain(..) {
+            match check {
+                DeferredCheck::NotRun(request_id) => {
+                    let runs = self.platform.lock().account.runs_of(&request_id).to_vec();
                     if !runs.is_empty() {
-                        self.violation(format!("{request} was said not to have run: {runs:?}"));
+                        self.violation(format!("{request_id} was said not to have run: {runs:?}"));
                     }
                 }
-                Claim::Left { request, at, entry } => self.check_left(&request, at, entry),
+                DeferredCheck::CallerLeft { request_id, at, entry } => {
+                    self.check_abandoned_runs(&request_id, at, entry)
+                }
             }
         }
     }
 
-    fn check_left(&self, request: &str, at: Instant, entry: usize) {
+    fn check_abandoned_runs(&self, request_id: &str, at: Instant, entry: usize) {
         let done = self.system().disturbed_since(entry, at);
         if self.had_fault_between(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned)
         {
             return;
         }
-        for run in self.platform.lock().account.runs_of(request) {
+        for run in self.platform.lock().account.runs_of(request_id) {
             let worked_on = match run.end {
                 RunEnd::Whole => continue,
                 RunEnd::Left(end) => end.saturating_duration_since(at),
@@ -162,7 +164,7 @@
             if worked_on > LEAVING_TAKES {
                 let target = &run.target;
                 self.violation(format!(
-                    "{target} works on {request} {worked_on:?} after its caller left"
+                    "{target} works on {request_id} {worked_on:?} after its caller left"
                 ));
             }
         }
@@ -216,7 +218,7 @@
             (seed % 200) as u8,
         )),
         published: Mutex::default(),
-        claims: Mutex::default(),
+        deferred_checks: Mutex::default(),
         violations: Mutex::default(),
         fault_periods: Mutex::default(),
     });
@@ -242,7 +244,7 @@
         ended.expect("no task panics");
     }
     tokio::time::sleep(LEAVING_TAKES).await;
-    harness.check_claims();
+    harness.run_deferred_checks();
     harness.check_repeats();
     quarantine::check(&harness);
     let told = summary(&harness, &faults, begun);
