--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -112,11 +112,11 @@
 }
 
 /// Sends requests until it is told to end.
-pub async fn run(harness: Arc<Harness>, number: u64, ending: Arc<AtomicBool>) {
+pub async fn run(harness: Arc<Harness>, number: u64, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ (number << 32));
     let mut kept: Option<Kept> = None;
     let mut count = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
         count += 1;
         let kind = [Kind::Unsafe, Kind::Safe, Kind::Stream, Kind::Stream, Kind::Resumable]
@@ -267,9 +267,9 @@
         }
     }
 
-    fn violation(&self, what: String) {
+    fn record_violation(&self, description: String) {
         let (request_id, entry) = (&self.request_id, self.entry);
-        self.harness.violation(format!("{request_id} at entry-{entry}: {what}"));
+        self.harness.record_violation(format!("{request_id} at entry-{entry}: {description}"));
     }
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
@@ -283,16 +283,19 @@
         };
         if !is_right {
             let body = String::from_utf8_lossy(body);
-            self.violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
+            self.record_violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
         let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request_id).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
-            self.violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
+            self.record_violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
         }
         if runs.iter().any(|run| run.tenant != self.account) {
-            self.violation(format!("runs as another account than {}: {runs:?}", self.account));
+            self.record_violation(format!(
+                "runs as another account than {}: {runs:?}",
+                self.account
+            ));
         }
     }
 
@@ -304,7 +307,7 @@
                 self.harness.defer_check(DeferredCheck::NotRun(self.request_id.clone()));
             }
             500 | 502 | 504 => drop(request_counts.failed.fetch_add(1, Ordering::Relaxed)),
-            _ => self.violation(format!("answered {status}, which it must not be")),
+            _ => self.record_violation(format!("answered {status}, which it must not be")),
         }
     }
 
@@ -313,7 +316,7 @@
     fn check_stop(&self, reason: &str) {
         let system = self.harness.system();
         let done = system.disturbed_since(self.entry, self.sent_at - BEFORE_A_STOP);
-        let is_planned = done.iter().all(|what| *what != Disturbance::Unplanned);
+        let is_planned = done.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
         let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request_id);
@@ -322,7 +325,7 @@
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
         if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - BEFORE_A_STOP) {
-            self.violation(format!(
+            self.record_violation(format!(
                 "cut off though nothing unplanned happened ({reason}, {done:?})"
             ));
         }
--- a/tests/soak/disk_load.rs
+++ b/tests/soak/disk_load.rs
@@ -19,12 +19,12 @@
 const FILE_BYTES: usize = 16 << 20;
 
 /// Keeps the disk busy by turns until the run has settled.
-pub async fn run(harness: Arc<Harness>, settled: Arc<AtomicBool>) {
+pub async fn run(harness: Arc<Harness>, faults_done: Arc<AtomicBool>) {
     if !harness.seed.is_multiple_of(ONE_SEED_OF) {
         return;
     }
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6469_736b);
-    while !settled.load(Ordering::Relaxed) {
+    while !faults_done.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(4_000..12_000))).await;
         let ends = Instant::now() + Duration::from_millis(random.random_range(1_000..5_000));
         let fault_index = harness.begin_fault();
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -127,7 +127,7 @@
         let pause = Duration::from_millis(self.random.random_range(50..PAUSE_MS));
         tokio::time::sleep(pause).await;
         let wrong = self.harness.system().look_after();
-        wrong.into_iter().for_each(|what| self.harness.violation(what));
+        wrong.into_iter().for_each(|description| self.harness.record_violation(description));
         while self.clearing.try_join_next().is_some() {}
     }
 
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -34,9 +34,9 @@
 use system::{Disturbance, REPLICAS, System};
 
 /// Callers at a time.
-const CALLERS: u64 = 24;
+const CALLER_COUNT: u64 = 24;
 /// A run that is short enough for every change.
-const SHORT: Duration = Duration::from_secs(30);
+const DEFAULT_DURATION: Duration = Duration::from_secs(30);
 /// Seeds that once failed, run each time. 10: two prompts under way to an engine that changed its
 /// weights moved the belief about it by two versions. 19: SIGHUP ended a process that had just started.
 /// 108: after all replicas had started anew, entries took their lists of targets for old ones. 321: one
@@ -51,9 +51,9 @@
 ];
 /// Work for a caller who has left ends after this time. Longer than deployments ask for: a busy
 /// machine may keep a process waiting for a while.
-const LEAVING_TAKES: Duration = Duration::from_secs(3);
+const ABANDONED_RUN_TIMEOUT: Duration = Duration::from_secs(3);
 /// Repeats that targets may get beside the requests themselves: a part of these, and so many more.
-const REPEATS: (f64, f64) = (0.2, 50.0);
+const RETRY_BUDGET: (f64, f64) = (0.2, 50.0);
 
 /// What all tasks of one run share.
 pub struct Harness {
@@ -91,9 +91,9 @@
     }
 
     /// Records what must never happen.
-    pub fn violation(&self, what: String) {
-        println!("seed {}: VIOLATION: {what}", self.seed);
-        self.violations.lock().expect("nobody panics with it").push(what);
+    pub fn record_violation(&self, description: String) {
+        println!("seed {}: VIOLATION: {description}", self.seed);
+        self.violations.lock().expect("nobody panics with it").push(description);
     }
 
     /// Records what is to be checked at the end.
@@ -123,7 +123,7 @@
         let fault_periods = self.fault_periods.lock().expect("nobody panics with it");
         fault_periods
             .iter()
-            .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
+            .any_port(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
     }
 
     /// Makes a target do something wrong.
@@ -139,7 +139,9 @@
                 DeferredCheck::NotRun(request_id) => {
                     let runs = self.platform.lock().account.runs_of(&request_id).to_vec();
                     if !runs.is_empty() {
-                        self.violation(format!("{request_id} was said not to have run: {runs:?}"));
+                        self.record_violation(format!(
+                            "{request_id} was said not to have run: {runs:?}"
+                        ));
                     }
                 }
                 DeferredCheck::CallerLeft { request_id, at, entry } => {
@@ -150,60 +152,66 @@
     }
 
     fn check_abandoned_runs(&self, request_id: &str, at: Instant, entry: usize) {
-        let done = self.system().disturbed_since(entry, at);
-        if self.had_fault_between(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned)
+        let disturbances = self.system().disturbed_since(entry, at);
+        if self.had_fault_between(at, at + ABANDONED_RUN_TIMEOUT)
+            || disturbances.contains(&Disturbance::Unplanned)
         {
             return;
         }
         for run in self.platform.lock().account.runs_of(request_id) {
-            let worked_on = match run.end {
+            let work_time = match run.end {
                 RunEnd::Whole => continue,
                 RunEnd::Left(end) => end.saturating_duration_since(at),
                 RunEnd::Running => at.elapsed(),
             };
-            if worked_on > LEAVING_TAKES {
+            if work_time > ABANDONED_RUN_TIMEOUT {
                 let target = &run.target;
-                self.violation(format!(
-                    "{target} works on {request_id} {worked_on:?} after its caller left"
+                self.record_violation(format!(
+                    "{target} works on {request_id} {work_time:?} after its caller left"
                 ));
             }
         }
     }
 
     /// What came latest while nothing was wrong, if later than a deployment allows.
-    fn latest(&self, promise: Promise) -> Option<Late> {
+    fn latest_without_fault(&self, promise: Promise) -> Option<Late> {
         let platform = self.platform.lock();
         let late = platform.account.late.iter().filter(|late| late.promise == promise);
-        let calm = late.filter(|late| !self.had_fault_between(late.from, late.to));
-        calm.max_by_key(|late| late.late).cloned()
+        let without_faults = late.filter(|late| !self.had_fault_between(late.from, late.to));
+        without_faults.max_by_key(|late| late.late).cloned()
     }
 
     fn check_repeats(&self) {
         let platform = self.platform.lock();
         let repeats: usize = platform.account.runs.values().map(|runs| runs.len() - 1).sum();
-        let (ratio, slack) = REPEATS;
-        let most = platform.account.runs.len() as f64 * ratio + slack;
+        let (ratio, slack) = RETRY_BUDGET;
+        let max_repeats = platform.account.runs.len() as f64 * ratio + slack;
         let mut violations = platform.account.violations.clone();
         let late = platform.account.late.iter().filter(|late| late.late > late.promise.allowed());
-        let wrong = late.filter(|late| !self.had_fault_between(late.from, late.to));
-        violations.extend(wrong.map(|late| late.what.clone()));
+        let unexcused = late.filter(|late| !self.had_fault_between(late.from, late.to));
+        violations.extend(unexcused.map(|late| late.what.clone()));
         drop(platform);
-        if repeats as f64 > most {
-            self.violation(format!("{repeats} repeats, at most {most} are allowed"));
+        if repeats as f64 > max_repeats {
+            self.record_violation(format!("{repeats} repeats, at most {max_repeats} are allowed"));
         }
-        violations.into_iter().for_each(|what| self.violation(what));
+        violations.into_iter().for_each(|description| self.record_violation(description));
     }
 }
 
 /// Runs one seed. Returns what must not have happened.
-async fn soak(seed: u64, entries: usize, lasts: Duration, fault_set: FaultSet) -> Vec<String> {
+async fn run_seed(
+    seed: u64,
+    entries: usize,
+    duration: Duration,
+    fault_set: FaultSet,
+) -> Vec<String> {
     let begun = Instant::now();
     let platform = Platform::new();
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let list = platform.serve_list(any).await;
-    let lists: Vec<Proxy> =
-        futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list)).collect().await;
-    let store = platform.serve_store(any).await;
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    let list_address = platform.serve_list(any_port).await;
+    let list_proxies: Vec<Proxy> =
+        futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list_address)).collect().await;
+    let store = platform.serve_store(any_port).await;
     let harness = Arc::new(Harness {
         seed,
         entries,
@@ -214,7 +222,7 @@
         refusal_checks: AtomicU64::new(0),
         system: Mutex::new(System::start(
             entries,
-            lists.iter().map(|list| list.address).collect(),
+            list_proxies.iter().map(|proxy| proxy.address).collect(),
             (seed % 200) as u8,
         )),
         published: Mutex::default(),
@@ -222,63 +230,64 @@
         violations: Mutex::default(),
         fault_periods: Mutex::default(),
     });
-    let mut faults = Faults::new(harness.clone(), lists, fault_set).await;
+    let mut injector = Faults::new(harness.clone(), list_proxies, fault_set).await;
     operator::check_recovery(&harness).await;
-    let ending = Arc::new(AtomicBool::new(false));
-    let settled = Arc::new(AtomicBool::new(false));
+    let stop = Arc::new(AtomicBool::new(false));
+    let faults_done = Arc::new(AtomicBool::new(false));
     let mut tasks = tokio::task::JoinSet::new();
-    for number in 0..CALLERS {
-        tasks.spawn(callers::run(harness.clone(), number, ending.clone()));
+    for number in 0..CALLER_COUNT {
+        tasks.spawn(callers::run(harness.clone(), number, stop.clone()));
     }
-    let operator = tokio::spawn(operator::run(harness.clone(), settled.clone()));
-    tasks.spawn(operator::probe(harness.clone(), ending.clone()));
-    tasks.spawn(quarantine::run(harness.clone(), settled.clone()));
-    tasks.spawn(disk_load::run(harness.clone(), settled.clone()));
-    faults.run(lasts).await;
-    settled.store(true, Ordering::Relaxed);
+    let operator = tokio::spawn(operator::run(harness.clone(), faults_done.clone()));
+    tasks.spawn(operator::probe(harness.clone(), stop.clone()));
+    tasks.spawn(quarantine::run(harness.clone(), faults_done.clone()));
+    tasks.spawn(disk_load::run(harness.clone(), faults_done.clone()));
+    injector.run(duration).await;
+    faults_done.store(true, Ordering::Relaxed);
     operator.await.expect("it does not panic");
     operator::check_recovery(&harness).await;
     target_recovery::check(&harness).await;
-    ending.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
         ended.expect("no task panics");
     }
-    tokio::time::sleep(LEAVING_TAKES).await;
+    tokio::time::sleep(ABANDONED_RUN_TIMEOUT).await;
     harness.run_deferred_checks();
     harness.check_repeats();
     quarantine::check(&harness);
-    let told = summary(&harness, &faults, begun);
-    let latest = [Promise::Leaving, Promise::Weights].map(|promise| harness.latest(promise));
-    faults.close().await;
-    close(harness, &told, latest.into_iter().flatten().collect())
+    let summary_line = summary(&harness, &injector, begun);
+    let latest =
+        [Promise::Leaving, Promise::Weights].map(|promise| harness.latest_without_fault(promise));
+    injector.close().await;
+    close(harness, &summary_line, latest.into_iter().flatten().collect())
 }
 
-fn summary(harness: &Harness, faults: &Faults, begun: Instant) -> String {
+fn summary(harness: &Harness, injector: &Faults, begun: Instant) -> String {
     let platform = harness.platform.lock();
-    let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+    let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
     format!(
         "sent={} whole={} refused={} failed={} faults={} restarts={} orders={} freed={} fetched={} \
          judged={} finals={} ending={} ends={} held={} seconds={}",
-        of(&harness.request_counts.sent),
-        of(&harness.request_counts.completed),
-        of(&harness.request_counts.refused),
-        of(&harness.request_counts.failed),
-        faults.count,
+        load(&harness.request_counts.sent),
+        load(&harness.request_counts.completed),
+        load(&harness.request_counts.refused),
+        load(&harness.request_counts.failed),
+        injector.count,
         platform.targets.values().map(|target| target.start - 1).sum::<u64>(),
         platform.account.orders,
         platform.store.freed,
         platform.store.fetched,
-        of(&harness.version_checks),
-        of(&harness.refusal_checks),
+        load(&harness.version_checks),
+        load(&harness.refusal_checks),
         platform.account.ending.len(),
-        platform.account.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
-        of(&harness.request_counts.held),
+        platform.account.ending.values().map(|history| history.ended.len()).sum::<usize>(),
+        load(&harness.request_counts.held),
         begun.elapsed().as_secs(),
     )
 }
 
 /// Ends the processes; keeps their logs if something was wrong, or came late.
-fn close(harness: Arc<Harness>, told: &str, late: Vec<Late>) -> Vec<String> {
+fn close(harness: Arc<Harness>, summary_line: &str, late: Vec<Late>) -> Vec<String> {
     let harness = Arc::into_inner(harness).expect("all tasks have ended");
     let mut violations = harness.violations.into_inner().expect("nobody panics with it");
     let folder = harness.system.into_inner().expect("nobody panics with it").close();
@@ -289,7 +298,7 @@
         let panics = text.lines().filter(|line| line.contains("event=panic"));
         violations.extend(panics.map(|line| format!("{}: {line}", path.display())));
     }
-    println!("seed {}: {told} violations={}", harness.seed, violations.len());
+    println!("seed {}: {summary_line} violations={}", harness.seed, violations.len());
     late.iter().for_each(|late| println!("seed {}: late: {}", harness.seed, late.what));
     if !violations.is_empty() || !late.is_empty() {
         println!("seed {}: logs in {}", harness.seed, folder.keep().display());
@@ -303,7 +312,8 @@
     let seeds: u64 = arguments.opt_value_from_str("--seeds").expect("a number").unwrap_or(1);
     let processes: Option<usize> = arguments.opt_value_from_str("--processes").expect("a number");
     let minutes: Option<f64> = arguments.opt_value_from_str("--minutes").expect("a number");
-    let lasts = minutes.map_or(SHORT, |minutes| Duration::from_secs_f64(minutes * 60.0));
+    let duration =
+        minutes.map_or(DEFAULT_DURATION, |minutes| Duration::from_secs_f64(minutes * 60.0));
     let fault_set = if arguments.contains("--plain") { FaultSet::Plain } else { FaultSet::All };
     let entries = processes.unwrap_or(8).saturating_sub(REPLICAS).max(1);
     let seeds: Vec<(u64, FaultSet)> = match first {
@@ -313,8 +323,8 @@
     let mut failed = 0;
     for (seed, fault_set) in &seeds {
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-        let violations = runtime.block_on(soak(*seed, entries, lasts, *fault_set));
-        violations.iter().for_each(|what| println!("seed {seed}: {what}"));
+        let violations = runtime.block_on(run_seed(*seed, entries, duration, *fault_set));
+        violations.iter().for_each(|description| println!("seed {seed}: {description}"));
         failed += u32::from(!violations.is_empty());
     }
     println!("test result: {} passed, {failed} failed", seeds.len() as u32 - failed);
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -78,10 +78,10 @@
 }
 
 /// Makes changes until it is told to end.
-pub async fn run(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+pub async fn run(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6f70);
     let mut version = harness.published().newest();
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(50..900))).await;
         match random.random_range(0..10) {
             0..=3 => {
@@ -113,7 +113,8 @@
                     return true;
                 }
                 Some((status @ 400..=499, text)) if status != 408 && status != 429 => {
-                    harness.violation(format!("version {version} is refused: {status} {text}"));
+                    harness
+                        .record_violation(format!("version {version} is refused: {status} {text}"));
                     return false;
                 }
                 _ => {}
@@ -146,7 +147,7 @@
     }
     let replica = random.random_range(0..REPLICAS);
     if let Some((200, _)) = call(harness, replica, "PUT", "/config", Some(&invalid)).await {
-        harness.violation(format!("an invalid deployment is acknowledged: {invalid}"));
+        harness.record_violation(format!("an invalid deployment is acknowledged: {invalid}"));
     }
 }
 
@@ -175,7 +176,7 @@
     let read: Value = serde_json::from_str(&text).unwrap_or_default();
     let version = read["Version"].as_u64().unwrap_or(0);
     if version < before {
-        harness.violation(format!(
+        harness.record_violation(format!(
             "replica-{replica} shows {version} after {before} was acknowledged"
         ));
     }
@@ -185,16 +186,16 @@
         .iter()
         .any(|(sent, document)| *sent == version && *document == read)
     {
-        harness.violation(format!("replica-{replica} shows what was not sent: {text}"));
+        harness.record_violation(format!("replica-{replica} shows what was not sent: {text}"));
     }
 }
 
 /// Asks entries for routes that only some versions have, until it is told to end.
-pub async fn probe(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+pub async fn probe(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x7072);
     let mut seen: Vec<(u32, u64)> = vec![(0, 0); harness.entries];
     let mut count = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(100)).await;
         let entry = random.random_range(0..harness.entries);
         let (version, acknowledged) = {
@@ -223,15 +224,19 @@
         harness.version_checks.fetch_add(u64::from(is_calm), Ordering::Relaxed);
         let is_due = is_calm && asked_at.saturating_duration_since(at) > IN_FORCE;
         if is_due && status != 404 && version < newest {
-            harness.violation(format!("entry-{entry} obeys {version} long after {newest}"));
+            harness.record_violation(format!("entry-{entry} obeys {version} long after {newest}"));
         }
         if is_due && status == 404 && version == newest && harness.published().is_newest(newest) {
-            harness.violation(format!("entry-{entry} does not know {newest} after {IN_FORCE:?}"));
+            harness.record_violation(format!(
+                "entry-{entry} does not know {newest} after {IN_FORCE:?}"
+            ));
         }
         if status != 404 {
             let (seen_start, seen_version) = &mut seen[entry];
             if *seen_start == start && version < *seen_version {
-                harness.violation(format!("entry-{entry} obeys {version} after {seen_version}"));
+                harness.record_violation(format!(
+                    "entry-{entry} obeys {version} after {seen_version}"
+                ));
             }
             if *seen_start != start || version > *seen_version {
                 (*seen_start, *seen_version) = (start, version);
@@ -255,7 +260,7 @@
     let is_final = [401, 403, 404].contains(&status);
     if is_final && harness.published().is_newest(newest) {
         let after = at.elapsed();
-        harness.violation(format!(
+        harness.record_violation(format!(
             "entry-{entry} refuses {route} with {key} for good: {status}, {after:?} after {newest}"
         ));
     }
@@ -282,7 +287,7 @@
     let version = harness.published().newest() + 1;
     while !publish(harness, version).await {
         if begun.elapsed() > RECOVERS_WITHIN {
-            return harness.violation("no change is taken after the last fault".to_string());
+            return harness.record_violation("no change is taken after the last fault".to_string());
         }
     }
     for entry in 0..harness.entries {
@@ -292,11 +297,12 @@
             count += 1;
             // One that was stopped by plan may have to be started still.
             let wrong = harness.system().look_after();
-            wrong.into_iter().for_each(|what| harness.violation(what));
+            wrong.into_iter().for_each(|description| harness.record_violation(description));
             tokio::time::sleep(Duration::from_millis(100)).await;
             if begun.elapsed() > RECOVERS_WITHIN {
-                return harness
-                    .violation(format!("entry-{entry} does not serve after the last fault"));
+                return harness.record_violation(format!(
+                    "entry-{entry} does not serve after the last fault"
+                ));
             }
         }
     }
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -35,17 +35,17 @@
 const IN_TOUCH_AFTER: Duration = Duration::from_secs(5);
 
 /// Sends such requests until it is told to end.
-pub async fn run(harness: Arc<Harness>, ending: Arc<AtomicBool>) {
+pub async fn run(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x656e_6473);
     let mut number = 0;
-    while !ending.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
         number += 1;
         let path = ["/stream/", "/stream/", "/resumable/", "/safe/", "/unsafe/"]
             [random.random_range(0..5)];
         let (_, key) = ACCOUNTS[random.random_range(0..ACCOUNTS.len())];
         for again in 0..random.random_range(3..TRIES) {
-            if ending.load(Ordering::Relaxed) {
+            if stop.load(Ordering::Relaxed) {
                 return;
             }
             let id = format!("{}ends-{number}-{again}", prefix_of(path));
@@ -106,13 +106,14 @@
     let (sent, held) =
         (request_counts.sent.load(Ordering::Relaxed), request_counts.held.load(Ordering::Relaxed));
     if held * HELD_ONE_IN > sent {
-        harness.violation(format!("{held} of {sent} held, though no target ends under them"));
+        harness
+            .record_violation(format!("{held} of {sent} held, though no target ends under them"));
     }
-    let ending = harness.platform.lock().account.ending.clone();
+    let stop = harness.platform.lock().account.ending.clone();
     let counts = |at: Instant| !harness.had_fault_between(at - IN_TOUCH_AFTER, at);
-    for (body, ending) in ending {
-        if let Some(what) = ending.reached_too_often(KNOWN_WITHIN, counts) {
-            harness.violation(format!("{body:?}: {what}"));
+    for (body, stop) in stop {
+        if let Some(description) = stop.reached_too_often(KNOWN_WITHIN, counts) {
+            harness.record_violation(format!("{body:?}: {description}"));
         }
     }
 }
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -22,10 +22,11 @@
         }
         if begun.elapsed() > WITHIN {
             for (id, start) in idle {
-                harness
-                    .violation(format!("start {start} of {id} gets no work though it takes some"));
+                harness.record_violation(format!(
+                    "start {start} of {id} gets no work though it takes some"
+                ));
             }
-            old.into_iter().for_each(|what| harness.violation(what));
+            old.into_iter().for_each(|description| harness.record_violation(description));
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
