--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -22,11 +22,11 @@
 /// How long a caller waits.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Longest pause between two requests of a caller.
-const PAUSE_MS: u64 = 60;
+const MAX_PAUSE_MS: u64 = 60;
 /// One caller in this many leaves before its answer is whole.
-const LEAVES_ONE_IN: u32 = 12;
+const ABANDON_ONE_IN: u32 = 12;
 /// A planned stop must leave requests alone that came this long before it.
-const BEFORE_A_STOP: Duration = Duration::from_secs(1);
+const STOP_MARGIN: Duration = Duration::from_secs(1);
 /// Accounts that callers belong to, with their keys.
 pub const ACCOUNTS: [(&str, &str); 3] =
     [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED, "key-walled")];
@@ -64,49 +64,49 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Unsafe,
     Safe,
     Stream,
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     fn prefix(self) -> &'static str {
         match self {
-            Kind::Unsafe => "unsafe-",
-            Kind::Safe => REPEATABLE,
-            Kind::Stream => "stream-",
-            Kind::Resumable => RESUMABLE,
+            RequestKind::Unsafe => "unsafe-",
+            RequestKind::Safe => REPEATABLE,
+            RequestKind::Stream => "stream-",
+            RequestKind::Resumable => RESUMABLE,
         }
     }
 
     fn path(self) -> &'static str {
         match self {
-            Kind::Unsafe => "/unsafe/",
-            Kind::Safe => "/safe/",
-            Kind::Stream => "/stream/",
-            Kind::Resumable => "/resumable/",
+            RequestKind::Unsafe => "/unsafe/",
+            RequestKind::Safe => "/safe/",
+            RequestKind::Stream => "/stream/",
+            RequestKind::Resumable => "/resumable/",
         }
     }
 
     fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Resumable)
+        matches!(self, RequestKind::Stream | RequestKind::Resumable)
     }
 }
 
 /// What a caller got.
-enum Got {
+enum Outcome {
     /// An answer: its status, stamp and body, and whether the body ended as it should.
     Answer { status: u16, stamp: Option<String>, body: Bytes, is_whole: bool },
     /// The connection failed.
-    Cut(String),
+    ConnectionFailed(String),
     /// The caller left.
     CallerLeft,
 }
 
 /// A connection to an entry.
-struct Kept {
+struct KeptConnection {
     entry: usize,
     sender: SendRequest<Full<Bytes>>,
 }
@@ -114,36 +114,44 @@
 /// Sends requests until it is told to end.
 pub async fn run(harness: Arc<Harness>, number: u64, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ (number << 32));
-    let mut kept: Option<Kept> = None;
+    let mut kept_connection: Option<KeptConnection> = None;
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
+        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))).await;
         count += 1;
-        let kind = [Kind::Unsafe, Kind::Safe, Kind::Stream, Kind::Stream, Kind::Resumable]
-            [random.random_range(0..5)];
+        let kind = [
+            RequestKind::Unsafe,
+            RequestKind::Safe,
+            RequestKind::Stream,
+            RequestKind::Stream,
+            RequestKind::Resumable,
+        ][random.random_range(0..5)];
         let request_id = format!("{}{number}-{count}", kind.prefix());
-        let connection = match kept.take().filter(|kept| kept.sender.is_ready()) {
-            Some(kept) => kept,
+        let connection = match kept_connection
+            .take()
+            .filter(|kept_connection| kept_connection.sender.is_ready())
+        {
+            Some(kept_connection) => kept_connection,
             None => match connect(&harness, &mut random).await {
                 Some(connected) => connected,
                 None => continue,
             },
         };
-        kept = one(&harness, kind, request_id, connection, &mut random).await;
+        kept_connection = send_and_check(&harness, kind, request_id, connection, &mut random).await;
     }
 }
 
-async fn connect(harness: &Harness, random: &mut SmallRng) -> Option<Kept> {
+async fn connect(harness: &Harness, random: &mut SmallRng) -> Option<KeptConnection> {
     let (entry, address) = {
         let system = harness.system();
         let entry = random.random_range(0..system.entries());
         (entry, system.callers(entry))
     };
-    Some(Kept { entry, sender: open(address).await? })
+    Some(KeptConnection { entry, sender: open_connection(address).await? })
 }
 
 /// Opens a connection.
-pub async fn open(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+pub async fn open_connection(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let connecting = tokio::net::TcpStream::connect(address);
     let stream = tokio::time::timeout(Duration::from_secs(1), connecting).await.ok()?.ok()?;
     let (sender, connection) =
@@ -153,17 +161,17 @@
     Some(sender)
 }
 
-async fn one(
+async fn send_and_check(
     harness: &Harness,
-    kind: Kind,
+    kind: RequestKind,
     request_id: String,
-    mut connection: Kept,
+    mut connection: KeptConnection,
     random: &mut SmallRng,
-) -> Option<Kept> {
+) -> Option<KeptConnection> {
     let events = random.random_range(1..30);
     let (account, key) = ACCOUNTS[random.random_range(0..ACCOUNTS.len())];
     let context = random.random_range(0..CONTEXTS);
-    let mut head = Request::builder()
+    let mut builder = Request::builder()
         .method("POST")
         .uri(kind.path())
         .header("host", "shop.example")
@@ -174,36 +182,44 @@
         .header("x-tenant", "somebody-else")
         .header("x-cache-salt", "another-wall");
     if kind.is_stream() {
-        head = head
+        builder = builder
             .header("x-model", "m")
             .header("x-token-count", format!("1200,{events}"))
             .header("x-prompt-prefix", format!("c{context}:1000,{request_id}:200"));
     }
     let body = Full::new(Bytes::from_static(b"a question"));
-    let message = head.body(body).expect("valid headers");
-    let leaves_after = (random.random_ratio(1, LEAVES_ONE_IN))
+    let message = builder.body(body).expect("valid headers");
+    let leaves_after = (random.random_ratio(1, ABANDON_ONE_IN))
         .then(|| Duration::from_millis(random.random_range(1..200)));
     harness.request_counts.sent.fetch_add(1, Ordering::Relaxed);
     let sent_at = Instant::now();
-    let getting = get(&mut connection, message);
-    let got = match leaves_after {
-        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Got::CallerLeft),
+    let getting = receive_answer(&mut connection, message);
+    let outcome = match leaves_after {
+        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Outcome::CallerLeft),
         None => getting.await,
     };
-    let checked =
-        Checked { harness, kind, request_id, events, account, entry: connection.entry, sent_at };
-    checked.check(&got);
-    matches!(got, Got::Answer { is_whole: true, .. }).then_some(connection)
+    let request_check = RequestCheck {
+        harness,
+        kind,
+        request_id,
+        events,
+        account,
+        entry: connection.entry,
+        sent_at,
+    };
+    request_check.check(&outcome);
+    matches!(outcome, Outcome::Answer { is_whole: true, .. }).then_some(connection)
 }
 
-async fn get(connection: &mut Kept, message: Request<Full<Bytes>>) -> Got {
+async fn receive_answer(connection: &mut KeptConnection, message: Request<Full<Bytes>>) -> Outcome {
     // An entry answers by itself well before that.
-    let patience = DEADLINE + Duration::from_secs(3);
-    let answer = tokio::time::timeout(patience, connection.sender.send_request(message)).await;
+    let answer_timeout = DEADLINE + Duration::from_secs(3);
+    let answer =
+        tokio::time::timeout(answer_timeout, connection.sender.send_request(message)).await;
     let answer = match answer {
         Ok(Ok(answer)) => answer,
-        Ok(Err(error)) => return Got::Cut(error.to_string()),
-        Err(_) => return Got::Cut("no answer".to_string()),
+        Ok(Err(error)) => return Outcome::ConnectionFailed(error.to_string()),
+        Err(_) => return Outcome::ConnectionFailed("no answer".to_string()),
     };
     let status = answer.status().as_u16();
     let stamp = answer.headers().get("x-response-stamp");
@@ -211,24 +227,24 @@
     let mut body = answer.into_body();
     let mut bytes = Vec::new();
     loop {
-        match tokio::time::timeout(patience, body.frame()).await {
+        match tokio::time::timeout(answer_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
             }
             Ok(None) => {
-                return Got::Answer { status, stamp, body: bytes.into(), is_whole: true };
+                return Outcome::Answer { status, stamp, body: bytes.into(), is_whole: true };
             }
             Ok(Some(Err(_))) | Err(_) => {
-                return Got::Answer { status, stamp, body: bytes.into(), is_whole: false };
+                return Outcome::Answer { status, stamp, body: bytes.into(), is_whole: false };
             }
         }
     }
 }
 
 /// One request and its answer, to be checked.
-struct Checked<'w> {
+struct RequestCheck<'w> {
     harness: &'w Harness,
-    kind: Kind,
+    kind: RequestKind,
     request_id: String,
     events: u64,
     account: &'static str,
@@ -236,11 +252,11 @@
     sent_at: Instant,
 }
 
-impl Checked<'_> {
-    fn check(&self, got: &Got) {
+impl RequestCheck<'_> {
+    fn check(&self, outcome: &Outcome) {
         let request_counts = &self.harness.request_counts;
-        match got {
-            Got::CallerLeft => {
+        match outcome {
+            Outcome::CallerLeft => {
                 let (request_id, entry) = (self.request_id.clone(), self.entry);
                 self.harness.defer_check(DeferredCheck::CallerLeft {
                     request_id,
@@ -248,17 +264,17 @@
                     entry,
                 });
             }
-            Got::Cut(reason) => {
+            Outcome::ConnectionFailed(reason) => {
                 request_counts.failed.fetch_add(1, Ordering::Relaxed);
-                self.check_stop(reason);
+                self.check_connection_failure(reason);
             }
-            Got::Answer { status: 200, stamp, body, is_whole } => {
+            Outcome::Answer { status: 200, stamp, body, is_whole } => {
                 self.check_success(stamp.as_deref(), body, *is_whole);
                 let counter =
                     if *is_whole { &request_counts.completed } else { &request_counts.failed };
                 counter.fetch_add(1, Ordering::Relaxed);
             }
-            Got::Answer { status, stamp, body, .. } => {
+            Outcome::Answer { status, stamp, body, .. } => {
                 if body.windows(HELD.len()).any(|part| part == HELD) {
                     request_counts.held.fetch_add(1, Ordering::Relaxed);
                 }
@@ -277,11 +293,11 @@
             true => (1..=self.events).map(|number| event_of(&self.request_id, number)).collect(),
             false => text_of(&self.request_id),
         };
-        let is_right = match is_whole {
+        let is_expected = match is_whole {
             true => body == expected.as_bytes(),
             false => expected.as_bytes().starts_with(body),
         };
-        if !is_right {
+        if !is_expected {
             let body = String::from_utf8_lossy(body);
             self.record_violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
@@ -313,10 +329,11 @@
 
     /// A connection that ends without an answer is no fault where something was done to the entry,
     /// unless that was a planned stop.
-    fn check_stop(&self, reason: &str) {
+    fn check_connection_failure(&self, reason: &str) {
         let system = self.harness.system();
-        let done = system.disturbed_since(self.entry, self.sent_at - BEFORE_A_STOP);
-        let is_planned = done.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
+        let disturbances = system.disturbed_since(self.entry, self.sent_at - STOP_MARGIN);
+        let is_planned =
+            disturbances.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
         let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request_id);
@@ -324,9 +341,9 @@
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
-        if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - BEFORE_A_STOP) {
+        if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - STOP_MARGIN) {
             self.record_violation(format!(
-                "cut off though nothing unplanned happened ({reason}, {done:?})"
+                "cut off though nothing unplanned happened ({reason}, {disturbances:?})"
             ));
         }
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -20,7 +20,7 @@
 /// How long it is calm then: longer than it takes until a deployment must be in force.
 const CALM: Duration = Duration::from_secs(16);
 /// Longest pause between two faults.
-const PAUSE_MS: u64 = 900;
+const MAX_PAUSE_MS: u64 = 900;
 /// Replicas that may be lost at once, and how long one counts as lost once it is back.
 const LOST_AT_ONCE: usize = 2;
 const CATCHES_UP: Duration = Duration::from_secs(8);
@@ -124,7 +124,7 @@
     }
 
     async fn pause(&mut self) {
-        let pause = Duration::from_millis(self.random.random_range(50..PAUSE_MS));
+        let pause = Duration::from_millis(self.random.random_range(50..MAX_PAUSE_MS));
         tokio::time::sleep(pause).await;
         let wrong = self.harness.system().look_after();
         wrong.into_iter().for_each(|description| self.harness.record_violation(description));
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 use crate::Harness;
-use crate::callers::{ACCOUNTS, open};
+use crate::callers::{ACCOUNTS, open_connection};
 use crate::system::REPLICAS;
 
 /// An acknowledged deployment is in force everywhere after this time. Longer than deployments ask
@@ -275,7 +275,7 @@
         .header("authorization", format!("Bearer {key}"))
         .body(Full::new(Bytes::new()))
         .expect("valid headers");
-    let mut sender = open(address).await?;
+    let mut sender = open_connection(address).await?;
     let answer =
         tokio::time::timeout(CALL_TIMEOUT, sender.send_request(request)).await.ok()?.ok()?;
     Some(answer.status().as_u16())
@@ -332,7 +332,7 @@
                 .header("host", to.to_string())
                 .body(Full::new(Bytes::from(body.map(Value::to_string).unwrap_or_default())))
                 .expect("a valid request");
-            let answer = open(to).await?.send_request(request).await.ok()?;
+            let answer = open_connection(to).await?.send_request(request).await.ok()?;
             let location = answer.headers().get("location").and_then(|l| l.to_str().ok());
             match location.and_then(|l| l.strip_prefix("http://")?.split('/').next()?.parse().ok())
             {
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -12,13 +12,13 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::Harness;
-use crate::callers::{ACCOUNTS, open};
+use crate::callers::{ACCOUNTS, open_connection};
 use crate::platform_stand_in::target::ENDS_TARGETS;
 
 /// What entries say to those that are held.
 pub const HELD: &[u8] = b"targets have ended under this request";
 /// Longest pause between two such requests, and between two tries of one.
-const PAUSE_MS: u64 = 6_000;
+const MAX_PAUSE_MS: u64 = 6_000;
 const AGAIN_MS: u64 = 500;
 /// How often its caller tries one at the most.
 const TRIES: u32 = 40;
@@ -39,7 +39,7 @@
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x656e_6473);
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
-        tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
+        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))).await;
         number += 1;
         let path = ["/stream/", "/stream/", "/resumable/", "/safe/", "/unsafe/"]
             [random.random_range(0..5)];
@@ -78,7 +78,7 @@
         let system = harness.system();
         system.callers(random.random_range(0..system.entries()))
     };
-    let mut connection = open(address).await?;
+    let mut connection = open_connection(address).await?;
     let mut body = ENDS_TARGETS.to_vec();
     body.extend_from_slice(format!(" {number}").as_bytes());
     let mut head = Request::builder()
