--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -16,7 +16,7 @@
 use crate::Harness;
 use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
 use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
-use crate::quarantine::HELD;
+use crate::quarantine::HELD_MESSAGE;
 use crate::system::Disturbance;
 
 /// How long a caller waits.
@@ -275,7 +275,7 @@
                 counter.fetch_add(1, Ordering::Relaxed);
             }
             Outcome::Answer { status, stamp, body, .. } => {
-                if body.windows(HELD.len()).any(|part| part == HELD) {
+                if body.windows(HELD_MESSAGE.len()).any(|part| part == HELD_MESSAGE) {
                     request_counts.held.fetch_add(1, Ordering::Relaxed);
                 }
                 self.check_failure(*status, stamp.is_some());
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -16,23 +16,23 @@
 use crate::platform_stand_in::target::ENDS_TARGETS;
 
 /// What entries say to those that are held.
-pub const HELD: &[u8] = b"targets have ended under this request";
+pub const HELD_MESSAGE: &[u8] = b"targets have ended under this request";
 /// Longest pause between two such requests, and between two tries of one.
 const MAX_PAUSE_MS: u64 = 6_000;
-const AGAIN_MS: u64 = 500;
+const MAX_RETRY_PAUSE_MS: u64 = 500;
 /// How often its caller tries one at the most.
-const TRIES: u32 = 40;
+const TRY_LIMIT: u32 = 40;
 /// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(4);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 /// All entries that are in touch know one after this time. Longer than deployments ask for: ends of targets
 /// behind proxies show on the list alone, and a busy machine may keep a process waiting for a while.
-const KNOWN_WITHIN: Duration = Duration::from_secs(10);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
 /// Fewer than one in so many other requests may be held. All of one account and route ask the same here, so
 /// each runs wherever a target ends; where several do and the list tells it of some only, one that ran there is
 /// blamed until it tells the rest.
-const HELD_ONE_IN: u64 = 100;
+const MAX_HELD_ONE_IN: u64 = 100;
 /// What was wrong for so long before counts as wrong still.
-const IN_TOUCH_AFTER: Duration = Duration::from_secs(5);
+const RECONNECT_TIME: Duration = Duration::from_secs(5);
 
 /// Sends such requests until it is told to end.
 pub async fn run(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
@@ -44,21 +44,24 @@
         let path = ["/stream/", "/stream/", "/resumable/", "/safe/", "/unsafe/"]
             [random.random_range(0..5)];
         let (_, key) = ACCOUNTS[random.random_range(0..ACCOUNTS.len())];
-        for again in 0..random.random_range(3..TRIES) {
+        for attempt in 0..random.random_range(3..TRY_LIMIT) {
             if stop.load(Ordering::Relaxed) {
                 return;
             }
-            let id = format!("{}ends-{number}-{again}", prefix_of(path));
-            let _ =
-                tokio::time::timeout(PATIENCE, send(&harness, path, key, &id, number, &mut random))
-                    .await;
-            tokio::time::sleep(Duration::from_millis(random.random_range(0..AGAIN_MS))).await;
+            let request_id = format!("{}ends-{number}-{attempt}", request_id_prefix(path));
+            let _ = tokio::time::timeout(
+                ANSWER_TIMEOUT,
+                send(&harness, path, key, &request_id, number, &mut random),
+            )
+            .await;
+            tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_RETRY_PAUSE_MS)))
+                .await;
         }
     }
 }
 
 /// How ids of requests begin that may run more than once.
-fn prefix_of(path: &str) -> &'static str {
+fn request_id_prefix(path: &str) -> &'static str {
     match path {
         "/resumable/" => crate::platform_stand_in::account::RESUMABLE,
         "/safe/" => crate::platform_stand_in::account::REPEATABLE,
@@ -70,7 +73,7 @@
     harness: &Harness,
     path: &str,
     key: &str,
-    id: &str,
+    request_id: &str,
     number: u64,
     random: &mut SmallRng,
 ) -> Option<()> {
@@ -81,20 +84,20 @@
     let mut connection = open_connection(address).await?;
     let mut body = ENDS_TARGETS.to_vec();
     body.extend_from_slice(format!(" {number}").as_bytes());
-    let mut head = Request::builder()
+    let mut builder = Request::builder()
         .method("POST")
         .uri(path)
         .header("host", "shop.example")
-        .header("x-request-id", id)
-        .header("x-deadline-ms", PATIENCE.as_millis() as u64)
+        .header("x-request-id", request_id)
+        .header("x-deadline-ms", ANSWER_TIMEOUT.as_millis() as u64)
         .header("authorization", format!("Bearer {key}"));
     if path == "/stream/" || path == "/resumable/" {
-        head = head
+        builder = builder
             .header("x-model", "m")
             .header("x-token-count", "1200,9")
-            .header("x-prompt-prefix", format!("e{number}:1000,{id}:200"));
+            .header("x-prompt-prefix", format!("e{number}:1000,{request_id}:200"));
     }
-    let message = head.body(Full::new(Bytes::from(body))).expect("valid headers");
+    let message = builder.body(Full::new(Bytes::from(body))).expect("valid headers");
     let answer = connection.send_request(message).await.ok()?;
     answer.into_body().collect().await.ok().map(drop)
 }
@@ -105,14 +108,14 @@
     let request_counts = &harness.request_counts;
     let (sent, held) =
         (request_counts.sent.load(Ordering::Relaxed), request_counts.held.load(Ordering::Relaxed));
-    if held * HELD_ONE_IN > sent {
+    if held * MAX_HELD_ONE_IN > sent {
         harness
             .record_violation(format!("{held} of {sent} held, though no target ends under them"));
     }
-    let stop = harness.platform.lock().account.ending.clone();
-    let counts = |at: Instant| !harness.had_fault_between(at - IN_TOUCH_AFTER, at);
-    for (body, stop) in stop {
-        if let Some(description) = stop.reached_too_often(KNOWN_WITHIN, counts) {
+    let histories = harness.platform.lock().account.ending.clone();
+    let is_counted = |at: Instant| !harness.had_fault_between(at - RECONNECT_TIME, at);
+    for (body, history) in histories {
+        if let Some(description) = history.reached_too_often(PROPAGATION_TIMEOUT, is_counted) {
             harness.record_violation(format!("{body:?}: {description}"));
         }
     }
