--- a/tests/soak/disk_load.rs
+++ b/tests/soak/disk_load.rs
@@ -13,25 +13,25 @@
 use crate::Harness;
 
 /// One seed of so many keeps its disk busy: it slows all that a machine writes.
-const ONE_SEED_OF: u64 = 4;
+const ONE_SEED_IN: u64 = 4;
 /// Files that are written and synced at a time, and their size.
 const WRITERS: usize = 6;
 const FILE_BYTES: usize = 16 << 20;
 
 /// Keeps the disk busy by turns until the run has settled.
 pub async fn run(harness: Arc<Harness>, faults_done: Arc<AtomicBool>) {
-    if !harness.seed.is_multiple_of(ONE_SEED_OF) {
+    if !harness.seed.is_multiple_of(ONE_SEED_IN) {
         return;
     }
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6469_736b);
     while !faults_done.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(4_000..12_000))).await;
-        let ends = Instant::now() + Duration::from_millis(random.random_range(1_000..5_000));
+        let deadline = Instant::now() + Duration::from_millis(random.random_range(1_000..5_000));
         let fault_index = harness.begin_fault();
         let folder = harness.system().folder.path().to_path_buf();
         let writers = (0..WRITERS).map(|n| {
             let path = folder.join(format!("busy-{n}"));
-            tokio::task::spawn_blocking(move || write_until(path, ends))
+            tokio::task::spawn_blocking(move || write_until(path, deadline))
         });
         for writer in writers.collect::<Vec<_>>() {
             writer.await.expect("it does not panic");
@@ -40,9 +40,9 @@
     }
 }
 
-fn write_until(path: PathBuf, ends: Instant) {
+fn write_until(path: PathBuf, deadline: Instant) {
     let block = vec![7; 1 << 20];
-    while Instant::now() < ends {
+    while Instant::now() < deadline {
         let mut file = File::create(&path).expect("a file");
         for _ in 0..FILE_BYTES / block.len() {
             file.write_all(&block).expect("there is room");
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -6,27 +6,27 @@
 use crate::Harness;
 
 /// Longest time until each start has got work and has loaded weights.
-const WITHIN: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until it is so, or records what is not.
 pub async fn check(harness: &Harness) {
     let begun = Instant::now();
-    let at_first = requests_begun(harness);
+    let initial = begun_by_start(harness);
     loop {
-        let now = requests_begun(harness);
-        let gets_none = |(start, count): &(&(String, u64), &u64)| now.get(*start) == Some(*count);
-        let idle: Vec<_> = at_first.iter().filter(gets_none).map(|(start, _)| start).collect();
-        let old = on_old_weights(harness);
-        if idle.is_empty() && old.is_empty() {
+        let now = begun_by_start(harness);
+        let is_idle = |(start, count): &(&(String, u64), &u64)| now.get(*start) == Some(*count);
+        let idle: Vec<_> = initial.iter().filter(is_idle).map(|(start, _)| start).collect();
+        let outdated = outdated_weights(harness);
+        if idle.is_empty() && outdated.is_empty() {
             return;
         }
-        if begun.elapsed() > WITHIN {
+        if begun.elapsed() > RECOVERY_TIMEOUT {
             for (id, start) in idle {
                 harness.record_violation(format!(
                     "start {start} of {id} gets no work though it takes some"
                 ));
             }
-            old.into_iter().for_each(|description| harness.record_violation(description));
+            outdated.into_iter().for_each(|description| harness.record_violation(description));
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -34,25 +34,25 @@
 }
 
 /// Requests that each start which takes work has begun.
-fn requests_begun(harness: &Harness) -> BTreeMap<(String, u64), u64> {
+fn begun_by_start(harness: &Harness) -> BTreeMap<(String, u64), u64> {
     let platform = harness.platform.lock();
-    let taking = platform.targets.values().filter(|target| {
+    let accepting = platform.targets.values().filter(|target| {
         target.is_listed && target.leaves_from.is_none() && platform.runs(&target.id, target.start)
     });
-    taking.map(|target| ((target.id.clone(), target.start), target.begun)).collect()
+    accepting.map(|target| ((target.id.clone(), target.start), target.begun)).collect()
 }
 
-fn on_old_weights(harness: &Harness) -> Vec<String> {
+fn outdated_weights(harness: &Harness) -> Vec<String> {
     let platform = harness.platform.lock();
-    let Some(named) = platform.account.named.iter().map(|(version, _)| *version).max() else {
+    let Some(newest) = platform.account.named.iter().map(|(version, _)| *version).max() else {
         return Vec::new();
     };
-    let taking = platform.targets.values().filter(|t| t.is_listed && t.leaves_from.is_none());
-    taking
-        .filter(|target| target.weights.is_some_and(|has| has < named))
+    let accepting = platform.targets.values().filter(|t| t.is_listed && t.leaves_from.is_none());
+    accepting
+        .filter(|target| target.weights.is_some_and(|loaded| loaded < newest))
         .map(|target| {
-            let (id, start, has) = (&target.id, target.start, target.weights);
-            format!("start {start} of {id} has {has:?} long after {named} was named")
+            let (id, start, loaded) = (&target.id, target.start, target.weights);
+            format!("start {start} of {id} has {loaded:?} long after {newest} was named")
         })
         .collect()
 }
