--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -239,7 +239,7 @@
         tasks.spawn(callers::run(harness.clone(), number, stop.clone()));
     }
     let operator = tokio::spawn(operator::run(harness.clone(), faults_done.clone()));
-    tasks.spawn(operator::probe(harness.clone(), stop.clone()));
+    tasks.spawn(operator::probe_entries(harness.clone(), stop.clone()));
     tasks.spawn(quarantine::run(harness.clone(), faults_done.clone()));
     tasks.spawn(disk_load::run(harness.clone(), faults_done.clone()));
     injector.run(duration).await;
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -17,16 +17,16 @@
 
 /// An acknowledged deployment is in force everywhere after this time. Longer than deployments ask
 /// for: a busy machine may keep a process waiting for a while.
-const IN_FORCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A route or key is not refused for good later than this after its deployment was acknowledged: as deployments ask
 /// for, and by every entry, whatever befalls it.
-const NOT_REFUSED_AFTER: Duration = Duration::from_secs(2);
+const ACCEPTED_WITHIN: Duration = Duration::from_secs(2);
 /// Longest wait for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The first of the numbers that tell these requests from others.
-const REFUSALS_FROM: u64 = 2_000_000;
+const FIRST_REFUSAL_CHECK: u64 = 2_000_000;
 /// Longest wait for the system to be whole again after its last fault.
-const RECOVERS_WITHIN: Duration = Duration::from_secs(40);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// What the operator knows.
 #[derive(Default)]
@@ -52,12 +52,12 @@
             json!({"Name": name, "ApiKeys": [key], "Isolated": isolated})
         })
         .collect();
-    tenants.push(json!({"Name": "changing", "ApiKeys": [key_of(version)]}));
+    tenants.push(json!({"Name": "changing", "ApiKeys": [version_key(version)]}));
     json!({"Version": version,
            "Routes": [route("unsafe", "unsafe", "app", false), route("safe", "safe", "app", false),
                       route("stream", "stream", "llm", false),
                       route("resumable", "stream", "llm", true),
-                      route(&only(version), "safe", "app", false)],
+                      route(&version_route(version), "safe", "app", false)],
            "Services": [{"Name": "app", "HealthPath": "/healthz", "MaxConns": 100},
                         {"Name": "llm", "HealthPath": "/healthz", "MaxConns": 100,
                          "Engine": {"Slots": 16, "KvCapacity": 60_000, "KvTokenBytes": 1000,
@@ -69,11 +69,11 @@
            "Tenants": tenants})
 }
 
-fn only(version: u64) -> String {
+fn version_route(version: u64) -> String {
     format!("only-{version}")
 }
 
-fn key_of(version: u64) -> String {
+fn version_key(version: u64) -> String {
     format!("key-of-{version}")
 }
 
@@ -88,9 +88,9 @@
                 version += random.random_range(1..4);
                 publish(&harness, version).await;
             }
-            4 => send_older(&harness, version, &mut random).await,
+            4 => send_stale(&harness, version, &mut random).await,
             5 => send_invalid(&harness, version + 1, &mut random).await,
-            6 if random.random_ratio(1, 2) => name_weights(&harness).await,
+            6 if random.random_ratio(1, 2) => set_weights_version(&harness).await,
             _ => read_back(&harness, random.random_range(0..REPLICAS)).await,
         }
     }
@@ -102,7 +102,7 @@
     harness.published().sent.push((version, document.clone()));
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call(harness, replica, "PUT", "/config", Some(&document)).await;
+            let answer = call_replica(harness, replica, "PUT", "/config", Some(&document)).await;
             match answer {
                 Some((200, _)) => {
                     let mut published = harness.published();
@@ -124,17 +124,18 @@
     false
 }
 
-async fn send_older(harness: &Harness, newest: u64, random: &mut SmallRng) {
-    let Some(older) = newest.checked_sub(random.random_range(0..3)).filter(|v| *v > 0) else {
+async fn send_stale(harness: &Harness, newest: u64, random: &mut SmallRng) {
+    let Some(stale_version) = newest.checked_sub(random.random_range(0..3)).filter(|v| *v > 0)
+    else {
         return;
     };
-    let mut other = document(older, &harness.store.to_string());
+    let mut other = document(stale_version, &harness.store.to_string());
     other["Note"] = json!("other content under a number that was used");
     // Only one that was sent before: its number is taken, or was passed by.
-    if !harness.published().is_passed(older) {
+    if !harness.published().is_acknowledged(stale_version) {
         return;
     }
-    call(harness, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
+    call_replica(harness, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
 }
 
 async fn send_invalid(harness: &Harness, version: u64, random: &mut SmallRng) {
@@ -146,12 +147,12 @@
         _ => invalid["Tenants"][1]["ApiKeys"] = invalid["Tenants"][0]["ApiKeys"].clone(),
     }
     let replica = random.random_range(0..REPLICAS);
-    if let Some((200, _)) = call(harness, replica, "PUT", "/config", Some(&invalid)).await {
+    if let Some((200, _)) = call_replica(harness, replica, "PUT", "/config", Some(&invalid)).await {
         harness.record_violation(format!("an invalid deployment is acknowledged: {invalid}"));
     }
 }
 
-async fn name_weights(harness: &Harness) {
+async fn set_weights_version(harness: &Harness) {
     let version = {
         let mut platform = harness.platform.lock();
         platform.named_weights += 1;
@@ -160,7 +161,7 @@
     let body = json!({"Model": "m", "Version": version});
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call(harness, replica, "POST", "/version-put", Some(&body)).await;
+            let answer = call_replica(harness, replica, "POST", "/version-put", Some(&body)).await;
             if answer.is_some_and(|(status, _)| status == 200) {
                 let mut platform = harness.platform.lock();
                 return platform.account.named.push((version, Instant::now()));
@@ -172,7 +173,9 @@
 /// A read is never older than what was acknowledged before it was sent.
 async fn read_back(harness: &Harness, replica: usize) {
     let before = harness.published().acknowledged.map_or(0, |(version, _)| version);
-    let Some((200, text)) = call(harness, replica, "GET", "/config", None).await else { return };
+    let Some((200, text)) = call_replica(harness, replica, "GET", "/config", None).await else {
+        return;
+    };
     let read: Value = serde_json::from_str(&text).unwrap_or_default();
     let version = read["Version"].as_u64().unwrap_or(0);
     if version < before {
@@ -191,7 +194,7 @@
 }
 
 /// Asks entries for routes that only some versions have, until it is told to end.
-pub async fn probe(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
+pub async fn probe_entries(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x7072);
     let mut seen: Vec<(u32, u64)> = vec![(0, 0); harness.entries];
     let mut count = 0;
@@ -201,9 +204,9 @@
         let (version, acknowledged) = {
             let published = harness.published();
             let Some((newest, at)) = published.acknowledged else { continue };
-            let back = random.random_range(0..3);
+            let age = random.random_range(0..3);
             let sent = published.sent.iter().map(|(version, _)| *version).rev();
-            (sent.clone().nth(back).unwrap_or(newest), (newest, at))
+            (sent.clone().nth(age).unwrap_or(newest), (newest, at))
         };
         let (address, start, asked_at) = {
             let system = harness.system();
@@ -211,18 +214,20 @@
         };
         count += 1;
         check_refusal(&harness, entry, address, count).await;
-        let Some(status) = ask(address, &only(version), ACCOUNTS[0].1, count).await else {
+        let Some(status) =
+            request_status(address, &version_route(version), ACCOUNTS[0].1, count).await
+        else {
             continue;
         };
         if !(200..300).contains(&status) && status != 404 {
             continue;
         }
-        let is_calm = !harness.had_fault_since(asked_at - IN_FORCE)
-            && harness.system().disturbed_since(entry, asked_at - IN_FORCE).is_empty()
+        let is_undisturbed = !harness.had_fault_since(asked_at - IN_FORCE_TIMEOUT)
+            && harness.system().disturbed_since(entry, asked_at - IN_FORCE_TIMEOUT).is_empty()
             && harness.system().processes[entry].starts == start;
         let (newest, at) = acknowledged;
-        harness.version_checks.fetch_add(u64::from(is_calm), Ordering::Relaxed);
-        let is_due = is_calm && asked_at.saturating_duration_since(at) > IN_FORCE;
+        harness.version_checks.fetch_add(u64::from(is_undisturbed), Ordering::Relaxed);
+        let is_due = is_undisturbed && asked_at.saturating_duration_since(at) > IN_FORCE_TIMEOUT;
         if is_due && status != 404 && version < newest {
             harness.record_violation(format!("entry-{entry} obeys {version} long after {newest}"));
         }
@@ -248,14 +253,17 @@
 /// Asks an entry for what only the newest deployment allows, a route or a key by turns.
 async fn check_refusal(harness: &Harness, entry: usize, address: std::net::SocketAddr, count: u64) {
     let Some((newest, at)) = harness.published().acknowledged else { return };
-    if at.elapsed() <= NOT_REFUSED_AFTER {
+    if at.elapsed() <= ACCEPTED_WITHIN {
         return;
     }
     let (route, key) = match count % 2 {
-        0 => (only(newest), ACCOUNTS[0].1.to_string()),
-        _ => ("safe".to_string(), key_of(newest)),
+        0 => (version_route(newest), ACCOUNTS[0].1.to_string()),
+        _ => ("safe".to_string(), version_key(newest)),
+    };
+    let Some(status) = request_status(address, &route, &key, FIRST_REFUSAL_CHECK + count).await
+    else {
+        return;
     };
-    let Some(status) = ask(address, &route, &key, REFUSALS_FROM + count).await else { return };
     harness.refusal_checks.fetch_add(1, Ordering::Relaxed);
     let is_final = [401, 403, 404].contains(&status);
     if is_final && harness.published().is_newest(newest) {
@@ -266,7 +274,12 @@
     }
 }
 
-async fn ask(address: std::net::SocketAddr, route: &str, key: &str, count: u64) -> Option<u16> {
+async fn request_status(
+    address: std::net::SocketAddr,
+    route: &str,
+    key: &str,
+    count: u64,
+) -> Option<u16> {
     let request = Request::builder()
         .uri(format!("/{route}/"))
         .header("host", "shop.example")
@@ -286,20 +299,23 @@
     let begun = Instant::now();
     let version = harness.published().newest() + 1;
     while !publish(harness, version).await {
-        if begun.elapsed() > RECOVERS_WITHIN {
+        if begun.elapsed() > RECOVERY_TIMEOUT {
             return harness.record_violation("no change is taken after the last fault".to_string());
         }
     }
     for entry in 0..harness.entries {
         let address = harness.system().callers(entry);
         let mut count = 0;
-        while ask(address, &only(version), ACCOUNTS[0].1, 1_000_000 + count).await != Some(200) {
+        while request_status(address, &version_route(version), ACCOUNTS[0].1, 1_000_000 + count)
+            .await
+            != Some(200)
+        {
             count += 1;
             // One that was stopped by plan may have to be started still.
-            let wrong = harness.system().look_after();
-            wrong.into_iter().for_each(|description| harness.record_violation(description));
+            let failures = harness.system().look_after();
+            failures.into_iter().for_each(|description| harness.record_violation(description));
             tokio::time::sleep(Duration::from_millis(100)).await;
-            if begun.elapsed() > RECOVERS_WITHIN {
+            if begun.elapsed() > RECOVERY_TIMEOUT {
                 return harness.record_violation(format!(
                     "entry-{entry} does not serve after the last fault"
                 ));
@@ -311,7 +327,7 @@
     }
 }
 
-async fn call(
+async fn call_replica(
     harness: &Harness,
     replica: usize,
     method: &str,
@@ -360,7 +376,7 @@
     }
 
     /// Whether a version was acknowledged, or a later one.
-    fn is_passed(&self, version: u64) -> bool {
+    fn is_acknowledged(&self, version: u64) -> bool {
         self.acknowledged.is_some_and(|(newest, _)| newest >= version)
     }
 }
