--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -123,7 +123,7 @@
         let fault_periods = self.fault_periods.lock().expect("nobody panics with it");
         fault_periods
             .iter()
-            .any_port(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
+            .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
     }
 
     /// Makes a target do something wrong.
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -233,7 +233,7 @@
         }
         if is_due && status == 404 && version == newest && harness.published().is_newest(newest) {
             harness.record_violation(format!(
-                "entry-{entry} does not know {newest} after {IN_FORCE:?}"
+                "entry-{entry} does not know {newest} after {IN_FORCE_TIMEOUT:?}"
             ));
         }
         if status != 404 {
