--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -40,7 +40,7 @@
         while begun.elapsed() < lasts {
             self.count += 1;
             let id = format!("{}-ending-{}", self.kind, self.count);
-            let entry = site.system.callers(self.count % ENTRIES);
+            let entry = site.system.caller_address(self.count % ENTRIES);
             let body = ENDING.to_string();
             let got = stream_with_body(site.client.clone(), entry, self.kind, &id, 5, body).await;
             self.answers.push(got);
@@ -60,7 +60,7 @@
 async fn assert_serves_another(site: &Site, number: usize) {
     let begun = Instant::now();
     for again in 0.. {
-        let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
+        let (client, entry) = (site.client.clone(), site.system.caller_address(number % ENTRIES));
         let (id, body) = (format!("stream-{number}-{again}"), format!("question {number}"));
         let got = stream_with_body(client, entry, "stream", &id, 5, body).await;
         assert!(!got.body.contains("targets have ended"), "{number} is held");
@@ -83,23 +83,23 @@
     for replica in replicas.clone().take(2) {
         site.system.kill(replica);
         caller.repeat(&site, Duration::from_secs(1)).await;
-        site.system.start_again(replica, true);
+        site.system.restart(replica, true);
         caller.repeat(&site, Duration::from_secs(1)).await;
     }
     assert_known(&site, "replicas are lost, the leader perhaps among them");
 
     replicas.clone().for_each(|replica| site.system.kill(replica));
-    replicas.clone().for_each(|replica| site.system.start_again(replica, false));
+    replicas.clone().for_each(|replica| site.system.restart(replica, false));
     caller.repeat(&site, Duration::from_secs(3)).await;
     assert_known(&site, "all replicas start again");
 
     (0..ENTRIES).for_each(|entry| site.system.kill(entry));
-    (0..ENTRIES).for_each(|entry| site.system.start_again(entry, false));
+    (0..ENTRIES).for_each(|entry| site.system.restart(entry, false));
     caller.repeat(&site, Duration::from_secs(3)).await;
     assert_known(&site, "all entries start again");
 
     (0..ENTRIES).chain(replicas.clone()).for_each(|n| site.system.kill(n));
-    (0..ENTRIES).chain(replicas).for_each(|n| site.system.start_again(n, false));
+    (0..ENTRIES).chain(replicas).for_each(|n| site.system.restart(n, false));
     caller.repeat(&site, Duration::from_secs(4)).await;
     assert_known(&site, "all processes start again");
 
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -138,7 +138,7 @@
         let begun = Instant::now();
         loop {
             for replica in self.system.replicas() {
-                let url = format!("http://{}/{path}", self.system.operators(replica));
+                let url = format!("http://{}/{path}", self.system.operator_address(replica));
                 let method = method.parse().expect("a method");
                 let request = self.client.request(method, url).body(body.to_string());
                 let answer = request.timeout(Duration::from_secs(2)).send().await;
@@ -164,7 +164,7 @@
             if begun.elapsed() > PATIENCE {
                 return false;
             }
-            let (client, entry) = (self.client.clone(), self.system.callers(0));
+            let (client, entry) = (self.client.clone(), self.system.caller_address(0));
             let ids: Vec<String> = (0..PROMPTS_AT_A_TIME).map(|_| self.next_id("stream")).collect();
             let prompts = ids.iter().map(|id| stream(client.clone(), entry, "stream", id, 5));
             futures::future::join_all(prompts).await;
@@ -197,7 +197,8 @@
     assert!(site.serves_until(|site| site.engine("i-0", |engine| engine.begun > 0)).await);
     let mut streams = tokio::task::JoinSet::new();
     for kind in ["stream", "resumable"].repeat(6) {
-        let (client, entry, id) = (site.client.clone(), site.system.callers(0), site.next_id(kind));
+        let (client, entry, id) =
+            (site.client.clone(), site.system.caller_address(0), site.next_id(kind));
         streams.spawn(async move {
             let got = stream(client, entry, kind, &id, LONG_STREAM).await;
             (id, got)
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -145,7 +145,7 @@
     let (entry, address) = {
         let system = harness.system();
         let entry = random.random_range(0..system.entries());
-        (entry, system.callers(entry))
+        (entry, system.caller_address(entry))
     };
     Some(KeptConnection { entry, sender: open_connection(address).await? })
 }
@@ -331,7 +331,7 @@
     /// unless that was a planned stop.
     fn check_connection_failure(&self, reason: &str) {
         let system = self.harness.system();
-        let disturbances = system.disturbed_since(self.entry, self.sent_at - STOP_MARGIN);
+        let disturbances = system.disturbances_since(self.entry, self.sent_at - STOP_MARGIN);
         let is_planned =
             disturbances.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -126,7 +126,7 @@
     async fn pause(&mut self) {
         let pause = Duration::from_millis(self.random.random_range(50..MAX_PAUSE_MS));
         tokio::time::sleep(pause).await;
-        let wrong = self.harness.system().look_after();
+        let wrong = self.harness.system().restart_exited();
         wrong.into_iter().for_each(|description| self.harness.record_violation(description));
         while self.clearing.try_join_next().is_some() {}
     }
@@ -174,7 +174,7 @@
             1 => {
                 system.kill(entry);
                 drop(system);
-                self.clear_after(lasts, move |harness| harness.system().start_again(entry, false));
+                self.clear_after(lasts, move |harness| harness.system().restart(entry, false));
             }
             2 => system.reload(entry),
             _ => system.stop(entry),
@@ -199,9 +199,7 @@
         } else {
             system.kill(replica);
             drop(system);
-            self.clear_after(lasts, move |harness| {
-                harness.system().start_again(replica, drawn == 1)
-            });
+            self.clear_after(lasts, move |harness| harness.system().restart(replica, drawn == 1));
         }
     }
 
@@ -215,7 +213,7 @@
         for replica in replicas {
             self.harness.system().kill(replica);
             self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-            self.clear_after(lasts, move |harness| harness.system().start_again(replica, false));
+            self.clear_after(lasts, move |harness| harness.system().restart(replica, false));
         }
     }
 
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -152,7 +152,7 @@
     }
 
     fn check_abandoned_runs(&self, request_id: &str, at: Instant, entry: usize) {
-        let disturbances = self.system().disturbed_since(entry, at);
+        let disturbances = self.system().disturbances_since(entry, at);
         if self.had_fault_between(at, at + ABANDONED_RUN_TIMEOUT)
             || disturbances.contains(&Disturbance::Unplanned)
         {
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -210,7 +210,7 @@
         };
         let (address, start, asked_at) = {
             let system = harness.system();
-            (system.callers(entry), system.processes[entry].starts, Instant::now())
+            (system.caller_address(entry), system.processes[entry].starts, Instant::now())
         };
         count += 1;
         check_refusal(&harness, entry, address, count).await;
@@ -223,7 +223,7 @@
             continue;
         }
         let is_undisturbed = !harness.had_fault_since(asked_at - IN_FORCE_TIMEOUT)
-            && harness.system().disturbed_since(entry, asked_at - IN_FORCE_TIMEOUT).is_empty()
+            && harness.system().disturbances_since(entry, asked_at - IN_FORCE_TIMEOUT).is_empty()
             && harness.system().processes[entry].starts == start;
         let (newest, at) = acknowledged;
         harness.version_checks.fetch_add(u64::from(is_undisturbed), Ordering::Relaxed);
@@ -304,7 +304,7 @@
         }
     }
     for entry in 0..harness.entries {
-        let address = harness.system().callers(entry);
+        let address = harness.system().caller_address(entry);
         let mut count = 0;
         while request_status(address, &version_route(version), ACCOUNTS[0].1, 1_000_000 + count)
             .await
@@ -312,7 +312,7 @@
         {
             count += 1;
             // One that was stopped by plan may have to be started still.
-            let failures = harness.system().look_after();
+            let failures = harness.system().restart_exited();
             failures.into_iter().for_each(|description| harness.record_violation(description));
             tokio::time::sleep(Duration::from_millis(100)).await;
             if begun.elapsed() > RECOVERY_TIMEOUT {
@@ -336,7 +336,7 @@
 ) -> Option<(u16, String)> {
     let address = {
         let system = harness.system();
-        system.operators(system.replicas().start + replica)
+        system.operator_address(system.replicas().start + replica)
     };
     let calling = async {
         let mut to = address;
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -79,7 +79,7 @@
 ) -> Option<()> {
     let address = {
         let system = harness.system();
-        system.callers(random.random_range(0..system.entries()))
+        system.caller_address(random.random_range(0..system.entries()))
     };
     let mut connection = open_connection(address).await?;
     let mut body = ENDS_TARGETS.to_vec();
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -14,14 +14,14 @@
 pub const REPLICAS: usize = 5;
 /// Ports of each process, below the range from which systems take ports for outgoing connections.
 const FIRST_PORT: u16 = 21_000;
-const OPERATORS: u16 = 9;
-const CALLERS: u16 = 5;
-const READINESS: u16 = 6;
+const OPERATOR_PORT_OFFSET: u16 = 9;
+const CALLER_PORT_OFFSET: u16 = 5;
+const READINESS_PORT_OFFSET: u16 = 6;
 /// How long a process may take to stop after SIGTERM.
-pub const GRACE: Duration = Duration::from_secs(8);
+pub const SHUTDOWN_GRACE: Duration = Duration::from_secs(8);
 
 /// No process can handle a signal that comes before it has set its handlers.
-const TAKES_SIGNALS_AFTER: Duration = Duration::from_millis(500);
+const SIGNAL_HANDLERS_READY_AFTER: Duration = Duration::from_millis(500);
 
 /// What was done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,13 +60,13 @@
     pub processes: Vec<Process>,
     entries: usize,
     /// Where each replica finds the list of targets.
-    lists: Vec<SocketAddr>,
-    port: u16,
+    list_addresses: Vec<SocketAddr>,
+    base_port: u16,
 }
 
 impl System {
     /// Starts all, with an address of the list for each replica. `network` tells apart systems on one machine.
-    pub fn start(entries: usize, lists: Vec<SocketAddr>, network: u8) -> System {
+    pub fn start(entries: usize, list_addresses: Vec<SocketAddr>, network: u8) -> System {
         let folder = tempfile::Builder::new().prefix("kumquatpost-soak-").tempdir();
         let process = |n: usize| {
             let is_entry = n < entries;
@@ -74,10 +74,10 @@
             // Another run on this machine may have the same seed: processes have ports of their own
             // and one that is always the same.
             let run = (std::process::id() % 75) as u8;
-            let part = 90 + run * 2 + (n / 250) as u8;
+            let subnet = 90 + run * 2 + (n / 250) as u8;
             Process {
                 name: format!("{role}-{number}"),
-                ip: Ipv4Addr::new(127, part, network, (n % 250) as u8 + 1).into(),
+                ip: Ipv4Addr::new(127, subnet, network, (n % 250) as u8 + 1).into(),
                 role,
                 child: None,
                 starts: 0,
@@ -91,10 +91,10 @@
             folder: folder.expect("a folder"),
             processes: (0..entries + REPLICAS).map(process).collect(),
             entries,
-            lists,
-            port: FIRST_PORT + (std::process::id() % 500) as u16 * 20,
+            list_addresses,
+            base_port: FIRST_PORT + (std::process::id() % 500) as u16 * 20,
         };
-        (0..system.processes.len()).for_each(|n| system.run(n, true));
+        (0..system.processes.len()).for_each(|n| system.start_process(n, true));
         system
     }
 
@@ -109,43 +109,44 @@
     }
 
     /// Where callers reach an entry.
-    pub fn callers(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.processes[n].ip, self.port + CALLERS)
+    pub fn caller_address(&self, n: usize) -> SocketAddr {
+        SocketAddr::new(self.processes[n].ip, self.base_port + CALLER_PORT_OFFSET)
     }
 
     /// Where the operator reaches a replica.
-    pub fn operators(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.processes[n].ip, self.port + OPERATORS)
+    pub fn operator_address(&self, n: usize) -> SocketAddr {
+        SocketAddr::new(self.processes[n].ip, self.base_port + OPERATOR_PORT_OFFSET)
     }
 
-    fn file(&self, n: usize, what: &str) -> PathBuf {
-        self.folder.path().join(format!("{}-{what}", self.processes[n].name))
+    fn file_path(&self, n: usize, suffix: &str) -> PathBuf {
+        self.folder.path().join(format!("{}-{suffix}", self.processes[n].name))
     }
 
-    fn run(&mut self, n: usize, is_first_start: bool) {
-        let seeds: Vec<SocketAddr> = self.replicas().take(3).map(|n| self.operators(n)).collect();
+    fn start_process(&mut self, n: usize, is_first_start: bool) {
+        let seeds: Vec<SocketAddr> =
+            self.replicas().take(3).map(|n| self.operator_address(n)).collect();
         let process = &self.processes[n];
-        let at = |port: u16| SocketAddr::new(process.ip, self.port + port);
+        let at = |offset: u16| SocketAddr::new(process.ip, self.base_port + offset);
         let is_entry = n < self.entries;
         // Entries do not read it.
-        let list = self.lists[n.saturating_sub(self.entries)];
+        let list_address = self.list_addresses[n.saturating_sub(self.entries)];
         let listen = match is_entry {
-            true => json!({"Front": at(CALLERS), "Ready": at(READINESS)}),
-            false => json!({"Control": at(OPERATORS)}),
+            true => json!({"Front": at(CALLER_PORT_OFFSET), "Ready": at(READINESS_PORT_OFFSET)}),
+            false => json!({"Control": at(OPERATOR_PORT_OFFSET)}),
         };
         let settings = json!({
             "NodeName": process.name, "Ip": process.ip, "Zone": format!("hall-{}", n % 3),
-            "Listen": listen, "PortRange": [self.port, self.port + 4], "Seeds": seeds,
+            "Listen": listen, "PortRange": [self.base_port, self.base_port + 4], "Seeds": seeds,
             "FirstStart": is_first_start, "Limits": {"MemoryMb": 256, "MaxFds": 4096},
-            "DataDir": (!is_entry).then(|| self.file(n, "data")),
-            "Cloud": {"Addr": list, "RatePerS": 44.0}, "Tolerate": {"Machines": 2},
-            "Bounds": {"ConfigApplyMs": 2000, "GraceS": GRACE.as_secs(), "LeaseMs": 3000, "ThawMs": 300,
+            "DataDir": (!is_entry).then(|| self.file_path(n, "data")),
+            "Cloud": {"Addr": list_address, "RatePerS": 44.0}, "Tolerate": {"Machines": 2},
+            "Bounds": {"ConfigApplyMs": 2000, "GraceS": SHUTDOWN_GRACE.as_secs(), "LeaseMs": 3000, "ThawMs": 300,
                        "BudgetRatio": 0.2, "BudgetWindowS": 10, "BudgetSlack": 50,
                        "VersionMs": 6000, "VersionAllMs": 8400}
         });
-        let path = self.file(n, "settings.json");
+        let path = self.file_path(n, "settings.json");
         std::fs::write(&path, settings.to_string()).expect("a file");
-        let log = || File::options().create(true).append(true).open(self.file(n, "log"));
+        let log = || File::options().create(true).append(true).unfinished(self.file_path(n, "log"));
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .arg(process.role)
             .env("KUMQUATPOST_SETTINGS", path)
@@ -167,15 +168,16 @@
     /// Whether a process runs, can take signals by now, and was not told to stop.
     pub fn is_up(&self, n: usize) -> bool {
         let process = &self.processes[n];
-        let takes_signals = process.started_at.is_some_and(|at| at.elapsed() > TAKES_SIGNALS_AFTER);
-        let is_left_alone = process.stopping_since.is_none() && !process.is_paused;
-        process.child.is_some() && takes_signals && is_left_alone
+        let handles_signals =
+            process.started_at.is_some_and(|at| at.elapsed() > SIGNAL_HANDLERS_READY_AFTER);
+        let is_undisturbed = process.stopping_since.is_none() && !process.is_paused;
+        process.child.is_some() && handles_signals && is_undisturbed
     }
 
     /// Kills a process.
     pub fn kill(&mut self, n: usize) {
         let process = &mut self.processes[n];
-        process.begin(Disturbance::Unplanned);
+        process.begin_disturbance(Disturbance::Unplanned);
         if let Some(mut child) = process.child.take() {
             child.kill().expect("it is ours");
             child.wait().expect("it ends");
@@ -183,20 +185,20 @@
     }
 
     /// Starts a process again after a kill, with an empty disk if that is lost.
-    pub fn start_again(&mut self, n: usize, is_wiped: bool) {
+    pub fn restart(&mut self, n: usize, wipe_disk: bool) {
         if self.processes[n].child.is_some() {
             return;
         }
-        if is_wiped && let Err(error) = std::fs::remove_dir_all(self.file(n, "data")) {
+        if wipe_disk && let Err(error) = std::fs::remove_dir_all(self.file_path(n, "data")) {
             assert_eq!(error.kind(), std::io::ErrorKind::NotFound, "{error}");
         }
-        self.run(n, false);
-        self.processes[n].end();
+        self.start_process(n, false);
+        self.processes[n].end_disturbances();
     }
 
     /// Halts a process.
     pub fn pause(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Unplanned);
+        self.processes[n].begin_disturbance(Disturbance::Unplanned);
         self.processes[n].is_paused = true;
         self.signal(n, "STOP");
     }
@@ -206,22 +208,22 @@
         if self.processes[n].is_paused {
             self.processes[n].is_paused = false;
             self.signal(n, "CONT");
-            self.processes[n].end();
+            self.processes[n].end_disturbances();
         }
     }
 
     /// Asks a process to stop; it is started again once it has.
     pub fn stop(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Stop);
+        self.processes[n].begin_disturbance(Disturbance::Stop);
         self.processes[n].stopping_since = Some(Instant::now());
         self.signal(n, "TERM");
     }
 
     /// Asks a process to read its settings again.
     pub fn reload(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Reload);
+        self.processes[n].begin_disturbance(Disturbance::Reload);
         self.signal(n, "HUP");
-        self.processes[n].end();
+        self.processes[n].end_disturbances();
     }
 
     fn signal(&self, n: usize, name: &str) {
@@ -231,40 +233,48 @@
     }
 
     /// Starts again what has stopped as asked. Returns what ended by itself, or does not end.
-    pub fn look_after(&mut self) -> Vec<String> {
-        let mut wrong = Vec::new();
+    pub fn restart_exited(&mut self) -> Vec<String> {
+        let mut failures = Vec::new();
         for n in 0..self.processes.len() {
             let process = &mut self.processes[n];
             let Some(child) = process.child.as_mut() else { continue };
             let ended = child.try_wait().expect("it is ours");
             match (ended, process.stopping_since) {
                 (Some(_), Some(_)) => {
-                    self.run(n, false);
-                    self.processes[n].end();
+                    self.start_process(n, false);
+                    self.processes[n].end_disturbances();
                 }
                 (Some(status), None) => {
-                    wrong.push(format!("{} ended by itself: {status}", process.name));
-                    process.begin(Disturbance::Unplanned);
-                    self.run(n, false);
-                    self.processes[n].end();
+                    failures.push(format!("{} ended by itself: {status}", process.name));
+                    process.begin_disturbance(Disturbance::Unplanned);
+                    self.start_process(n, false);
+                    self.processes[n].end_disturbances();
                 }
                 // A busy machine may start the last steps late.
-                (None, Some(since)) if since.elapsed() > GRACE + Duration::from_secs(4) => {
-                    wrong.push(format!("{} does not stop within its grace period", process.name));
+                (None, Some(since))
+                    if since.elapsed() > SHUTDOWN_GRACE + Duration::from_secs(4) =>
+                {
+                    failures
+                        .push(format!("{} does not stop within its grace period", process.name));
                     process.stopping_since = Some(Instant::now());
                 }
                 (None, _) => {}
             }
         }
-        wrong
+        failures
     }
 
     /// What was done to a process since a time, or just before it.
-    pub fn disturbed_since(&self, n: usize, since: Instant) -> Vec<Disturbance> {
-        let counts = |(_, _, ended): &&(Disturbance, Instant, Option<Instant>)| {
+    pub fn disturbances_since(&self, n: usize, since: Instant) -> Vec<Disturbance> {
+        let overlaps = |(_, _, ended): &&(Disturbance, Instant, Option<Instant>)| {
             ended.is_none_or(|ended| ended >= since)
         };
-        self.processes[n].disturbances.iter().filter(counts).map(|(what, ..)| *what).collect()
+        self.processes[n]
+            .disturbances
+            .iter()
+            .filter(overlaps)
+            .map(|(disturbance, ..)| *disturbance)
+            .collect()
     }
 
     /// Ends all processes.
@@ -285,12 +295,12 @@
 }
 
 impl Process {
-    fn begin(&mut self, what: Disturbance) {
-        self.disturbances.push((what, Instant::now(), None));
+    fn begin_disturbance(&mut self, disturbance: Disturbance) {
+        self.disturbances.push((disturbance, Instant::now(), None));
     }
 
-    fn end(&mut self) {
-        let open = self.disturbances.iter_mut().filter(|(_, _, ended)| ended.is_none());
-        open.for_each(|(_, _, ended)| *ended = Some(Instant::now()));
+    fn end_disturbances(&mut self) {
+        let unfinished = self.disturbances.iter_mut().filter(|(_, _, ended)| ended.is_none());
+        unfinished.for_each(|(_, _, ended)| *ended = Some(Instant::now()));
     }
 }
