--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -233,8 +233,8 @@
         let Some(id) = self.any_target() else { return };
         let network_fault = match self.random.random_range(0..4) {
             0 => NetworkFault::Delay(Duration::from_millis(self.random.random_range(5..150))),
-            1 => NetworkFault::Silence,
-            2 => NetworkFault::OneWay,
+            1 => NetworkFault::Stall,
+            2 => NetworkFault::StallTowardsCaller,
             _ => NetworkFault::Reset,
         };
         self.set(self.targets[&id].clone(), network_fault, lasts);
@@ -242,13 +242,13 @@
 
     fn silence_list(&mut self, lasts: Duration) {
         for list in self.lists.clone() {
-            self.set(list, NetworkFault::Silence, lasts);
+            self.set(list, NetworkFault::Stall, lasts);
         }
     }
 
     pub(super) fn set(&mut self, proxy: Proxy, network_fault: NetworkFault, lasts: Duration) {
-        proxy.set(network_fault);
-        self.clear_after(lasts, move |_| proxy.set(NetworkFault::None));
+        proxy.set_fault(network_fault);
+        self.clear_after(lasts, move |_| proxy.set_fault(NetworkFault::None));
     }
 
     fn inject_target_fault(&mut self, lasts: Duration) {
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -69,7 +69,8 @@
 
     /// The list answers only some replicas.
     fn cut_list_readers(&mut self, random: &mut SmallRng, lasts: Duration) {
-        let network_faults = [NetworkFault::Silence, NetworkFault::OneWay, NetworkFault::Reset];
+        let network_faults =
+            [NetworkFault::Stall, NetworkFault::StallTowardsCaller, NetworkFault::Reset];
         let network_fault = *network_faults.choose(random).expect("there are some");
         for list in self.lists.clone() {
             if random.random_ratio(1, 2) {
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -18,9 +18,9 @@
     /// Bytes come later.
     Delay(Duration),
     /// Nothing passes in either direction, and nobody is told.
-    Silence,
+    Stall,
     /// Nothing passes towards the side that connected.
-    OneWay,
+    StallTowardsCaller,
     /// Connections are reset, and new ones as well.
     Reset,
 }
@@ -31,64 +31,65 @@
     /// Where it listens.
     pub address: SocketAddr,
     network_fault: Arc<watch::Sender<NetworkFault>>,
-    to: Arc<Mutex<SocketAddr>>,
+    target_address: Arc<Mutex<SocketAddr>>,
 }
 
 impl Proxy {
     /// Starts a proxy on an address of its own.
-    pub async fn start(to: SocketAddr) -> Proxy {
+    pub async fn start(target_address: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let proxy = Proxy {
             address: listener.local_addr().expect("an address"),
             network_fault: Arc::new(watch::Sender::new(NetworkFault::None)),
-            to: Arc::new(Mutex::new(to)),
+            target_address: Arc::new(Mutex::new(target_address)),
         };
-        let (network_fault, to) = (proxy.network_fault.clone(), proxy.to.clone());
+        let (network_fault, target_address) =
+            (proxy.network_fault.clone(), proxy.target_address.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let to = *to.lock().expect("nobody panics with it");
-                tokio::spawn(carry(stream, to, network_fault.subscribe()));
+                let target_address = *target_address.lock().expect("nobody panics with it");
+                tokio::spawn(relay(stream, target_address, network_fault.subscribe()));
             }
         });
         proxy
     }
 
     /// Carries new connections elsewhere.
-    pub fn redirect(&self, to: SocketAddr) {
-        *self.to.lock().expect("nobody panics with it") = to;
+    pub fn redirect(&self, target_address: SocketAddr) {
+        *self.target_address.lock().expect("nobody panics with it") = target_address;
     }
 
     /// Sets what happens to connections from now on, those that are open among them.
-    pub fn set(&self, network_fault: NetworkFault) {
+    pub fn set_fault(&self, network_fault: NetworkFault) {
         self.network_fault.send_replace(network_fault);
     }
 }
 
-async fn carry(
+async fn relay(
     stream: TcpStream,
-    to: SocketAddr,
+    target_address: SocketAddr,
     mut network_fault: watch::Receiver<NetworkFault>,
 ) {
     let reset = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     reset.expect("a TCP socket");
-    let Ok(target) = TcpStream::connect(to).await else { return };
+    let Ok(target) = TcpStream::connect(target_address).await else { return };
     stream.set_nodelay(true).expect("a TCP socket");
     target.set_nodelay(true).expect("a TCP socket");
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = target.into_split();
-    let there = pass(from_caller, to_target, network_fault.clone(), false);
-    let back = pass(from_target, to_caller, network_fault.clone(), true);
+    let towards_target = copy(from_caller, to_target, network_fault.clone(), false);
+    let towards_caller = copy(from_target, to_caller, network_fault.clone(), true);
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
+        () = async { tokio::join!(towards_target, towards_caller); } => {}
         _ = network_fault.wait_for(|network_fault| *network_fault == NetworkFault::Reset) => {}
     }
 }
 
-async fn pass(
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut network_fault: watch::Receiver<NetworkFault>,
-    is_back: bool,
+    is_towards_caller: bool,
 ) {
     let mut bytes = vec![0; 16 << 10];
     loop {
@@ -96,12 +97,12 @@
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
-        let holds = |network_fault: &NetworkFault| {
-            *network_fault == NetworkFault::Silence
-                || (*network_fault == NetworkFault::OneWay && is_back)
+        let blocks = |network_fault: &NetworkFault| {
+            *network_fault == NetworkFault::Stall
+                || (*network_fault == NetworkFault::StallTowardsCaller && is_towards_caller)
         };
-        if holds(&network_fault.borrow())
-            && network_fault.wait_for(|network_fault| !holds(network_fault)).await.is_err()
+        if blocks(&network_fault.borrow())
+            && network_fault.wait_for(|network_fault| !blocks(network_fault)).await.is_err()
         {
             return;
         }
