--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -16,16 +16,16 @@
 use crate::proxy::{NetworkFault, Proxy};
 
 /// How long faults strike before a calm phase.
-const STORM: Duration = Duration::from_secs(10);
+const FAULT_PHASE: Duration = Duration::from_secs(10);
 /// How long it is calm then: longer than it takes until a deployment must be in force.
-const CALM: Duration = Duration::from_secs(16);
+const CALM_PHASE: Duration = Duration::from_secs(16);
 /// Longest pause between two faults.
 const MAX_PAUSE_MS: u64 = 900;
 /// Replicas that may be lost at once, and how long one counts as lost once it is back.
-const LOST_AT_ONCE: usize = 2;
-const CATCHES_UP: Duration = Duration::from_secs(8);
+const MAX_LOST_REPLICAS: usize = 2;
+const CATCH_UP_TIME: Duration = Duration::from_secs(8);
 /// A target is gone this long after it began to leave.
-const LEAVES_AFTER: Duration = Duration::from_secs(15);
+const DRAIN_TIME: Duration = Duration::from_secs(15);
 /// Engines and instances of the plain service, each behind a proxy.
 const ENGINES: usize = 4;
 const INSTANCES: usize = 3;
@@ -40,7 +40,7 @@
 }
 
 /// Draws and applies faults.
-pub struct Faults {
+pub struct FaultInjector {
     pub(super) harness: Arc<Harness>,
     random: SmallRng,
     /// Draws what befalls the list and the targets on it, if that is wanted: apart from the rest, so
@@ -50,72 +50,77 @@
     /// Before the list, one for each replica.
     pub(super) lists: Vec<Proxy>,
     /// What entries of other writers name.
-    pub(super) nobody: SocketAddr,
-    starts: u64,
+    pub(super) foreign_address: SocketAddr,
+    started_targets: u64,
     /// What ends faults that have begun.
     pub(super) clearing: JoinSet<()>,
     /// Targets that leave.
-    leaving: JoinSet<()>,
+    draining: JoinSet<()>,
     /// Replicas that are lost, until when.
-    lost: Vec<(usize, Instant)>,
+    lost_replicas: Vec<(usize, Instant)>,
     /// Faults that struck.
     pub count: u64,
 }
 
-impl Faults {
+impl FaultInjector {
     /// Starts the targets. Nothing is wrong yet.
-    pub async fn new(harness: Arc<Harness>, lists: Vec<Proxy>, fault_set: FaultSet) -> Faults {
+    pub async fn new(
+        harness: Arc<Harness>,
+        lists: Vec<Proxy>,
+        fault_set: FaultSet,
+    ) -> FaultInjector {
         let random = SmallRng::seed_from_u64(harness.seed);
         let list_random = SmallRng::seed_from_u64(harness.seed ^ 0x6c69_7374);
-        let nobody = harness.platform.serve_nobody(any_address()).await;
-        let mut faults = Faults {
+        let foreign_address = harness.platform.serve_nobody(any_loopback_address()).await;
+        let mut injector = FaultInjector {
             harness,
             random,
             list_random: (fault_set == FaultSet::All).then_some(list_random),
             targets: BTreeMap::new(),
             lists,
-            nobody,
-            starts: 0,
+            foreign_address,
+            started_targets: 0,
             clearing: JoinSet::new(),
-            leaving: JoinSet::new(),
-            lost: Vec::new(),
+            draining: JoinSet::new(),
+            lost_replicas: Vec::new(),
             count: 0,
         };
         for _ in 0..ENGINES {
-            faults.start_target("llm").await;
+            injector.start_target("llm").await;
         }
         for _ in 0..INSTANCES {
-            faults.start_target("app").await;
+            injector.start_target("app").await;
         }
-        faults
+        injector
     }
 
     async fn start_target(&mut self, service: &str) {
-        self.starts += 1;
-        let id = format!("i-{service}-{}", self.starts);
-        let zone = format!("hall-{}", self.starts % 3);
-        let proxy = Proxy::start(any_address()).await;
+        self.started_targets += 1;
+        let id = format!("i-{service}-{}", self.started_targets);
+        let zone = format!("hall-{}", self.started_targets % 3);
+        let proxy = Proxy::start(any_loopback_address()).await;
         let platform = &self.harness.platform;
         let listed = Some(proxy.address);
-        let address = platform.start_target(&id, service, &zone, any_address(), listed).await;
+        let address =
+            platform.start_target(&id, service, &zone, any_loopback_address(), listed).await;
         proxy.redirect(address);
         self.targets.insert(id, proxy);
     }
 
     /// Strikes until the time is over, then heals all.
-    pub async fn run(&mut self, lasts: Duration) {
-        let end = Instant::now() + lasts;
+    pub async fn run(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
         while Instant::now() < end {
-            let storm_ends = (Instant::now() + STORM).min(end);
-            while Instant::now() < storm_ends {
-                self.pause().await;
+            let fault_phase_end = (Instant::now() + FAULT_PHASE).min(end);
+            while Instant::now() < fault_phase_end {
+                self.wait_between_faults().await;
                 self.inject_fault().await;
                 self.inject_list_fault().await;
             }
             self.wait_until_cleared().await;
-            let calm_ends = (Instant::now() + CALM).min(end);
-            while Instant::now() < calm_ends {
-                self.pause().await;
+            let calm_phase_end = (Instant::now() + CALM_PHASE).min(end);
+            while Instant::now() < calm_phase_end {
+                self.wait_between_faults().await;
                 self.run_planned_operation();
                 self.change_list().await;
             }
@@ -123,11 +128,11 @@
         self.wait_until_cleared().await;
     }
 
-    async fn pause(&mut self) {
+    async fn wait_between_faults(&mut self) {
         let pause = Duration::from_millis(self.random.random_range(50..MAX_PAUSE_MS));
         tokio::time::sleep(pause).await;
-        let wrong = self.harness.system().restart_exited();
-        wrong.into_iter().for_each(|description| self.harness.record_violation(description));
+        let failures = self.harness.system().restart_exited();
+        failures.into_iter().for_each(|description| self.harness.record_violation(description));
         while self.clearing.try_join_next().is_some() {}
     }
 
@@ -145,21 +150,21 @@
 
     async fn inject_fault(&mut self) {
         self.count += 1;
-        let lasts = Duration::from_millis(self.random.random_range(300..3_000));
+        let duration = Duration::from_millis(self.random.random_range(300..3_000));
         match self.random.random_range(0..14) {
-            0 | 1 => self.inject_entry_fault(lasts),
-            2..=4 => self.inject_replica_fault(lasts),
-            5 => self.kill_all_replicas(lasts.min(Duration::from_secs(1))),
+            0 | 1 => self.inject_entry_fault(duration),
+            2..=4 => self.inject_replica_fault(duration),
+            5 => self.kill_all_replicas(duration.min(Duration::from_secs(1))),
             6 => self.replace_target().await,
             7 => self.drain_target().await,
-            8 => self.silence_list(lasts),
+            8 => self.stall_list(duration),
             9 => self.harness.platform.lock().store.restart(),
-            10..=11 => self.inject_network_fault(lasts),
-            _ => self.inject_target_fault(lasts),
+            10..=11 => self.inject_network_fault(duration),
+            _ => self.inject_target_fault(duration),
         }
     }
 
-    fn inject_entry_fault(&mut self, lasts: Duration) {
+    fn inject_entry_fault(&mut self, duration: Duration) {
         let entry = self.random.random_range(0..self.harness.entries);
         let mut system = self.harness.system();
         if !system.is_up(entry) {
@@ -169,55 +174,57 @@
             0 => {
                 system.pause(entry);
                 drop(system);
-                self.clear_after(lasts, move |harness| harness.system().resume(entry));
+                self.clear_after(duration, move |harness| harness.system().resume(entry));
             }
             1 => {
                 system.kill(entry);
                 drop(system);
-                self.clear_after(lasts, move |harness| harness.system().restart(entry, false));
+                self.clear_after(duration, move |harness| harness.system().restart(entry, false));
             }
             2 => system.reload(entry),
             _ => system.stop(entry),
         }
     }
 
-    fn inject_replica_fault(&mut self, lasts: Duration) {
+    fn inject_replica_fault(&mut self, duration: Duration) {
         let replicas = self.harness.system().replicas();
         let replica = self.random.random_range(replicas);
-        self.lost.retain(|(_, until)| Instant::now() < *until);
-        let is_lost = self.lost.iter().any(|(lost, _)| *lost == replica);
-        if is_lost || self.lost.len() >= LOST_AT_ONCE {
+        self.lost_replicas.retain(|(_, until)| Instant::now() < *until);
+        let is_lost = self.lost_replicas.iter().any(|(lost, _)| *lost == replica);
+        if is_lost || self.lost_replicas.len() >= MAX_LOST_REPLICAS {
             return;
         }
-        self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-        let drawn = self.random.random_range(0..4);
+        self.lost_replicas.push((replica, Instant::now() + duration + CATCH_UP_TIME));
+        let choice = self.random.random_range(0..4);
         let mut system = self.harness.system();
-        if drawn == 0 {
+        if choice == 0 {
             system.pause(replica);
             drop(system);
-            self.clear_after(lasts, move |harness| harness.system().resume(replica));
+            self.clear_after(duration, move |harness| harness.system().resume(replica));
         } else {
             system.kill(replica);
             drop(system);
-            self.clear_after(lasts, move |harness| harness.system().restart(replica, drawn == 1));
+            self.clear_after(duration, move |harness| {
+                harness.system().restart(replica, choice == 1)
+            });
         }
     }
 
     /// All replicas end at the same moment and keep their disks.
-    fn kill_all_replicas(&mut self, lasts: Duration) {
-        self.lost.retain(|(_, until)| Instant::now() < *until);
-        if !self.lost.is_empty() {
+    fn kill_all_replicas(&mut self, duration: Duration) {
+        self.lost_replicas.retain(|(_, until)| Instant::now() < *until);
+        if !self.lost_replicas.is_empty() {
             return;
         }
         let replicas = self.harness.system().replicas();
         for replica in replicas {
             self.harness.system().kill(replica);
-            self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-            self.clear_after(lasts, move |harness| harness.system().restart(replica, false));
+            self.lost_replicas.push((replica, Instant::now() + duration + CATCH_UP_TIME));
+            self.clear_after(duration, move |harness| harness.system().restart(replica, false));
         }
     }
 
-    fn any_target(&mut self) -> Option<String> {
+    fn pick_target(&mut self) -> Option<String> {
         let ids: Vec<&String> = self.targets.keys().collect();
         let id = ids.choose(&mut self.random).map(|id| id.to_string());
         id.filter(|id| self.is_up(id))
@@ -229,34 +236,39 @@
         platform.targets.get(id).is_some_and(|target| platform.runs(id, target.start))
     }
 
-    fn inject_network_fault(&mut self, lasts: Duration) {
-        let Some(id) = self.any_target() else { return };
+    fn inject_network_fault(&mut self, duration: Duration) {
+        let Some(id) = self.pick_target() else { return };
         let network_fault = match self.random.random_range(0..4) {
             0 => NetworkFault::Delay(Duration::from_millis(self.random.random_range(5..150))),
             1 => NetworkFault::Stall,
             2 => NetworkFault::StallTowardsCaller,
             _ => NetworkFault::Reset,
         };
-        self.set(self.targets[&id].clone(), network_fault, lasts);
+        self.apply_network_fault(self.targets[&id].clone(), network_fault, duration);
     }
 
-    fn silence_list(&mut self, lasts: Duration) {
+    fn stall_list(&mut self, duration: Duration) {
         for list in self.lists.clone() {
-            self.set(list, NetworkFault::Stall, lasts);
+            self.apply_network_fault(list, NetworkFault::Stall, duration);
         }
     }
 
-    pub(super) fn set(&mut self, proxy: Proxy, network_fault: NetworkFault, lasts: Duration) {
+    pub(super) fn apply_network_fault(
+        &mut self,
+        proxy: Proxy,
+        network_fault: NetworkFault,
+        duration: Duration,
+    ) {
         proxy.set_fault(network_fault);
-        self.clear_after(lasts, move |_| proxy.set_fault(NetworkFault::None));
+        self.clear_after(duration, move |_| proxy.set_fault(NetworkFault::None));
     }
 
-    fn inject_target_fault(&mut self, lasts: Duration) {
-        let Some(id) = self.any_target() else { return };
+    fn inject_target_fault(&mut self, duration: Duration) {
+        let Some(id) = self.pick_target() else { return };
         let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
         let fault = *faults.choose(&mut self.random).expect("there are some");
         self.set_fault(&id, fault);
-        self.clear_after(lasts, move |harness| harness.set_fault(&id, Fault::None));
+        self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
     }
 
     fn set_fault(&self, id: &str, fault: Fault) {
@@ -265,7 +277,7 @@
 
     /// A target dies, and another one starts in its place.
     async fn replace_target(&mut self) {
-        let Some(id) = self.any_target() else { return };
+        let Some(id) = self.pick_target() else { return };
         self.targets.remove(&id);
         let start = self.harness.platform.lock().targets[&id].start;
         self.harness.platform.crash_target(&id, start);
@@ -274,7 +286,7 @@
 
     /// A target leaves, and another one starts before it does.
     async fn drain_target(&mut self) {
-        if let Some(id) = self.any_target() {
+        if let Some(id) = self.pick_target() {
             self.drain(id).await;
         }
     }
@@ -285,8 +297,8 @@
         let start = self.harness.platform.drain_target(&id);
         // Planned: nothing is wrong meanwhile.
         let harness = self.harness.clone();
-        self.leaving.spawn(async move {
-            tokio::time::sleep(LEAVES_AFTER).await;
+        self.draining.spawn(async move {
+            tokio::time::sleep(DRAIN_TIME).await;
             harness.platform.crash_target(&id, start);
         });
     }
@@ -308,7 +320,7 @@
     /// Ends what is still to come.
     pub async fn close(mut self) {
         self.clearing.shutdown().await;
-        self.leaving.shutdown().await;
+        self.draining.shutdown().await;
     }
 
     async fn wait_until_cleared(&mut self) {
@@ -321,6 +333,6 @@
 }
 
 /// A free port on loopback.
-pub fn any_address() -> SocketAddr {
+pub fn any_loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 
-use crate::faults::{Faults, any_address};
+use crate::faults::{FaultInjector, any_loopback_address};
 use crate::platform_stand_in::list::FOREIGN;
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
@@ -28,18 +28,18 @@
 const PLACES: usize = 9;
 const PAGE_ENTRIES: usize = 6;
 
-impl Faults {
+impl FaultInjector {
     /// Strikes beside another fault.
     pub async fn inject_list_fault(&mut self) {
         let Some(mut random) = self.list_random.take() else { return };
-        let lasts = Duration::from_millis(random.random_range(300..3_000));
+        let duration = Duration::from_millis(random.random_range(300..3_000));
         match random.random_range(0..12) {
             0..=2 => self.restart_target(&mut random).await,
             3 => self.restart_leaving(&mut random).await,
-            4 => self.cut_list_readers(&mut random, lasts),
-            5 => self.turn_pages(&mut random, lasts),
+            4 => self.cut_list_readers(&mut random, duration),
+            5 => self.turn_pages(&mut random, duration),
             6 => self.set_foreign(&mut random),
-            7 => self.delay_orders(&mut random, lasts),
+            7 => self.delay_orders(&mut random, duration),
             _ => {}
         }
         self.list_random = Some(random);
@@ -51,7 +51,7 @@
         let Some(mut random) = self.list_random.take() else { return };
         match random.random_range(0..12) {
             0 => {
-                if let Some(id) = self.any_listed(&mut random) {
+                if let Some(id) = self.pick_running_target(&mut random) {
                     self.drain(id).await;
                 }
             }
@@ -62,43 +62,43 @@
         self.list_random = Some(random);
     }
 
-    fn any_listed(&self, random: &mut SmallRng) -> Option<String> {
+    fn pick_running_target(&self, random: &mut SmallRng) -> Option<String> {
         let ids: Vec<&String> = self.targets.keys().filter(|id| self.is_up(id)).collect();
         ids.choose(random).map(|id| id.to_string())
     }
 
     /// The list answers only some replicas.
-    fn cut_list_readers(&mut self, random: &mut SmallRng, lasts: Duration) {
+    fn cut_list_readers(&mut self, random: &mut SmallRng, duration: Duration) {
         let network_faults =
             [NetworkFault::Stall, NetworkFault::StallTowardsCaller, NetworkFault::Reset];
         let network_fault = *network_faults.choose(random).expect("there are some");
         for list in self.lists.clone() {
             if random.random_ratio(1, 2) {
-                self.set(list, network_fault, lasts);
+                self.apply_network_fault(list, network_fault, duration);
             }
         }
     }
 
     /// The list comes in pages, which shift for a while.
-    fn turn_pages(&mut self, random: &mut SmallRng, lasts: Duration) {
+    fn turn_pages(&mut self, random: &mut SmallRng, duration: Duration) {
         let shift = *[-2, -1, 0, 1, 2].choose(random).expect("there are some");
         let mut platform = self.harness.platform.lock();
         platform.list.page_entries = random.random_range(0..PAGE_ENTRIES);
         platform.list.shift = shift;
         drop(platform);
-        self.clear_after(lasts, move |harness| harness.platform.lock().list.shift = 0);
+        self.clear_after(duration, move |harness| harness.platform.lock().list.shift = 0);
     }
 
     /// Other writers' entries come and go, some of them under ids of targets.
     fn set_foreign(&mut self, random: &mut SmallRng) {
         let mut foreign = Vec::new();
         for number in 0..random.random_range(0..FOREIGN_AT_A_TIME) {
-            let id = match self.any_listed(random) {
+            let id = match self.pick_running_target(random) {
                 Some(id) if random.random_ratio(1, 3) => id,
                 _ => format!("i-foreign-{number}"),
             };
             let kind = FOREIGN.choose(random).expect("there are some");
-            foreign.push((random.random_range(0..PLACES), kind.entry(&id, self.nobody)));
+            foreign.push((random.random_range(0..PLACES), kind.entry(&id, self.foreign_address)));
         }
         let mut platform = self.harness.platform.lock();
         platform.list.foreign = foreign;
@@ -106,10 +106,10 @@
     }
 
     /// An engine answers no orders for a while, and carries them out later.
-    fn delay_orders(&mut self, random: &mut SmallRng, lasts: Duration) {
-        let Some(id) = self.any_listed(random) else { return };
+    fn delay_orders(&mut self, random: &mut SmallRng, duration: Duration) {
+        let Some(id) = self.pick_running_target(random) else { return };
         self.harness.set_fault(&id, Fault::LateOrders);
-        self.clear_after(lasts, move |harness| harness.set_fault(&id, Fault::None));
+        self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
     }
 
     /// A target starts again under its id, rather one that loads weights.
@@ -119,14 +119,14 @@
             let loads = |id: &&String| platform.targets[*id].loading.is_some();
             self.targets.keys().find(loads).cloned()
         };
-        if let Some(id) = loads.or_else(|| self.any_listed(random)) {
+        if let Some(id) = loads.or_else(|| self.pick_running_target(random)) {
             self.restart(id, random).await;
         }
     }
 
     /// A target leaves, and starts again under its id instead of another one.
     async fn restart_leaving(&mut self, random: &mut SmallRng) {
-        let Some(id) = self.any_listed(random) else { return };
+        let Some(id) = self.pick_running_target(random) else { return };
         self.harness.platform.drain_target(&id);
         tokio::time::sleep(Duration::from_millis(random.random_range(0..LEAVES_FOR_MS))).await;
         self.restart(id, random).await;
@@ -143,15 +143,15 @@
         let moves = random.random_ratio(1, 2);
         let (harness, known) = (self.harness.clone(), self.targets[&id].clone());
         // Nobody else's while it is down.
-        known.redirect(any_address());
-        let listed = if moves { Proxy::start(any_address()).await } else { known };
+        known.redirect(any_loopback_address());
+        let listed = if moves { Proxy::start(any_loopback_address()).await } else { known };
         self.targets.insert(id.clone(), listed.clone());
         let restart = Restart {
             down: Duration::from_millis(down),
             listed_address: Some(listed.address),
             born_ms,
             entry_lags: Duration::from_millis(lags),
-            ..Restart::at(any_address())
+            ..Restart::at(any_loopback_address())
         };
         self.clearing.spawn(async move {
             if let Some(address) = harness.platform.restart_target(&id, restart).await {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -24,7 +24,7 @@
 use std::time::{Duration, Instant};
 
 use callers::{DeferredCheck, RequestCounts};
-use faults::{FaultSet, Faults};
+use faults::{FaultInjector, FaultSet};
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
@@ -230,7 +230,7 @@
         violations: Mutex::default(),
         fault_periods: Mutex::default(),
     });
-    let mut injector = Faults::new(harness.clone(), list_proxies, fault_set).await;
+    let mut injector = FaultInjector::new(harness.clone(), list_proxies, fault_set).await;
     operator::check_recovery(&harness).await;
     let stop = Arc::new(AtomicBool::new(false));
     let faults_done = Arc::new(AtomicBool::new(false));
@@ -262,7 +262,7 @@
     close(harness, &summary_line, latest.into_iter().flatten().collect())
 }
 
-fn summary(harness: &Harness, injector: &Faults, begun: Instant) -> String {
+fn summary(harness: &Harness, injector: &FaultInjector, begun: Instant) -> String {
     let platform = harness.platform.lock();
     let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
     format!(
