--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -16,17 +16,17 @@
 use crate::proxy::{NetworkFault, Proxy};
 
 /// A target that starts again is down for so long at most.
-const DOWN_MS: u64 = 2_500;
+const MAX_DOWN_MS: u64 = 2_500;
 /// And its entry shows the earlier start for so long at most.
-const ENTRY_LAGS_MS: u64 = 2_500;
+const MAX_ENTRY_LAG_MS: u64 = 2_500;
 /// How far the clock of a target may go backwards between two starts.
-const CLOCK_BACK_MS: u64 = 3_600_000;
+const MAX_CLOCK_BACK_MS: u64 = 3_600_000;
 /// How long a target may leave before it starts again.
-const LEAVES_FOR_MS: u64 = 3_000;
+const MAX_LEAVING_MS: u64 = 3_000;
 /// Entries of other writers at a time, places on the list where they stand, and entries on a page.
-const FOREIGN_AT_A_TIME: usize = 4;
-const PLACES: usize = 9;
-const PAGE_ENTRIES: usize = 6;
+const FOREIGN_ENTRY_LIMIT: usize = 4;
+const LIST_POSITIONS: usize = 9;
+const PAGE_SIZE_LIMIT: usize = 6;
 
 impl FaultInjector {
     /// Strikes beside another fault.
@@ -35,10 +35,10 @@
         let duration = Duration::from_millis(random.random_range(300..3_000));
         match random.random_range(0..12) {
             0..=2 => self.restart_target(&mut random).await,
-            3 => self.restart_leaving(&mut random).await,
-            4 => self.cut_list_readers(&mut random, duration),
-            5 => self.turn_pages(&mut random, duration),
-            6 => self.set_foreign(&mut random),
+            3 => self.restart_draining_target(&mut random).await,
+            4 => self.isolate_list_readers(&mut random, duration),
+            5 => self.shift_pages(&mut random, duration),
+            6 => self.set_foreign_entries(&mut random),
             7 => self.delay_orders(&mut random, duration),
             _ => {}
         }
@@ -56,7 +56,7 @@
                 }
             }
             1 => self.restart_target(&mut random).await,
-            2 => self.set_foreign(&mut random),
+            2 => self.set_foreign_entries(&mut random),
             _ => {}
         }
         self.list_random = Some(random);
@@ -68,7 +68,7 @@
     }
 
     /// The list answers only some replicas.
-    fn cut_list_readers(&mut self, random: &mut SmallRng, duration: Duration) {
+    fn isolate_list_readers(&mut self, random: &mut SmallRng, duration: Duration) {
         let network_faults =
             [NetworkFault::Stall, NetworkFault::StallTowardsCaller, NetworkFault::Reset];
         let network_fault = *network_faults.choose(random).expect("there are some");
@@ -80,25 +80,28 @@
     }
 
     /// The list comes in pages, which shift for a while.
-    fn turn_pages(&mut self, random: &mut SmallRng, duration: Duration) {
+    fn shift_pages(&mut self, random: &mut SmallRng, duration: Duration) {
         let shift = *[-2, -1, 0, 1, 2].choose(random).expect("there are some");
         let mut platform = self.harness.platform.lock();
-        platform.list.page_entries = random.random_range(0..PAGE_ENTRIES);
+        platform.list.page_entries = random.random_range(0..PAGE_SIZE_LIMIT);
         platform.list.shift = shift;
         drop(platform);
         self.clear_after(duration, move |harness| harness.platform.lock().list.shift = 0);
     }
 
     /// Other writers' entries come and go, some of them under ids of targets.
-    fn set_foreign(&mut self, random: &mut SmallRng) {
+    fn set_foreign_entries(&mut self, random: &mut SmallRng) {
         let mut foreign = Vec::new();
-        for number in 0..random.random_range(0..FOREIGN_AT_A_TIME) {
+        for number in 0..random.random_range(0..FOREIGN_ENTRY_LIMIT) {
             let id = match self.pick_running_target(random) {
                 Some(id) if random.random_ratio(1, 3) => id,
                 _ => format!("i-foreign-{number}"),
             };
             let kind = FOREIGN.choose(random).expect("there are some");
-            foreign.push((random.random_range(0..PLACES), kind.entry(&id, self.foreign_address)));
+            foreign.push((
+                random.random_range(0..LIST_POSITIONS),
+                kind.entry(&id, self.foreign_address),
+            ));
         }
         let mut platform = self.harness.platform.lock();
         platform.list.foreign = foreign;
@@ -114,43 +117,47 @@
 
     /// A target starts again under its id, rather one that loads weights.
     async fn restart_target(&mut self, random: &mut SmallRng) {
-        let loads = {
+        let loading = {
             let platform = self.harness.platform.lock();
-            let loads = |id: &&String| platform.targets[*id].loading.is_some();
-            self.targets.keys().find(loads).cloned()
+            let loading = |id: &&String| platform.targets[*id].loading.is_some();
+            self.targets.keys().find(loading).cloned()
         };
-        if let Some(id) = loads.or_else(|| self.pick_running_target(random)) {
+        if let Some(id) = loading.or_else(|| self.pick_running_target(random)) {
             self.restart(id, random).await;
         }
     }
 
     /// A target leaves, and starts again under its id instead of another one.
-    async fn restart_leaving(&mut self, random: &mut SmallRng) {
+    async fn restart_draining_target(&mut self, random: &mut SmallRng) {
         let Some(id) = self.pick_running_target(random) else { return };
         self.harness.platform.drain_target(&id);
-        tokio::time::sleep(Duration::from_millis(random.random_range(0..LEAVES_FOR_MS))).await;
+        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_LEAVING_MS))).await;
         self.restart(id, random).await;
     }
 
     /// At once or late, at the same address or another one, and with or without a list that lags.
     async fn restart(&mut self, id: String, random: &mut SmallRng) {
-        let mut drawn = |most: u64| match random.random_ratio(1, 2) {
+        let mut zero_or_random = |most: u64| match random.random_ratio(1, 2) {
             true => 0,
             false => random.random_range(0..most),
         };
-        let (down, lags) = (drawn(DOWN_MS), drawn(ENTRY_LAGS_MS));
-        let born_ms = clock_ms() + down - drawn(CLOCK_BACK_MS);
-        let moves = random.random_ratio(1, 2);
-        let (harness, known) = (self.harness.clone(), self.targets[&id].clone());
+        let (down, entry_lag) = (zero_or_random(MAX_DOWN_MS), zero_or_random(MAX_ENTRY_LAG_MS));
+        let born_ms = clock_ms() + down - zero_or_random(MAX_CLOCK_BACK_MS);
+        let changes_address = random.random_ratio(1, 2);
+        let (harness, current_proxy) = (self.harness.clone(), self.targets[&id].clone());
         // Nobody else's while it is down.
-        known.redirect(any_loopback_address());
-        let listed = if moves { Proxy::start(any_loopback_address()).await } else { known };
+        current_proxy.redirect(any_loopback_address());
+        let listed = if changes_address {
+            Proxy::start(any_loopback_address()).await
+        } else {
+            current_proxy
+        };
         self.targets.insert(id.clone(), listed.clone());
         let restart = Restart {
             down: Duration::from_millis(down),
             listed_address: Some(listed.address),
             born_ms,
-            entry_lags: Duration::from_millis(lags),
+            entry_lags: Duration::from_millis(entry_lag),
             ..Restart::at(any_loopback_address())
         };
         self.clearing.spawn(async move {
