--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -146,7 +146,7 @@
         });
         let path = self.file_path(n, "settings.json");
         std::fs::write(&path, settings.to_string()).expect("a file");
-        let log = || File::options().create(true).append(true).unfinished(self.file_path(n, "log"));
+        let log = || File::options().create(true).append(true).open(self.file_path(n, "log"));
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .arg(process.role)
             .env("KUMQUATPOST_SETTINGS", path)
