--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -24,7 +24,7 @@
 /// Longest wait for one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The first of the numbers that tell these requests from others.
-const REFUSAL_ID_BASE: u64 = 2_000_000;
+const REFUSAL_BASE: u64 = 2_000_000;
 /// Longest wait for the system to be whole again after its last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
@@ -102,7 +102,7 @@
     harness.published().sent.push((version, document.clone()));
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call_api(harness, replica, "PUT", "/config", Some(&document)).await;
+            let answer = call(harness, replica, "PUT", "/config", Some(&document)).await;
             match answer {
                 Some((200, _)) => {
                     let mut published = harness.published();
@@ -135,7 +135,7 @@
     if !harness.published().is_acknowledged(stale_version) {
         return;
     }
-    call_api(harness, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
+    call(harness, random.random_range(0..REPLICAS), "PUT", "/config", Some(&other)).await;
 }
 
 async fn send_invalid(harness: &Harness, version: u64, random: &mut SmallRng) {
@@ -147,7 +147,7 @@
         _ => invalid["Tenants"][1]["ApiKeys"] = invalid["Tenants"][0]["ApiKeys"].clone(),
     }
     let replica = random.random_range(0..REPLICAS);
-    if let Some((200, _)) = call_api(harness, replica, "PUT", "/config", Some(&invalid)).await {
+    if let Some((200, _)) = call(harness, replica, "PUT", "/config", Some(&invalid)).await {
         harness.record_violation(format!("an invalid deployment is acknowledged: {invalid}"));
     }
 }
@@ -161,7 +161,7 @@
     let body = json!({"Model": "m", "Version": version});
     for _ in 0..4 {
         for replica in 0..REPLICAS {
-            let answer = call_api(harness, replica, "POST", "/version-put", Some(&body)).await;
+            let answer = call(harness, replica, "POST", "/version-put", Some(&body)).await;
             if answer.is_some_and(|(status, _)| status == 200) {
                 let mut platform = harness.platform.lock();
                 return platform.account.named.push((version, Instant::now()));
@@ -173,9 +173,7 @@
 /// A read is never older than what was acknowledged before it was sent.
 async fn read_back(harness: &Harness, replica: usize) {
     let before = harness.published().acknowledged.map_or(0, |(version, _)| version);
-    let Some((200, text)) = call_api(harness, replica, "GET", "/config", None).await else {
-        return;
-    };
+    let Some((200, text)) = call(harness, replica, "GET", "/config", None).await else { return };
     let read: Value = serde_json::from_str(&text).unwrap_or_default();
     let version = read["Version"].as_u64().unwrap_or(0);
     if version < before {
@@ -214,7 +212,7 @@
         };
         count += 1;
         check_refusal(&harness, entry, address, count).await;
-        let Some(status) = get_status(address, &version_route(version), ACCOUNTS[0].1, count).await
+        let Some(status) = status_of(address, &version_route(version), ACCOUNTS[0].1, count).await
         else {
             continue;
         };
@@ -259,9 +257,7 @@
         0 => (version_route(newest), ACCOUNTS[0].1.to_string()),
         _ => ("safe".to_string(), version_key(newest)),
     };
-    let Some(status) = get_status(address, &route, &key, REFUSAL_ID_BASE + count).await else {
-        return;
-    };
+    let Some(status) = status_of(address, &route, &key, REFUSAL_BASE + count).await else { return };
     harness.refusal_checks.fetch_add(1, Ordering::Relaxed);
     let is_final = [401, 403, 404].contains(&status);
     if is_final && harness.published().is_newest(newest) {
@@ -272,7 +268,7 @@
     }
 }
 
-async fn get_status(
+async fn status_of(
     address: std::net::SocketAddr,
     route: &str,
     key: &str,
@@ -304,7 +300,7 @@
     for entry in 0..harness.entries {
         let address = harness.system().caller_address(entry);
         let mut count = 0;
-        while get_status(address, &version_route(version), ACCOUNTS[0].1, 1_000_000 + count).await
+        while status_of(address, &version_route(version), ACCOUNTS[0].1, 1_000_000 + count).await
             != Some(200)
         {
             count += 1;
@@ -324,7 +320,7 @@
     }
 }
 
-async fn call_api(
+async fn call(
     harness: &Harness,
     replica: usize,
     method: &str,
