--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,9 +1,8 @@
-//! A randomized soak: the real programs as separate processes before stand-ins of the platform, with
-//! faults from outside, drawn from one seed. It checks what callers and targets see while it runs.
-//!
-//! `cargo test --release --test soak -- --seed 7 --processes 8 --minutes 2`; `--seeds N` runs N seeds
-//! from there, with `--plain` without faults of the list and of targets that start again. Without
-//! arguments: short runs.
+//! Randomized soak test. Runs the real binary as separate processes against stand-ins of the
+//! platform, injects faults drawn from a seed, and checks what callers and targets observe.
+//! Usage: `cargo test --release --test soak -- --seed 7 --processes 8 --minutes 2`. `--seeds N`
+//! runs N consecutive seeds; `--plain` omits faults of the target list and target restarts.
+//! Without `--seed`, runs the seeds in `REGRESSIONS`.
 
 mod callers;
 mod disk_load;
@@ -33,15 +32,16 @@
 use proxy::Proxy;
 use system::{Disturbance, REPLICAS, System};
 
-/// Callers at a time.
+/// Number of concurrent callers.
 const CALLER_COUNT: u64 = 24;
-/// A run that is short enough for every change.
+/// Duration of a run without `--minutes`.
 const DEFAULT_DURATION: Duration = Duration::from_secs(30);
-/// Seeds that once failed, run each time. 10: two prompts under way to an engine that changed its
-/// weights moved the belief about it by two versions. 19: SIGHUP ended a process that had just started.
-/// 108: after all replicas had started anew, entries took their lists of targets for old ones. 321: one
-/// entry of another writer took the whole list away; targets that had left and started again got nothing. 2048: an entry of another
-/// writer under an engine's id, of a service that is not named, was taken for a later start of that engine.
+/// Seeds of fixed bugs. 10: two prompts in flight to an engine that changed its weights advanced
+/// its recorded version twice. 19: SIGHUP terminated a process during startup. 108: after a
+/// restart of all replicas, entries rejected new target lists as outdated. 321: one foreign list
+/// entry invalidated the whole list, and targets that had left and restarted got no requests.
+/// 2048: a foreign list entry with the id of an engine but an undefined service was taken for a
+/// restart of that engine.
 const REGRESSIONS: [(u64, FaultSet); 5] = [
     (10, FaultSet::Plain),
     (19, FaultSet::Plain),
@@ -49,84 +49,84 @@
     (321, FaultSet::All),
     (2048, FaultSet::All),
 ];
-/// Work for a caller who has left ends after this time. Longer than deployments ask for: a busy
-/// machine may keep a process waiting for a while.
+/// Longest time that a target may run a request after its caller has disconnected. Exceeds the
+/// limit of the deployment, as processes may be delayed on a busy machine.
 const ABANDONED_RUN_TIMEOUT: Duration = Duration::from_secs(3);
-/// Repeats that targets may get beside the requests themselves: a part of these, and so many more.
+/// Largest number of repeated runs: a ratio of the requests, plus a constant.
 const RETRY_BUDGET: (f64, f64) = (0.2, 50.0);
 
-/// What all tasks of one run share.
+/// State shared by all tasks of a run.
 pub struct Harness {
-    /// The seed.
     pub seed: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: usize,
-    /// The stand-ins.
+    /// Stand-ins of the platform.
     pub platform: Platform,
-    /// The store's address.
+    /// Address of the KV cache store.
     pub store: SocketAddr,
-    /// What became of requests.
+    /// Results of requests.
     pub request_counts: RequestCounts,
-    /// Answers of entries about what is in force that could be judged.
+    /// Number of entry responses that were checked for the deployment version in force.
     pub version_checks: AtomicU64,
-    /// Requests of routes and keys that must not be refused for good.
+    /// Number of requests that were checked for a wrong permanent refusal.
     pub refusal_checks: AtomicU64,
     system: Mutex<System>,
     published: Mutex<Published>,
     deferred_checks: Mutex<Vec<DeferredCheck>>,
     violations: Mutex<Vec<String>>,
-    /// When something beside planned work was wrong.
+    /// Start and end of each fault period; planned operations are not faults.
     fault_periods: Mutex<Vec<(Instant, Option<Instant>)>>,
 }
 
 impl Harness {
-    /// The processes.
+    /// Locks the processes under test.
     pub fn system(&self) -> MutexGuard<'_, System> {
-        self.system.lock().expect("nobody panics with it")
+        self.system.lock().expect("the lock is not poisoned")
     }
 
-    /// What the operator knows.
+    /// Locks the record of published deployments.
     pub fn published(&self) -> MutexGuard<'_, Published> {
-        self.published.lock().expect("nobody panics with it")
+        self.published.lock().expect("the lock is not poisoned")
     }
 
-    /// Records what must never happen.
+    /// Records and prints a violation.
     pub fn record_violation(&self, description: String) {
         println!("seed {}: VIOLATION: {description}", self.seed);
-        self.violations.lock().expect("nobody panics with it").push(description);
+        self.violations.lock().expect("the lock is not poisoned").push(description);
     }
 
-    /// Records what is to be checked at the end.
+    /// Schedules a check for the end of the run.
     pub fn defer_check(&self, check: DeferredCheck) {
-        self.deferred_checks.lock().expect("nobody panics with it").push(check);
+        self.deferred_checks.lock().expect("the lock is not poisoned").push(check);
     }
 
-    /// Something is wrong from now on. Returns its number.
+    /// Starts a fault period and returns its index.
     pub fn begin_fault(&self) -> usize {
-        let mut fault_periods = self.fault_periods.lock().expect("nobody panics with it");
+        let mut fault_periods = self.fault_periods.lock().expect("the lock is not poisoned");
         fault_periods.push((Instant::now(), None));
         fault_periods.len() - 1
     }
 
-    /// It is over.
+    /// Ends a fault period.
     pub fn end_fault(&self, number: usize) {
-        self.fault_periods.lock().expect("nobody panics with it")[number].1 = Some(Instant::now());
+        self.fault_periods.lock().expect("the lock is not poisoned")[number].1 =
+            Some(Instant::now());
     }
 
-    /// Whether something was wrong at or after a time.
+    /// Whether a fault was active at or after a time.
     pub fn had_fault_since(&self, since: Instant) -> bool {
         self.had_fault_between(since, Instant::now())
     }
 
-    /// Whether something was wrong between two times.
+    /// Whether a fault was active between two times.
     pub fn had_fault_between(&self, from: Instant, to: Instant) -> bool {
-        let fault_periods = self.fault_periods.lock().expect("nobody panics with it");
+        let fault_periods = self.fault_periods.lock().expect("the lock is not poisoned");
         fault_periods
             .iter()
             .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
     }
 
-    /// Makes a target do something wrong.
+    /// Injects a fault into a target, if it exists.
     pub fn set_fault(&self, id: &str, fault: Fault) {
         if let Some(target) = self.platform.lock().targets.get_mut(id) {
             target.fault = fault;
@@ -134,13 +134,13 @@
     }
 
     fn run_deferred_checks(&self) {
-        for check in self.deferred_checks.lock().expect("nobody panics with it").drain(..) {
+        for check in self.deferred_checks.lock().expect("the lock is not poisoned").drain(..) {
             match check {
                 DeferredCheck::NotRun(request_id) => {
                     let runs = self.platform.lock().account.runs_of(&request_id).to_vec();
                     if !runs.is_empty() {
                         self.record_violation(format!(
-                            "{request_id} was said not to have run: {runs:?}"
+                            "{request_id} ran although it was reported as not run: {runs:?}"
                         ));
                     }
                 }
@@ -167,13 +167,13 @@
             if work_time > ABANDONED_RUN_TIMEOUT {
                 let target = &run.target;
                 self.record_violation(format!(
-                    "{target} works on {request_id} {work_time:?} after its caller left"
+                    "{target} ran {request_id} for {work_time:?} after its caller disconnected"
                 ));
             }
         }
     }
 
-    /// What came latest while nothing was wrong, if later than a deployment allows.
+    /// Returns the longest delay outside fault periods that exceeds the limit of the deployment.
     fn latest_without_fault(&self, promise: Promise) -> Option<Late> {
         let platform = self.platform.lock();
         let late = platform.account.late.iter().filter(|late| late.promise == promise);
@@ -192,13 +192,13 @@
         violations.extend(unexcused.map(|late| late.what.clone()));
         drop(platform);
         if repeats as f64 > max_repeats {
-            self.record_violation(format!("{repeats} repeats, at most {max_repeats} are allowed"));
+            self.record_violation(format!("{repeats} repeated runs, the limit is {max_repeats}"));
         }
         violations.into_iter().for_each(|description| self.record_violation(description));
     }
 }
 
-/// Runs one seed. Returns what must not have happened.
+/// Runs one seed and returns the violations.
 async fn run_seed(
     seed: u64,
     entries: usize,
@@ -207,7 +207,7 @@
 ) -> Vec<String> {
     let begun = Instant::now();
     let platform = Platform::new();
-    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
     let list_address = platform.serve_list(any_port).await;
     let list_proxies: Vec<Proxy> =
         futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list_address)).collect().await;
@@ -244,12 +244,12 @@
     tasks.spawn(disk_load::run(harness.clone(), faults_done.clone()));
     injector.run(duration).await;
     faults_done.store(true, Ordering::Relaxed);
-    operator.await.expect("it does not panic");
+    operator.await.expect("the task does not panic");
     operator::check_recovery(&harness).await;
     target_recovery::check(&harness).await;
     stop.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
-        ended.expect("no task panics");
+        ended.expect("the task does not panic");
     }
     tokio::time::sleep(ABANDONED_RUN_TIMEOUT).await;
     harness.run_deferred_checks();
@@ -286,13 +286,17 @@
     )
 }
 
-/// Ends the processes; keeps their logs if something was wrong, or came late.
+/// Kills the processes and returns all violations, including panics in the logs. Keeps the logs if
+/// there are violations or delays.
 fn close(harness: Arc<Harness>, summary_line: &str, late: Vec<Late>) -> Vec<String> {
     let harness = Arc::into_inner(harness).expect("all tasks have ended");
-    let mut violations = harness.violations.into_inner().expect("nobody panics with it");
-    let folder = harness.system.into_inner().expect("nobody panics with it").close();
-    let logs = std::fs::read_dir(folder.path()).expect("a folder");
-    for path in logs.map(|entry| entry.expect("an entry").path()).filter(|path| path.is_file()) {
+    let mut violations = harness.violations.into_inner().expect("the lock is not poisoned");
+    let folder = harness.system.into_inner().expect("the lock is not poisoned").close();
+    let logs = std::fs::read_dir(folder.path()).expect("the folder is readable");
+    for path in logs
+        .map(|entry| entry.expect("a readable folder entry").path())
+        .filter(|path| path.is_file())
+    {
         let text = std::fs::read(&path).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
         let panics = text.lines().filter(|line| line.contains("event=panic"));
@@ -322,7 +326,7 @@
     };
     let mut failed = 0;
     for (seed, fault_set) in &seeds {
-        let runtime = tokio::runtime::Runtime::new().expect("a runtime");
+        let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
         let violations = runtime.block_on(run_seed(*seed, entries, duration, *fault_set));
         violations.iter().for_each(|description| println!("seed {seed}: {description}"));
         failed += u32::from(!violations.is_empty());
