--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -1,4 +1,4 @@
-//! The processes under test: entries and replicas, each on a loopback address of its own.
+//! The processes under test: entries and replicas, each with its own loopback address.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,69 +10,69 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-/// Replicas of the system: two may be lost.
+/// Number of replicas. The system tolerates the loss of two.
 pub const REPLICAS: usize = 5;
-/// Ports of each process, below the range from which systems take ports for outgoing connections.
+/// Lowest base port, below the ephemeral port range.
 const FIRST_PORT: u16 = 21_000;
 const OPERATOR_PORT_OFFSET: u16 = 9;
 const CALLER_PORT_OFFSET: u16 = 5;
 const READINESS_PORT_OFFSET: u16 = 6;
-/// How long a process may take to stop after SIGTERM.
+/// Time limit for a shutdown after SIGTERM.
 pub const SHUTDOWN_GRACE: Duration = Duration::from_secs(8);
 
-/// No process can handle a signal that comes before it has set its handlers.
+/// Time from the start of a process until its signal handlers are installed.
 const SIGNAL_HANDLERS_READY_AFTER: Duration = Duration::from_millis(500);
 
-/// What was done to a process.
+/// An action of the test on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// SIGTERM, and a start once it has ended.
+    /// SIGTERM, and a restart after the exit.
     Stop,
     /// SIGHUP.
     Reload,
-    /// SIGKILL, SIGSTOP, or a lost disk.
+    /// SIGKILL, SIGSTOP, disk loss, or an unexpected exit.
     Unplanned,
 }
 
-/// One process, over its restarts.
+/// A process and its restarts.
 pub struct Process {
-    /// Its name, in logs.
+    /// Node name, also the prefix of its files.
     pub name: String,
-    /// Its address.
     pub ip: IpAddr,
     role: &'static str,
     child: Option<Child>,
-    /// Incarnations, from 1.
+    /// Number of starts.
     pub starts: u32,
     started_at: Option<Instant>,
-    /// SIGTERM was sent at that time, and it has not ended.
+    /// When SIGTERM was sent, until the process exits.
     stopping_since: Option<Instant>,
     is_paused: bool,
-    /// What was done to it, and when that ended.
+    /// Disturbances with their start and end.
     disturbances: Vec<(Disturbance, Instant, Option<Instant>)>,
 }
 
-/// All processes.
+/// All processes under test.
 pub struct System {
-    /// Logs, settings and disks.
+    /// Folder of logs, settings and data directories.
     pub folder: TempDir,
-    /// Entries, then replicas.
+    /// Entries, followed by replicas.
     pub processes: Vec<Process>,
     entries: usize,
-    /// Where each replica finds the list of targets.
+    /// Address of the target list for each replica.
     list_addresses: Vec<SocketAddr>,
     base_port: u16,
 }
 
 impl System {
-    /// Starts all, with an address of the list for each replica. `network` tells apart systems on one machine.
+    /// Starts all processes, with one address of the target list per replica. `network` is the
+    /// third octet of their IP addresses and separates systems on one machine.
     pub fn start(entries: usize, list_addresses: Vec<SocketAddr>, network: u8) -> System {
         let folder = tempfile::Builder::new().prefix("kumquatpost-soak-").tempdir();
         let process = |n: usize| {
             let is_entry = n < entries;
             let (role, number) = if is_entry { ("entry", n) } else { ("replica", n - entries) };
-            // Another run on this machine may have the same seed: processes have ports of their own
-            // and one that is always the same.
+            // Derived from the process id, as a concurrent run on this machine may use the same
+            // seed.
             let run = (std::process::id() % 75) as u8;
             let subnet = 90 + run * 2 + (n / 250) as u8;
             Process {
@@ -88,7 +88,7 @@
             }
         };
         let mut system = System {
-            folder: folder.expect("a folder"),
+            folder: folder.expect("a temporary folder"),
             processes: (0..entries + REPLICAS).map(process).collect(),
             entries,
             list_addresses,
@@ -98,22 +98,22 @@
         system
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// The indices of replicas.
+    /// Process indices of the replicas.
     pub fn replicas(&self) -> std::ops::Range<usize> {
         self.entries..self.processes.len()
     }
 
-    /// Where callers reach an entry.
+    /// Address of an entry for callers.
     pub fn caller_address(&self, n: usize) -> SocketAddr {
         SocketAddr::new(self.processes[n].ip, self.base_port + CALLER_PORT_OFFSET)
     }
 
-    /// Where the operator reaches a replica.
+    /// Address of a replica for the operator.
     pub fn operator_address(&self, n: usize) -> SocketAddr {
         SocketAddr::new(self.processes[n].ip, self.base_port + OPERATOR_PORT_OFFSET)
     }
@@ -128,7 +128,7 @@
         let process = &self.processes[n];
         let at = |offset: u16| SocketAddr::new(process.ip, self.base_port + offset);
         let is_entry = n < self.entries;
-        // Entries do not read it.
+        // Entries do not use the list address.
         let list_address = self.list_addresses[n.saturating_sub(self.entries)];
         let listen = match is_entry {
             true => json!({"Front": at(CALLER_PORT_OFFSET), "Ready": at(READINESS_PORT_OFFSET)}),
@@ -150,13 +150,13 @@
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .arg(process.role)
             .env("KUMQUATPOST_SETTINGS", path)
-            // The shell that started the soak may end before it: a group that is orphaned while one of its
-            // processes is halted gets SIGHUP.
+            // If the parent shell exits first, the kernel sends SIGHUP to an orphaned process
+            // group that contains a stopped process.
             .process_group(0)
             .stdout(log().expect("a file"))
             .stderr(log().expect("a file"))
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         let process = &mut self.processes[n];
         process.child = Some(child);
         process.starts += 1;
@@ -165,7 +165,7 @@
         process.stopping_since = None;
     }
 
-    /// Whether a process runs, can take signals by now, and was not told to stop.
+    /// Whether a process runs, handles signals, and is neither paused nor stopping.
     pub fn is_up(&self, n: usize) -> bool {
         let process = &self.processes[n];
         let handles_signals =
@@ -174,17 +174,17 @@
         process.child.is_some() && handles_signals && is_undisturbed
     }
 
-    /// Kills a process.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, n: usize) {
         let process = &mut self.processes[n];
         process.begin_disturbance(Disturbance::Unplanned);
         if let Some(mut child) = process.child.take() {
             child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.wait().expect("the process exits");
         }
     }
 
-    /// Starts a process again after a kill, with an empty disk if that is lost.
+    /// Restarts a killed process, after deleting its data directory if `wipe_disk` is set.
     pub fn restart(&mut self, n: usize, wipe_disk: bool) {
         if self.processes[n].child.is_some() {
             return;
@@ -196,14 +196,14 @@
         self.processes[n].end_disturbances();
     }
 
-    /// Halts a process.
+    /// Pauses a process with SIGSTOP.
     pub fn pause(&mut self, n: usize) {
         self.processes[n].begin_disturbance(Disturbance::Unplanned);
         self.processes[n].is_paused = true;
         self.signal(n, "STOP");
     }
 
-    /// Lets a halted process go on.
+    /// Resumes a paused process.
     pub fn resume(&mut self, n: usize) {
         if self.processes[n].is_paused {
             self.processes[n].is_paused = false;
@@ -212,14 +212,14 @@
         }
     }
 
-    /// Asks a process to stop; it is started again once it has.
+    /// Stops a process with SIGTERM; `restart_exited` restarts it.
     pub fn stop(&mut self, n: usize) {
         self.processes[n].begin_disturbance(Disturbance::Stop);
         self.processes[n].stopping_since = Some(Instant::now());
         self.signal(n, "TERM");
     }
 
-    /// Asks a process to read its settings again.
+    /// Makes a process reload its settings.
     pub fn reload(&mut self, n: usize) {
         self.processes[n].begin_disturbance(Disturbance::Reload);
         self.signal(n, "HUP");
@@ -232,7 +232,7 @@
         assert!(status.expect("kill runs").success(), "it is ours");
     }
 
-    /// Starts again what has stopped as asked. Returns what ended by itself, or does not end.
+    /// Restarts processes that have exited. Reports unexpected exits and overdue shutdowns.
     pub fn restart_exited(&mut self) -> Vec<String> {
         let mut failures = Vec::new();
         for n in 0..self.processes.len() {
@@ -245,12 +245,12 @@
                     self.processes[n].end_disturbances();
                 }
                 (Some(status), None) => {
-                    failures.push(format!("{} ended by itself: {status}", process.name));
+                    failures.push(format!("{} exited unexpectedly: {status}", process.name));
                     process.begin_disturbance(Disturbance::Unplanned);
                     self.start_process(n, false);
                     self.processes[n].end_disturbances();
                 }
-                // A busy machine may start the last steps late.
+                // The last steps of a shutdown may be delayed on a busy machine.
                 (None, Some(since))
                     if since.elapsed() > SHUTDOWN_GRACE + Duration::from_secs(4) =>
                 {
@@ -264,7 +264,7 @@
         failures
     }
 
-    /// What was done to a process since a time, or just before it.
+    /// Disturbances of a process that were active at or after a time.
     pub fn disturbances_since(&self, n: usize, since: Instant) -> Vec<Disturbance> {
         let overlaps = |(_, _, ended): &&(Disturbance, Instant, Option<Instant>)| {
             ended.is_none_or(|ended| ended >= since)
@@ -277,7 +277,7 @@
             .collect()
     }
 
-    /// Ends all processes.
+    /// Kills all processes and returns their folder.
     pub fn close(mut self) -> TempDir {
         (0..self.processes.len()).for_each(|n| self.kill(n));
         self.folder
@@ -285,11 +285,11 @@
 }
 
 impl Drop for Process {
-    /// A check that fails leaves nothing running.
+    /// Kills the process, so that none is left running if the test panics.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.wait().expect("the process exits");
         }
     }
 }
