--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that network_faults connections.
+//! A loopback TCP proxy with fault injection.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,36 +10,35 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a proxy does to connections through it.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NetworkFault {
-    /// Nothing.
     None,
-    /// Bytes come later.
+    /// Data is delayed.
     Delay(Duration),
-    /// Nothing passes in either direction, and nobody is told.
+    /// No data is relayed in either direction; connections stay open.
     Stall,
-    /// Nothing passes towards the side that connected.
+    /// No data is relayed to the caller.
     StallTowardsCaller,
-    /// Connections are reset, and new ones as well.
+    /// Existing and new connections are reset.
     Reset,
 }
 
-/// A proxy before one address.
+/// A proxy for one target address.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     network_fault: Arc<watch::Sender<NetworkFault>>,
     target_address: Arc<Mutex<SocketAddr>>,
 }
 
 impl Proxy {
-    /// Starts a proxy on an address of its own.
+    /// Starts a proxy on a free port.
     pub async fn start(target_address: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let proxy = Proxy {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the listener has an address"),
             network_fault: Arc::new(watch::Sender::new(NetworkFault::None)),
             target_address: Arc::new(Mutex::new(target_address)),
         };
@@ -47,19 +46,19 @@
             (proxy.network_fault.clone(), proxy.target_address.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let target_address = *target_address.lock().expect("nobody panics with it");
+                let target_address = *target_address.lock().expect("the lock is not poisoned");
                 tokio::spawn(relay(stream, target_address, network_fault.subscribe()));
             }
         });
         proxy
     }
 
-    /// Carries new connections elsewhere.
+    /// Changes the target of new connections.
     pub fn redirect(&self, target_address: SocketAddr) {
-        *self.target_address.lock().expect("nobody panics with it") = target_address;
+        *self.target_address.lock().expect("the lock is not poisoned") = target_address;
     }
 
-    /// Sets what happens to connections from now on, those that are open among them.
+    /// Sets the fault of existing and new connections.
     pub fn set_fault(&self, network_fault: NetworkFault) {
         self.network_fault.send_replace(network_fault);
     }
@@ -71,10 +70,10 @@
     mut network_fault: watch::Receiver<NetworkFault>,
 ) {
     let reset = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-    reset.expect("a TCP socket");
+    reset.expect("the socket accepts options");
     let Ok(target) = TcpStream::connect(target_address).await else { return };
-    stream.set_nodelay(true).expect("a TCP socket");
-    target.set_nodelay(true).expect("a TCP socket");
+    stream.set_nodelay(true).expect("the socket accepts options");
+    target.set_nodelay(true).expect("the socket accepts options");
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = target.into_split();
     let towards_target = copy(from_caller, to_target, network_fault.clone(), false);
