--- a/tests/soak/disk_load.rs
+++ b/tests/soak/disk_load.rs
@@ -1,4 +1,4 @@
-//! The disk that all replicas of a run share, kept busy for some seconds now and then.
+//! Periodic write load on the disk that all replicas share.
 
 use std::fs::File;
 use std::io::Write;
@@ -12,13 +12,14 @@
 
 use crate::Harness;
 
-/// One seed of so many keeps its disk busy: it slows all that a machine writes.
+/// One in this many seeds loads the disk, as this slows down all writes of the machine.
 const ONE_SEED_IN: u64 = 4;
-/// Files that are written and synced at a time, and their size.
+/// Number of concurrent writers.
 const WRITERS: usize = 6;
+/// Size at which a file is synced and rewritten.
 const FILE_BYTES: usize = 16 << 20;
 
-/// Keeps the disk busy by turns until the run has settled.
+/// Loads the disk at random intervals until no more faults are injected.
 pub async fn run(harness: Arc<Harness>, faults_done: Arc<AtomicBool>) {
     if !harness.seed.is_multiple_of(ONE_SEED_IN) {
         return;
@@ -34,7 +35,7 @@
             tokio::task::spawn_blocking(move || write_until(path, deadline))
         });
         for writer in writers.collect::<Vec<_>>() {
-            writer.await.expect("it does not panic");
+            writer.await.expect("the task does not panic");
         }
         harness.end_fault(fault_index);
     }
@@ -45,9 +46,9 @@
     while Instant::now() < deadline {
         let mut file = File::create(&path).expect("a file");
         for _ in 0..FILE_BYTES / block.len() {
-            file.write_all(&block).expect("there is room");
+            file.write_all(&block).expect("the disk has space");
         }
-        file.sync_all().expect("it is written");
+        file.sync_all().expect("the file is synced");
     }
     std::fs::remove_file(&path).expect("it is ours");
 }
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -1,14 +1,15 @@
-//! After the last fault, each start that takes work gets some, and has the weights that were named.
+//! Checks that after the last fault all available targets get requests and load the requested
+//! weights.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::Harness;
 
-/// Longest time until each start has got work and has loaded weights.
+/// Time limit for all targets to get requests and to load weights.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until it is so, or records what is not.
+/// Waits until all targets have recovered, or records violations after the time limit.
 pub async fn check(harness: &Harness) {
     let begun = Instant::now();
     let initial = begun_by_start(harness);
@@ -23,7 +24,7 @@
         if begun.elapsed() > RECOVERY_TIMEOUT {
             for (id, start) in idle {
                 harness.record_violation(format!(
-                    "start {start} of {id} gets no work though it takes some"
+                    "start {start} of {id} gets no requests although it is available"
                 ));
             }
             outdated.into_iter().for_each(|description| harness.record_violation(description));
@@ -33,7 +34,7 @@
     }
 }
 
-/// Requests that each start which takes work has begun.
+/// Number of requests that each available target start has begun, by id and start number.
 fn begun_by_start(harness: &Harness) -> BTreeMap<(String, u64), u64> {
     let platform = harness.platform.lock();
     let accepting = platform.targets.values().filter(|target| {
@@ -42,6 +43,7 @@
     accepting.map(|target| ((target.id.clone(), target.start), target.begun)).collect()
 }
 
+/// Describes each available target with older weights than requested.
 fn outdated_weights(harness: &Harness) -> Vec<String> {
     let platform = harness.platform.lock();
     let Some(newest) = platform.account.named.iter().map(|(version, _)| *version).max() else {
@@ -52,7 +54,9 @@
         .filter(|target| target.weights.is_some_and(|loaded| loaded < newest))
         .map(|target| {
             let (id, start, loaded) = (&target.id, target.start, target.weights);
-            format!("start {start} of {id} has {loaded:?} long after {newest} was named")
+            format!(
+                "start {start} of {id} has weights {loaded:?} long after {newest} was requested"
+            )
         })
         .collect()
 }
