--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which targets end: one caller repeats each at any entry, for a while. They must be known for
-//! what they are, and nothing else may be taken for one.
+//! Checks the quarantine: a caller repeats requests that terminate their targets. Entries must
+//! hold these requests, and only these.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,26 +15,28 @@
 use crate::callers::{ACCOUNTS, open_connection};
 use crate::platform_stand_in::target::ENDS_TARGETS;
 
-/// What entries say to those that are held.
+/// Message of an entry in the refusal of a held request.
 pub const HELD_MESSAGE: &[u8] = b"targets have ended under this request";
-/// Longest pause between two such requests, and between two tries of one.
+/// Longest pause between two requests.
 const MAX_PAUSE_MS: u64 = 6_000;
+/// Longest pause between two attempts of a request.
 const MAX_RETRY_PAUSE_MS: u64 = 500;
-/// How often its caller tries one at the most.
+/// Exclusive upper bound of the attempts per request.
 const TRY_LIMIT: u32 = 40;
-/// How long a caller waits for an answer.
+/// Time limit for an attempt.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
-/// All entries that are in touch know one after this time. Longer than deployments ask for: ends of targets
-/// behind proxies show on the list alone, and a busy machine may keep a process waiting for a while.
+/// Time until all connected entries hold a request. Exceeds the limit of the deployment, as
+/// terminations behind a proxy are visible only in the target list, and processes may be delayed
+/// on a busy machine.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Fewer than one in so many other requests may be held. All of one account and route ask the same here, so
-/// each runs wherever a target ends; where several do and the list tells it of some only, one that ran there is
-/// blamed until it tells the rest.
+/// At most one in this many other requests may be held. All callers of an account and route send
+/// the same prompt, so it runs on every target that terminates, and may be blamed until the target
+/// list shows all terminations.
 const MAX_HELD_ONE_IN: u64 = 100;
-/// What was wrong for so long before counts as wrong still.
+/// Time after a fault until entries are connected again.
 const RECONNECT_TIME: Duration = Duration::from_secs(5);
 
-/// Sends such requests until it is told to end.
+/// Sends requests that terminate their targets until `stop` is set.
 pub async fn run(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x656e_6473);
     let mut number = 0;
@@ -60,7 +62,7 @@
     }
 }
 
-/// How ids of requests begin that may run more than once.
+/// Request id prefix, from which the stand-ins tell whether a request may run more than once.
 fn request_id_prefix(path: &str) -> &'static str {
     match path {
         "/resumable/" => crate::platform_stand_in::account::RESUMABLE,
@@ -102,15 +104,16 @@
     answer.into_body().collect().await.ok().map(drop)
 }
 
-/// Records those that reached targets too often while nothing was wrong, and whether others were taken for
-/// them.
+/// Records requests that reached targets too often outside fault periods, and a high ratio of
+/// other requests that were held.
 pub fn check(harness: &Harness) {
     let request_counts = &harness.request_counts;
     let (sent, held) =
         (request_counts.sent.load(Ordering::Relaxed), request_counts.held.load(Ordering::Relaxed));
     if held * MAX_HELD_ONE_IN > sent {
-        harness
-            .record_violation(format!("{held} of {sent} held, though no target ends under them"));
+        harness.record_violation(format!(
+            "{held} of {sent} requests were held although they terminate no target"
+        ));
     }
     let histories = harness.platform.lock().account.ending.clone();
     let is_counted = |at: Instant| !harness.had_fault_between(at - RECONNECT_TIME, at);
