--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send requests over connections that they keep, and check what they get.
+//! Callers: send requests over persistent connections and check the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,46 +19,46 @@
 use crate::quarantine::HELD_MESSAGE;
 use crate::system::Disturbance;
 
-/// How long a caller waits.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Longest pause between two requests of a caller.
 const MAX_PAUSE_MS: u64 = 60;
-/// One caller in this many leaves before its answer is whole.
+/// One request in this many is abandoned by its caller, usually before the answer is complete.
 const ABANDON_ONE_IN: u32 = 12;
-/// A planned stop must leave requests alone that came this long before it.
+/// A disturbance or fault that ended this long before a request still counts for it.
 const STOP_MARGIN: Duration = Duration::from_secs(1);
-/// Accounts that callers belong to, with their keys.
+/// Names and API keys of the callers' accounts.
 pub const ACCOUNTS: [(&str, &str); 3] =
     [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED, "key-walled")];
-/// Contexts that prompts share.
+/// Number of prompt prefixes that requests share.
 const CONTEXTS: u32 = 40;
 
-/// What became of requests.
+/// Number of requests by result.
 #[derive(Default)]
 pub struct RequestCounts {
-    /// Requests that were sent.
+    /// Sent requests.
     pub sent: AtomicU64,
-    /// Answers that were whole.
+    /// Complete successful answers.
     pub completed: AtomicU64,
-    /// Refusals.
+    /// Refusals by an entry before the request ran.
     pub refused: AtomicU64,
-    /// Answers that failed or broke off.
+    /// Failed or truncated answers, and failed connections.
     pub failed: AtomicU64,
-    /// Refusals of requests as held under which no target ends.
+    /// Requests that were held although they terminate no target.
     pub held: AtomicU64,
 }
 
-/// A request that a caller was told has not run, or left.
+/// A check of a request at the end of the run.
 pub enum DeferredCheck {
-    /// It must never run.
+    /// The request was reported as not run, so it must have no runs.
     NotRun(String),
-    /// Its work must have ended soon after.
+    /// The caller disconnected, so runs must have ended soon after.
     CallerLeft {
-        /// The request.
+        /// Id of the request.
         request_id: String,
-        /// When its caller left.
+        /// When the caller disconnected.
         at: Instant,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
 }
@@ -95,23 +95,23 @@
     }
 }
 
-/// What a caller got.
+/// Result of a request for its caller.
 enum Outcome {
-    /// An answer: its status, stamp and body, and whether the body ended as it should.
+    /// An answer, with the stamp of the run; `is_whole` tells whether the body is complete.
     Answer { status: u16, stamp: Option<String>, body: Bytes, is_whole: bool },
-    /// The connection failed.
+    /// The connection failed, or there was no answer.
     ConnectionFailed(String),
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// A connection to an entry.
+/// A persistent connection to an entry.
 struct KeptConnection {
     entry: usize,
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Sends requests until it is told to end.
+/// Sends requests until `stop` is set.
 pub async fn run(harness: Arc<Harness>, number: u64, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ (number << 32));
     let mut kept_connection: Option<KeptConnection> = None;
@@ -150,13 +150,13 @@
     Some(KeptConnection { entry, sender: open_connection(address).await? })
 }
 
-/// Opens a connection.
+/// Opens an HTTP connection.
 pub async fn open_connection(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let connecting = tokio::net::TcpStream::connect(address);
     let stream = tokio::time::timeout(Duration::from_secs(1), connecting).await.ok()?.ok()?;
     let (sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // How a connection ends shows in its answers.
+    // Connection errors are reported by the requests on it.
     tokio::spawn(async move { drop(connection.await) });
     Some(sender)
 }
@@ -178,7 +178,7 @@
         .header("x-request-id", &request_id)
         .header("x-deadline-ms", DEADLINE.as_millis() as u64)
         .header("authorization", format!("Bearer {key}"))
-        // What only the system may set.
+        // Headers that callers must not be able to set.
         .header("x-tenant", "somebody-else")
         .header("x-cache-salt", "another-wall");
     if kind.is_stream() {
@@ -212,7 +212,7 @@
 }
 
 async fn receive_answer(connection: &mut KeptConnection, message: Request<Full<Bytes>>) -> Outcome {
-    // An entry answers by itself well before that.
+    // Entries answer at the deadline at the latest.
     let answer_timeout = DEADLINE + Duration::from_secs(3);
     let answer =
         tokio::time::timeout(answer_timeout, connection.sender.send_request(message)).await;
@@ -241,7 +241,7 @@
     }
 }
 
-/// One request and its answer, to be checked.
+/// A sent request, for checking its answer.
 struct RequestCheck<'w> {
     harness: &'w Harness,
     kind: RequestKind,
@@ -305,11 +305,13 @@
         let runs = platform.account.runs_of(&self.request_id).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
-            self.record_violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
+            self.record_violation(format!(
+                "successful answer with stamp {stamp:?} matches none of its runs: {runs:?}"
+            ));
         }
         if runs.iter().any(|run| run.tenant != self.account) {
             self.record_violation(format!(
-                "runs as another account than {}: {runs:?}",
+                "ran under another account than {}: {runs:?}",
                 self.account
             ));
         }
@@ -323,27 +325,27 @@
                 self.harness.defer_check(DeferredCheck::NotRun(self.request_id.clone()));
             }
             500 | 502 | 504 => drop(request_counts.failed.fetch_add(1, Ordering::Relaxed)),
-            _ => self.record_violation(format!("answered {status}, which it must not be")),
+            _ => self.record_violation(format!("unexpected status {status}")),
         }
     }
 
-    /// A connection that ends without an answer is no fault where something was done to the entry,
-    /// unless that was a planned stop.
+    /// Records a connection that failed without an answer, unless the entry had an unplanned
+    /// disturbance or a fault was active.
     fn check_connection_failure(&self, reason: &str) {
         let system = self.harness.system();
         let disturbances = system.disturbances_since(self.entry, self.sent_at - STOP_MARGIN);
         let is_planned =
             disturbances.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
-        // A connection that is closed just when a request is sent on it has not read it.
+        // A request without a run may have been sent while the entry closed the idle connection.
         let platform = self.harness.platform.lock();
         let runs = platform.account.runs_of(&self.request_id);
-        // A target that ended may have broken off before its first byte.
+        // A target that has terminated since may have failed before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
         if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - STOP_MARGIN) {
             self.record_violation(format!(
-                "cut off though nothing unplanned happened ({reason}, {disturbances:?})"
+                "connection failed without an unplanned disturbance ({reason}, {disturbances:?})"
             ));
         }
     }
