--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: publishes deployments, names weights, reads back, and checks what is in force.
+//! The operator: publishes deployments and weight versions, reads deployments back, and checks
+//! which version entries use.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,29 +16,30 @@
 use crate::callers::{ACCOUNTS, open_connection};
 use crate::system::REPLICAS;
 
-/// An acknowledged deployment is in force everywhere after this time. Longer than deployments ask
-/// for: a busy machine may keep a process waiting for a while.
+/// Time until all entries use an acknowledged deployment. Exceeds the limit of the deployment, as
+/// processes may be delayed on a busy machine.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A route or key is not refused for good later than this after its deployment was acknowledged: as deployments ask
-/// for, and by every entry, whatever befalls it.
+/// After this time from the acknowledgement of a deployment, no entry may permanently refuse its
+/// routes and keys, even during faults.
 const ACCEPTED_WITHIN: Duration = Duration::from_secs(2);
-/// Longest wait for one call.
+/// Time limit for a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The first of the numbers that tell these requests from others.
+/// First request number of `check_refusal`, to keep request ids distinct.
 const REFUSAL_BASE: u64 = 2_000_000;
-/// Longest wait for the system to be whole again after its last fault.
+/// Time limit for the system to recover after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// What the operator knows.
+/// Deployments that the operator has published.
 #[derive(Default)]
 pub struct Published {
-    /// Versions that were sent, with their documents.
+    /// Sent versions and their documents.
     sent: Vec<(u64, Value)>,
-    /// The newest version that was acknowledged, and when.
+    /// The newest acknowledged version, and the time of its acknowledgement.
     acknowledged: Option<(u64, Instant)>,
 }
 
-/// Routes for each kind, and a route and a key that only this version has.
+/// A deployment with a route for each kind of request, and with a route and a key that are unique
+/// to the version.
 fn document(version: u64, store: &str) -> Value {
     let route = |name: &str, kind: &str, service: &str, resumable: bool| {
         json!({"Name": name, "Host": "shop.example", "PathPrefix": format!("/{name}/"),
@@ -77,7 +79,7 @@
     format!("key-of-{version}")
 }
 
-/// Makes changes until it is told to end.
+/// Performs random operations until `stop` is set.
 pub async fn run(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x6f70);
     let mut version = harness.published().newest();
@@ -96,7 +98,7 @@
     }
 }
 
-/// Sends a version until a replica acknowledges it, or for some seconds.
+/// Sends a version to the replicas in turn. Returns whether one has acknowledged it.
 pub async fn publish(harness: &Harness, version: u64) -> bool {
     let document = document(version, &harness.store.to_string());
     harness.published().sent.push((version, document.clone()));
@@ -113,8 +115,9 @@
                     return true;
                 }
                 Some((status @ 400..=499, text)) if status != 408 && status != 429 => {
-                    harness
-                        .record_violation(format!("version {version} is refused: {status} {text}"));
+                    harness.record_violation(format!(
+                        "version {version} was rejected: {status} {text}"
+                    ));
                     return false;
                 }
                 _ => {}
@@ -131,7 +134,7 @@
     };
     let mut other = document(stale_version, &harness.store.to_string());
     other["Note"] = json!("other content under a number that was used");
-    // Only one that was sent before: its number is taken, or was passed by.
+    // A version above the acknowledged one could still be accepted.
     if !harness.published().is_acknowledged(stale_version) {
         return;
     }
@@ -148,7 +151,7 @@
     }
     let replica = random.random_range(0..REPLICAS);
     if let Some((200, _)) = call(harness, replica, "PUT", "/config", Some(&invalid)).await {
-        harness.record_violation(format!("an invalid deployment is acknowledged: {invalid}"));
+        harness.record_violation(format!("an invalid deployment was acknowledged: {invalid}"));
     }
 }
 
@@ -170,7 +173,8 @@
     }
 }
 
-/// A read is never older than what was acknowledged before it was sent.
+/// Reads the deployment from a replica. It must be one that was sent, and no older than the one
+/// acknowledged before the read.
 async fn read_back(harness: &Harness, replica: usize) {
     let before = harness.published().acknowledged.map_or(0, |(version, _)| version);
     let Some((200, text)) = call(harness, replica, "GET", "/config", None).await else { return };
@@ -178,7 +182,7 @@
     let version = read["Version"].as_u64().unwrap_or(0);
     if version < before {
         harness.record_violation(format!(
-            "replica-{replica} shows {version} after {before} was acknowledged"
+            "replica-{replica} returned version {version} after {before} was acknowledged"
         ));
     }
     if !harness
@@ -187,11 +191,14 @@
         .iter()
         .any(|(sent, document)| *sent == version && *document == read)
     {
-        harness.record_violation(format!("replica-{replica} shows what was not sent: {text}"));
+        harness.record_violation(format!(
+            "replica-{replica} returned a deployment that was not sent: {text}"
+        ));
     }
 }
 
-/// Asks entries for routes that only some versions have, until it is told to end.
+/// Requests version-specific routes from entries until `stop` is set, to check which version they
+/// use.
 pub async fn probe_entries(harness: Arc<Harness>, stop: Arc<AtomicBool>) {
     let mut random = SmallRng::seed_from_u64(harness.seed ^ 0x7072);
     let mut seen: Vec<(u32, u64)> = vec![(0, 0); harness.entries];
@@ -226,18 +233,20 @@
         harness.version_checks.fetch_add(u64::from(is_undisturbed), Ordering::Relaxed);
         let is_due = is_undisturbed && asked_at.saturating_duration_since(at) > IN_FORCE_TIMEOUT;
         if is_due && status != 404 && version < newest {
-            harness.record_violation(format!("entry-{entry} obeys {version} long after {newest}"));
+            harness.record_violation(format!(
+                "entry-{entry} still uses {version} long after {newest} was acknowledged"
+            ));
         }
         if is_due && status == 404 && version == newest && harness.published().is_newest(newest) {
             harness.record_violation(format!(
-                "entry-{entry} does not know {newest} after {IN_FORCE_TIMEOUT:?}"
+                "entry-{entry} does not use {newest} after {IN_FORCE_TIMEOUT:?}"
             ));
         }
         if status != 404 {
             let (seen_start, seen_version) = &mut seen[entry];
             if *seen_start == start && version < *seen_version {
                 harness.record_violation(format!(
-                    "entry-{entry} obeys {version} after {seen_version}"
+                    "entry-{entry} went back from {seen_version} to {version}"
                 ));
             }
             if *seen_start != start || version > *seen_version {
@@ -247,7 +256,8 @@
     }
 }
 
-/// Asks an entry for what only the newest deployment allows, a route or a key by turns.
+/// Checks that an entry does not permanently refuse the route or the key of the newest
+/// acknowledged deployment.
 async fn check_refusal(harness: &Harness, entry: usize, address: std::net::SocketAddr, count: u64) {
     let Some((newest, at)) = harness.published().acknowledged else { return };
     if at.elapsed() <= ACCEPTED_WITHIN {
@@ -263,7 +273,7 @@
     if is_final && harness.published().is_newest(newest) {
         let after = at.elapsed();
         harness.record_violation(format!(
-            "entry-{entry} refuses {route} with {key} for good: {status}, {after:?} after {newest}"
+            "entry-{entry} permanently refused {route} with {key}: {status}, {after:?} after {newest} was acknowledged"
         ));
     }
 }
@@ -288,13 +298,16 @@
     Some(answer.status().as_u16())
 }
 
-/// After the last fault: a request is answered by each entry, a change is taken, and read back.
+/// Checks that the system accepts a deployment, that all entries serve it, and that replicas
+/// return it.
 pub async fn check_recovery(harness: &Harness) {
     let begun = Instant::now();
     let version = harness.published().newest() + 1;
     while !publish(harness, version).await {
         if begun.elapsed() > RECOVERY_TIMEOUT {
-            return harness.record_violation("no change is taken after the last fault".to_string());
+            return harness.record_violation(
+                "no replica accepts a deployment after the last fault".to_string(),
+            );
         }
     }
     for entry in 0..harness.entries {
@@ -304,7 +317,7 @@
             != Some(200)
         {
             count += 1;
-            // One that was stopped by plan may have to be started still.
+            // An entry may not have been restarted after a planned stop.
             let failures = harness.system().restart_exited();
             failures.into_iter().for_each(|description| harness.record_violation(description));
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -333,7 +346,7 @@
     };
     let calling = async {
         let mut to = address;
-        // A replica that does not lead names the one that does.
+        // Followers redirect to the leader.
         for _ in 0..3 {
             let request = Request::builder()
                 .method(method)
@@ -359,7 +372,7 @@
 }
 
 impl Published {
-    /// The highest version that was sent.
+    /// The highest version sent.
     pub fn newest(&self) -> u64 {
         self.sent.iter().map(|(version, _)| *version).max().unwrap_or(0)
     }
@@ -368,7 +381,7 @@
         self.newest() == version
     }
 
-    /// Whether a version was acknowledged, or a later one.
+    /// Whether this version or a newer one has been acknowledged.
     fn is_acknowledged(&self, version: u64) -> bool {
         self.acknowledged.is_some_and(|(newest, _)| newest >= version)
     }
