--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,5 +1,5 @@
-//! Faults in series that overlap, drawn from one seed: phases with faults of all kinds, and calm
-//! ones in which only planned work goes on.
+//! Injects overlapping faults drawn from the seed. Fault phases alternate with calm phases that
+//! have planned operations only.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,55 +15,57 @@
 use crate::platform_stand_in::target::Fault;
 use crate::proxy::{NetworkFault, Proxy};
 
-/// How long faults strike before a calm phase.
+/// Duration of a fault phase.
 const FAULT_PHASE: Duration = Duration::from_secs(10);
-/// How long it is calm then: longer than it takes until a deployment must be in force.
+/// Duration of a calm phase; longer than the time until a deployment must be in force.
 const CALM_PHASE: Duration = Duration::from_secs(16);
-/// Longest pause between two faults.
+/// Longest pause between two faults or planned operations.
 const MAX_PAUSE_MS: u64 = 900;
-/// Replicas that may be lost at once, and how long one counts as lost once it is back.
+/// Largest number of replicas that are lost at the same time.
 const MAX_LOST_REPLICAS: usize = 2;
+/// How long a replica counts as lost after its restart.
 const CATCH_UP_TIME: Duration = Duration::from_secs(8);
-/// A target is gone this long after it began to leave.
+/// Time from the start of a drain to the termination of the target.
 const DRAIN_TIME: Duration = Duration::from_secs(15);
-/// Engines and instances of the plain service, each behind a proxy.
+/// Number of model engines.
 const ENGINES: usize = 4;
+/// Number of instances of the plain service.
 const INSTANCES: usize = 3;
 
-/// Which faults strike.
+/// Kinds of faults to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultSet {
-    /// All but those of the list and of targets that start again.
+    /// All except faults of the target list and target restarts.
     Plain,
-    /// All.
+    /// All faults.
     All,
 }
 
-/// Draws and applies faults.
+/// Draws and injects faults.
 pub struct FaultInjector {
     pub(super) harness: Arc<Harness>,
     random: SmallRng,
-    /// Draws what befalls the list and the targets on it, if that is wanted: apart from the rest, so
-    /// that earlier seeds draw what they drew.
+    /// Random source of list faults, if enabled. It is separate so that the other faults of a seed
+    /// do not depend on it.
     pub(super) list_random: Option<SmallRng>,
     pub(super) targets: BTreeMap<String, Proxy>,
-    /// Before the list, one for each replica.
+    /// Proxies of the target list, one per replica.
     pub(super) lists: Vec<Proxy>,
-    /// What entries of other writers name.
+    /// Target address in foreign list entries.
     pub(super) foreign_address: SocketAddr,
     started_targets: u64,
-    /// What ends faults that have begun.
+    /// Tasks that clear active faults.
     pub(super) clearing: JoinSet<()>,
-    /// Targets that leave.
+    /// Tasks that terminate draining targets.
     draining: JoinSet<()>,
-    /// Replicas that are lost, until when.
+    /// Lost replicas, and until when each counts as lost.
     lost_replicas: Vec<(usize, Instant)>,
-    /// Faults that struck.
+    /// Number of drawn faults.
     pub count: u64,
 }
 
 impl FaultInjector {
-    /// Starts the targets. Nothing is wrong yet.
+    /// Starts the targets, without faults.
     pub async fn new(
         harness: Arc<Harness>,
         lists: Vec<Proxy>,
@@ -107,7 +109,7 @@
         self.targets.insert(id, proxy);
     }
 
-    /// Strikes until the time is over, then heals all.
+    /// Injects faults for this time, then waits until all are cleared.
     pub async fn run(&mut self, duration: Duration) {
         let end = Instant::now() + duration;
         while Instant::now() < end {
@@ -136,7 +138,7 @@
         while self.clearing.try_join_next().is_some() {}
     }
 
-    /// Planned work: one entry at a time stops, or reads its settings.
+    /// Stops or reloads a random entry if all entries are up.
     fn run_planned_operation(&mut self) {
         let entry = self.random.random_range(0..self.harness.entries);
         let mut system = self.harness.system();
@@ -210,7 +212,7 @@
         }
     }
 
-    /// All replicas end at the same moment and keep their disks.
+    /// Kills all replicas at the same time. They keep their disks.
     fn kill_all_replicas(&mut self, duration: Duration) {
         self.lost_replicas.retain(|(_, until)| Instant::now() < *until);
         if !self.lost_replicas.is_empty() {
@@ -230,7 +232,7 @@
         id.filter(|id| self.is_up(id))
     }
 
-    /// Whether a target runs: one that starts again is down for a while.
+    /// Whether a target runs; it does not while it restarts.
     pub(super) fn is_up(&self, id: &str) -> bool {
         let platform = self.harness.platform.lock();
         platform.targets.get(id).is_some_and(|target| platform.runs(id, target.start))
@@ -266,7 +268,7 @@
     fn inject_target_fault(&mut self, duration: Duration) {
         let Some(id) = self.pick_target() else { return };
         let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
-        let fault = *faults.choose(&mut self.random).expect("there are some");
+        let fault = *faults.choose(&mut self.random).expect("the choices are not empty");
         self.set_fault(&id, fault);
         self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
     }
@@ -275,7 +277,7 @@
         self.harness.set_fault(id, fault);
     }
 
-    /// A target dies, and another one starts in its place.
+    /// Crashes a target and starts a replacement.
     async fn replace_target(&mut self) {
         let Some(id) = self.pick_target() else { return };
         self.targets.remove(&id);
@@ -284,7 +286,7 @@
         self.start_target(service_of(&id)).await;
     }
 
-    /// A target leaves, and another one starts before it does.
+    /// Drains a target and starts a replacement.
     async fn drain_target(&mut self) {
         if let Some(id) = self.pick_target() {
             self.drain(id).await;
@@ -295,7 +297,7 @@
         self.targets.remove(&id);
         self.start_target(service_of(&id)).await;
         let start = self.harness.platform.drain_target(&id);
-        // Planned: nothing is wrong meanwhile.
+        // Draining is a planned operation, so no fault period is recorded.
         let harness = self.harness.clone();
         self.draining.spawn(async move {
             tokio::time::sleep(DRAIN_TIME).await;
@@ -303,6 +305,7 @@
         });
     }
 
+    /// Starts a fault period, and after a delay clears the fault and ends the period.
     pub(super) fn clear_after(
         &mut self,
         after: Duration,
@@ -317,7 +320,7 @@
         });
     }
 
-    /// Ends what is still to come.
+    /// Aborts all background tasks.
     pub async fn close(mut self) {
         self.clearing.shutdown().await;
         self.draining.shutdown().await;
@@ -332,7 +335,7 @@
     if id.contains("-llm-") { "llm" } else { "app" }
 }
 
-/// A free port on loopback.
+/// Loopback address with port 0, for binding to a free port.
 pub fn any_loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -1,6 +1,6 @@
-//! Faults of the list and of the targets on it: targets that start again under their ids, entries of
-//! other writers, pages that shift, and a list that answers only some replicas. They come in pairs with
-//! the other faults.
+//! Faults of the target list and of listed targets: restarts under the same id, foreign list
+//! entries, shifted pages, and lists that only some replicas can read. Each is drawn together with
+//! another fault.
 
 use std::time::Duration;
 
@@ -15,21 +15,23 @@
 use crate::platform_stand_in::target::Fault;
 use crate::proxy::{NetworkFault, Proxy};
 
-/// A target that starts again is down for so long at most.
+/// Longest downtime of a restarting target.
 const MAX_DOWN_MS: u64 = 2_500;
-/// And its entry shows the earlier start for so long at most.
+/// Longest time for which the list shows the previous start of a target.
 const MAX_ENTRY_LAG_MS: u64 = 2_500;
-/// How far the clock of a target may go backwards between two starts.
+/// Largest backward step of a target's clock between two starts.
 const MAX_CLOCK_BACK_MS: u64 = 3_600_000;
-/// How long a target may leave before it starts again.
+/// Longest time for which a target drains before it restarts.
 const MAX_LEAVING_MS: u64 = 3_000;
-/// Entries of other writers at a time, places on the list where they stand, and entries on a page.
+/// Exclusive upper bound of the number of foreign list entries.
 const FOREIGN_ENTRY_LIMIT: usize = 4;
+/// Exclusive upper bound of the list positions of foreign entries.
 const LIST_POSITIONS: usize = 9;
+/// Exclusive upper bound of the number of entries on a page; 0 disables paging.
 const PAGE_SIZE_LIMIT: usize = 6;
 
 impl FaultInjector {
-    /// Strikes beside another fault.
+    /// Injects a random list fault, or none.
     pub async fn inject_list_fault(&mut self) {
         let Some(mut random) = self.list_random.take() else { return };
         let duration = Duration::from_millis(random.random_range(300..3_000));
@@ -45,8 +47,8 @@
         self.list_random = Some(random);
     }
 
-    /// What is no fault of the system's surroundings: targets leave and start again, and the list bears
-    /// entries of other writers.
+    /// Applies a random change that counts as planned, or none: a drain, a restart, or foreign
+    /// entries.
     pub async fn change_list(&mut self) {
         let Some(mut random) = self.list_random.take() else { return };
         match random.random_range(0..12) {
@@ -67,11 +69,11 @@
         ids.choose(random).map(|id| id.to_string())
     }
 
-    /// The list answers only some replicas.
+    /// Cuts off random replicas from the list.
     fn isolate_list_readers(&mut self, random: &mut SmallRng, duration: Duration) {
         let network_faults =
             [NetworkFault::Stall, NetworkFault::StallTowardsCaller, NetworkFault::Reset];
-        let network_fault = *network_faults.choose(random).expect("there are some");
+        let network_fault = *network_faults.choose(random).expect("the choices are not empty");
         for list in self.lists.clone() {
             if random.random_ratio(1, 2) {
                 self.apply_network_fault(list, network_fault, duration);
@@ -79,9 +81,9 @@
         }
     }
 
-    /// The list comes in pages, which shift for a while.
+    /// Sets a random page size, and shifts pages for a while.
     fn shift_pages(&mut self, random: &mut SmallRng, duration: Duration) {
-        let shift = *[-2, -1, 0, 1, 2].choose(random).expect("there are some");
+        let shift = *[-2, -1, 0, 1, 2].choose(random).expect("the choices are not empty");
         let mut platform = self.harness.platform.lock();
         platform.list.page_entries = random.random_range(0..PAGE_SIZE_LIMIT);
         platform.list.shift = shift;
@@ -89,7 +91,7 @@
         self.clear_after(duration, move |harness| harness.platform.lock().list.shift = 0);
     }
 
-    /// Other writers' entries come and go, some of them under ids of targets.
+    /// Replaces the foreign entries of the list. Some have ids of targets.
     fn set_foreign_entries(&mut self, random: &mut SmallRng) {
         let mut foreign = Vec::new();
         for number in 0..random.random_range(0..FOREIGN_ENTRY_LIMIT) {
@@ -97,7 +99,7 @@
                 Some(id) if random.random_ratio(1, 3) => id,
                 _ => format!("i-foreign-{number}"),
             };
-            let kind = FOREIGN.choose(random).expect("there are some");
+            let kind = FOREIGN.choose(random).expect("the choices are not empty");
             foreign.push((
                 random.random_range(0..LIST_POSITIONS),
                 kind.entry(&id, self.foreign_address),
@@ -108,14 +110,14 @@
         platform.list_changed();
     }
 
-    /// An engine answers no orders for a while, and carries them out later.
+    /// Makes a target leave orders unanswered for a while and execute them late.
     fn delay_orders(&mut self, random: &mut SmallRng, duration: Duration) {
         let Some(id) = self.pick_running_target(random) else { return };
         self.harness.set_fault(&id, Fault::LateOrders);
         self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
     }
 
-    /// A target starts again under its id, rather one that loads weights.
+    /// Restarts a target under the same id, preferably one that is loading weights.
     async fn restart_target(&mut self, random: &mut SmallRng) {
         let loading = {
             let platform = self.harness.platform.lock();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// A target leaves, and starts again under its id instead of another one.
+    /// Drains a target, then restarts it under the same id.
     async fn restart_draining_target(&mut self, random: &mut SmallRng) {
         let Some(id) = self.pick_running_target(random) else { return };
         self.harness.platform.drain_target(&id);
@@ -135,7 +137,7 @@
         self.restart(id, random).await;
     }
 
-    /// At once or late, at the same address or another one, and with or without a list that lags.
+    /// Restarts a target with a random downtime, address, clock and list lag.
     async fn restart(&mut self, id: String, random: &mut SmallRng) {
         let mut zero_or_random = |most: u64| match random.random_ratio(1, 2) {
             true => 0,
@@ -145,7 +147,7 @@
         let born_ms = clock_ms() + down - zero_or_random(MAX_CLOCK_BACK_MS);
         let changes_address = random.random_ratio(1, 2);
         let (harness, current_proxy) = (self.harness.clone(), self.targets[&id].clone());
-        // Nobody else's while it is down.
+        // The old address may be reused by another process while the target is down.
         current_proxy.redirect(any_loopback_address());
         let listed = if changes_address {
             Proxy::start(any_loopback_address()).await
