--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -193,10 +193,10 @@
         .then(|| Duration::from_millis(random.random_range(1..200)));
     harness.request_counts.sent.fetch_add(1, Ordering::Relaxed);
     let sent_at = Instant::now();
-    let getting = receive_answer(&mut connection, message);
+    let answer = receive_answer(&mut connection, message);
     let outcome = match leaves_after {
-        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Outcome::CallerLeft),
-        None => getting.await,
+        Some(after) => tokio::time::timeout(after, answer).await.unwrap_or(Outcome::CallerLeft),
+        None => answer.await,
     };
     let request_check = RequestCheck {
         harness,
--- a/tests/soak/disk_load.rs
+++ b/tests/soak/disk_load.rs
@@ -44,11 +44,11 @@
 fn write_until(path: PathBuf, deadline: Instant) {
     let block = vec![7; 1 << 20];
     while Instant::now() < deadline {
-        let mut file = File::create(&path).expect("a file");
+        let mut file = File::create(&path).expect("the file is writable");
         for _ in 0..FILE_BYTES / block.len() {
             file.write_all(&block).expect("the disk has space");
         }
         file.sync_all().expect("the file is synced");
     }
-    std::fs::remove_file(&path).expect("it is ours");
+    std::fs::remove_file(&path).expect("the file can be removed");
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -50,7 +50,7 @@
     pub(super) list_random: Option<SmallRng>,
     pub(super) targets: BTreeMap<String, Proxy>,
     /// Proxies of the target list, one per replica.
-    pub(super) lists: Vec<Proxy>,
+    pub(super) list_proxies: Vec<Proxy>,
     /// Target address in foreign list entries.
     pub(super) foreign_address: SocketAddr,
     started_targets: u64,
@@ -68,7 +68,7 @@
     /// Starts the targets, without faults.
     pub async fn new(
         harness: Arc<Harness>,
-        lists: Vec<Proxy>,
+        list_proxies: Vec<Proxy>,
         fault_set: FaultSet,
     ) -> FaultInjector {
         let random = SmallRng::seed_from_u64(harness.seed);
@@ -79,7 +79,7 @@
             random,
             list_random: (fault_set == FaultSet::All).then_some(list_random),
             targets: BTreeMap::new(),
-            lists,
+            list_proxies,
             foreign_address,
             started_targets: 0,
             clearing: JoinSet::new(),
@@ -250,8 +250,8 @@
     }
 
     fn stall_list(&mut self, duration: Duration) {
-        for list in self.lists.clone() {
-            self.apply_network_fault(list, NetworkFault::Stall, duration);
+        for proxy in self.list_proxies.clone() {
+            self.apply_network_fault(proxy, NetworkFault::Stall, duration);
         }
     }
 
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -74,9 +74,9 @@
         let network_faults =
             [NetworkFault::Stall, NetworkFault::StallTowardsCaller, NetworkFault::Reset];
         let network_fault = *network_faults.choose(random).expect("the choices are not empty");
-        for list in self.lists.clone() {
+        for proxy in self.list_proxies.clone() {
             if random.random_ratio(1, 2) {
-                self.apply_network_fault(list, network_fault, duration);
+                self.apply_network_fault(proxy, network_fault, duration);
             }
         }
     }
@@ -147,7 +147,7 @@
         let born_ms = clock_ms() + down - zero_or_random(MAX_CLOCK_BACK_MS);
         let changes_address = random.random_ratio(1, 2);
         let (harness, current_proxy) = (self.harness.clone(), self.targets[&id].clone());
-        // The old address may be reused by another process while the target is down.
+        // Another process may take the old port while the target is down.
         current_proxy.redirect(any_loopback_address());
         let listed = if changes_address {
             Proxy::start(any_loopback_address()).await
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -123,7 +123,7 @@
         let fault_periods = self.fault_periods.lock().expect("the lock is not poisoned");
         fault_periods
             .iter()
-            .any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
+            .any(|(started, ended)| *started <= to && ended.is_none_or(|ended| ended >= from))
     }
 
     /// Injects a fault into a target, if it exists.
@@ -205,7 +205,7 @@
     duration: Duration,
     fault_set: FaultSet,
 ) -> Vec<String> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let platform = Platform::new();
     let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
     let list_address = platform.serve_list(any_port).await;
@@ -255,14 +255,14 @@
     harness.run_deferred_checks();
     harness.check_repeats();
     quarantine::check(&harness);
-    let summary_line = summary(&harness, &injector, begun);
+    let summary_line = summary(&harness, &injector, started);
     let latest =
         [Promise::Leaving, Promise::Weights].map(|promise| harness.latest_without_fault(promise));
     injector.close().await;
     close(harness, &summary_line, latest.into_iter().flatten().collect())
 }
 
-fn summary(harness: &Harness, injector: &FaultInjector, begun: Instant) -> String {
+fn summary(harness: &Harness, injector: &FaultInjector, started: Instant) -> String {
     let platform = harness.platform.lock();
     let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
     format!(
@@ -282,7 +282,7 @@
         platform.account.ending.len(),
         platform.account.ending.values().map(|history| history.ended.len()).sum::<usize>(),
         load(&harness.request_counts.held),
-        begun.elapsed().as_secs(),
+        started.elapsed().as_secs(),
     )
 }
 
@@ -312,10 +312,13 @@
 
 fn main() -> ExitCode {
     let mut arguments = pico_args::Arguments::from_env();
-    let first: Option<u64> = arguments.opt_value_from_str("--seed").expect("a number");
-    let seeds: u64 = arguments.opt_value_from_str("--seeds").expect("a number").unwrap_or(1);
-    let processes: Option<usize> = arguments.opt_value_from_str("--processes").expect("a number");
-    let minutes: Option<f64> = arguments.opt_value_from_str("--minutes").expect("a number");
+    let first: Option<u64> = arguments.opt_value_from_str("--seed").expect("the value is a number");
+    let seeds: u64 =
+        arguments.opt_value_from_str("--seeds").expect("the value is a number").unwrap_or(1);
+    let processes: Option<usize> =
+        arguments.opt_value_from_str("--processes").expect("the value is a number");
+    let minutes: Option<f64> =
+        arguments.opt_value_from_str("--minutes").expect("the value is a number");
     let duration =
         minutes.map_or(DEFAULT_DURATION, |minutes| Duration::from_secs_f64(minutes * 60.0));
     let fault_set = if arguments.contains("--plain") { FaultSet::Plain } else { FaultSet::All };
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -301,10 +301,10 @@
 /// Checks that the system accepts a deployment, that all entries serve it, and that replicas
 /// return it.
 pub async fn check_recovery(harness: &Harness) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let version = harness.published().newest() + 1;
     while !publish(harness, version).await {
-        if begun.elapsed() > RECOVERY_TIMEOUT {
+        if started.elapsed() > RECOVERY_TIMEOUT {
             return harness.record_violation(
                 "no replica accepts a deployment after the last fault".to_string(),
             );
@@ -321,7 +321,7 @@
             let failures = harness.system().restart_exited();
             failures.into_iter().for_each(|description| harness.record_violation(description));
             tokio::time::sleep(Duration::from_millis(100)).await;
-            if begun.elapsed() > RECOVERY_TIMEOUT {
+            if started.elapsed() > RECOVERY_TIMEOUT {
                 return harness.record_violation(format!(
                     "entry-{entry} does not serve after the last fault"
                 ));
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -29,7 +29,7 @@
 pub struct Proxy {
     /// Address on which the proxy listens.
     pub address: SocketAddr,
-    network_fault: Arc<watch::Sender<NetworkFault>>,
+    fault: Arc<watch::Sender<NetworkFault>>,
     target_address: Arc<Mutex<SocketAddr>>,
 }
 
@@ -39,15 +39,14 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let proxy = Proxy {
             address: listener.local_addr().expect("the listener has an address"),
-            network_fault: Arc::new(watch::Sender::new(NetworkFault::None)),
+            fault: Arc::new(watch::Sender::new(NetworkFault::None)),
             target_address: Arc::new(Mutex::new(target_address)),
         };
-        let (network_fault, target_address) =
-            (proxy.network_fault.clone(), proxy.target_address.clone());
+        let (fault, target_address) = (proxy.fault.clone(), proxy.target_address.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let target_address = *target_address.lock().expect("the lock is not poisoned");
-                tokio::spawn(relay(stream, target_address, network_fault.subscribe()));
+                tokio::spawn(relay(stream, target_address, fault.subscribe()));
             }
         });
         proxy
@@ -59,15 +58,15 @@
     }
 
     /// Sets the fault of existing and new connections.
-    pub fn set_fault(&self, network_fault: NetworkFault) {
-        self.network_fault.send_replace(network_fault);
+    pub fn set_fault(&self, fault: NetworkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
 async fn relay(
     stream: TcpStream,
     target_address: SocketAddr,
-    mut network_fault: watch::Receiver<NetworkFault>,
+    mut fault: watch::Receiver<NetworkFault>,
 ) {
     let reset = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     reset.expect("the socket accepts options");
@@ -76,18 +75,18 @@
     target.set_nodelay(true).expect("the socket accepts options");
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = target.into_split();
-    let towards_target = copy(from_caller, to_target, network_fault.clone(), false);
-    let towards_caller = copy(from_target, to_caller, network_fault.clone(), true);
+    let towards_target = copy(from_caller, to_target, fault.clone(), false);
+    let towards_caller = copy(from_target, to_caller, fault.clone(), true);
     tokio::select! {
         () = async { tokio::join!(towards_target, towards_caller); } => {}
-        _ = network_fault.wait_for(|network_fault| *network_fault == NetworkFault::Reset) => {}
+        _ = fault.wait_for(|fault| *fault == NetworkFault::Reset) => {}
     }
 }
 
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut network_fault: watch::Receiver<NetworkFault>,
+    mut fault: watch::Receiver<NetworkFault>,
     is_towards_caller: bool,
 ) {
     let mut bytes = vec![0; 16 << 10];
@@ -96,16 +95,14 @@
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
-        let blocks = |network_fault: &NetworkFault| {
-            *network_fault == NetworkFault::Stall
-                || (*network_fault == NetworkFault::StallTowardsCaller && is_towards_caller)
+        let blocks = |fault: &NetworkFault| {
+            *fault == NetworkFault::Stall
+                || (*fault == NetworkFault::StallTowardsCaller && is_towards_caller)
         };
-        if blocks(&network_fault.borrow())
-            && network_fault.wait_for(|network_fault| !blocks(network_fault)).await.is_err()
-        {
+        if blocks(&fault.borrow()) && fault.wait_for(|fault| !blocks(fault)).await.is_err() {
             return;
         }
-        let delay = match *network_fault.borrow() {
+        let delay = match *fault.borrow() {
             NetworkFault::Delay(delay) => delay,
             _ => Duration::ZERO,
         };
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -145,7 +145,7 @@
                        "VersionMs": 6000, "VersionAllMs": 8400}
         });
         let path = self.file_path(n, "settings.json");
-        std::fs::write(&path, settings.to_string()).expect("a file");
+        std::fs::write(&path, settings.to_string()).expect("the file is writable");
         let log = || File::options().create(true).append(true).open(self.file_path(n, "log"));
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .arg(process.role)
@@ -153,8 +153,8 @@
             // If the parent shell exits first, the kernel sends SIGHUP to an orphaned process
             // group that contains a stopped process.
             .process_group(0)
-            .stdout(log().expect("a file"))
-            .stderr(log().expect("a file"))
+            .stdout(log().expect("the file is writable"))
+            .stderr(log().expect("the file is writable"))
             .spawn()
             .expect("the process starts");
         let process = &mut self.processes[n];
@@ -179,7 +179,7 @@
         let process = &mut self.processes[n];
         process.begin_disturbance(Disturbance::Unplanned);
         if let Some(mut child) = process.child.take() {
-            child.kill().expect("it is ours");
+            child.kill().expect("the process can be killed");
             child.wait().expect("the process exits");
         }
     }
@@ -229,7 +229,7 @@
     fn signal(&self, n: usize, name: &str) {
         let Some(child) = &self.processes[n].child else { return };
         let status = Command::new("kill").args(["-s", name, &child.id().to_string()]).status();
-        assert!(status.expect("kill runs").success(), "it is ours");
+        assert!(status.expect("the kill command runs").success(), "the signal is delivered");
     }
 
     /// Restarts processes that have exited. Reports unexpected exits and overdue shutdowns.
@@ -238,7 +238,7 @@
         for n in 0..self.processes.len() {
             let process = &mut self.processes[n];
             let Some(child) = process.child.as_mut() else { continue };
-            let ended = child.try_wait().expect("it is ours");
+            let ended = child.try_wait().expect("the process can be waited for");
             match (ended, process.stopping_since) {
                 (Some(_), Some(_)) => {
                     self.start_process(n, false);
@@ -288,7 +288,7 @@
     /// Kills the process, so that none is left running if the test panics.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            child.kill().expect("it is ours");
+            child.kill().expect("the process can be killed");
             child.wait().expect("the process exits");
         }
     }
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -11,7 +11,7 @@
 
 /// Waits until all targets have recovered, or records violations after the time limit.
 pub async fn check(harness: &Harness) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let initial = begun_by_start(harness);
     loop {
         let now = begun_by_start(harness);
@@ -21,7 +21,7 @@
         if idle.is_empty() && outdated.is_empty() {
             return;
         }
-        if begun.elapsed() > RECOVERY_TIMEOUT {
+        if started.elapsed() > RECOVERY_TIMEOUT {
             for (id, start) in idle {
                 harness.record_violation(format!(
                     "start {start} of {id} gets no requests although it is available"
