--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -21,7 +21,7 @@
 const CALM_PHASE: Duration = Duration::from_secs(16);
 /// Longest pause between two faults or planned operations.
 const MAX_PAUSE_MS: u64 = 900;
-/// Largest number of replicas that are lost at the same time.
+/// Largest number of replicas that faults of single replicas may keep lost at the same time.
 const MAX_LOST_REPLICAS: usize = 2;
 /// How long a replica counts as lost after its restart.
 const CATCH_UP_TIME: Duration = Duration::from_secs(8);
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,5 +1,6 @@
 //! Randomized soak test. Runs the real binary as separate processes against stand-ins of the
 //! platform, injects faults drawn from a seed, and checks what callers and targets observe.
+//!
 //! Usage: `cargo test --release --test soak -- --seed 7 --processes 8 --minutes 2`. `--seeds N`
 //! runs N consecutive seeds; `--plain` omits faults of the target list and target restarts.
 //! Without `--seed`, runs the seeds in `REGRESSIONS`.
@@ -108,8 +109,8 @@
     }
 
     /// Ends a fault period.
-    pub fn end_fault(&self, number: usize) {
-        self.fault_periods.lock().expect("the lock is not poisoned")[number].1 =
+    pub fn end_fault(&self, index: usize) {
+        self.fault_periods.lock().expect("the lock is not poisoned")[index].1 =
             Some(Instant::now());
     }
 
@@ -181,7 +182,9 @@
         without_faults.max_by_key(|late| late.late).cloned()
     }
 
-    fn check_repeats(&self) {
+    /// Checks the number of repeated runs, and what the stand-ins recorded: violations, and delays
+    /// outside fault periods.
+    fn check_platform_account(&self) {
         let platform = self.platform.lock();
         let repeats: usize = platform.account.runs.values().map(|runs| runs.len() - 1).sum();
         let (ratio, slack) = RETRY_BUDGET;
@@ -253,7 +256,7 @@
     }
     tokio::time::sleep(ABANDONED_RUN_TIMEOUT).await;
     harness.run_deferred_checks();
-    harness.check_repeats();
+    harness.check_platform_account();
     quarantine::check(&harness);
     let summary_line = summary(&harness, &injector, started);
     let latest =
