--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -34,7 +34,7 @@
         while started_at.elapsed() < duration {
             self.count += 1;
             let id = format!("{}-ending-{}", self.kind, self.count);
-            let entry = site.system.callers(self.count % ENTRIES);
+            let entry = site.system.caller_address(self.count % ENTRIES);
             let body = CRASHING_PROMPT.to_string();
             let got =
                 send_prompt_with_body(site.client.clone(), entry, self.kind, &id, 5, body).await;
@@ -55,7 +55,7 @@
 async fn assert_other_prompt_is_answered(site: &TestDeployment, number: usize) {
     let started_at = Instant::now();
     for again in 0.. {
-        let (client, entry) = (site.client.clone(), site.system.callers(number % ENTRIES));
+        let (client, entry) = (site.client.clone(), site.system.caller_address(number % ENTRIES));
         let (id, body) = (format!("stream-{number}-{again}"), format!("question {number}"));
         let got = send_prompt_with_body(client, entry, "stream", &id, 5, body).await;
         assert!(!got.body.contains("targets have ended"), "prompt {number} is quarantined");
@@ -83,23 +83,23 @@
     for replica in replicas.clone().take(2) {
         site.system.kill(replica);
         caller.send_for(&site, Duration::from_secs(1)).await;
-        site.system.start_again(replica, true);
+        site.system.restart(replica, true);
         caller.send_for(&site, Duration::from_secs(1)).await;
     }
     assert_crashing_prompt_is_quarantined(&site, "two replicas have restarted with empty disks");
 
     replicas.clone().for_each(|replica| site.system.kill(replica));
-    replicas.clone().for_each(|replica| site.system.start_again(replica, false));
+    replicas.clone().for_each(|replica| site.system.restart(replica, false));
     caller.send_for(&site, Duration::from_secs(3)).await;
     assert_crashing_prompt_is_quarantined(&site, "all replicas have restarted");
 
     (0..ENTRIES).for_each(|entry| site.system.kill(entry));
-    (0..ENTRIES).for_each(|entry| site.system.start_again(entry, false));
+    (0..ENTRIES).for_each(|entry| site.system.restart(entry, false));
     caller.send_for(&site, Duration::from_secs(3)).await;
     assert_crashing_prompt_is_quarantined(&site, "all entries have restarted");
 
     (0..ENTRIES).chain(replicas.clone()).for_each(|n| site.system.kill(n));
-    (0..ENTRIES).chain(replicas).for_each(|n| site.system.start_again(n, false));
+    (0..ENTRIES).chain(replicas).for_each(|n| site.system.restart(n, false));
     caller.send_for(&site, Duration::from_secs(4)).await;
     assert_crashing_prompt_is_quarantined(&site, "all processes have restarted");
 
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -138,7 +138,7 @@
         let begun = Instant::now();
         loop {
             for replica in self.system.replicas() {
-                let url = format!("http://{}/{path}", self.system.operators(replica));
+                let url = format!("http://{}/{path}", self.system.operator_address(replica));
                 let method = method.parse().expect("a method");
                 let request = self.client.request(method, url).body(body.to_string());
                 let answer = request.timeout(Duration::from_secs(2)).send().await;
@@ -164,7 +164,7 @@
             if begun.elapsed() > EVENT_TIMEOUT {
                 return false;
             }
-            let (client, entry) = (self.client.clone(), self.system.callers(0));
+            let (client, entry) = (self.client.clone(), self.system.caller_address(0));
             let ids: Vec<String> =
                 (0..CONCURRENT_PROMPTS).map(|_| self.next_id("stream")).collect();
             let prompts = ids.iter().map(|id| send_prompt(client.clone(), entry, "stream", id, 5));
@@ -212,8 +212,11 @@
     );
     let mut streams = tokio::task::JoinSet::new();
     for kind in ["stream", "resumable"].repeat(6) {
-        let (client, entry, id) =
-            (deployment.client.clone(), deployment.system.callers(0), deployment.next_id(kind));
+        let (client, entry, id) = (
+            deployment.client.clone(),
+            deployment.system.caller_address(0),
+            deployment.next_id(kind),
+        );
         streams.spawn(async move {
             let got = send_prompt(client, entry, kind, &id, LONG_STREAM_EVENTS).await;
             (id, got)
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send requests over connections that they keep, and check what they get.
+//! Callers: send requests over persistent connections and check the answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,197 +13,213 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::World;
-use crate::ending::HELD;
+use crate::Harness;
 use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
 use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
+use crate::quarantine::HELD_MESSAGE;
 use crate::system::Disturbance;
 
-/// How long a caller waits.
+/// Deadline of a request.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Longest pause between two requests of a caller.
-const PAUSE_MS: u64 = 60;
-/// One caller in this many leaves before its answer is whole.
-const LEAVES_ONE_IN: u32 = 12;
-/// A planned stop must leave requests alone that came this long before it.
-const BEFORE_A_STOP: Duration = Duration::from_secs(1);
-/// Accounts that callers belong to, with their keys.
+const MAX_PAUSE_MS: u64 = 60;
+/// One request in this many is abandoned by its caller, usually before the answer is complete.
+const ABANDON_ONE_IN: u32 = 12;
+/// A disturbance or fault that ended this long before a request still counts for it.
+const STOP_MARGIN: Duration = Duration::from_secs(1);
+/// Names and API keys of the callers' accounts.
 pub const ACCOUNTS: [(&str, &str); 3] =
     [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED, "key-walled")];
-/// Contexts that prompts share.
+/// Number of prompt prefixes that requests share.
 const CONTEXTS: u32 = 40;
 
-/// What became of requests.
+/// Number of requests by result.
 #[derive(Default)]
-pub struct Tally {
-    /// Requests that were sent.
+pub struct RequestCounts {
+    /// Sent requests.
     pub sent: AtomicU64,
-    /// Answers that were whole.
-    pub whole: AtomicU64,
-    /// Refusals.
+    /// Complete successful answers.
+    pub completed: AtomicU64,
+    /// Refusals by an entry before the request ran.
     pub refused: AtomicU64,
-    /// Answers that failed or broke off.
+    /// Failed or truncated answers, and failed connections.
     pub failed: AtomicU64,
-    /// Refusals of requests as held under which no target ends.
+    /// Requests that were held although they terminate no target.
     pub held: AtomicU64,
 }
 
-/// A request that a caller was told has not run, or left.
-pub enum Claim {
-    /// It must never run.
+/// A check of a request at the end of the run.
+pub enum DeferredCheck {
+    /// The request was reported as not run, so it must have no runs.
     NotRun(String),
-    /// Its work must have ended soon after.
-    Left {
-        /// The request.
-        request: String,
-        /// When its caller left.
+    /// The caller disconnected, so runs must have ended soon after.
+    CallerLeft {
+        /// Id of the request.
+        request_id: String,
+        /// When the caller disconnected.
         at: Instant,
-        /// The entry.
+        /// Index of the entry.
         entry: usize,
     },
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Unsafe,
     Safe,
     Stream,
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     fn prefix(self) -> &'static str {
         match self {
-            Kind::Unsafe => "unsafe-",
-            Kind::Safe => REPEATABLE,
-            Kind::Stream => "stream-",
-            Kind::Resumable => RESUMABLE,
+            RequestKind::Unsafe => "unsafe-",
+            RequestKind::Safe => REPEATABLE,
+            RequestKind::Stream => "stream-",
+            RequestKind::Resumable => RESUMABLE,
         }
     }
 
     fn path(self) -> &'static str {
         match self {
-            Kind::Unsafe => "/unsafe/",
-            Kind::Safe => "/safe/",
-            Kind::Stream => "/stream/",
-            Kind::Resumable => "/resumable/",
+            RequestKind::Unsafe => "/unsafe/",
+            RequestKind::Safe => "/safe/",
+            RequestKind::Stream => "/stream/",
+            RequestKind::Resumable => "/resumable/",
         }
     }
 
     fn is_stream(self) -> bool {
-        matches!(self, Kind::Stream | Kind::Resumable)
+        matches!(self, RequestKind::Stream | RequestKind::Resumable)
     }
 }
 
-/// What a caller got.
-enum Got {
-    /// An answer: its status, stamp and body, and whether the body ended as it should.
+/// Result of a request for its caller.
+enum Outcome {
+    /// An answer, with the stamp of the run; `is_whole` tells whether the body is complete.
     Answer { status: u16, stamp: Option<String>, body: Bytes, is_whole: bool },
-    /// The connection failed.
-    Cut(String),
-    /// The caller left.
-    Left,
+    /// The connection failed, or there was no answer.
+    ConnectionFailed(String),
+    /// The caller disconnected.
+    CallerLeft,
 }
 
-/// A connection to an entry.
-struct Kept {
+/// A persistent connection to an entry.
+struct KeptConnection {
     entry: usize,
     sender: SendRequest<Full<Bytes>>,
 }
 
-/// Sends requests until it is told to end.
-pub async fn run(world: Arc<World>, number: u64, ending: Arc<AtomicBool>) {
-    let mut random = SmallRng::seed_from_u64(world.seed ^ (number << 32));
-    let mut kept: Option<Kept> = None;
+/// Sends requests until `stop` is set.
+pub async fn run(harness: Arc<Harness>, number: u64, stop: Arc<AtomicBool>) {
+    let mut random = SmallRng::seed_from_u64(harness.seed ^ (number << 32));
+    let mut kept_connection: Option<KeptConnection> = None;
     let mut count = 0;
-    while !ending.load(Ordering::Relaxed) {
-        tokio::time::sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
+    while !stop.load(Ordering::Relaxed) {
+        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))).await;
         count += 1;
-        let kind = [Kind::Unsafe, Kind::Safe, Kind::Stream, Kind::Stream, Kind::Resumable]
-            [random.random_range(0..5)];
-        let request = format!("{}{number}-{count}", kind.prefix());
-        let connection = match kept.take().filter(|kept| kept.sender.is_ready()) {
-            Some(kept) => kept,
-            None => match connect(&world, &mut random).await {
+        let kind = [
+            RequestKind::Unsafe,
+            RequestKind::Safe,
+            RequestKind::Stream,
+            RequestKind::Stream,
+            RequestKind::Resumable,
+        ][random.random_range(0..5)];
+        let request_id = format!("{}{number}-{count}", kind.prefix());
+        let connection = match kept_connection
+            .take()
+            .filter(|kept_connection| kept_connection.sender.is_ready())
+        {
+            Some(kept_connection) => kept_connection,
+            None => match connect(&harness, &mut random).await {
                 Some(connected) => connected,
                 None => continue,
             },
         };
-        kept = one(&world, kind, request, connection, &mut random).await;
+        kept_connection = send_and_check(&harness, kind, request_id, connection, &mut random).await;
     }
 }
 
-async fn connect(world: &World, random: &mut SmallRng) -> Option<Kept> {
+async fn connect(harness: &Harness, random: &mut SmallRng) -> Option<KeptConnection> {
     let (entry, address) = {
-        let system = world.system();
+        let system = harness.system();
         let entry = random.random_range(0..system.entries());
-        (entry, system.callers(entry))
+        (entry, system.caller_address(entry))
     };
-    Some(Kept { entry, sender: open(address).await? })
+    Some(KeptConnection { entry, sender: open_connection(address).await? })
 }
 
-/// Opens a connection.
-pub async fn open(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+/// Opens an HTTP connection.
+pub async fn open_connection(address: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
     let connecting = tokio::net::TcpStream::connect(address);
     let stream = tokio::time::timeout(Duration::from_secs(1), connecting).await.ok()?.ok()?;
     let (sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // How a connection ends shows in its answers.
+    // Connection errors are reported by the requests on it.
     tokio::spawn(async move { drop(connection.await) });
     Some(sender)
 }
 
-async fn one(
-    world: &World,
-    kind: Kind,
-    request: String,
-    mut connection: Kept,
+async fn send_and_check(
+    harness: &Harness,
+    kind: RequestKind,
+    request_id: String,
+    mut connection: KeptConnection,
     random: &mut SmallRng,
-) -> Option<Kept> {
+) -> Option<KeptConnection> {
     let events = random.random_range(1..30);
     let (account, key) = ACCOUNTS[random.random_range(0..ACCOUNTS.len())];
     let context = random.random_range(0..CONTEXTS);
-    let mut head = Request::builder()
+    let mut builder = Request::builder()
         .method("POST")
         .uri(kind.path())
         .header("host", "shop.example")
-        .header("x-request-id", &request)
+        .header("x-request-id", &request_id)
         .header("x-deadline-ms", DEADLINE.as_millis() as u64)
         .header("authorization", format!("Bearer {key}"))
-        // What only the system may set.
+        // Headers that callers must not be able to set.
         .header("x-tenant", "somebody-else")
         .header("x-cache-salt", "another-wall");
     if kind.is_stream() {
-        head = head
+        builder = builder
             .header("x-model", "m")
             .header("x-token-count", format!("1200,{events}"))
-            .header("x-prompt-prefix", format!("c{context}:1000,{request}:200"));
+            .header("x-prompt-prefix", format!("c{context}:1000,{request_id}:200"));
     }
     let body = Full::new(Bytes::from_static(b"a question"));
-    let message = head.body(body).expect("valid headers");
-    let leaves_after = (random.random_ratio(1, LEAVES_ONE_IN))
+    let message = builder.body(body).expect("valid headers");
+    let leaves_after = (random.random_ratio(1, ABANDON_ONE_IN))
         .then(|| Duration::from_millis(random.random_range(1..200)));
-    world.tally.sent.fetch_add(1, Ordering::Relaxed);
+    harness.request_counts.sent.fetch_add(1, Ordering::Relaxed);
     let sent_at = Instant::now();
-    let getting = get(&mut connection, message);
-    let got = match leaves_after {
-        Some(after) => tokio::time::timeout(after, getting).await.unwrap_or(Got::Left),
-        None => getting.await,
+    let answer = receive_answer(&mut connection, message);
+    let outcome = match leaves_after {
+        Some(after) => tokio::time::timeout(after, answer).await.unwrap_or(Outcome::CallerLeft),
+        None => answer.await,
     };
-    let checked =
-        Checked { world, kind, request, events, account, entry: connection.entry, sent_at };
-    checked.check(&got);
-    matches!(got, Got::Answer { is_whole: true, .. }).then_some(connection)
+    let request_check = RequestCheck {
+        harness,
+        kind,
+        request_id,
+        events,
+        account,
+        entry: connection.entry,
+        sent_at,
+    };
+    request_check.check(&outcome);
+    matches!(outcome, Outcome::Answer { is_whole: true, .. }).then_some(connection)
 }
 
-async fn get(connection: &mut Kept, message: Request<Full<Bytes>>) -> Got {
-    // An entry answers by itself well before that.
-    let patience = DEADLINE + Duration::from_secs(3);
-    let answer = tokio::time::timeout(patience, connection.sender.send_request(message)).await;
+async fn receive_answer(connection: &mut KeptConnection, message: Request<Full<Bytes>>) -> Outcome {
+    // Entries answer at the deadline at the latest.
+    let answer_timeout = DEADLINE + Duration::from_secs(3);
+    let answer =
+        tokio::time::timeout(answer_timeout, connection.sender.send_request(message)).await;
     let answer = match answer {
         Ok(Ok(answer)) => answer,
-        Ok(Err(error)) => return Got::Cut(error.to_string()),
-        Err(_) => return Got::Cut("no answer".to_string()),
+        Ok(Err(error)) => return Outcome::ConnectionFailed(error.to_string()),
+        Err(_) => return Outcome::ConnectionFailed("no answer".to_string()),
     };
     let status = answer.status().as_u16();
     let stamp = answer.headers().get("x-response-stamp");
@@ -211,114 +227,125 @@
     let mut body = answer.into_body();
     let mut bytes = Vec::new();
     loop {
-        match tokio::time::timeout(patience, body.frame()).await {
+        match tokio::time::timeout(answer_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
             }
             Ok(None) => {
-                return Got::Answer { status, stamp, body: bytes.into(), is_whole: true };
+                return Outcome::Answer { status, stamp, body: bytes.into(), is_whole: true };
             }
             Ok(Some(Err(_))) | Err(_) => {
-                return Got::Answer { status, stamp, body: bytes.into(), is_whole: false };
+                return Outcome::Answer { status, stamp, body: bytes.into(), is_whole: false };
             }
         }
     }
 }
 
-/// One request and its answer, to be checked.
-struct Checked<'w> {
-    world: &'w World,
-    kind: Kind,
-    request: String,
+/// A sent request, for checking its answer.
+struct RequestCheck<'w> {
+    harness: &'w Harness,
+    kind: RequestKind,
+    request_id: String,
     events: u64,
     account: &'static str,
     entry: usize,
     sent_at: Instant,
 }
 
-impl Checked<'_> {
-    fn check(&self, got: &Got) {
-        let tally = &self.world.tally;
-        match got {
-            Got::Left => {
-                let (request, entry) = (self.request.clone(), self.entry);
-                self.world.claim(Claim::Left { request, at: Instant::now(), entry });
+impl RequestCheck<'_> {
+    fn check(&self, outcome: &Outcome) {
+        let request_counts = &self.harness.request_counts;
+        match outcome {
+            Outcome::CallerLeft => {
+                let (request_id, entry) = (self.request_id.clone(), self.entry);
+                self.harness.defer_check(DeferredCheck::CallerLeft {
+                    request_id,
+                    at: Instant::now(),
+                    entry,
+                });
             }
-            Got::Cut(reason) => {
-                tally.failed.fetch_add(1, Ordering::Relaxed);
-                self.check_stop(reason);
+            Outcome::ConnectionFailed(reason) => {
+                request_counts.failed.fetch_add(1, Ordering::Relaxed);
+                self.check_connection_failure(reason);
             }
-            Got::Answer { status: 200, stamp, body, is_whole } => {
+            Outcome::Answer { status: 200, stamp, body, is_whole } => {
                 self.check_success(stamp.as_deref(), body, *is_whole);
-                let counter = if *is_whole { &tally.whole } else { &tally.failed };
+                let counter =
+                    if *is_whole { &request_counts.completed } else { &request_counts.failed };
                 counter.fetch_add(1, Ordering::Relaxed);
             }
-            Got::Answer { status, stamp, body, .. } => {
-                if body.windows(HELD.len()).any(|part| part == HELD) {
-                    tally.held.fetch_add(1, Ordering::Relaxed);
+            Outcome::Answer { status, stamp, body, .. } => {
+                if body.windows(HELD_MESSAGE.len()).any(|part| part == HELD_MESSAGE) {
+                    request_counts.held.fetch_add(1, Ordering::Relaxed);
                 }
                 self.check_failure(*status, stamp.is_some());
             }
         }
     }
 
-    fn violation(&self, what: String) {
-        let (request, entry) = (&self.request, self.entry);
-        self.world.violation(format!("{request} at entry-{entry}: {what}"));
+    fn record_violation(&self, description: String) {
+        let (request_id, entry) = (&self.request_id, self.entry);
+        self.harness.record_violation(format!("{request_id} at entry-{entry}: {description}"));
     }
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
         let expected: String = match self.kind.is_stream() {
-            true => (1..=self.events).map(|number| event_of(&self.request, number)).collect(),
-            false => text_of(&self.request),
+            true => (1..=self.events).map(|number| event_of(&self.request_id, number)).collect(),
+            false => text_of(&self.request_id),
         };
-        let is_right = match is_whole {
+        let is_expected = match is_whole {
             true => body == expected.as_bytes(),
             false => expected.as_bytes().starts_with(body),
         };
-        if !is_right {
+        if !is_expected {
             let body = String::from_utf8_lossy(body);
-            self.violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
+            self.record_violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
-        let platform = self.world.platform.lock();
-        let runs = platform.account.runs_of(&self.request).to_vec();
+        let platform = self.harness.platform.lock();
+        let runs = platform.account.runs_of(&self.request_id).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
-            self.violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
+            self.record_violation(format!(
+                "successful answer with stamp {stamp:?} matches none of its runs: {runs:?}"
+            ));
         }
         if runs.iter().any(|run| run.tenant != self.account) {
-            self.violation(format!("runs as another account than {}: {runs:?}", self.account));
+            self.record_violation(format!(
+                "ran under another account than {}: {runs:?}",
+                self.account
+            ));
         }
     }
 
     fn check_failure(&self, status: u16, is_stamped: bool) {
-        let tally = &self.world.tally;
+        let request_counts = &self.harness.request_counts;
         match status {
             408 | 421 | 429 | 503 if !is_stamped => {
-                tally.refused.fetch_add(1, Ordering::Relaxed);
-                self.world.claim(Claim::NotRun(self.request.clone()));
+                request_counts.refused.fetch_add(1, Ordering::Relaxed);
+                self.harness.defer_check(DeferredCheck::NotRun(self.request_id.clone()));
             }
-            500 | 502 | 504 => drop(tally.failed.fetch_add(1, Ordering::Relaxed)),
-            _ => self.violation(format!("answered {status}, which it must not be")),
+            500 | 502 | 504 => drop(request_counts.failed.fetch_add(1, Ordering::Relaxed)),
+            _ => self.record_violation(format!("unexpected status {status}")),
         }
     }
 
-    /// A connection that ends without an answer is no fault where something was done to the entry,
-    /// unless that was a planned stop.
-    fn check_stop(&self, reason: &str) {
-        let system = self.world.system();
-        let done = system.disturbed_since(self.entry, self.sent_at - BEFORE_A_STOP);
-        let is_planned = done.iter().all(|what| *what != Disturbance::Unplanned);
-        // A connection that is closed just when a request is sent on it has not read it.
-        let platform = self.world.platform.lock();
-        let runs = platform.account.runs_of(&self.request);
-        // A target that ended may have broken off before its first byte.
+    /// Records a connection that failed without an answer, unless the entry had an unplanned
+    /// disturbance or a fault was active.
+    fn check_connection_failure(&self, reason: &str) {
+        let system = self.harness.system();
+        let disturbances = system.disturbances_since(self.entry, self.sent_at - STOP_MARGIN);
+        let is_planned =
+            disturbances.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
+        // A request without a run may have been sent while the entry closed the idle connection.
+        let platform = self.harness.platform.lock();
+        let runs = platform.account.runs_of(&self.request_id);
+        // A target that has terminated since may have failed before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
         drop((system, platform));
-        if is_planned && has_run && !self.world.is_harmed(self.sent_at - BEFORE_A_STOP) {
-            self.violation(format!(
-                "cut off though nothing unplanned happened ({reason}, {done:?})"
+        if is_planned && has_run && !self.harness.had_fault_since(self.sent_at - STOP_MARGIN) {
+            self.record_violation(format!(
+                "connection failed without an unplanned disturbance ({reason}, {disturbances:?})"
             ));
         }
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,5 +1,5 @@
-//! Faults in series that overlap, drawn from one seed: phases with faults of all kinds, and calm
-//! ones in which only planned work goes on.
+//! Injects overlapping faults drawn from the seed. Fault phases alternate with calm phases that
+//! have planned operations only.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,131 +11,138 @@
 use rand::{RngExt, SeedableRng};
 use tokio::task::JoinSet;
 
-use crate::World;
+use crate::Harness;
 use crate::platform_stand_in::target::Fault;
-use crate::proxy::{Harm, Proxy};
+use crate::proxy::{NetworkFault, Proxy};
 
-/// How long faults strike before a calm phase.
-const STORM: Duration = Duration::from_secs(10);
-/// How long it is calm then: longer than it takes until a deployment must be in force.
-const CALM: Duration = Duration::from_secs(16);
-/// Longest pause between two faults.
-const PAUSE_MS: u64 = 900;
-/// Replicas that may be lost at once, and how long one counts as lost once it is back.
-const LOST_AT_ONCE: usize = 2;
-const CATCHES_UP: Duration = Duration::from_secs(8);
-/// A target is gone this long after it began to leave.
-const LEAVES_AFTER: Duration = Duration::from_secs(15);
-/// Engines and instances of the plain service, each behind a proxy.
+/// Duration of a fault phase.
+const FAULT_PHASE: Duration = Duration::from_secs(10);
+/// Duration of a calm phase; longer than the time until a deployment must be in force.
+const CALM_PHASE: Duration = Duration::from_secs(16);
+/// Longest pause between two faults or planned operations.
+const MAX_PAUSE_MS: u64 = 900;
+/// Largest number of replicas that faults of single replicas may keep lost at the same time.
+const MAX_LOST_REPLICAS: usize = 2;
+/// How long a replica counts as lost after its restart.
+const CATCH_UP_TIME: Duration = Duration::from_secs(8);
+/// Time from the start of a drain to the termination of the target.
+const DRAIN_TIME: Duration = Duration::from_secs(15);
+/// Number of model engines.
 const ENGINES: usize = 4;
+/// Number of instances of the plain service.
 const INSTANCES: usize = 3;
 
-/// Which faults strike.
+/// Kinds of faults to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kinds {
-    /// All but those of the list and of targets that start again.
+pub enum FaultSet {
+    /// All except faults of the target list and target restarts.
     Plain,
-    /// All.
+    /// All faults.
     All,
 }
 
-/// Draws and applies faults.
-pub struct Faults {
-    pub(super) world: Arc<World>,
+/// Draws and injects faults.
+pub struct FaultInjector {
+    pub(super) harness: Arc<Harness>,
     random: SmallRng,
-    /// Draws what befalls the list and the targets on it, if that is wanted: apart from the rest, so
-    /// that earlier seeds draw what they drew.
+    /// Random source of list faults, if enabled. It is separate so that the other faults of a seed
+    /// do not depend on it.
     pub(super) list_random: Option<SmallRng>,
     pub(super) targets: BTreeMap<String, Proxy>,
-    /// Before the list, one for each replica.
-    pub(super) lists: Vec<Proxy>,
-    /// What entries of other writers name.
-    pub(super) nobody: SocketAddr,
-    starts: u64,
-    /// What ends faults that have begun.
-    pub(super) healing: JoinSet<()>,
-    /// Targets that leave.
-    leaving: JoinSet<()>,
-    /// Replicas that are lost, until when.
-    lost: Vec<(usize, Instant)>,
-    /// Faults that struck.
+    /// Proxies of the target list, one per replica.
+    pub(super) list_proxies: Vec<Proxy>,
+    /// Target address in foreign list entries.
+    pub(super) foreign_address: SocketAddr,
+    started_targets: u64,
+    /// Tasks that clear active faults.
+    pub(super) clearing: JoinSet<()>,
+    /// Tasks that terminate draining targets.
+    draining: JoinSet<()>,
+    /// Lost replicas, and until when each counts as lost.
+    lost_replicas: Vec<(usize, Instant)>,
+    /// Number of drawn faults.
     pub count: u64,
 }
 
-impl Faults {
-    /// Starts the targets. Nothing is wrong yet.
-    pub async fn new(world: Arc<World>, lists: Vec<Proxy>, kinds: Kinds) -> Faults {
-        let random = SmallRng::seed_from_u64(world.seed);
-        let list_random = SmallRng::seed_from_u64(world.seed ^ 0x6c69_7374);
-        let nobody = world.platform.serve_nobody(any_address()).await;
-        let mut faults = Faults {
-            world,
+impl FaultInjector {
+    /// Starts the targets, without faults.
+    pub async fn new(
+        harness: Arc<Harness>,
+        list_proxies: Vec<Proxy>,
+        fault_set: FaultSet,
+    ) -> FaultInjector {
+        let random = SmallRng::seed_from_u64(harness.seed);
+        let list_random = SmallRng::seed_from_u64(harness.seed ^ 0x6c69_7374);
+        let foreign_address = harness.platform.serve_nobody(any_loopback_address()).await;
+        let mut injector = FaultInjector {
+            harness,
             random,
-            list_random: (kinds == Kinds::All).then_some(list_random),
+            list_random: (fault_set == FaultSet::All).then_some(list_random),
             targets: BTreeMap::new(),
-            lists,
-            nobody,
-            starts: 0,
-            healing: JoinSet::new(),
-            leaving: JoinSet::new(),
-            lost: Vec::new(),
+            list_proxies,
+            foreign_address,
+            started_targets: 0,
+            clearing: JoinSet::new(),
+            draining: JoinSet::new(),
+            lost_replicas: Vec::new(),
             count: 0,
         };
         for _ in 0..ENGINES {
-            faults.start_target("llm").await;
+            injector.start_target("llm").await;
         }
         for _ in 0..INSTANCES {
-            faults.start_target("app").await;
+            injector.start_target("app").await;
         }
-        faults
+        injector
     }
 
     async fn start_target(&mut self, service: &str) {
-        self.starts += 1;
-        let id = format!("i-{service}-{}", self.starts);
-        let zone = format!("hall-{}", self.starts % 3);
-        let proxy = Proxy::start(any_address()).await;
-        let platform = &self.world.platform;
+        self.started_targets += 1;
+        let id = format!("i-{service}-{}", self.started_targets);
+        let zone = format!("hall-{}", self.started_targets % 3);
+        let proxy = Proxy::start(any_loopback_address()).await;
+        let platform = &self.harness.platform;
         let listed = Some(proxy.address);
-        let address = platform.start_target(&id, service, &zone, any_address(), listed).await;
+        let address =
+            platform.start_target(&id, service, &zone, any_loopback_address(), listed).await;
         proxy.redirect(address);
         self.targets.insert(id, proxy);
     }
 
-    /// Strikes until the time is over, then heals all.
-    pub async fn run(&mut self, lasts: Duration) {
-        let end = Instant::now() + lasts;
+    /// Injects faults for this time, then waits until all are cleared.
+    pub async fn run(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
         while Instant::now() < end {
-            let storm_ends = (Instant::now() + STORM).min(end);
-            while Instant::now() < storm_ends {
-                self.pause().await;
-                self.strike().await;
-                self.strike_list().await;
+            let fault_phase_end = (Instant::now() + FAULT_PHASE).min(end);
+            while Instant::now() < fault_phase_end {
+                self.wait_between_faults().await;
+                self.inject_fault().await;
+                self.inject_list_fault().await;
             }
-            self.heal().await;
-            let calm_ends = (Instant::now() + CALM).min(end);
-            while Instant::now() < calm_ends {
-                self.pause().await;
-                self.plan();
-                self.plan_list().await;
+            self.wait_until_cleared().await;
+            let calm_phase_end = (Instant::now() + CALM_PHASE).min(end);
+            while Instant::now() < calm_phase_end {
+                self.wait_between_faults().await;
+                self.run_planned_operation();
+                self.change_list().await;
             }
         }
-        self.heal().await;
+        self.wait_until_cleared().await;
     }
 
-    async fn pause(&mut self) {
-        let pause = Duration::from_millis(self.random.random_range(50..PAUSE_MS));
+    async fn wait_between_faults(&mut self) {
+        let pause = Duration::from_millis(self.random.random_range(50..MAX_PAUSE_MS));
         tokio::time::sleep(pause).await;
-        let wrong = self.world.system().look_after();
-        wrong.into_iter().for_each(|what| self.world.violation(what));
-        while self.healing.try_join_next().is_some() {}
+        let failures = self.harness.system().restart_exited();
+        failures.into_iter().for_each(|description| self.harness.record_violation(description));
+        while self.clearing.try_join_next().is_some() {}
     }
 
-    /// Planned work: one entry at a time stops, or reads its settings.
-    fn plan(&mut self) {
-        let entry = self.random.random_range(0..self.world.entries);
-        let mut system = self.world.system();
-        let all_up = (0..self.world.entries).all(|entry| system.is_up(entry));
+    /// Stops or reloads a random entry if all entries are up.
+    fn run_planned_operation(&mut self) {
+        let entry = self.random.random_range(0..self.harness.entries);
+        let mut system = self.harness.system();
+        let all_up = (0..self.harness.entries).all(|entry| system.is_up(entry));
         match self.random.random_range(0..4) {
             0 if all_up => system.stop(entry),
             1 if all_up => system.reload(entry),
@@ -143,25 +150,25 @@
         }
     }
 
-    async fn strike(&mut self) {
+    async fn inject_fault(&mut self) {
         self.count += 1;
-        let lasts = Duration::from_millis(self.random.random_range(300..3_000));
+        let duration = Duration::from_millis(self.random.random_range(300..3_000));
         match self.random.random_range(0..14) {
-            0 | 1 => self.harm_entry(lasts),
-            2..=4 => self.harm_replica(lasts),
-            5 => self.kill_all_replicas(lasts.min(Duration::from_secs(1))),
+            0 | 1 => self.inject_entry_fault(duration),
+            2..=4 => self.inject_replica_fault(duration),
+            5 => self.kill_all_replicas(duration.min(Duration::from_secs(1))),
             6 => self.replace_target().await,
             7 => self.drain_target().await,
-            8 => self.harm_list(lasts),
-            9 => self.world.platform.lock().store.restart(),
-            10..=11 => self.harm_connections(lasts),
-            _ => self.spoil_target(lasts),
+            8 => self.stall_list(duration),
+            9 => self.harness.platform.lock().store.restart(),
+            10..=11 => self.inject_network_fault(duration),
+            _ => self.inject_target_fault(duration),
         }
     }
 
-    fn harm_entry(&mut self, lasts: Duration) {
-        let entry = self.random.random_range(0..self.world.entries);
-        let mut system = self.world.system();
+    fn inject_entry_fault(&mut self, duration: Duration) {
+        let entry = self.random.random_range(0..self.harness.entries);
+        let mut system = self.harness.system();
         if !system.is_up(entry) {
             return;
         }
@@ -169,112 +176,119 @@
             0 => {
                 system.pause(entry);
                 drop(system);
-                self.later(lasts, move |world| world.system().resume(entry));
+                self.clear_after(duration, move |harness| harness.system().resume(entry));
             }
             1 => {
                 system.kill(entry);
                 drop(system);
-                self.later(lasts, move |world| world.system().start_again(entry, false));
+                self.clear_after(duration, move |harness| harness.system().restart(entry, false));
             }
             2 => system.reload(entry),
             _ => system.stop(entry),
         }
     }
 
-    fn harm_replica(&mut self, lasts: Duration) {
-        let replicas = self.world.system().replicas();
+    fn inject_replica_fault(&mut self, duration: Duration) {
+        let replicas = self.harness.system().replicas();
         let replica = self.random.random_range(replicas);
-        self.lost.retain(|(_, until)| Instant::now() < *until);
-        let is_lost = self.lost.iter().any(|(lost, _)| *lost == replica);
-        if is_lost || self.lost.len() >= LOST_AT_ONCE {
+        self.lost_replicas.retain(|(_, until)| Instant::now() < *until);
+        let is_lost = self.lost_replicas.iter().any(|(lost, _)| *lost == replica);
+        if is_lost || self.lost_replicas.len() >= MAX_LOST_REPLICAS {
             return;
         }
-        self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-        let drawn = self.random.random_range(0..4);
-        let mut system = self.world.system();
-        if drawn == 0 {
+        self.lost_replicas.push((replica, Instant::now() + duration + CATCH_UP_TIME));
+        let choice = self.random.random_range(0..4);
+        let mut system = self.harness.system();
+        if choice == 0 {
             system.pause(replica);
             drop(system);
-            self.later(lasts, move |world| world.system().resume(replica));
+            self.clear_after(duration, move |harness| harness.system().resume(replica));
         } else {
             system.kill(replica);
             drop(system);
-            self.later(lasts, move |world| world.system().start_again(replica, drawn == 1));
+            self.clear_after(duration, move |harness| {
+                harness.system().restart(replica, choice == 1)
+            });
         }
     }
 
-    /// All replicas end at the same moment and keep their disks.
-    fn kill_all_replicas(&mut self, lasts: Duration) {
-        self.lost.retain(|(_, until)| Instant::now() < *until);
-        if !self.lost.is_empty() {
+    /// Kills all replicas at the same time. They keep their disks.
+    fn kill_all_replicas(&mut self, duration: Duration) {
+        self.lost_replicas.retain(|(_, until)| Instant::now() < *until);
+        if !self.lost_replicas.is_empty() {
             return;
         }
-        let replicas = self.world.system().replicas();
+        let replicas = self.harness.system().replicas();
         for replica in replicas {
-            self.world.system().kill(replica);
-            self.lost.push((replica, Instant::now() + lasts + CATCHES_UP));
-            self.later(lasts, move |world| world.system().start_again(replica, false));
+            self.harness.system().kill(replica);
+            self.lost_replicas.push((replica, Instant::now() + duration + CATCH_UP_TIME));
+            self.clear_after(duration, move |harness| harness.system().restart(replica, false));
         }
     }
 
-    fn any_target(&mut self) -> Option<String> {
+    fn pick_target(&mut self) -> Option<String> {
         let ids: Vec<&String> = self.targets.keys().collect();
         let id = ids.choose(&mut self.random).map(|id| id.to_string());
         id.filter(|id| self.is_up(id))
     }
 
-    /// Whether a target runs: one that starts again is down for a while.
+    /// Whether a target runs; it does not while it restarts.
     pub(super) fn is_up(&self, id: &str) -> bool {
-        let platform = self.world.platform.lock();
+        let platform = self.harness.platform.lock();
         platform.targets.get(id).is_some_and(|target| platform.runs(id, target.start))
     }
 
-    fn harm_connections(&mut self, lasts: Duration) {
-        let Some(id) = self.any_target() else { return };
-        let harm = match self.random.random_range(0..4) {
-            0 => Harm::Delay(Duration::from_millis(self.random.random_range(5..150))),
-            1 => Harm::Silence,
-            2 => Harm::OneWay,
-            _ => Harm::Reset,
+    fn inject_network_fault(&mut self, duration: Duration) {
+        let Some(id) = self.pick_target() else { return };
+        let network_fault = match self.random.random_range(0..4) {
+            0 => NetworkFault::Delay(Duration::from_millis(self.random.random_range(5..150))),
+            1 => NetworkFault::Stall,
+            2 => NetworkFault::StallTowardsCaller,
+            _ => NetworkFault::Reset,
         };
-        self.set(self.targets[&id].clone(), harm, lasts);
+        self.apply_network_fault(self.targets[&id].clone(), network_fault, duration);
     }
 
-    fn harm_list(&mut self, lasts: Duration) {
-        for list in self.lists.clone() {
-            self.set(list, Harm::Silence, lasts);
+    fn stall_list(&mut self, duration: Duration) {
+        for proxy in self.list_proxies.clone() {
+            self.apply_network_fault(proxy, NetworkFault::Stall, duration);
         }
     }
 
-    pub(super) fn set(&mut self, proxy: Proxy, harm: Harm, lasts: Duration) {
-        proxy.set(harm);
-        self.later(lasts, move |_| proxy.set(Harm::None));
+    pub(super) fn apply_network_fault(
+        &mut self,
+        proxy: Proxy,
+        network_fault: NetworkFault,
+        duration: Duration,
+    ) {
+        proxy.set_fault(network_fault);
+        self.clear_after(duration, move |_| proxy.set_fault(NetworkFault::None));
     }
 
-    fn spoil_target(&mut self, lasts: Duration) {
-        let Some(id) = self.any_target() else { return };
+    fn inject_target_fault(&mut self, duration: Duration) {
+        let Some(id) = self.pick_target() else { return };
         let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
-        let fault = *faults.choose(&mut self.random).expect("there are some");
+        let fault = *faults.choose(&mut self.random).expect("the choices are not empty");
         self.set_fault(&id, fault);
-        self.later(lasts, move |world| world.set_fault(&id, Fault::None));
+        self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
     }
 
     fn set_fault(&self, id: &str, fault: Fault) {
-        self.world.set_fault(id, fault);
+        self.harness.set_fault(id, fault);
     }
 
-    /// A target dies, and another one starts in its place.
+    /// Crashes a target and starts a replacement.
     async fn replace_target(&mut self) {
-        let Some(id) = self.any_target() else { return };
+        let Some(id) = self.pick_target() else { return };
         self.targets.remove(&id);
-        let start = self.world.platform.lock().targets[&id].start;
-        self.world.platform.crash_target(&id, start);
+        let start = self.harness.platform.lock().targets[&id].start;
+        self.harness.platform.crash_target(&id, start);
         self.start_target(service_of(&id)).await;
     }
 
-    /// A target leaves, and another one starts before it does.
+    /// Drains a target and starts a replacement.
     async fn drain_target(&mut self) {
-        if let Some(id) = self.any_target() {
+        if let Some(id) = self.pick_target() {
             self.drain(id).await;
         }
     }
@@ -282,33 +296,38 @@
     pub(super) async fn drain(&mut self, id: String) {
         self.targets.remove(&id);
         self.start_target(service_of(&id)).await;
-        let start = self.world.platform.drain_target(&id);
-        // Planned: nothing is wrong meanwhile.
-        let world = self.world.clone();
-        self.leaving.spawn(async move {
-            tokio::time::sleep(LEAVES_AFTER).await;
-            world.platform.crash_target(&id, start);
+        let start = self.harness.platform.drain_target(&id);
+        // Draining is a planned operation, so no fault period is recorded.
+        let harness = self.harness.clone();
+        self.draining.spawn(async move {
+            tokio::time::sleep(DRAIN_TIME).await;
+            harness.platform.crash_target(&id, start);
         });
     }
 
-    pub(super) fn later(&mut self, after: Duration, end: impl FnOnce(&World) + Send + 'static) {
-        let world = self.world.clone();
-        let harm = world.begin_harm();
-        self.healing.spawn(async move {
+    /// Starts a fault period, and after a delay clears the fault and ends the period.
+    pub(super) fn clear_after(
+        &mut self,
+        after: Duration,
+        end: impl FnOnce(&Harness) + Send + 'static,
+    ) {
+        let harness = self.harness.clone();
+        let fault_index = harness.begin_fault();
+        self.clearing.spawn(async move {
             tokio::time::sleep(after).await;
-            end(&world);
-            world.end_harm(harm);
+            end(&harness);
+            harness.end_fault(fault_index);
         });
     }
 
-    /// Ends what is still to come.
+    /// Aborts all background tasks.
     pub async fn close(mut self) {
-        self.healing.shutdown().await;
-        self.leaving.shutdown().await;
+        self.clearing.shutdown().await;
+        self.draining.shutdown().await;
     }
 
-    async fn heal(&mut self) {
-        while self.healing.join_next().await.is_some() {}
+    async fn wait_until_cleared(&mut self) {
+        while self.clearing.join_next().await.is_some() {}
     }
 }
 
@@ -316,7 +335,7 @@
     if id.contains("-llm-") { "llm" } else { "app" }
 }
 
-/// A free port on loopback.
-pub fn any_address() -> SocketAddr {
+/// Loopback address with port 0, for binding to a free port.
+pub fn any_loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,21 +1,21 @@
-//! A randomized soak: the real programs as separate processes before stand-ins of the platform, with
-//! faults from outside, drawn from one seed. It checks what callers and targets see while it runs.
+//! Randomized soak test. Runs the real binary as separate processes against stand-ins of the
+//! platform, injects faults drawn from a seed, and checks what callers and targets observe.
 //!
-//! `cargo test --release --test soak -- --seed 7 --processes 8 --minutes 2`; `--seeds N` runs N seeds
-//! from there, with `--plain` without faults of the list and of targets that start again. Without
-//! arguments: short runs.
+//! Usage: `cargo test --release --test soak -- --seed 7 --processes 8 --minutes 2`. `--seeds N`
+//! runs N consecutive seeds; `--plain` omits faults of the target list and target restarts.
+//! Without `--seed`, runs the seeds in `REGRESSIONS`.
 
 mod callers;
-mod disks;
-mod ending;
+mod disk_load;
 mod faults;
-mod listing;
+mod list_faults;
 mod operator;
 #[path = "../platform_stand_in/mod.rs"]
 mod platform_stand_in;
 mod proxy;
-mod starts;
+mod quarantine;
 mod system;
+mod target_recovery;
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,8 +23,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use callers::{Claim, Tally};
-use faults::{Faults, Kinds};
+use callers::{DeferredCheck, RequestCounts};
+use faults::{FaultInjector, FaultSet};
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
@@ -33,283 +33,308 @@
 use proxy::Proxy;
 use system::{Disturbance, REPLICAS, System};
 
-/// Callers at a time.
-const CALLERS: u64 = 24;
-/// A run that is short enough for every change.
-const SHORT: Duration = Duration::from_secs(30);
-/// Seeds that once failed, run each time. 10: two prompts under way to an engine that changed its
-/// weights moved the belief about it by two versions. 19: SIGHUP ended a process that had just started.
-/// 108: after all replicas had started anew, entries took their lists of targets for old ones. 321: one
-/// entry of another writer took the whole list away; targets that had left and started again got nothing. 2048: an entry of another
-/// writer under an engine's id, of a service that is not named, was taken for a later start of that engine.
-const REGRESSIONS: [(u64, Kinds); 5] = [
-    (10, Kinds::Plain),
-    (19, Kinds::Plain),
-    (108, Kinds::Plain),
-    (321, Kinds::All),
-    (2048, Kinds::All),
+/// Number of concurrent callers.
+const CALLER_COUNT: u64 = 24;
+/// Duration of a run without `--minutes`.
+const DEFAULT_DURATION: Duration = Duration::from_secs(30);
+/// Seeds of fixed bugs. 10: two prompts in flight to an engine that changed its weights advanced
+/// its recorded version twice. 19: SIGHUP terminated a process during startup. 108: after a
+/// restart of all replicas, entries rejected new target lists as outdated. 321: one foreign list
+/// entry invalidated the whole list, and targets that had left and restarted got no requests.
+/// 2048: a foreign list entry with the id of an engine but an undefined service was taken for a
+/// restart of that engine.
+const REGRESSIONS: [(u64, FaultSet); 5] = [
+    (10, FaultSet::Plain),
+    (19, FaultSet::Plain),
+    (108, FaultSet::Plain),
+    (321, FaultSet::All),
+    (2048, FaultSet::All),
 ];
-/// Work for a caller who has left ends after this time. Longer than deployments ask for: a busy
-/// machine may keep a process waiting for a while.
-const LEAVING_TAKES: Duration = Duration::from_secs(3);
-/// Repeats that targets may get beside the requests themselves: a part of these, and so many more.
-const REPEATS: (f64, f64) = (0.2, 50.0);
+/// Longest time that a target may run a request after its caller has disconnected. Exceeds the
+/// limit of the deployment, as processes may be delayed on a busy machine.
+const ABANDONED_RUN_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest number of repeated runs: a ratio of the requests, plus a constant.
+const RETRY_BUDGET: (f64, f64) = (0.2, 50.0);
 
-/// What all tasks of one run share.
-pub struct World {
-    /// The seed.
+/// State shared by all tasks of a run.
+pub struct Harness {
     pub seed: u64,
-    /// How many entries there are.
+    /// Number of entries.
     pub entries: usize,
-    /// The stand-ins.
+    /// Stand-ins of the platform.
     pub platform: Platform,
-    /// The store's address.
+    /// Address of the KV cache store.
     pub store: SocketAddr,
-    /// What became of requests.
-    pub tally: Tally,
-    /// Answers of entries about what is in force that could be judged.
-    pub judged: AtomicU64,
-    /// Requests of routes and keys that must not be refused for good.
-    pub finals: AtomicU64,
+    /// Results of requests.
+    pub request_counts: RequestCounts,
+    /// Number of entry responses that were checked for the deployment version in force.
+    pub version_checks: AtomicU64,
+    /// Number of requests that were checked for a wrong permanent refusal.
+    pub refusal_checks: AtomicU64,
     system: Mutex<System>,
     published: Mutex<Published>,
-    claims: Mutex<Vec<Claim>>,
+    deferred_checks: Mutex<Vec<DeferredCheck>>,
     violations: Mutex<Vec<String>>,
-    /// When something beside planned work was wrong.
-    harms: Mutex<Vec<(Instant, Option<Instant>)>>,
+    /// Start and end of each fault period; planned operations are not faults.
+    fault_periods: Mutex<Vec<(Instant, Option<Instant>)>>,
 }
 
-impl World {
-    /// The processes.
+impl Harness {
+    /// Locks the processes under test.
     pub fn system(&self) -> MutexGuard<'_, System> {
-        self.system.lock().expect("nobody panics with it")
+        self.system.lock().expect("the lock is not poisoned")
     }
 
-    /// What the operator knows.
+    /// Locks the record of published deployments.
     pub fn published(&self) -> MutexGuard<'_, Published> {
-        self.published.lock().expect("nobody panics with it")
+        self.published.lock().expect("the lock is not poisoned")
     }
 
-    /// Records what must never happen.
-    pub fn violation(&self, what: String) {
-        println!("seed {}: VIOLATION: {what}", self.seed);
-        self.violations.lock().expect("nobody panics with it").push(what);
+    /// Records and prints a violation.
+    pub fn record_violation(&self, description: String) {
+        println!("seed {}: VIOLATION: {description}", self.seed);
+        self.violations.lock().expect("the lock is not poisoned").push(description);
     }
 
-    /// Records what is to be checked at the end.
-    pub fn claim(&self, claim: Claim) {
-        self.claims.lock().expect("nobody panics with it").push(claim);
+    /// Schedules a check for the end of the run.
+    pub fn defer_check(&self, check: DeferredCheck) {
+        self.deferred_checks.lock().expect("the lock is not poisoned").push(check);
     }
 
-    /// Something is wrong from now on. Returns its number.
-    pub fn begin_harm(&self) -> usize {
-        let mut harms = self.harms.lock().expect("nobody panics with it");
-        harms.push((Instant::now(), None));
-        harms.len() - 1
+    /// Starts a fault period and returns its index.
+    pub fn begin_fault(&self) -> usize {
+        let mut fault_periods = self.fault_periods.lock().expect("the lock is not poisoned");
+        fault_periods.push((Instant::now(), None));
+        fault_periods.len() - 1
     }
 
-    /// It is over.
-    pub fn end_harm(&self, number: usize) {
-        self.harms.lock().expect("nobody panics with it")[number].1 = Some(Instant::now());
+    /// Ends a fault period.
+    pub fn end_fault(&self, index: usize) {
+        self.fault_periods.lock().expect("the lock is not poisoned")[index].1 =
+            Some(Instant::now());
     }
 
-    /// Whether something was wrong at or after a time.
-    pub fn is_harmed(&self, since: Instant) -> bool {
-        self.was_harmed(since, Instant::now())
+    /// Whether a fault was active at or after a time.
+    pub fn had_fault_since(&self, since: Instant) -> bool {
+        self.had_fault_between(since, Instant::now())
     }
 
-    /// Whether something was wrong between two times.
-    pub fn was_harmed(&self, from: Instant, to: Instant) -> bool {
-        let harms = self.harms.lock().expect("nobody panics with it");
-        harms.iter().any(|(begun, ended)| *begun <= to && ended.is_none_or(|ended| ended >= from))
+    /// Whether a fault was active between two times.
+    pub fn had_fault_between(&self, from: Instant, to: Instant) -> bool {
+        let fault_periods = self.fault_periods.lock().expect("the lock is not poisoned");
+        fault_periods
+            .iter()
+            .any(|(started, ended)| *started <= to && ended.is_none_or(|ended| ended >= from))
     }
 
-    /// Makes a target do something wrong.
+    /// Injects a fault into a target, if it exists.
     pub fn set_fault(&self, id: &str, fault: Fault) {
         if let Some(target) = self.platform.lock().targets.get_mut(id) {
             target.fault = fault;
         }
     }
 
-    fn check_claims(&self) {
-        for claim in self.claims.lock().expect("nobody panics with it").drain(..) {
-            match claim {
-                Claim::NotRun(request) => {
-                    let runs = self.platform.lock().account.runs_of(&request).to_vec();
+    fn run_deferred_checks(&self) {
+        for check in self.deferred_checks.lock().expect("the lock is not poisoned").drain(..) {
+            match check {
+                DeferredCheck::NotRun(request_id) => {
+                    let runs = self.platform.lock().account.runs_of(&request_id).to_vec();
                     if !runs.is_empty() {
-                        self.violation(format!("{request} was said not to have run: {runs:?}"));
+                        self.record_violation(format!(
+                            "{request_id} ran although it was reported as not run: {runs:?}"
+                        ));
                     }
                 }
-                Claim::Left { request, at, entry } => self.check_left(&request, at, entry),
+                DeferredCheck::CallerLeft { request_id, at, entry } => {
+                    self.check_abandoned_runs(&request_id, at, entry)
+                }
             }
         }
     }
 
-    fn check_left(&self, request: &str, at: Instant, entry: usize) {
-        let done = self.system().disturbed_since(entry, at);
-        if self.was_harmed(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned) {
+    fn check_abandoned_runs(&self, request_id: &str, at: Instant, entry: usize) {
+        let disturbances = self.system().disturbances_since(entry, at);
+        if self.had_fault_between(at, at + ABANDONED_RUN_TIMEOUT)
+            || disturbances.contains(&Disturbance::Unplanned)
+        {
             return;
         }
-        for run in self.platform.lock().account.runs_of(request) {
-            let worked_on = match run.end {
+        for run in self.platform.lock().account.runs_of(request_id) {
+            let work_time = match run.end {
                 RunEnd::Whole => continue,
                 RunEnd::Left(end) => end.saturating_duration_since(at),
                 RunEnd::Running => at.elapsed(),
             };
-            if worked_on > LEAVING_TAKES {
+            if work_time > ABANDONED_RUN_TIMEOUT {
                 let target = &run.target;
-                self.violation(format!(
-                    "{target} works on {request} {worked_on:?} after its caller left"
+                self.record_violation(format!(
+                    "{target} ran {request_id} for {work_time:?} after its caller disconnected"
                 ));
             }
         }
     }
 
-    /// What came latest while nothing was wrong, if later than a deployment allows.
-    fn latest(&self, promise: Promise) -> Option<Late> {
+    /// Returns the longest delay outside fault periods that exceeds the limit of the deployment.
+    fn latest_without_fault(&self, promise: Promise) -> Option<Late> {
         let platform = self.platform.lock();
         let late = platform.account.late.iter().filter(|late| late.promise == promise);
-        let calm = late.filter(|late| !self.was_harmed(late.from, late.to));
-        calm.max_by_key(|late| late.late).cloned()
+        let without_faults = late.filter(|late| !self.had_fault_between(late.from, late.to));
+        without_faults.max_by_key(|late| late.late).cloned()
     }
 
-    fn check_repeats(&self) {
+    /// Checks the number of repeated runs, and what the stand-ins recorded: violations, and delays
+    /// outside fault periods.
+    fn check_platform_account(&self) {
         let platform = self.platform.lock();
         let repeats: usize = platform.account.runs.values().map(|runs| runs.len() - 1).sum();
-        let (ratio, slack) = REPEATS;
-        let most = platform.account.runs.len() as f64 * ratio + slack;
+        let (ratio, slack) = RETRY_BUDGET;
+        let max_repeats = platform.account.runs.len() as f64 * ratio + slack;
         let mut violations = platform.account.violations.clone();
         let late = platform.account.late.iter().filter(|late| late.late > late.promise.allowed());
-        let wrong = late.filter(|late| !self.was_harmed(late.from, late.to));
-        violations.extend(wrong.map(|late| late.what.clone()));
+        let unexcused = late.filter(|late| !self.had_fault_between(late.from, late.to));
+        violations.extend(unexcused.map(|late| late.what.clone()));
         drop(platform);
-        if repeats as f64 > most {
-            self.violation(format!("{repeats} repeats, at most {most} are allowed"));
+        if repeats as f64 > max_repeats {
+            self.record_violation(format!("{repeats} repeated runs, the limit is {max_repeats}"));
         }
-        violations.into_iter().for_each(|what| self.violation(what));
+        violations.into_iter().for_each(|description| self.record_violation(description));
     }
 }
 
-/// Runs one seed. Returns what must not have happened.
-async fn soak(seed: u64, entries: usize, lasts: Duration, kinds: Kinds) -> Vec<String> {
-    let begun = Instant::now();
+/// Runs one seed and returns the violations.
+async fn run_seed(
+    seed: u64,
+    entries: usize,
+    duration: Duration,
+    fault_set: FaultSet,
+) -> Vec<String> {
+    let started = Instant::now();
     let platform = Platform::new();
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    let list = platform.serve_list(any).await;
-    let lists: Vec<Proxy> =
-        futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list)).collect().await;
-    let store = platform.serve_store(any).await;
-    let world = Arc::new(World {
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a valid address");
+    let list_address = platform.serve_list(any_port).await;
+    let list_proxies: Vec<Proxy> =
+        futures::stream::iter(0..REPLICAS).then(|_| Proxy::start(list_address)).collect().await;
+    let store = platform.serve_store(any_port).await;
+    let harness = Arc::new(Harness {
         seed,
         entries,
         platform,
         store,
-        tally: Tally::default(),
-        judged: AtomicU64::new(0),
-        finals: AtomicU64::new(0),
+        request_counts: RequestCounts::default(),
+        version_checks: AtomicU64::new(0),
+        refusal_checks: AtomicU64::new(0),
         system: Mutex::new(System::start(
             entries,
-            lists.iter().map(|list| list.address).collect(),
+            list_proxies.iter().map(|proxy| proxy.address).collect(),
             (seed % 200) as u8,
         )),
         published: Mutex::default(),
-        claims: Mutex::default(),
+        deferred_checks: Mutex::default(),
         violations: Mutex::default(),
-        harms: Mutex::default(),
+        fault_periods: Mutex::default(),
     });
-    let mut faults = Faults::new(world.clone(), lists, kinds).await;
-    operator::check_recovery(&world).await;
-    let ending = Arc::new(AtomicBool::new(false));
-    let settled = Arc::new(AtomicBool::new(false));
+    let mut injector = FaultInjector::new(harness.clone(), list_proxies, fault_set).await;
+    operator::check_recovery(&harness).await;
+    let stop = Arc::new(AtomicBool::new(false));
+    let faults_done = Arc::new(AtomicBool::new(false));
     let mut tasks = tokio::task::JoinSet::new();
-    for number in 0..CALLERS {
-        tasks.spawn(callers::run(world.clone(), number, ending.clone()));
+    for number in 0..CALLER_COUNT {
+        tasks.spawn(callers::run(harness.clone(), number, stop.clone()));
     }
-    let operator = tokio::spawn(operator::run(world.clone(), settled.clone()));
-    tasks.spawn(operator::probe(world.clone(), ending.clone()));
-    tasks.spawn(ending::run(world.clone(), settled.clone()));
-    tasks.spawn(disks::run(world.clone(), settled.clone()));
-    faults.run(lasts).await;
-    settled.store(true, Ordering::Relaxed);
-    operator.await.expect("it does not panic");
-    operator::check_recovery(&world).await;
-    starts::check(&world).await;
-    ending.store(true, Ordering::Relaxed);
+    let operator = tokio::spawn(operator::run(harness.clone(), faults_done.clone()));
+    tasks.spawn(operator::probe_entries(harness.clone(), stop.clone()));
+    tasks.spawn(quarantine::run(harness.clone(), faults_done.clone()));
+    tasks.spawn(disk_load::run(harness.clone(), faults_done.clone()));
+    injector.run(duration).await;
+    faults_done.store(true, Ordering::Relaxed);
+    operator.await.expect("the task does not panic");
+    operator::check_recovery(&harness).await;
+    target_recovery::check(&harness).await;
+    stop.store(true, Ordering::Relaxed);
     while let Some(ended) = tasks.join_next().await {
-        ended.expect("no task panics");
+        ended.expect("the task does not panic");
     }
-    tokio::time::sleep(LEAVING_TAKES).await;
-    world.check_claims();
-    world.check_repeats();
-    ending::check(&world);
-    let told = summary(&world, &faults, begun);
-    let latest = [Promise::Leaving, Promise::Weights].map(|promise| world.latest(promise));
-    faults.close().await;
-    close(world, &told, latest.into_iter().flatten().collect())
+    tokio::time::sleep(ABANDONED_RUN_TIMEOUT).await;
+    harness.run_deferred_checks();
+    harness.check_platform_account();
+    quarantine::check(&harness);
+    let summary_line = summary(&harness, &injector, started);
+    let latest =
+        [Promise::Leaving, Promise::Weights].map(|promise| harness.latest_without_fault(promise));
+    injector.close().await;
+    close(harness, &summary_line, latest.into_iter().flatten().collect())
 }
 
-fn summary(world: &World, faults: &Faults, begun: Instant) -> String {
-    let platform = world.platform.lock();
-    let of = |count: &AtomicU64| count.load(Ordering::Relaxed);
+fn summary(harness: &Harness, injector: &FaultInjector, started: Instant) -> String {
+    let platform = harness.platform.lock();
+    let load = |count: &AtomicU64| count.load(Ordering::Relaxed);
     format!(
         "sent={} whole={} refused={} failed={} faults={} restarts={} orders={} freed={} fetched={} \
          judged={} finals={} ending={} ends={} held={} seconds={}",
-        of(&world.tally.sent),
-        of(&world.tally.whole),
-        of(&world.tally.refused),
-        of(&world.tally.failed),
-        faults.count,
+        load(&harness.request_counts.sent),
+        load(&harness.request_counts.completed),
+        load(&harness.request_counts.refused),
+        load(&harness.request_counts.failed),
+        injector.count,
         platform.targets.values().map(|target| target.start - 1).sum::<u64>(),
         platform.account.orders,
         platform.store.freed,
         platform.store.fetched,
-        of(&world.judged),
-        of(&world.finals),
+        load(&harness.version_checks),
+        load(&harness.refusal_checks),
         platform.account.ending.len(),
-        platform.account.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
-        of(&world.tally.held),
-        begun.elapsed().as_secs(),
+        platform.account.ending.values().map(|history| history.ended.len()).sum::<usize>(),
+        load(&harness.request_counts.held),
+        started.elapsed().as_secs(),
     )
 }
 
-/// Ends the processes; keeps their logs if something was wrong, or came late.
-fn close(world: Arc<World>, told: &str, late: Vec<Late>) -> Vec<String> {
-    let world = Arc::into_inner(world).expect("all tasks have ended");
-    let mut violations = world.violations.into_inner().expect("nobody panics with it");
-    let folder = world.system.into_inner().expect("nobody panics with it").close();
-    let logs = std::fs::read_dir(folder.path()).expect("a folder");
-    for path in logs.map(|entry| entry.expect("an entry").path()).filter(|path| path.is_file()) {
+/// Kills the processes and returns all violations, including panics in the logs. Keeps the logs if
+/// there are violations or delays.
+fn close(harness: Arc<Harness>, summary_line: &str, late: Vec<Late>) -> Vec<String> {
+    let harness = Arc::into_inner(harness).expect("all tasks have ended");
+    let mut violations = harness.violations.into_inner().expect("the lock is not poisoned");
+    let folder = harness.system.into_inner().expect("the lock is not poisoned").close();
+    let logs = std::fs::read_dir(folder.path()).expect("the folder is readable");
+    for path in logs
+        .map(|entry| entry.expect("a readable folder entry").path())
+        .filter(|path| path.is_file())
+    {
         let text = std::fs::read(&path).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
         let panics = text.lines().filter(|line| line.contains("event=panic"));
         violations.extend(panics.map(|line| format!("{}: {line}", path.display())));
     }
-    println!("seed {}: {told} violations={}", world.seed, violations.len());
-    late.iter().for_each(|late| println!("seed {}: late: {}", world.seed, late.what));
+    println!("seed {}: {summary_line} violations={}", harness.seed, violations.len());
+    late.iter().for_each(|late| println!("seed {}: late: {}", harness.seed, late.what));
     if !violations.is_empty() || !late.is_empty() {
-        println!("seed {}: logs in {}", world.seed, folder.keep().display());
+        println!("seed {}: logs in {}", harness.seed, folder.keep().display());
     }
     violations
 }
 
 fn main() -> ExitCode {
     let mut arguments = pico_args::Arguments::from_env();
-    let first: Option<u64> = arguments.opt_value_from_str("--seed").expect("a number");
-    let seeds: u64 = arguments.opt_value_from_str("--seeds").expect("a number").unwrap_or(1);
-    let processes: Option<usize> = arguments.opt_value_from_str("--processes").expect("a number");
-    let minutes: Option<f64> = arguments.opt_value_from_str("--minutes").expect("a number");
-    let lasts = minutes.map_or(SHORT, |minutes| Duration::from_secs_f64(minutes * 60.0));
-    let kinds = if arguments.contains("--plain") { Kinds::Plain } else { Kinds::All };
+    let first: Option<u64> = arguments.opt_value_from_str("--seed").expect("the value is a number");
+    let seeds: u64 =
+        arguments.opt_value_from_str("--seeds").expect("the value is a number").unwrap_or(1);
+    let processes: Option<usize> =
+        arguments.opt_value_from_str("--processes").expect("the value is a number");
+    let minutes: Option<f64> =
+        arguments.opt_value_from_str("--minutes").expect("the value is a number");
+    let duration =
+        minutes.map_or(DEFAULT_DURATION, |minutes| Duration::from_secs_f64(minutes * 60.0));
+    let fault_set = if arguments.contains("--plain") { FaultSet::Plain } else { FaultSet::All };
     let entries = processes.unwrap_or(8).saturating_sub(REPLICAS).max(1);
-    let seeds: Vec<(u64, Kinds)> = match first {
-        Some(first) => (first..first + seeds).map(|seed| (seed, kinds)).collect(),
+    let seeds: Vec<(u64, FaultSet)> = match first {
+        Some(first) => (first..first + seeds).map(|seed| (seed, fault_set)).collect(),
         None => REGRESSIONS.to_vec(),
     };
     let mut failed = 0;
-    for (seed, kinds) in &seeds {
-        let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-        let violations = runtime.block_on(soak(*seed, entries, lasts, *kinds));
-        violations.iter().for_each(|what| println!("seed {seed}: {what}"));
+    for (seed, fault_set) in &seeds {
+        let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
+        let violations = runtime.block_on(run_seed(*seed, entries, duration, *fault_set));
+        violations.iter().for_each(|description| println!("seed {seed}: {description}"));
         failed += u32::from(!violations.is_empty());
     }
     println!("test result: {} passed, {failed} failed", seeds.len() as u32 - failed);
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms connections.
+//! A loopback TCP proxy with fault injection.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,81 +10,84 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a proxy does to connections through it.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum NetworkFault {
     None,
-    /// Bytes come later.
+    /// Data is delayed.
     Delay(Duration),
-    /// Nothing passes in either direction, and nobody is told.
-    Silence,
-    /// Nothing passes towards the side that connected.
-    OneWay,
-    /// Connections are reset, and new ones as well.
+    /// No data is relayed in either direction; connections stay open.
+    Stall,
+    /// No data is relayed to the caller.
+    StallTowardsCaller,
+    /// Existing and new connections are reset.
     Reset,
 }
 
-/// A proxy before one address.
+/// A proxy for one target address.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
-    harm: Arc<watch::Sender<Harm>>,
-    to: Arc<Mutex<SocketAddr>>,
+    fault: Arc<watch::Sender<NetworkFault>>,
+    target_address: Arc<Mutex<SocketAddr>>,
 }
 
 impl Proxy {
-    /// Starts a proxy on an address of its own.
-    pub async fn start(to: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    /// Starts a proxy on a free port.
+    pub async fn start(target_address: SocketAddr) -> Proxy {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let proxy = Proxy {
-            address: listener.local_addr().expect("an address"),
-            harm: Arc::new(watch::Sender::new(Harm::None)),
-            to: Arc::new(Mutex::new(to)),
+            address: listener.local_addr().expect("the listener has an address"),
+            fault: Arc::new(watch::Sender::new(NetworkFault::None)),
+            target_address: Arc::new(Mutex::new(target_address)),
         };
-        let (harm, to) = (proxy.harm.clone(), proxy.to.clone());
+        let (fault, target_address) = (proxy.fault.clone(), proxy.target_address.clone());
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let to = *to.lock().expect("nobody panics with it");
-                tokio::spawn(carry(stream, to, harm.subscribe()));
+                let target_address = *target_address.lock().expect("the lock is not poisoned");
+                tokio::spawn(relay(stream, target_address, fault.subscribe()));
             }
         });
         proxy
     }
 
-    /// Carries new connections elsewhere.
-    pub fn redirect(&self, to: SocketAddr) {
-        *self.to.lock().expect("nobody panics with it") = to;
+    /// Changes the target of new connections.
+    pub fn redirect(&self, target_address: SocketAddr) {
+        *self.target_address.lock().expect("the lock is not poisoned") = target_address;
     }
 
-    /// Sets what happens to connections from now on, those that are open among them.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    /// Sets the fault of existing and new connections.
+    pub fn set_fault(&self, fault: NetworkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn carry(stream: TcpStream, to: SocketAddr, mut harm: watch::Receiver<Harm>) {
+async fn relay(
+    stream: TcpStream,
+    target_address: SocketAddr,
+    mut fault: watch::Receiver<NetworkFault>,
+) {
     let reset = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
-    reset.expect("a TCP socket");
-    let Ok(target) = TcpStream::connect(to).await else { return };
-    stream.set_nodelay(true).expect("a TCP socket");
-    target.set_nodelay(true).expect("a TCP socket");
+    reset.expect("the socket accepts options");
+    let Ok(target) = TcpStream::connect(target_address).await else { return };
+    stream.set_nodelay(true).expect("the socket accepts options");
+    target.set_nodelay(true).expect("the socket accepts options");
     let (from_caller, to_caller) = stream.into_split();
     let (from_target, to_target) = target.into_split();
-    let there = pass(from_caller, to_target, harm.clone(), false);
-    let back = pass(from_target, to_caller, harm.clone(), true);
+    let towards_target = copy(from_caller, to_target, fault.clone(), false);
+    let towards_caller = copy(from_target, to_caller, fault.clone(), true);
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
-        _ = harm.wait_for(|harm| *harm == Harm::Reset) => {}
+        () = async { tokio::join!(towards_target, towards_caller); } => {}
+        _ = fault.wait_for(|fault| *fault == NetworkFault::Reset) => {}
     }
 }
 
-async fn pass(
+async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
-    is_back: bool,
+    mut fault: watch::Receiver<NetworkFault>,
+    is_towards_caller: bool,
 ) {
     let mut bytes = vec![0; 16 << 10];
     loop {
@@ -92,12 +95,15 @@
             Ok(0) | Err(_) => return,
             Ok(read) => read,
         };
-        let holds = |harm: &Harm| *harm == Harm::Silence || (*harm == Harm::OneWay && is_back);
-        if holds(&harm.borrow()) && harm.wait_for(|harm| !holds(harm)).await.is_err() {
+        let blocks = |fault: &NetworkFault| {
+            *fault == NetworkFault::Stall
+                || (*fault == NetworkFault::StallTowardsCaller && is_towards_caller)
+        };
+        if blocks(&fault.borrow()) && fault.wait_for(|fault| !blocks(fault)).await.is_err() {
             return;
         }
-        let delay = match *harm.borrow() {
-            Harm::Delay(delay) => delay,
+        let delay = match *fault.borrow() {
+            NetworkFault::Delay(delay) => delay,
             _ => Duration::ZERO,
         };
         tokio::time::sleep(delay).await;
--- a/tests/soak/system.rs
+++ b/tests/soak/system.rs
@@ -1,4 +1,4 @@
-//! The processes under test: entries and replicas, each on a loopback address of its own.
+//! The processes under test: entries and replicas, each with its own loopback address.
 
 use std::fs::File;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,74 +10,74 @@
 use serde_json::json;
 use tempfile::TempDir;
 
-/// Replicas of the system: two may be lost.
+/// Number of replicas. The system tolerates the loss of two.
 pub const REPLICAS: usize = 5;
-/// Ports of each process, below the range from which systems take ports for outgoing connections.
+/// Lowest base port, below the ephemeral port range.
 const FIRST_PORT: u16 = 21_000;
-const OPERATORS: u16 = 9;
-const CALLERS: u16 = 5;
-const READINESS: u16 = 6;
-/// How long a process may take to stop after SIGTERM.
-pub const GRACE: Duration = Duration::from_secs(8);
+const OPERATOR_PORT_OFFSET: u16 = 9;
+const CALLER_PORT_OFFSET: u16 = 5;
+const READINESS_PORT_OFFSET: u16 = 6;
+/// Time limit for a shutdown after SIGTERM.
+pub const SHUTDOWN_GRACE: Duration = Duration::from_secs(8);
 
-/// No process can handle a signal that comes before it has set its handlers.
-const TAKES_SIGNALS_AFTER: Duration = Duration::from_millis(500);
+/// Time from the start of a process until its signal handlers are installed.
+const SIGNAL_HANDLERS_READY_AFTER: Duration = Duration::from_millis(500);
 
-/// What was done to a process.
+/// An action of the test on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disturbance {
-    /// SIGTERM, and a start once it has ended.
+    /// SIGTERM, and a restart after the exit.
     Stop,
     /// SIGHUP.
     Reload,
-    /// SIGKILL, SIGSTOP, or a lost disk.
+    /// SIGKILL, SIGSTOP, disk loss, or an unexpected exit.
     Unplanned,
 }
 
-/// One process, over its restarts.
+/// A process and its restarts.
 pub struct Process {
-    /// Its name, in logs.
+    /// Node name, also the prefix of its files.
     pub name: String,
-    /// Its address.
     pub ip: IpAddr,
     role: &'static str,
     child: Option<Child>,
-    /// Incarnations, from 1.
+    /// Number of starts.
     pub starts: u32,
     started_at: Option<Instant>,
-    /// SIGTERM was sent at that time, and it has not ended.
+    /// When SIGTERM was sent, until the process exits.
     stopping_since: Option<Instant>,
     is_paused: bool,
-    /// What was done to it, and when that ended.
+    /// Disturbances with their start and end.
     disturbances: Vec<(Disturbance, Instant, Option<Instant>)>,
 }
 
-/// All processes.
+/// All processes under test.
 pub struct System {
-    /// Logs, settings and disks.
+    /// Folder of logs, settings and data directories.
     pub folder: TempDir,
-    /// Entries, then replicas.
+    /// Entries, followed by replicas.
     pub processes: Vec<Process>,
     entries: usize,
-    /// Where each replica finds the list of targets.
-    lists: Vec<SocketAddr>,
-    port: u16,
+    /// Address of the target list for each replica.
+    list_addresses: Vec<SocketAddr>,
+    base_port: u16,
 }
 
 impl System {
-    /// Starts all, with an address of the list for each replica. `network` tells apart systems on one machine.
-    pub fn start(entries: usize, lists: Vec<SocketAddr>, network: u8) -> System {
+    /// Starts all processes, with one address of the target list per replica. `network` is the
+    /// third octet of their IP addresses and separates systems on one machine.
+    pub fn start(entries: usize, list_addresses: Vec<SocketAddr>, network: u8) -> System {
         let folder = tempfile::Builder::new().prefix("kumquatpost-soak-").tempdir();
         let process = |n: usize| {
             let is_entry = n < entries;
             let (role, number) = if is_entry { ("entry", n) } else { ("replica", n - entries) };
-            // Another run on this machine may have the same seed: processes have ports of their own
-            // and one that is always the same.
+            // Derived from the process id, as a concurrent run on this machine may use the same
+            // seed.
             let run = (std::process::id() % 75) as u8;
-            let part = 90 + run * 2 + (n / 250) as u8;
+            let subnet = 90 + run * 2 + (n / 250) as u8;
             Process {
                 name: format!("{role}-{number}"),
-                ip: Ipv4Addr::new(127, part, network, (n % 250) as u8 + 1).into(),
+                ip: Ipv4Addr::new(127, subnet, network, (n % 250) as u8 + 1).into(),
                 role,
                 child: None,
                 starts: 0,
@@ -88,74 +88,75 @@
             }
         };
         let mut system = System {
-            folder: folder.expect("a folder"),
+            folder: folder.expect("a temporary folder"),
             processes: (0..entries + REPLICAS).map(process).collect(),
             entries,
-            lists,
-            port: FIRST_PORT + (std::process::id() % 500) as u16 * 20,
+            list_addresses,
+            base_port: FIRST_PORT + (std::process::id() % 500) as u16 * 20,
         };
-        (0..system.processes.len()).for_each(|n| system.run(n, true));
+        (0..system.processes.len()).for_each(|n| system.start_process(n, true));
         system
     }
 
-    /// How many entries there are.
+    /// Number of entries.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    /// The indices of replicas.
+    /// Process indices of the replicas.
     pub fn replicas(&self) -> std::ops::Range<usize> {
         self.entries..self.processes.len()
     }
 
-    /// Where callers reach an entry.
-    pub fn callers(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.processes[n].ip, self.port + CALLERS)
+    /// Address of an entry for callers.
+    pub fn caller_address(&self, n: usize) -> SocketAddr {
+        SocketAddr::new(self.processes[n].ip, self.base_port + CALLER_PORT_OFFSET)
     }
 
-    /// Where the operator reaches a replica.
-    pub fn operators(&self, n: usize) -> SocketAddr {
-        SocketAddr::new(self.processes[n].ip, self.port + OPERATORS)
+    /// Address of a replica for the operator.
+    pub fn operator_address(&self, n: usize) -> SocketAddr {
+        SocketAddr::new(self.processes[n].ip, self.base_port + OPERATOR_PORT_OFFSET)
     }
 
-    fn file(&self, n: usize, what: &str) -> PathBuf {
-        self.folder.path().join(format!("{}-{what}", self.processes[n].name))
+    fn file_path(&self, n: usize, suffix: &str) -> PathBuf {
+        self.folder.path().join(format!("{}-{suffix}", self.processes[n].name))
     }
 
-    fn run(&mut self, n: usize, is_first_start: bool) {
-        let seeds: Vec<SocketAddr> = self.replicas().take(3).map(|n| self.operators(n)).collect();
+    fn start_process(&mut self, n: usize, is_first_start: bool) {
+        let seeds: Vec<SocketAddr> =
+            self.replicas().take(3).map(|n| self.operator_address(n)).collect();
         let process = &self.processes[n];
-        let at = |port: u16| SocketAddr::new(process.ip, self.port + port);
+        let at = |offset: u16| SocketAddr::new(process.ip, self.base_port + offset);
         let is_entry = n < self.entries;
-        // Entries do not read it.
-        let list = self.lists[n.saturating_sub(self.entries)];
+        // Entries do not use the list address.
+        let list_address = self.list_addresses[n.saturating_sub(self.entries)];
         let listen = match is_entry {
-            true => json!({"Front": at(CALLERS), "Ready": at(READINESS)}),
-            false => json!({"Control": at(OPERATORS)}),
+            true => json!({"Front": at(CALLER_PORT_OFFSET), "Ready": at(READINESS_PORT_OFFSET)}),
+            false => json!({"Control": at(OPERATOR_PORT_OFFSET)}),
         };
         let settings = json!({
             "NodeName": process.name, "Ip": process.ip, "Zone": format!("hall-{}", n % 3),
-            "Listen": listen, "PortRange": [self.port, self.port + 4], "Seeds": seeds,
+            "Listen": listen, "PortRange": [self.base_port, self.base_port + 4], "Seeds": seeds,
             "FirstStart": is_first_start, "Limits": {"MemoryMb": 256, "MaxFds": 4096},
-            "DataDir": (!is_entry).then(|| self.file(n, "data")),
-            "Cloud": {"Addr": list, "RatePerS": 44.0}, "Tolerate": {"Machines": 2},
-            "Bounds": {"ConfigApplyMs": 2000, "GraceS": GRACE.as_secs(), "LeaseMs": 3000, "ThawMs": 300,
+            "DataDir": (!is_entry).then(|| self.file_path(n, "data")),
+            "Cloud": {"Addr": list_address, "RatePerS": 44.0}, "Tolerate": {"Machines": 2},
+            "Bounds": {"ConfigApplyMs": 2000, "GraceS": SHUTDOWN_GRACE.as_secs(), "LeaseMs": 3000, "ThawMs": 300,
                        "BudgetRatio": 0.2, "BudgetWindowS": 10, "BudgetSlack": 50,
                        "VersionMs": 6000, "VersionAllMs": 8400}
         });
-        let path = self.file(n, "settings.json");
-        std::fs::write(&path, settings.to_string()).expect("a file");
-        let log = || File::options().create(true).append(true).open(self.file(n, "log"));
+        let path = self.file_path(n, "settings.json");
+        std::fs::write(&path, settings.to_string()).expect("the file is writable");
+        let log = || File::options().create(true).append(true).open(self.file_path(n, "log"));
         let child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .arg(process.role)
             .env("KUMQUATPOST_SETTINGS", path)
-            // The shell that started the soak may end before it: a group that is orphaned while one of its
-            // processes is halted gets SIGHUP.
+            // If the parent shell exits first, the kernel sends SIGHUP to an orphaned process
+            // group that contains a stopped process.
             .process_group(0)
-            .stdout(log().expect("a file"))
-            .stderr(log().expect("a file"))
+            .stdout(log().expect("the file is writable"))
+            .stderr(log().expect("the file is writable"))
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         let process = &mut self.processes[n];
         process.child = Some(child);
         process.starts += 1;
@@ -164,110 +165,119 @@
         process.stopping_since = None;
     }
 
-    /// Whether a process runs, can take signals by now, and was not told to stop.
+    /// Whether a process runs, handles signals, and is neither paused nor stopping.
     pub fn is_up(&self, n: usize) -> bool {
         let process = &self.processes[n];
-        let takes_signals = process.started_at.is_some_and(|at| at.elapsed() > TAKES_SIGNALS_AFTER);
-        let is_left_alone = process.stopping_since.is_none() && !process.is_paused;
-        process.child.is_some() && takes_signals && is_left_alone
+        let handles_signals =
+            process.started_at.is_some_and(|at| at.elapsed() > SIGNAL_HANDLERS_READY_AFTER);
+        let is_undisturbed = process.stopping_since.is_none() && !process.is_paused;
+        process.child.is_some() && handles_signals && is_undisturbed
     }
 
-    /// Kills a process.
+    /// Kills a process with SIGKILL.
     pub fn kill(&mut self, n: usize) {
         let process = &mut self.processes[n];
-        process.begin(Disturbance::Unplanned);
+        process.begin_disturbance(Disturbance::Unplanned);
         if let Some(mut child) = process.child.take() {
-            child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.kill().expect("the process can be killed");
+            child.wait().expect("the process exits");
         }
     }
 
-    /// Starts a process again after a kill, with an empty disk if that is lost.
-    pub fn start_again(&mut self, n: usize, is_wiped: bool) {
+    /// Restarts a killed process, after deleting its data directory if `wipe_disk` is set.
+    pub fn restart(&mut self, n: usize, wipe_disk: bool) {
         if self.processes[n].child.is_some() {
             return;
         }
-        if is_wiped && let Err(error) = std::fs::remove_dir_all(self.file(n, "data")) {
+        if wipe_disk && let Err(error) = std::fs::remove_dir_all(self.file_path(n, "data")) {
             assert_eq!(error.kind(), std::io::ErrorKind::NotFound, "{error}");
         }
-        self.run(n, false);
-        self.processes[n].end();
+        self.start_process(n, false);
+        self.processes[n].end_disturbances();
     }
 
-    /// Halts a process.
+    /// Pauses a process with SIGSTOP.
     pub fn pause(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Unplanned);
+        self.processes[n].begin_disturbance(Disturbance::Unplanned);
         self.processes[n].is_paused = true;
         self.signal(n, "STOP");
     }
 
-    /// Lets a halted process go on.
+    /// Resumes a paused process.
     pub fn resume(&mut self, n: usize) {
         if self.processes[n].is_paused {
             self.processes[n].is_paused = false;
             self.signal(n, "CONT");
-            self.processes[n].end();
+            self.processes[n].end_disturbances();
         }
     }
 
-    /// Asks a process to stop; it is started again once it has.
+    /// Stops a process with SIGTERM; `restart_exited` restarts it.
     pub fn stop(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Stop);
+        self.processes[n].begin_disturbance(Disturbance::Stop);
         self.processes[n].stopping_since = Some(Instant::now());
         self.signal(n, "TERM");
     }
 
-    /// Asks a process to read its settings again.
+    /// Makes a process reload its settings.
     pub fn reload(&mut self, n: usize) {
-        self.processes[n].begin(Disturbance::Reload);
+        self.processes[n].begin_disturbance(Disturbance::Reload);
         self.signal(n, "HUP");
-        self.processes[n].end();
+        self.processes[n].end_disturbances();
     }
 
     fn signal(&self, n: usize, name: &str) {
         let Some(child) = &self.processes[n].child else { return };
         let status = Command::new("kill").args(["-s", name, &child.id().to_string()]).status();
-        assert!(status.expect("kill runs").success(), "it is ours");
+        assert!(status.expect("the kill command runs").success(), "the signal is delivered");
     }
 
-    /// Starts again what has stopped as asked. Returns what ended by itself, or does not end.
-    pub fn look_after(&mut self) -> Vec<String> {
-        let mut wrong = Vec::new();
+    /// Restarts processes that have exited. Reports unexpected exits and overdue shutdowns.
+    pub fn restart_exited(&mut self) -> Vec<String> {
+        let mut failures = Vec::new();
         for n in 0..self.processes.len() {
             let process = &mut self.processes[n];
             let Some(child) = process.child.as_mut() else { continue };
-            let ended = child.try_wait().expect("it is ours");
+            let ended = child.try_wait().expect("the process can be waited for");
             match (ended, process.stopping_since) {
                 (Some(_), Some(_)) => {
-                    self.run(n, false);
-                    self.processes[n].end();
+                    self.start_process(n, false);
+                    self.processes[n].end_disturbances();
                 }
                 (Some(status), None) => {
-                    wrong.push(format!("{} ended by itself: {status}", process.name));
-                    process.begin(Disturbance::Unplanned);
-                    self.run(n, false);
-                    self.processes[n].end();
+                    failures.push(format!("{} exited unexpectedly: {status}", process.name));
+                    process.begin_disturbance(Disturbance::Unplanned);
+                    self.start_process(n, false);
+                    self.processes[n].end_disturbances();
                 }
-                // A busy machine may start the last steps late.
-                (None, Some(since)) if since.elapsed() > GRACE + Duration::from_secs(4) => {
-                    wrong.push(format!("{} does not stop within its grace period", process.name));
+                // The last steps of a shutdown may be delayed on a busy machine.
+                (None, Some(since))
+                    if since.elapsed() > SHUTDOWN_GRACE + Duration::from_secs(4) =>
+                {
+                    failures
+                        .push(format!("{} does not stop within its grace period", process.name));
                     process.stopping_since = Some(Instant::now());
                 }
                 (None, _) => {}
             }
         }
-        wrong
+        failures
     }
 
-    /// What was done to a process since a time, or just before it.
-    pub fn disturbed_since(&self, n: usize, since: Instant) -> Vec<Disturbance> {
-        let counts = |(_, _, ended): &&(Disturbance, Instant, Option<Instant>)| {
+    /// Disturbances of a process that were active at or after a time.
+    pub fn disturbances_since(&self, n: usize, since: Instant) -> Vec<Disturbance> {
+        let overlaps = |(_, _, ended): &&(Disturbance, Instant, Option<Instant>)| {
             ended.is_none_or(|ended| ended >= since)
         };
-        self.processes[n].disturbances.iter().filter(counts).map(|(what, ..)| *what).collect()
+        self.processes[n]
+            .disturbances
+            .iter()
+            .filter(overlaps)
+            .map(|(disturbance, ..)| *disturbance)
+            .collect()
     }
 
-    /// Ends all processes.
+    /// Kills all processes and returns their folder.
     pub fn close(mut self) -> TempDir {
         (0..self.processes.len()).for_each(|n| self.kill(n));
         self.folder
@@ -275,22 +285,22 @@
 }
 
 impl Drop for Process {
-    /// A check that fails leaves nothing running.
+    /// Kills the process, so that none is left running if the test panics.
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            child.kill().expect("it is ours");
-            child.wait().expect("it ends");
+            child.kill().expect("the process can be killed");
+            child.wait().expect("the process exits");
         }
     }
 }
 
 impl Process {
-    fn begin(&mut self, what: Disturbance) {
-        self.disturbances.push((what, Instant::now(), None));
+    fn begin_disturbance(&mut self, disturbance: Disturbance) {
+        self.disturbances.push((disturbance, Instant::now(), None));
     }
 
-    fn end(&mut self) {
-        let open = self.disturbances.iter_mut().filter(|(_, _, ended)| ended.is_none());
-        open.for_each(|(_, _, ended)| *ended = Some(Instant::now()));
+    fn end_disturbances(&mut self) {
+        let unfinished = self.disturbances.iter_mut().filter(|(_, _, ended)| ended.is_none());
+        unfinished.for_each(|(_, _, ended)| *ended = Some(Instant::now()));
     }
 }
