--- a/tests/deployment/memory.rs
+++ b/tests/deployment/memory.rs
@@ -1,4 +1,4 @@
-//! What is thought resident in an engine's memory.
+//! The scheduler's model of which parts an engine holds in its cache.
 
 use kumquatpost::scheduler::engine_cache::EngineCache;
 use proptest::prelude::*;
@@ -6,49 +6,49 @@
 use crate::fixtures::cases;
 
 #[test]
-fn a_part_that_one_leaves_unread_stays_for_others_and_is_counted_to_the_end() {
-    let mut memory = EngineCache::new(1_000);
-    memory.acquire(1, 100);
-    memory.acquire(1, 100);
-    // The first caller leaves before the part was read.
-    memory.release(1);
-    memory.discard(1);
-    memory.acquire(1, 100);
-    assert_eq!(memory.in_use_tokens(), 100);
-    memory.release(1);
-    memory.release(1);
-    assert_eq!(memory.in_use_tokens(), 0);
-    memory.discard(1);
-    assert!(!memory.contains(1));
+fn discarding_a_shared_part_keeps_it_until_its_last_user_releases_it() {
+    let mut cache = EngineCache::new(1_000);
+    cache.acquire(1, 100);
+    cache.acquire(1, 100);
+    // The first caller disconnects before the part is computed.
+    cache.release(1);
+    cache.discard(1);
+    cache.acquire(1, 100);
+    assert_eq!(cache.in_use_tokens(), 100);
+    cache.release(1);
+    cache.release(1);
+    assert_eq!(cache.in_use_tokens(), 0);
+    cache.discard(1);
+    assert!(!cache.contains(1));
 }
 
 proptest! {
     #![proptest_config(cases(256))]
 
     #[test]
-    fn what_is_in_use_is_what_running_prompts_use(
+    fn tokens_in_use_are_those_of_running_prompts(
         steps in proptest::collection::vec((0..4u8, 0..6u64, 1..400u64), 1..200),
     ) {
-        let mut memory = EngineCache::new(1_000);
-        let mut using: Vec<u64> = Vec::new();
+        let mut cache = EngineCache::new(1_000);
+        let mut acquired: Vec<u64> = Vec::new();
         for (step, key, tokens) in steps {
             match step {
                 0 => {
-                    memory.acquire(key, tokens);
-                    using.push(key);
+                    cache.acquire(key, tokens);
+                    acquired.push(key);
                 }
-                1 => memory.insert_idle(key, tokens),
+                1 => cache.insert_idle(key, tokens),
                 _ => {
-                    let Some(ended) = using.pop() else { continue };
-                    memory.release(ended);
+                    let Some(released) = acquired.pop() else { continue };
+                    cache.release(released);
                     if step == 2 {
-                        memory.discard(ended);
+                        cache.discard(released);
                     }
                 }
             }
-            prop_assert!(using.iter().all(|key| memory.contains(*key)));
+            prop_assert!(acquired.iter().all(|key| cache.contains(*key)));
         }
-        using.into_iter().for_each(|key| memory.release(key));
-        prop_assert_eq!(memory.in_use_tokens(), 0);
+        acquired.into_iter().for_each(|key| cache.release(key));
+        prop_assert_eq!(cache.in_use_tokens(), 0);
     }
 }
