--- a/tests/deployment/freshness.rs
+++ b/tests/deployment/freshness.rs
@@ -1,4 +1,4 @@
-//! How recent what an entry knows surely is, on a virtual clock.
+//! When an entry's state counts as confirmed by a replica, on a virtual clock.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// An entry whose first request was answered at once.
+/// The freshness after a first request that was answered at once.
 fn confirmed(in_force: Option<Duration>) -> Freshness {
     let mut freshness = Freshness::new(in_force);
-    let id = freshness.start_request(START).expect("nothing is known yet");
+    let id = freshness.start_request(START).expect("the first call must start a request");
     freshness.confirmed(id, Duration::ZERO);
     freshness
 }
 
 #[test]
-fn a_confirmation_counts_from_when_it_was_asked_for_less_the_replicas_age() {
+fn a_confirmation_dates_from_its_request_minus_the_age_of_the_replicas_state() {
     let mut freshness = Freshness::new(None);
-    let id = freshness.start_request(START).expect("nothing is known yet");
+    let id = freshness.start_request(START).expect("the first call must start a request");
     freshness.confirmed(id, ms(300));
     assert_eq!(freshness.verdict(START + ms(200)), Verdict::Confirmed);
     assert_eq!(freshness.verdict(START + ms(201)), Verdict::Unconfirmed);
@@ -28,28 +28,28 @@
 #[test]
 fn an_answer_to_an_earlier_request_confirms_nothing() {
     let mut freshness = Freshness::new(None);
-    let earlier = freshness.start_request(START).expect("nothing is known yet");
+    let earlier = freshness.start_request(START).expect("the first call must start a request");
     let now = START + ms(400);
-    assert!(freshness.start_request(now).is_some(), "the first one has no answer");
+    assert!(freshness.start_request(now).is_some(), "the first request has timed out");
     freshness.confirmed(earlier, Duration::ZERO);
     assert_eq!(freshness.verdict(now), Verdict::Unconfirmed);
 }
 
 #[test]
-fn a_final_word_is_no_older_than_half_of_the_time_in_which_a_deployment_must_be_in_force() {
+fn a_confirmation_expires_after_half_of_the_in_force_time_and_500_ms_at_most() {
     let cases =
         [(None, 500), (Some(ms(300)), 150), (Some(ms(2_000)), 500), (Some(Duration::ZERO), 0)];
-    for (in_force, recent_ms) in cases {
+    for (in_force, max_age_ms) in cases {
         let freshness = confirmed(in_force);
-        assert_eq!(freshness.verdict(START + ms(recent_ms)), Verdict::Confirmed, "{in_force:?}");
-        let later = START + ms(recent_ms + 1);
+        assert_eq!(freshness.verdict(START + ms(max_age_ms)), Verdict::Confirmed, "{in_force:?}");
+        let later = START + ms(max_age_ms + 1);
         assert_eq!(freshness.verdict(later), Verdict::Unconfirmed, "{in_force:?}");
     }
 }
 
-/// Guards against callers of unknown paths who load replicas.
+/// Guards against callers of unknown paths that overload replicas or all wait for a replica that doesn't answer.
 #[test]
-fn a_hundred_thousand_callers_make_seven_requests_a_second_and_none_waits_once_one_had_no_answer() {
+fn without_answers_requests_are_rate_limited_and_only_the_first_callers_wait() {
     let mut freshness = Freshness::new(None);
     let (mut requests, mut waits) = (0, 0);
     for call in 0..100_000_u32 {
@@ -58,11 +58,11 @@
         waits += usize::from(matches!(freshness.verdict(now), Verdict::Wait(_)));
     }
     assert_eq!(requests, 7);
-    assert_eq!(waits, 15_000, "those of the first 0.15 s");
+    assert_eq!(waits, 15_000, "only callers of the first 0.15 s may wait");
 }
 
 #[test]
-fn while_a_replica_answers_callers_make_two_requests_a_second() {
+fn confirmed_state_is_requested_twice_a_second_under_load() {
     let mut freshness = Freshness::new(None);
     let mut requests = 0;
     for call in 0..100_000_u32 {
--- a/tests/deployment/settings.rs
+++ b/tests/deployment/settings.rs
@@ -5,7 +5,7 @@
 
 use crate::fixtures::ms;
 
-fn file() -> Value {
+fn valid_settings() -> Value {
     json!({
         "NodeName": "core-1", "Ip": "10.1.0.35", "Zone": "hall",
         "Listen": {"Control": "10.1.0.35:8000"}, "PortRange": [7700, 7715],
@@ -20,37 +20,37 @@
 }
 
 #[test]
-fn fields_are_read_and_unknown_ones_ignored() {
-    let host = settings::decode(file().to_string().as_bytes()).expect("it is valid");
+fn known_fields_are_read_and_unknown_ones_ignored() {
+    let host = settings::decode(valid_settings().to_string().as_bytes()).expect("it is valid");
     assert_eq!(host.name, "core-1");
     assert_eq!(host.peer_port, 7_700);
     let deploy = include_str!("../../deploy/system.toml");
-    let named = format!("metrics = \"{}/metrics\"", host.metrics_port);
-    assert_eq!(deploy.matches(&named).count(), 2, "each role serves them where they are fetched");
-    assert_eq!(host.seeds.len(), 2);
-    assert_eq!(host.tolerated_losses, 2);
+    let metrics_line = format!("metrics = \"{}/metrics\"", host.metrics_port);
     assert_eq!(
-        host.periods.min_order_interval,
-        ms(3_300),
-        "lease and thaw together keep holders apart"
+        deploy.matches(&metrics_line).count(),
+        2,
+        "deploy/system.toml must name the metrics port of both roles"
     );
+    assert_eq!(host.seeds.len(), 2);
+    assert_eq!(host.tolerated_losses, 2);
+    assert_eq!(host.periods.min_order_interval, ms(3_300), "must be the sum of LeaseMs and ThawMs");
     assert_eq!(host.callers_address, None);
     assert!(host.is_first_start);
 }
 
 #[test]
-fn a_missing_field_is_named() {
+fn a_missing_field_is_named_in_the_error() {
     for field in ["NodeName", "Ip", "Zone", "PortRange", "FirstStart", "Limits", "Bounds"] {
-        let mut file = file();
-        file.as_object_mut().expect("an object").remove(field);
-        let error = settings::decode(file.to_string().as_bytes()).expect_err(field);
+        let mut settings_json = valid_settings();
+        settings_json.as_object_mut().expect("an object").remove(field);
+        let error = settings::decode(settings_json.to_string().as_bytes()).expect_err(field);
         assert!(error.to_string().contains(field), "{field}: {error}");
     }
 }
 
 #[test]
-fn values_that_can_not_be_are_refused_with_their_place() {
-    let spoilt = [
+fn invalid_values_are_rejected_with_their_line_and_column() {
+    let invalid = [
         ("/Bounds/GraceS", json!(-1)),
         ("/Bounds/GraceS", json!(1e300)),
         ("/Bounds/BudgetWindowS", json!(-0.5)),
@@ -60,10 +60,11 @@
         ("/PortRange", json!([7_700, 77_000])),
         ("/Cloud/Addr", json!("platform:80")),
     ];
-    for (field, value) in spoilt {
-        let mut file = file();
-        *file.pointer_mut(field).expect(field) = value.clone();
-        let error = settings::decode(file.to_string().as_bytes()).expect_err(field).to_string();
-        assert!(error.contains("line 1 column"), "{field} {value}: {error}");
+    for (pointer, value) in invalid {
+        let mut settings_json = valid_settings();
+        *settings_json.pointer_mut(pointer).expect(pointer) = value.clone();
+        let error =
+            settings::decode(settings_json.to_string().as_bytes()).expect_err(pointer).to_string();
+        assert!(error.contains("line 1 column"), "{pointer} {value}: {error}");
     }
 }
