--- a/tests/deployment/weights_alone.rs
+++ b/tests/deployment/weights_alone.rs
@@ -1,13 +1,6 @@
 //! Named weights where an entry places a prompt without the scheduler, over loopback.
 //!
-//! What was seen: 11.9 s after newer weights of a model had been named, a prompt began on the older
-//! ones at an engine that still ran them, in seconds without any fault at the replicas. The bound is
-//! 6 s.
-//! How it came about: the scheduler's answer was late, so the entry decided alone, as it also does
-//! while it knows no scheduler.
-//! What caused it: entries were not told which weights were named, and sent such prompts without the
-//! version that the engine must run.
-//! What proved it: an entry alone before one engine with the older weights, below.
+//! Guards against prompts that begin on older weights more than 6 s after newer ones were named.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,12 +13,12 @@
 use crate::gateway::{Entry, PROMPT, before_two, entry, events, run, unhurried};
 use crate::stand_in::{StandIn, Then, header};
 
-/// How long after the naming the prompt began on older weights.
-const SEEN_AFTER: Duration = Duration::from_millis(11_930);
+/// A time since the naming after which the named weights must be in use.
+const PAST_BOUND: Duration = Duration::from_millis(11_930);
 
-fn hears_named(entry: &Entry, version: u64, age: Duration) {
+fn observe_named_weights(entry: &Entry, version: u64, age: Duration) {
     let named = BTreeMap::from([("m".to_string(), vec![NamedWeights { version, age }])]);
-    entry.gateway.observe(Update::Weights(named)).expect("it is whole");
+    entry.gateway.observe(Update::Weights(named)).expect("a valid update");
 }
 
 fn engine(id: &str, stand_in: &StandIn, weights: u64) -> Listed {
@@ -34,90 +27,94 @@
     engine
 }
 
-/// A stream of one event.
-fn streams(text: &str) -> (String, Then) {
+/// Answers with a stream of one event.
+fn one_event_stream(text: &str) -> (String, Then) {
     (events(&[&format!("id: 1\ndata: {text}\n\n")], true), Then::KeepOpen)
 }
 
-fn refuses_weights(extra: &str) -> (String, Then) {
+fn weight_mismatch(extra_headers: &str) -> (String, Then) {
     let refusal = format!(
-        "HTTP/1.1 421 Misdirected\r\nX-Request-Id: {{id}}\r\nX-Not-Run: 1\r\n{extra}\
+        "HTTP/1.1 421 Misdirected\r\nX-Request-Id: {{id}}\r\nX-Not-Run: 1\r\n{extra_headers}\
          Content-Length: 0\r\n\r\n"
     );
     (refusal, Then::KeepOpen)
 }
 
-fn expected_weights(stand_in: &StandIn, request: usize) -> Option<String> {
+fn expect_version_header(stand_in: &StandIn, request: usize) -> Option<String> {
     header(&stand_in.requests.borrow()[request], "x-expect-version")
 }
 
 #[test]
-fn an_entry_alone_begins_no_prompt_on_old_weights_once_newer_ones_must_be_in_force() {
+fn an_entry_without_scheduler_refuses_old_weights_past_the_bound() {
     run(async {
-        let old = StandIn::start(vec![streams("a")]).await;
+        let old = StandIn::start(vec![one_event_stream("a")]).await;
         let entry = entry(unhurried(), vec![engine("i-1", &old, 1)]).await;
-        hears_named(&entry, 2, SEEN_AFTER);
+        observe_named_weights(&entry, 2, PAST_BOUND);
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
         assert_eq!(got.status, 503, "{}", got.text);
         assert!(header(&got.text, "retry-after").is_some(), "{}", got.text);
-        assert_eq!(old.seen(), 0, "what is refused has not run");
+        assert_eq!(old.seen(), 0, "a refused prompt must not reach the engine");
     });
 }
 
-/// The list may be late, and an engine that starts again has the weights that it had before: only the
-/// engine knows what it runs.
+/// Guards against trusting the roster, which may be out of date: the engine checks the version itself.
 #[test]
-fn a_prompt_that_an_entry_places_alone_names_the_weights_that_it_was_placed_for() {
+fn a_prompt_placed_without_scheduler_sends_the_expected_weight_version() {
     run(async {
-        let first = vec![refuses_weights("X-Weight-Versions: 1\r\n")];
-        let others = vec![streams("a"), streams("b")];
+        let first = vec![weight_mismatch("X-Weight-Versions: 1\r\n")];
+        let others = vec![one_event_stream("a"), one_event_stream("b")];
         let (entry, one, two) = before_two("llm", first, others).await;
         entry.hears_list(2, vec![engine("i-1", &one, 2), engine("i-2", &two, 2)]);
-        hears_named(&entry, 2, SEEN_AFTER);
+        observe_named_weights(&entry, 2, PAST_BOUND);
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
-        assert_eq!(expected_weights(&one, 0).as_deref(), Some("2"));
+        assert_eq!(expect_version_header(&one, 0).as_deref(), Some("2"));
         assert!(got.text.contains("data: a\n\n"), "{}", got.text);
-        assert_eq!(expected_weights(&two, 0).as_deref(), Some("2"));
+        assert_eq!(expect_version_header(&two, 0).as_deref(), Some("2"));
         let got = entry.call_with("/stream/", "r2", PROMPT).await;
         assert!(got.text.contains("data: b\n\n"), "{}", got.text);
-        assert_eq!((one.seen(), two.seen()), (1, 2), "what it said of itself is kept in mind");
+        assert_eq!(
+            (one.seen(), two.seen()),
+            (1, 2),
+            "the entry must remember the version that an engine reported"
+        );
     });
 }
 
 #[test]
-fn a_prompt_may_begin_on_old_weights_within_the_bound_and_names_them() {
+fn old_weights_are_allowed_within_the_bound_and_sent_as_expected_version() {
     run(async {
-        let old = StandIn::start(vec![streams("a")]).await;
+        let old = StandIn::start(vec![one_event_stream("a")]).await;
         let entry = entry(unhurried(), vec![engine("i-1", &old, 1)]).await;
-        hears_named(&entry, 2, ms(1_000));
+        observe_named_weights(&entry, 2, ms(1_000));
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
         assert_eq!(got.status, 200, "{}", got.text);
-        assert_eq!(expected_weights(&old, 0).as_deref(), Some("1"));
+        assert_eq!(expect_version_header(&old, 0).as_deref(), Some("1"));
     });
 }
 
-/// One replica has heard of the naming late, or has started again since.
+/// Guards against a replica that learned of the naming late or has restarted, and so reports a lower age.
 #[test]
-fn of_several_times_of_a_naming_the_earliest_holds() {
+fn the_earliest_of_several_naming_times_applies() {
     run(async {
-        let old = StandIn::start(vec![streams("a")]).await;
+        let old = StandIn::start(vec![one_event_stream("a")]).await;
         let entry = entry(unhurried(), vec![engine("i-1", &old, 1)]).await;
-        hears_named(&entry, 2, SEEN_AFTER);
-        hears_named(&entry, 2, ms(0));
-        hears_named(&entry, 1, ms(0));
+        observe_named_weights(&entry, 2, PAST_BOUND);
+        observe_named_weights(&entry, 2, ms(0));
+        observe_named_weights(&entry, 1, ms(0));
         assert_eq!(entry.call_with("/stream/", "r1", PROMPT).await.status, 503);
         assert_eq!(old.seen(), 0);
     });
 }
 
-/// An engine that still runs weights 1 has missed weights 2, which were named long ago.
+/// Guards against an engine whose bound starts anew with every further naming.
 #[test]
-fn an_entry_alone_counts_from_the_first_weights_that_an_engine_has_missed() {
+fn the_bound_counts_from_the_first_weights_that_an_engine_lacks() {
     run(async {
-        let (old, newer) = (StandIn::start(vec![]).await, StandIn::start(vec![streams("a")]).await);
+        let (old, newer) =
+            (StandIn::start(vec![]).await, StandIn::start(vec![one_event_stream("a")]).await);
         let entry = entry(unhurried(), vec![engine("i-1", &old, 1)]).await;
-        hears_named(&entry, 2, SEEN_AFTER);
-        hears_named(&entry, 3, ms(1_000));
+        observe_named_weights(&entry, 2, PAST_BOUND);
+        observe_named_weights(&entry, 3, ms(1_000));
         assert_eq!(entry.call_with("/stream/", "r1", PROMPT).await.status, 503);
         entry.hears_list(2, vec![engine("i-1", &old, 1), engine("i-2", &newer, 2)]);
         assert_eq!(entry.call_with("/stream/", "r2", PROMPT).await.status, 200);
