--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -1,4 +1,4 @@
-//! What an entry says of routes and keys that it doesn't know, beside replicas that fall silent.
+//! Final and retryable refusals by an entry, with replicas that do or don't confirm its deployment.
 
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -25,36 +25,36 @@
 use crate::gateway::{Entry, Got, entry, ok, run, unhurried};
 use crate::stand_in::{StandIn, Then, header};
 
-/// A deployment must be in force after this time.
-const IN_FORCE: Duration = Duration::from_millis(2_000);
+/// The time within which a deployment must be in force.
+const IN_FORCE_BOUND: Duration = Duration::from_millis(2_000);
 
-/// A replica on a thread of its own.
+/// A replica that runs on its own thread.
 #[derive(Default)]
 struct StandInReplica {
-    /// Whether it has not had all that was committed lately.
+    /// Whether it may lack recently committed changes.
     is_behind: AtomicBool,
-    /// The version of the deployment that it has applied.
+    /// The version of its deployment.
     version: AtomicU64,
 }
 
 impl StandInReplica {
     fn start(entry: &Entry, ip: IpAddr, version: u64) -> Arc<StandInReplica> {
         let replica = Arc::new(StandInReplica { version: version.into(), ..Default::default() });
-        let at = SocketAddr::new(ip, entry.gateway.host.peer_port);
+        let address = SocketAddr::new(ip, entry.gateway.host.peer_port);
         let serving = replica.clone();
-        std::thread::spawn(move || serving.serve(at));
+        std::thread::spawn(move || serving.serve(address));
         entry.gateway.replicas.borrow_mut().insert(ip);
         replica
     }
 
-    /// Ends with the test.
-    fn serve(&self, at: SocketAddr) {
+    /// Serves until the process ends.
+    fn serve(&self, address: SocketAddr) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         LocalSet::new().block_on(&runtime.expect("a runtime"), async {
             let shared = Rc::new(shared(1, VersionedRoster::default()));
             let scheduling =
                 Rc::new(SchedulerService::new(shared.clone(), OldWeightsPolicy::default()));
-            let listener = TcpListener::bind(at).await.expect("a port");
+            let listener = TcpListener::bind(address).await.expect("a port");
             let (inputs, _kept) = mpsc::channel(1);
             tokio::task::spawn_local(publisher::accept(listener, scheduling, inputs));
             loop {
@@ -81,7 +81,7 @@
     }
 }
 
-/// From version 2 on with a route and a key more.
+/// Versions from 2 on have an additional route and key.
 fn deployment(version: u64) -> Deployment {
     let mut deployment = Deployment { version, ..unhurried() };
     if version > 1 {
@@ -93,87 +93,83 @@
     deployment
 }
 
-async fn listening(entry: &Entry) -> EssentialTasks {
+async fn start_subscription(entry: &Entry) -> EssentialTasks {
     let (tasks, _first_exit) = essential_tasks();
     subscription::start(&entry.gateway, &tasks);
     tasks
 }
 
-async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let holding = async {
-        while !holds() {
+async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let wait = async {
+        while !condition() {
             tokio::time::sleep(ms(10)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(60), holding).await.expect(what);
+    tokio::time::timeout(Duration::from_secs(60), wait).await.expect(what);
 }
 
-/// An entry before one target, which hears one replica that has published version 1.
-async fn hearing(ip: IpAddr) -> (Entry, Arc<StandInReplica>, StandIn, EssentialTasks) {
+/// An entry with one target and a subscription to one replica, which has published version 1.
+async fn subscribed_entry(ip: IpAddr) -> (Entry, Arc<StandInReplica>, StandIn, EssentialTasks) {
     let answers = (0..4).map(|_| (ok("done"), Then::KeepOpen)).collect();
     let app = StandIn::start(answers).await;
     let entry = entry(unhurried(), vec![target("i-1", "app", app.address)]).await;
     let replica = StandInReplica::start(&entry, ip, 1);
-    let tasks = listening(&entry).await;
-    until("it hears the replica", || entry.gateway.state_age().is_some()).await;
+    let tasks = start_subscription(&entry).await;
+    wait_until("the entry receives the state", || entry.gateway.state_age().is_some()).await;
     (entry, replica, app, tasks)
 }
 
-/// The caller may send it again, at once and elsewhere, and knows that it has not run.
-fn may_come_back(got: &Got, what: &str) {
+/// Asserts that the caller may retry at once.
+fn assert_retryable(got: &Got, what: &str) {
     assert_eq!(got.status, 503, "{what}: {}", got.text);
-    let after = header(&got.text, "retry-after").expect("it tells when to come back");
+    let after = header(&got.text, "retry-after").expect("a Retry-After header");
     let after_s: f64 = after.parse().expect("a number");
-    assert!(after_s <= 0.1, "{what}: at once, not after {after_s} s");
+    assert!(after_s <= 0.1, "{what}: Retry-After of {after_s} s");
 }
 
 async fn call_with_key(entry: &Entry, path: &str, key: &str) -> Got {
     entry.call_as(path, "r-key", key).await
 }
 
-/// Guards against a final refusal by an entry that no replica has confirmed for longer than a deployment
-/// may take to be in force.
+/// Guards against a final refusal by an entry whose deployment has not been confirmed for longer than a new one may
+/// take to be in force.
 #[test]
-fn an_entry_that_no_replica_confirms_refuses_nobody_for_good_and_serves_what_it_knows() {
+fn an_unconfirmed_entry_refuses_retryably_and_serves_known_routes() {
     run(async {
-        let (entry, replica, app, _tasks) = hearing(loopback(101)).await;
+        let (entry, replica, app, _tasks) = subscribed_entry(loopback(101)).await;
         replica.set_behind(true);
-        tokio::time::sleep(IN_FORCE + ms(200)).await;
-        may_come_back(&entry.call("/added/", "r1").await, "a route");
-        may_come_back(&call_with_key(&entry, "/safe/", "key-added").await, "a key");
-        assert_eq!(
-            entry.call("/safe/", "r2").await.status,
-            200,
-            "nothing is known to have changed"
-        );
+        tokio::time::sleep(IN_FORCE_BOUND + ms(200)).await;
+        assert_retryable(&entry.call("/added/", "r1").await, "an unknown route");
+        assert_retryable(&call_with_key(&entry, "/safe/", "key-added").await, "an unknown key");
+        assert_eq!(entry.call("/safe/", "r2").await.status, 200, "a known route must be served");
         assert_eq!(app.seen(), 1);
     });
 }
 
-/// Guards against the same where a bound forbids what a later deployment allows.
+/// Guards against a final refusal by a body limit that a newer deployment may have raised.
 #[test]
-fn an_entry_that_no_replica_confirms_refuses_no_long_body_for_good() {
+fn an_unconfirmed_entry_refuses_long_bodies_retryably() {
     run(async {
         let mut strict = unhurried();
         strict.request_limits.body_bytes = 3;
         let entry = entry(strict, vec![target("i-1", "app", address(1))]).await;
-        may_come_back(&entry.call("/safe/", "r1").await, "a body of four bytes");
+        assert_retryable(&entry.call("/safe/", "r1").await, "a body of four bytes");
         entry.is_confirmed();
-        // After a request without an answer nobody waits for the next one, which this caller makes.
-        may_come_back(&entry.call("/safe/", "r2").await, "a body of four bytes");
+        // Callers don't wait for a confirmation after one that was not answered. This one only requests it.
+        assert_retryable(&entry.call("/safe/", "r2").await, "a body of four bytes");
         assert_eq!(entry.call("/safe/", "r3").await.status, 413);
     });
 }
 
-/// Guards against a mend that never says no: such callers would come back for nothing.
+/// Guards against retryable refusals by a confirmed entry, whose callers would retry in vain.
 #[test]
-fn an_entry_that_a_replica_confirms_refuses_unknown_routes_and_keys_for_good() {
+fn a_confirmed_entry_refuses_unknown_routes_and_keys_for_good() {
     run(async {
-        let (entry, replica, app, _tasks) = hearing(loopback(102)).await;
+        let (entry, replica, app, _tasks) = subscribed_entry(loopback(102)).await;
         assert_eq!(entry.call("/added/", "r1").await.status, 404);
         assert_eq!(call_with_key(&entry, "/safe/", "key-added").await.status, 401);
         replica.publish(2);
-        until("it hears of the change", || {
+        wait_until("the entry receives the new deployment", || {
             entry.gateway.table().unwrap().deployment().version == 2
         })
         .await;
@@ -184,32 +180,35 @@
     });
 }
 
-/// Guards against freshness that counts from when a confirmation is read: it may have lain in a socket for as long as
-/// the entry stood still.
+/// Guards against dating a confirmation from when it is read: it may have waited in the socket while the entry was
+/// suspended.
 #[test]
-fn an_entry_that_stood_still_is_not_confirmed_by_what_came_meanwhile() {
+fn a_suspended_entry_is_not_confirmed_by_messages_received_meanwhile() {
     run(async {
-        let (entry, replica, _app, _tasks) = hearing(loopback(103)).await;
-        let silenced = std::thread::spawn(move || {
+        let (entry, replica, _app, _tasks) = subscribed_entry(loopback(103)).await;
+        let falling_behind = std::thread::spawn(move || {
             std::thread::sleep(ms(1_000));
             replica.set_behind(true);
         });
-        std::thread::sleep(IN_FORCE + ms(1_200));
-        silenced.join().expect("it ends");
-        // It reads now what the replica has said more than two seconds ago.
-        until("it reads", || entry.gateway.state_age().is_some_and(|age| age < ms(1_000))).await;
-        may_come_back(&entry.call("/added/", "r1").await, "a route");
+        std::thread::sleep(IN_FORCE_BOUND + ms(1_200));
+        falling_behind.join().expect("the thread ends");
+        // The entry only now reads messages that are more than two seconds old.
+        wait_until("the entry reads the confirmation", || {
+            entry.gateway.state_age().is_some_and(|age| age < ms(1_000))
+        })
+        .await;
+        assert_retryable(&entry.call("/added/", "r1").await, "an unknown route");
     });
 }
 
-/// Guards against replicas that know of a change and keep it to themselves, since they may lack a later one.
+/// Guards against replicas that withhold a known change because they may lack a later one.
 #[test]
-fn an_entry_is_told_of_a_change_by_a_replica_that_is_behind() {
+fn a_replica_that_is_behind_still_publishes_the_changes_it_knows() {
     run(async {
-        let (entry, replica, _app, _tasks) = hearing(loopback(104)).await;
+        let (entry, replica, _app, _tasks) = subscribed_entry(loopback(104)).await;
         replica.set_behind(true);
         replica.publish(2);
-        until("it hears of the change", || {
+        wait_until("the entry receives the new deployment", || {
             entry.gateway.table().unwrap().deployment().version == 2
         })
         .await;
--- a/tests/deployment/freshness.rs
+++ b/tests/deployment/freshness.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// Guards against callers of unknown paths that overload replicas or all wait for a replica that doesn't answer.
+/// Guards against callers of unknown paths that overload replicas with requests for confirmation, or that all wait
+/// although no replica answers.
 #[test]
 fn without_answers_requests_are_rate_limited_and_only_the_first_callers_wait() {
     let mut freshness = Freshness::new(None);
