--- a/tests/deployment/documents.rs
+++ b/tests/deployment/documents.rs
@@ -1,4 +1,4 @@
-//! The operator's documents: what is read, and each way in which one is invalid.
+//! Decoding and validation of the operator's documents and calls.
 
 use http::{Method, StatusCode};
 use kumquatpost::control::operator_server::{OperatorCall, validate_call};
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn fields_become_what_they_hold() {
+fn all_fields_are_decoded() {
     let text = document().to_string();
     let deployment = deployment_document::decode(text.as_bytes()).expect("it is valid");
     assert_eq!(deployment.version, 7);
@@ -48,7 +48,7 @@
     assert_eq!((route.timeout, route.objective), (ms(10_000), ms(600)));
     assert_eq!(route.split.iter().map(|share| share.weight).collect::<Vec<_>>(), [90, 10]);
     assert_eq!(deployment.routes[1].policy, RunPolicy::Once);
-    assert_eq!(deployment.routes[1].attempts, 1, "one target where none is said");
+    assert_eq!(deployment.routes[1].attempts, 1, "must be 1 by default");
     assert!(matches!(&deployment.services["llm"].role, ServiceRole::Engines(t) if t.slots == 48));
     let ServiceRole::Store(store) = &deployment.services["vault"].role else { panic!("a store") };
     assert_eq!(store.first_byte, std::time::Duration::from_micros(500));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_invalid_document_is_refused_with_its_field() {
+fn an_invalid_document_is_rejected_with_the_cause() {
     type Change = fn(&mut Value);
     let cases: &[(&str, Change)] = &[
         ("unknown service", |d| d["Routes"][1]["Service"] = json!("nowhere")),
@@ -86,18 +86,18 @@
     for (expected, change) in cases {
         let mut document = document();
         change(&mut document);
-        let refused = put(&document).expect_err(expected);
-        assert_eq!(refused.status, StatusCode::BAD_REQUEST);
-        assert!(refused.message.contains(expected), "{expected}: {}", refused.message);
+        let rejected = put(&document).expect_err(expected);
+        assert_eq!(rejected.status, StatusCode::BAD_REQUEST);
+        assert!(rejected.message.contains(expected), "{expected}: {}", rejected.message);
     }
 }
 
 #[test]
-fn a_document_that_breaks_off_anywhere_is_refused() {
+fn a_truncated_document_is_rejected() {
     let text = document().to_string();
     for length in 0..text.len() {
-        let cut = operator::decode(&Method::PUT, "/config", &text.as_bytes()[..length]);
-        assert!(cut.is_err(), "cut at {length}");
+        let truncated = operator::decode(&Method::PUT, "/config", &text.as_bytes()[..length]);
+        assert!(truncated.is_err(), "truncated to {length} bytes");
     }
 }
 
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn other_calls() {
+fn calls_are_answered_by_method_path_and_body() {
     let cases = [
         (Method::GET, "/config", "", 200),
         (Method::POST, "/config", "", 405),
@@ -119,7 +119,7 @@
     ];
     for (method, path, body, status) in cases {
         let decoded = operator::decode(&method, path, body.as_bytes());
-        let got = decoded.map_or_else(|refused| refused.status.as_u16(), |_| 200);
+        let got = decoded.map_or_else(|rejected| rejected.status.as_u16(), |_| 200);
         assert_eq!(got, status, "{method} {path} {body}");
     }
 }
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines that start again while one is under way, over loopback.
+//! Orders to engines that restart while a rollout is in progress, over loopback.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 use crate::gateway::run;
 use crate::stand_in::{StandIn, Then};
 
-const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
+const ACCEPTED: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
 fn report(born_ms: i64) -> (String, Then) {
     let body = format!(
@@ -36,8 +36,8 @@
     Listed { start: born("i-1", 1), ..target("i-1", "llm", engine.address) }
 }
 
-/// A leader that has named weights 2, and knows of an engine in its start 1 that runs weights 1.
-fn lead(engine: Listed) -> Rc<Shared> {
+/// Starts the rollout of weights 2 to an engine that is listed in its start 1 with weights 1.
+fn start_rollout(engine: Listed) -> Rc<Shared> {
     let roster = VersionedRoster::new(1, Arc::new(roster([engine])));
     let shared = shared(1, roster);
     let named = Arc::new(BTreeMap::from([("m".to_string(), 2)]));
@@ -46,7 +46,7 @@
     let (inputs, mut commands) = mpsc::channel(8);
     tokio::task::spawn_local(async move {
         while let Some(Input::Propose(_, sender)) = commands.recv().await {
-            // The right to order is free.
+            // Nobody else holds the order lease.
             let _ = sender.send(Ok(Reply::OrderLease { previous: None }));
         }
     });
@@ -67,21 +67,21 @@
     requests.iter().filter(|request| request.starts_with("POST /order")).cloned().collect()
 }
 
-async fn until(is_so: impl Fn() -> bool) {
-    let waited = async {
-        while !is_so() {
+async fn wait_until(condition: impl Fn() -> bool) {
+    let wait = async {
+        while !condition() {
             tokio::time::sleep(ms(5)).await;
         }
     };
-    tokio::time::timeout(ms(5_000), waited).await.expect("it comes to be so");
+    tokio::time::timeout(ms(5_000), wait).await.expect("the condition holds in time");
 }
 
 #[test]
-fn an_order_goes_to_the_start_that_reported() {
+fn an_order_names_the_start_that_reported() {
     run(async {
-        let engine = StandIn::start(vec![report(1), (TAKEN.to_string(), Then::Close)]).await;
-        lead(listed(&engine));
-        until(|| !orders(&engine).is_empty()).await;
+        let engine = StandIn::start(vec![report(1), (ACCEPTED.to_string(), Then::Close)]).await;
+        start_rollout(listed(&engine));
+        wait_until(|| !orders(&engine).is_empty()).await;
         let order = orders(&engine).remove(0);
         assert!(order.to_lowercase().contains("x-expect-instance: i-1\r\n"), "{order}");
         assert!(order.contains(r#""Precondition":3"#), "{order}");
@@ -89,33 +89,33 @@
 }
 
 #[test]
-fn no_order_is_sent_on_the_report_of_another_start() {
+fn no_order_is_sent_after_a_report_of_another_start() {
     run(async {
         let reports = (0..30).map(|_| report(2)).collect();
         let engine = StandIn::start(reports).await;
-        lead(listed(&engine));
-        until(|| engine.seen() >= 4).await;
+        start_rollout(listed(&engine));
+        wait_until(|| engine.seen() >= 4).await;
         assert_eq!(orders(&engine), [] as [String; 0]);
     });
 }
 
 #[test]
-fn no_order_is_sent_to_an_engine_that_has_started_again_since() {
+fn no_order_is_sent_to_an_engine_that_restarted_after_the_request_for_its_report() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let engine = Listed {
             start: born("i-1", 1),
             ..target("i-1", "llm", listener.local_addr().expect("an address"))
         };
-        let shared = lead(engine.clone());
-        let (mut stream, _) = listener.accept().await.expect("it asks for a report");
-        // The report is on its way when the list shows the next start.
+        let shared = start_rollout(engine.clone());
+        let (mut stream, _) = listener.accept().await.expect("a request for the report");
+        // The roster shows the next start before the report arrives.
         let mut second = Listed { start: born("i-1", 2), ..engine };
         second.weights.insert("m".to_string(), 2);
         shared.change_roster(|known| known.update(vec![second]));
-        stream.write_all(report(1).0.as_bytes()).await.expect("it waits");
+        stream.write_all(report(1).0.as_bytes()).await.expect("the controller reads the report");
         let next = tokio::time::timeout(ms(1_500), listener.accept()).await;
-        assert!(next.is_err(), "it is neither asked nor told again");
+        assert!(next.is_err(), "no further request may follow");
         assert!(shared.changing.borrow().is_empty());
     });
 }
