--- a/tests/deployment/table.rs
+++ b/tests/deployment/table.rs
@@ -1,4 +1,4 @@
-//! Routes and keys of a deployment.
+//! Routing by host, path and key, and the priorities of routes and accounts.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn host_path_and_key_select() {
+fn host_path_and_key_select_the_route() {
     let table = table();
     let cases = [
         ("shop.example", "/safe/x", Some("key-a"), Ok("safe")),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn without_accounts_no_key_is_needed() {
+fn a_deployment_without_accounts_requires_no_key() {
     let mut open = deployment(1);
     open.accounts = None;
     let table = RoutingTable::new(Arc::new(open));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn weights_share_the_requests() {
+fn requests_are_split_by_weight() {
     let mut split = route("safe", RunPolicy::Idempotent, "a");
     let share = |service: &str, weight| WeightedService { service: service.to_string(), weight };
     split.split = vec![share("a", 90), share("b", 10), share("none", 0)];
@@ -56,7 +56,11 @@
             .count()
     };
     assert_eq!((picks("a"), picks("b"), picks("none")), (900, 100, 0));
-    assert_eq!(split.pick_service(1.0).unwrap(), "b", "also at the end of the range");
+    assert_eq!(
+        split.pick_service(1.0).unwrap(),
+        "b",
+        "the end of the range must select a service with a weight"
+    );
     split.split = vec![share("a", u32::MAX), share("b", u32::MAX)];
     assert_eq!(
         (split.pick_service(0.4).unwrap().as_str(), split.pick_service(0.6).unwrap().as_str()),
@@ -64,22 +68,21 @@
     );
 }
 
-/// All accounts have the same rank, as on the deployed sites: what the operator says of routes must
-/// still order their requests.
+/// Guards against ignoring the priorities of routes where all accounts have the same one.
 #[test]
-fn an_accounts_rank_goes_first_and_the_routes_orders_the_rest() {
-    let rank = |account_rank: Option<u8>, route_rank| {
+fn account_priority_precedes_route_priority() {
+    let priority = |account_priority: Option<u8>, route_priority| {
         let mut account = account("a", "k", false);
-        account.priority = account_rank;
+        account.priority = account_priority;
         let mut route = route("stream", RunPolicy::StreamOnce, "llm");
-        route.priority = route_rank;
+        route.priority = route_priority;
         Priority::of(Some(&account), &route)
     };
-    assert!(rank(Some(1), 0).scheduler_level() < rank(Some(1), 1).scheduler_level());
-    assert!(rank(Some(1), 0).engine_level() < rank(Some(1), 2).engine_level());
-    assert!(rank(Some(0), 2).scheduler_level() < rank(Some(1), 0).scheduler_level());
-    assert!(rank(Some(0), 2).engine_level() < rank(Some(1), 0).engine_level());
-    assert!(rank(None, 0).scheduler_level() < rank(None, 1).scheduler_level());
-    assert!(rank(Some(200), 200).engine_level() <= 9);
-    assert!(rank(Some(200), 200).scheduler_level() > rank(Some(2), 9).scheduler_level());
+    assert!(priority(Some(1), 0).scheduler_level() < priority(Some(1), 1).scheduler_level());
+    assert!(priority(Some(1), 0).engine_level() < priority(Some(1), 2).engine_level());
+    assert!(priority(Some(0), 2).scheduler_level() < priority(Some(1), 0).scheduler_level());
+    assert!(priority(Some(0), 2).engine_level() < priority(Some(1), 0).engine_level());
+    assert!(priority(None, 0).scheduler_level() < priority(None, 1).scheduler_level());
+    assert!(priority(Some(200), 200).engine_level() <= 9);
+    assert!(priority(Some(200), 200).scheduler_level() > priority(Some(2), 9).scheduler_level());
 }
