--- a/tests/deployment/foreign_bytes.rs
+++ b/tests/deployment/foreign_bytes.rs
@@ -20,7 +20,7 @@
 
 use crate::fixtures::{cases, ms, target};
 use crate::gateway::{Entry, entry, ok, run, unhurried};
-use crate::load::{ask_of, scheduler};
+use crate::load::{placement_request, scheduler};
 use crate::stand_in::{StandIn, Then, header};
 
 /// Documents of each kind that is decoded, to be spoilt.
@@ -88,7 +88,7 @@
         scheduler.observe_cache_events(&crate::fixtures::start("i-00"), page.events.clone());
         scheduler.observe_events(store, page.events, ms(5_000));
     }
-    scheduler.submit(1, ask_of(1, 1, 1), ms(5_001));
+    scheduler.submit(1, placement_request(1, 1, 1), ms(5_001));
     scheduler.plan_frees(ms(60_000));
 }
 
@@ -163,7 +163,7 @@
                 parts: prompt.parts.clone(),
                 prompt_tokens: prompt.prompt_tokens,
                 output_tokens: prompt.output_tokens,
-                ..ask_of(1, 1, 1)
+                ..placement_request(1, 1, 1)
             };
             scheduler.submit(waiter, ask, ms(waiter));
         }
--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -35,7 +35,7 @@
     (0..count).map(|n| target(&format!("i-{n:02}"), "llm", address(n))).collect()
 }
 
-pub fn site() -> Deployment {
+pub fn simulated_deployment() -> Deployment {
     let mut site = deployment(1);
     for service in site.services.values_mut() {
         match &mut service.role {
@@ -53,7 +53,7 @@
 
 pub fn scheduler(count: u16) -> Scheduler {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.observe_deployment(&site());
+    scheduler.observe_deployment(&simulated_deployment());
     scheduler.observe_roster(&roster(engines(count)));
     let empty = Inventory { start: store_start(1), ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), empty, ms(0));
@@ -61,7 +61,7 @@
     scheduler
 }
 
-pub fn ask_of(kind: usize, context: u64, own: u64) -> PlacementRequest {
+pub fn placement_request(kind: usize, context: u64, own: u64) -> PlacementRequest {
     let (_, context_tokens, own_tokens, output_tokens, priority, objective_ms) = MIX[kind];
     let part = |id: String, tokens| Part { id, tokens };
     PlacementRequest {
@@ -82,15 +82,15 @@
     }
 }
 
-pub fn placed(outcome: Option<PlacementResult>) -> Placement {
+pub fn expect_placed(outcome: Option<PlacementResult>) -> Placement {
     outcome.expect("it need not wait").expect("it is placed")
 }
 
-pub fn end(scheduler: &mut Scheduler, ticket: u64, end: EndReason, now: Duration) {
+pub fn end_placement(scheduler: &mut Scheduler, ticket: u64, end: EndReason, now: Duration) {
     scheduler.observe(&PlacementEvent::Ended { ticket, end }, now);
 }
 
-pub fn first(scheduler: &mut Scheduler, ticket: u64, now: Duration) {
+pub fn observe_first_token(scheduler: &mut Scheduler, ticket: u64, now: Duration) {
     scheduler
         .observe(&PlacementEvent::FirstToken { ticket, weight_version: Some(1), load: None }, now);
 }
@@ -111,7 +111,7 @@
 }
 
 /// A world of engines that read one prompt after another.
-pub struct World {
+pub struct Simulation {
     pub scheduler: Scheduler,
     random: SmallRng,
     pub now: Duration,
@@ -139,17 +139,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub asked: u32,
-    pub in_aim: u32,
+    pub on_time: u32,
     pub late: u32,
     pub refused: u32,
-    pub read_tokens: u64,
+    pub prefilled_tokens: u64,
     /// Of these, tokens of contexts that some engine had read before.
-    pub again_tokens: u64,
+    pub recomputed_tokens: u64,
 }
 
-impl World {
-    pub fn new(count: u16) -> World {
-        World {
+impl Simulation {
+    pub fn new(count: u16) -> Simulation {
+        Simulation {
             scheduler: scheduler(count),
             random: SmallRng::seed_from_u64(7),
             now: ms(0),
@@ -185,7 +185,7 @@
     fn ask(&mut self, kind: usize) {
         self.next += 1;
         let context = self.random.random_range(0..CONTEXTS[kind]);
-        let ask = ask_of(kind, context, self.next);
+        let ask = placement_request(kind, context, self.next);
         self.tally.asked += 1;
         self.asks.insert(self.next, (kind, ask.clone(), self.now));
         if let Some(outcome) = self.scheduler.submit(self.next, ask, self.now) {
@@ -213,8 +213,8 @@
         }
         let kept = placed.trace.resident_tokens + placed.trace.fetched_tokens;
         let tokens = ask.prompt_tokens.saturating_sub(kept);
-        self.tally.read_tokens += tokens;
-        self.tally.again_tokens += placed.trace.recomputed.total();
+        self.tally.prefilled_tokens += tokens;
+        self.tally.recomputed_tokens += placed.trace.recomputed.total();
         let free_at = self.free_at.entry(placed.target.clone()).or_default();
         *free_at = (*free_at).max(self.now)
             + Duration::from_secs_f64(tokens as f64 / READ_TOKENS_PER_MS / 1e3);
@@ -238,18 +238,18 @@
         {
             match entry.remove() {
                 Due::First { ticket, kind, since, saves } => {
-                    first(&mut self.scheduler, ticket, self.now);
+                    observe_first_token(&mut self.scheduler, ticket, self.now);
                     for (store, part) in saves {
                         let event = vec![StoreEvent::Stored(part)];
                         self.scheduler.observe_events(store, event, self.now);
                     }
                     match self.now - since <= ms(MIX[kind].5) {
-                        true => self.tally.in_aim += 1,
+                        true => self.tally.on_time += 1,
                         false => self.tally.late += 1,
                     }
                 }
                 Due::End { ticket } => {
-                    end(&mut self.scheduler, ticket, EndReason::Completed, self.now)
+                    end_placement(&mut self.scheduler, ticket, EndReason::Completed, self.now)
                 }
             }
         }
@@ -257,7 +257,7 @@
 }
 
 impl Tally {
-    pub fn part_in_aim(&self) -> f64 {
-        f64::from(self.in_aim) / f64::from(self.asked)
+    pub fn on_time_share(&self) -> f64 {
+        f64::from(self.on_time) / f64::from(self.asked)
     }
 }
--- a/tests/deployment/rollout.rs
+++ b/tests/deployment/rollout.rs
@@ -11,7 +11,7 @@
 use kumquatpost::scheduler::{EndReason, PlacementError, PlacementRequest, Scheduler};
 
 use crate::fixtures::{ms, roster, start};
-use crate::load::{ask_of, end, engines, placed, scheduler};
+use crate::load::{end_placement, engines, expect_placed, placement_request, scheduler};
 
 const IN_FORCE: Duration = ms_const(6_000);
 const IN_FORCE_AT_LAST: Duration = ms_const(8_400);
@@ -52,12 +52,13 @@
     scheduler.observe_changing(&names(&["i-00"]));
     for context in 0..20 {
         let at = ms(context * 200);
-        let placed = placed(scheduler.submit(context, ask_of(1, context, context), at));
+        let placed =
+            expect_placed(scheduler.submit(context, placement_request(1, context, context), at));
         assert_eq!(placed.target, start("i-01"));
-        end(&mut scheduler, placed.ticket, EndReason::Completed, at + ms(150));
+        end_placement(&mut scheduler, placed.ticket, EndReason::Completed, at + ms(150));
     }
     scheduler.observe_changing(&names(&["i-00", "i-01"]));
-    assert!(scheduler.submit(90, ask_of(1, 90, 90), ms(9_000)).is_none(), "it waits");
+    assert!(scheduler.submit(90, placement_request(1, 90, 90), ms(9_000)).is_none(), "it waits");
     scheduler.observe_changing(&names(&["i-01"]));
     let (waiter, outcome) = scheduler.dispatch(ms(9_050)).remove(0);
     assert_eq!((waiter, outcome.expect("placed").target), (90, start("i-00")));
@@ -68,19 +69,19 @@
     let mut scheduler = scheduler(12);
     name_weights(&mut scheduler, ms(0));
     load(&mut scheduler, 3, 12);
-    let ask = |n| ask_of(0, n, n);
+    let ask = |n| placement_request(0, n, n);
     let first: Vec<u64> = (0..3)
-        .map(|n| placed(scheduler.submit(n, ask(n), ms(100))).weight_version.expect("known"))
+        .map(|n| expect_placed(scheduler.submit(n, ask(n), ms(100))).weight_version.expect("known"))
         .collect();
     assert_eq!(first, [2, 2, 2]);
     // A prompt of 12,000 tokens keeps an engine busy for 86 ms: the next ones go elsewhere.
-    let next = placed(scheduler.submit(9, ask(9), ms(101)));
+    let next = expect_placed(scheduler.submit(9, ask(9), ms(101)));
     assert_eq!(next.weight_version, Some(1));
 }
 
 #[test]
 fn no_prompt_begins_on_old_weights_once_newer_ones_must_be_in_force() {
-    let ask = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
+    let ask = |n| PlacementRequest { time_left: ms(30_000), ..placement_request(1, n, n) };
     let mut scheduler = scheduler(2);
     name_weights(&mut scheduler, ms(1_000));
     let before = ms(1_000) + IN_FORCE - ms(900);
@@ -90,12 +91,15 @@
     let outcomes = scheduler.dispatch(after + ms(1_000));
     assert!(matches!(outcomes[0].1, Err(PlacementError::Busy(_))), "and is refused, not run");
     load(&mut scheduler, 1, 2);
-    assert_eq!(placed(scheduler.submit(3, ask(3), after + ms(2_000))).weight_version, Some(2));
+    assert_eq!(
+        expect_placed(scheduler.submit(3, ask(3), after + ms(2_000))).weight_version,
+        Some(2)
+    );
 }
 
 #[test]
 fn a_scheduler_that_has_just_begun_counts_from_there_but_not_for_ever() {
-    let ask = |n| ask_of(1, n, n);
+    let ask = |n| placement_request(1, n, n);
     let began = ms(5_000);
     let mut scheduler = Scheduler::new(1, began);
     scheduler.observe_deployment(&crate::fixtures::deployment(1));
@@ -113,7 +117,7 @@
 /// were allowed the whole bound anew.
 #[test]
 fn weights_that_are_named_later_do_not_prolong_the_bound_of_those_named_before() {
-    let ask = |n| PlacementRequest { time_left: ms(30_000), ..ask_of(1, n, n) };
+    let ask = |n| PlacementRequest { time_left: ms(30_000), ..placement_request(1, n, n) };
     let mut scheduler = scheduler(2);
     let old_weights =
         OldWeightsPolicy { within: Some(IN_FORCE), hard_within: Some(IN_FORCE_AT_LAST) };
@@ -127,7 +131,7 @@
     assert!(scheduler.submit(1, ask(1), after).is_none(), "2 must be in force: it waits");
     scheduler.withdraw(1);
     load(&mut scheduler, 1, 2);
-    assert_eq!(placed(scheduler.submit(2, ask(2), after)).weight_version, Some(2));
+    assert_eq!(expect_placed(scheduler.submit(2, ask(2), after)).weight_version, Some(2));
     let after = ms(5_000) + IN_FORCE - ms(700);
     assert!(scheduler.submit(3, ask(3), after).is_none(), "3 must be in force");
 }
--- a/tests/deployment/scheduling.rs
+++ b/tests/deployment/scheduling.rs
@@ -10,26 +10,27 @@
 
 use crate::fixtures::{address, ms, roster, start, store_start};
 use crate::load::{
-    Tally, World, ask_of, end, engines, finish_saves, first, placed, scheduler, site,
+    Simulation, Tally, end_placement, engines, expect_placed, finish_saves, observe_first_token,
+    placement_request, scheduler, simulated_deployment,
 };
 
 #[test]
 fn a_context_is_saved_once_and_fetched_by_others() {
     let mut scheduler = scheduler(2);
-    let ask = ask_of(0, 1, 1);
-    let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
+    let ask = placement_request(0, 1, 1);
+    let one = expect_placed(scheduler.submit(1, ask.clone(), ms(10)));
     assert!(one.save[0].is_some() && one.save[1].is_none(), "the own part is not shared");
-    let two = placed(scheduler.submit(
+    let two = expect_placed(scheduler.submit(
         2,
         PlacementRequest { avoid: vec![one.target.clone()], ..ask.clone() },
         ms(11),
     ));
     assert_eq!((two.save[0], two.fetch[0]), (None, None), "its save has been granted already");
     finish_saves(&mut scheduler, &one, &ask, ms(200));
-    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
-    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(300));
+    end_placement(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    end_placement(&mut scheduler, two.ticket, EndReason::Cancelled, ms(300));
     let avoid = vec![one.target];
-    let three = placed(scheduler.submit(3, PlacementRequest { avoid, ..ask }, ms(400)));
+    let three = expect_placed(scheduler.submit(3, PlacementRequest { avoid, ..ask }, ms(400)));
     assert_eq!(three.fetch[0], Some(address(9_000)));
     assert_eq!(three.fetch_until_ms, 400 + 1_500, "and not after that");
     assert_eq!(three.trace.fetched_tokens, 9_100);
@@ -38,38 +39,39 @@
 #[test]
 fn without_the_engines_clock_nothing_is_fetched() {
     let mut scheduler = Scheduler::new(1, ms(0));
-    scheduler.observe_deployment(&site());
+    scheduler.observe_deployment(&simulated_deployment());
     scheduler.observe_roster(&roster(engines(2)));
-    let ask = ask_of(0, 1, 1);
+    let ask = placement_request(0, 1, 1);
     let complete =
         vec![StoredPart { salt: "all/m/1".into(), id: ask.parts[0].id.clone(), tokens: 9_100 }];
     let inventory = Inventory { start: store_start(1), complete, ..Inventory::default() };
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
-    assert_eq!(placed(scheduler.submit(1, ask.clone(), ms(10))).fetch[0], None);
+    assert_eq!(expect_placed(scheduler.submit(1, ask.clone(), ms(10))).fetch[0], None);
     scheduler.read_clock(77, ms(20));
     let avoid = vec![start("i-00")];
     assert!(
-        placed(scheduler.submit(2, PlacementRequest { avoid, ..ask }, ms(30))).fetch[0].is_some()
+        expect_placed(scheduler.submit(2, PlacementRequest { avoid, ..ask }, ms(30))).fetch[0]
+            .is_some()
     );
 }
 
 #[test]
 fn walls_and_weights_share_nothing() {
     let mut scheduler = scheduler(1);
-    let ask = ask_of(0, 1, 1);
-    let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
+    let ask = placement_request(0, 1, 1);
+    let one = expect_placed(scheduler.submit(1, ask.clone(), ms(10)));
     finish_saves(&mut scheduler, &one, &ask, ms(200));
-    first(&mut scheduler, one.ticket, ms(200));
-    end(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
+    observe_first_token(&mut scheduler, one.ticket, ms(200));
+    end_placement(&mut scheduler, one.ticket, EndReason::Completed, ms(300));
     let walled = PlacementRequest { cache_namespace: "only:beta".to_string(), ..ask.clone() };
-    let two = placed(scheduler.submit(2, walled, ms(400)));
+    let two = expect_placed(scheduler.submit(2, walled, ms(400)));
     assert_eq!((two.trace.resident_tokens, two.fetch[0]), (0, None));
     assert_ne!(two.salt, one.salt);
-    end(&mut scheduler, two.ticket, EndReason::Cancelled, ms(410));
-    let three = placed(scheduler.submit(3, ask_of(0, 1, 3), ms(420)));
+    end_placement(&mut scheduler, two.ticket, EndReason::Cancelled, ms(410));
+    let three = expect_placed(scheduler.submit(3, placement_request(0, 1, 3), ms(420)));
     assert_eq!(three.trace.resident_tokens, 9_100);
-    end(&mut scheduler, three.ticket, EndReason::WeightMismatch(Some(2)), ms(430));
-    let four = placed(scheduler.submit(4, ask, ms(440)));
+    end_placement(&mut scheduler, three.ticket, EndReason::WeightMismatch(Some(2)), ms(430));
+    let four = expect_placed(scheduler.submit(4, ask, ms(440)));
     assert_eq!(
         (four.weight_version, four.trace.resident_tokens, four.fetch[0]),
         (Some(2), 0, None)
@@ -80,26 +82,29 @@
 #[test]
 fn an_engine_that_refuses_weights_and_names_none_gets_nothing_until_it_was_asked() {
     let mut scheduler = scheduler(1);
-    let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
-    let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(11)));
-    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
-    assert!(scheduler.submit(3, ask_of(1, 1, 3), ms(21)).is_none(), "it waits");
+    let one = expect_placed(scheduler.submit(1, placement_request(1, 1, 1), ms(10)));
+    let two = expect_placed(scheduler.submit(2, placement_request(1, 1, 2), ms(11)));
+    end_placement(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
+    assert!(scheduler.submit(3, placement_request(1, 1, 3), ms(21)).is_none(), "it waits");
     assert_eq!(scheduler.unverified_engines(), [(start("i-00"), address(0))]);
     scheduler.resolve_weights(&one.target, Some(2));
     // What was sent before, under the same belief, tells nothing new.
-    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(None), ms(30));
+    end_placement(&mut scheduler, two.ticket, EndReason::WeightMismatch(None), ms(30));
     assert_eq!(scheduler.unverified_engines(), []);
     let (_, outcome) = scheduler.dispatch(ms(31)).remove(0);
     assert_eq!(outcome.expect("placed").weight_version, Some(2));
     // The list lags: it must not turn that back.
     scheduler.observe_roster(&roster(engines(1)));
-    assert_eq!(placed(scheduler.submit(4, ask_of(1, 1, 4), ms(40))).weight_version, Some(2));
+    assert_eq!(
+        expect_placed(scheduler.submit(4, placement_request(1, 1, 4), ms(40))).weight_version,
+        Some(2)
+    );
 }
 
 #[test]
 fn a_new_scheduler_frees_nothing_while_fetches_of_the_last_one_may_be_under_way() {
     let mut scheduler = Scheduler::new(1, ms(10_000));
-    let mut site = site();
+    let mut site = simulated_deployment();
     for service in site.services.values_mut() {
         if let ServiceRole::Store(traits) = &mut service.role {
             traits.capacity_tokens = 10_000;
@@ -117,29 +122,29 @@
 #[test]
 fn out_of_order_and_leaving_engines_get_nothing() {
     let mut scheduler = scheduler(2);
-    let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
-    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(20));
-    let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(30)));
+    let one = expect_placed(scheduler.submit(1, placement_request(1, 1, 1), ms(10)));
+    end_placement(&mut scheduler, one.ticket, EndReason::Unreachable, ms(20));
+    let two = expect_placed(scheduler.submit(2, placement_request(1, 1, 2), ms(30)));
     assert_ne!(two.target, one.target);
-    end(&mut scheduler, two.ticket, EndReason::Replaced, ms(40));
+    end_placement(&mut scheduler, two.ticket, EndReason::Replaced, ms(40));
     assert_eq!(
-        scheduler.submit(3, ask_of(1, 1, 3), ms(50)),
+        scheduler.submit(3, placement_request(1, 1, 3), ms(50)),
         Some(Err(PlacementError::NoHealthyTarget))
     );
-    let three = placed(scheduler.submit(4, ask_of(1, 1, 4), ms(700)));
+    let three = expect_placed(scheduler.submit(4, placement_request(1, 1, 4), ms(700)));
     assert_eq!(three.target, one.target, "tried again after a while");
-    let elsewhere = PlacementRequest { service: "app".to_string(), ..ask_of(1, 1, 5) };
+    let elsewhere = PlacementRequest { service: "app".to_string(), ..placement_request(1, 1, 5) };
     assert_eq!(scheduler.submit(5, elsewhere, ms(710)), Some(Err(PlacementError::NoTargetListed)));
 }
 
 #[test]
 fn a_caller_who_leaves_while_waiting_takes_no_place() {
     let mut scheduler = scheduler(1);
-    let one = placed(scheduler.submit(1, ask_of(0, 1, 1), ms(0)));
-    assert_eq!(scheduler.submit(2, ask_of(0, 2, 2), ms(1)), None, "the engine is busy");
-    assert_eq!(scheduler.submit(3, ask_of(0, 3, 3), ms(2)), None);
+    let one = expect_placed(scheduler.submit(1, placement_request(0, 1, 1), ms(0)));
+    assert_eq!(scheduler.submit(2, placement_request(0, 2, 2), ms(1)), None, "the engine is busy");
+    assert_eq!(scheduler.submit(3, placement_request(0, 3, 3), ms(2)), None);
     scheduler.withdraw(2);
-    end(&mut scheduler, one.ticket, EndReason::Cancelled, ms(3));
+    end_placement(&mut scheduler, one.ticket, EndReason::Cancelled, ms(3));
     let outcomes = scheduler.dispatch(ms(4));
     assert_eq!(outcomes.iter().map(|(waiter, _)| *waiter).collect::<Vec<_>>(), [3]);
 }
@@ -147,9 +152,9 @@
 #[test]
 fn who_has_no_hope_is_told_at_once_and_comes_back_spread_out() {
     let mut scheduler = scheduler(1);
-    placed(scheduler.submit(0, ask_of(0, 1, 1), ms(0)));
+    expect_placed(scheduler.submit(0, placement_request(0, 1, 1), ms(0)));
     for waiter in 1..=40 {
-        assert_eq!(scheduler.submit(waiter, ask_of(0, waiter, waiter), ms(1)), None);
+        assert_eq!(scheduler.submit(waiter, placement_request(0, waiter, waiter), ms(1)), None);
     }
     let refused = scheduler.dispatch(ms(400));
     let back: BTreeSet<Duration> = refused
@@ -166,17 +171,17 @@
 #[test]
 fn urgent_prompts_go_first_but_starve_nobody() {
     let mut scheduler = scheduler(1);
-    placed(scheduler.submit(0, ask_of(0, 0, 0), ms(0)));
+    expect_placed(scheduler.submit(0, placement_request(0, 0, 0), ms(0)));
     for waiter in 1..=60 {
         let kind = if waiter <= 10 { 0 } else { 2 };
-        assert_eq!(scheduler.submit(waiter, ask_of(kind, waiter, waiter), ms(1)), None);
+        assert_eq!(scheduler.submit(waiter, placement_request(kind, waiter, waiter), ms(1)), None);
     }
     let mut order = Vec::new();
     for at in 1..180 {
         for (waiter, outcome) in scheduler.dispatch(ms(at)) {
             let Ok(placed) = outcome else { continue };
             order.push(waiter);
-            end(&mut scheduler, placed.ticket, EndReason::Completed, ms(at));
+            end_placement(&mut scheduler, placed.ticket, EndReason::Completed, ms(at));
         }
     }
     let less_urgent = order.iter().take(50).filter(|waiter| **waiter <= 10).count();
@@ -186,13 +191,13 @@
 /// A calm day: all are on time, and once contexts are kept little is read again.
 #[test]
 fn calm_load_is_served_and_kept_contexts_are_not_read_again() {
-    let mut world = World::new(12);
+    let mut world = Simulation::new(12);
     let cold = world.run(10, 1.0);
-    assert!(cold.part_in_aim() > 0.98, "{cold:?}");
+    assert!(cold.on_time_share() > 0.98, "{cold:?}");
     world.run(20, 1.0);
     let warm = world.run(10, 1.0);
-    assert!(warm.part_in_aim() > 0.99, "{warm:?}");
-    let per_prompt = |tally: Tally| tally.read_tokens / u64::from(tally.asked);
+    assert!(warm.on_time_share() > 0.99, "{warm:?}");
+    let per_prompt = |tally: Tally| tally.prefilled_tokens / u64::from(tally.asked);
     // Own tokens of the mix: 830 a prompt.
     assert!(per_prompt(warm) < 1_100, "{} tokens a prompt", per_prompt(warm));
     assert!(per_prompt(cold) > 2_000, "{} tokens a prompt", per_prompt(cold));
@@ -202,41 +207,41 @@
 /// who is served is on time.
 #[test]
 fn with_a_quarter_of_the_engines_gone_most_are_still_on_time() {
-    let mut world = World::new(12);
+    let mut world = Simulation::new(12);
     world.run(3, 1.0);
     world.dead = (0..3).map(|n| start(&format!("i-{n:02}"))).collect();
     let hit = world.run(5, 1.0);
-    assert!(hit.part_in_aim() > 0.85, "{hit:?}");
+    assert!(hit.on_time_share() > 0.85, "{hit:?}");
     world.dead.clear();
     let back = world.run(10, 1.0);
-    assert!(back.part_in_aim() > 0.97, "{back:?}");
+    assert!(back.on_time_share() > 0.97, "{back:?}");
 }
 
 /// A scheduler takes over just when entries, left alone for a second, have filled all engines: it
 /// must not take them for slow ones for longer than they are.
 #[test]
 fn engines_that_are_found_full_are_not_taken_for_slow() {
-    let mut world = World::new(12);
+    let mut world = Simulation::new(12);
     for engine in engines(12) {
         world.free_at.insert(engine.start, ms(1_500));
     }
     world.run(3, 1.0);
     let after = world.run(5, 1.0);
-    assert!(after.part_in_aim() > 0.97, "{after:?}");
+    assert!(after.on_time_share() > 0.97, "{after:?}");
 }
 
 /// Many users come at once, three times what engines can read: those that are served are on time,
 /// the others are told at once, and the wave leaves nothing behind.
 #[test]
 fn a_burst_is_refused_in_part_and_leaves_no_queue_behind() {
-    let mut world = World::new(4);
+    let mut world = Simulation::new(4);
     world.run(10, 0.3);
     let burst = world.run(6, 3.0);
     assert!(burst.refused > burst.asked / 10, "{burst:?}");
-    assert!(burst.late * 20 < burst.in_aim, "{burst:?}");
+    assert!(burst.late * 20 < burst.on_time, "{burst:?}");
     world.run(1, 0.3);
     let after = world.run(5, 0.3);
-    assert!(after.part_in_aim() > 0.97, "{after:?}");
+    assert!(after.on_time_share() > 0.97, "{after:?}");
     assert_eq!(world.scheduler.waiting(), 0);
 }
 
@@ -275,11 +280,11 @@
     let mut listed = engines(1);
     listed[0].weights.insert("m".to_string(), 2);
     scheduler.observe_roster(&roster(listed));
-    let one = placed(scheduler.submit(1, ask_of(1, 1, 1), ms(10)));
-    let two = placed(scheduler.submit(2, ask_of(1, 1, 2), ms(80)));
+    let one = expect_placed(scheduler.submit(1, placement_request(1, 1, 1), ms(10)));
+    let two = expect_placed(scheduler.submit(2, placement_request(1, 1, 2), ms(80)));
     assert_eq!(one.weight_version, Some(2));
-    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(3)), ms(90));
+    end_placement(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(3)), ms(90));
     assert_eq!(scheduler.unverified_engines(), [], "newer ones come to the list by themselves");
-    end(&mut scheduler, two.ticket, EndReason::WeightMismatch(Some(1)), ms(91));
+    end_placement(&mut scheduler, two.ticket, EndReason::WeightMismatch(Some(1)), ms(91));
     assert_eq!(scheduler.unverified_engines().len(), 1);
 }
--- a/tests/deployment/sources.rs
+++ b/tests/deployment/sources.rs
@@ -10,14 +10,17 @@
 use kumquatpost::scheduler::{EndReason, Placement, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, ms, roster, start, store_start};
-use crate::load::{World, ask_of, end, engines, first, placed, scheduler, site};
+use crate::load::{
+    Simulation, end_placement, engines, expect_placed, observe_first_token, placement_request,
+    scheduler, simulated_deployment,
+};
 
 /// Two engines and a store that is lost, after one engine was given a context.
 fn after_one() -> (Scheduler, PlacementRequest, Placement) {
     let mut scheduler = scheduler(2);
     scheduler.reset_store(address(9_000));
-    let ask = ask_of(0, 1, 1);
-    let one = placed(scheduler.submit(1, ask.clone(), ms(10)));
+    let ask = placement_request(0, 1, 1);
+    let one = expect_placed(scheduler.submit(1, ask.clone(), ms(10)));
     (scheduler, ask, one)
 }
 
@@ -28,12 +31,12 @@
 #[test]
 fn what_no_store_has_is_fetched_from_an_engine_that_has_read_it() {
     let (mut scheduler, ask, one) = after_one();
-    let early = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(20)));
+    let early = expect_placed(scheduler.submit(2, elsewhere(&ask, &one), ms(20)));
     assert_eq!(early.fetch[0], None, "it may not be whole yet");
     assert_eq!(early.trace.recomputed.nowhere_whole_tokens, 9_100);
-    end(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
-    first(&mut scheduler, one.ticket, ms(130));
-    let later = placed(scheduler.submit(3, elsewhere(&ask, &one), ms(140)));
+    end_placement(&mut scheduler, early.ticket, EndReason::Cancelled, ms(30));
+    observe_first_token(&mut scheduler, one.ticket, ms(130));
+    let later = expect_placed(scheduler.submit(3, elsewhere(&ask, &one), ms(140)));
     let from = if one.target.id == "i-00" { address(0) } else { address(1) };
     assert_eq!((later.fetch[0], later.trace.fetched_tokens), (Some(from), 9_100));
     assert_eq!(later.trace.recomputed.total(), 0);
@@ -42,28 +45,28 @@
 #[test]
 fn nothing_is_fetched_from_engines_that_leave_or_fail() {
     let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
+    observe_first_token(&mut scheduler, one.ticket, ms(130));
     let mut leaving = engines(2);
     leaving.iter_mut().filter(|listed| listed.start == one.target).for_each(|listed| {
         listed.presence = Presence::Leaving;
     });
     scheduler.observe_roster(&roster(leaving));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
+    let two = expect_placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!(two.fetch[0], None);
 
     let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, EndReason::Unreachable, ms(135));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
+    observe_first_token(&mut scheduler, one.ticket, ms(130));
+    end_placement(&mut scheduler, one.ticket, EndReason::Unreachable, ms(135));
+    let two = expect_placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!(two.fetch[0], None);
 }
 
 #[test]
 fn an_engine_that_changed_its_weights_has_nothing_to_fetch() {
     let (mut scheduler, ask, one) = after_one();
-    first(&mut scheduler, one.ticket, ms(130));
-    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
-    let two = placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
+    observe_first_token(&mut scheduler, one.ticket, ms(130));
+    end_placement(&mut scheduler, one.ticket, EndReason::WeightMismatch(Some(2)), ms(135));
+    let two = expect_placed(scheduler.submit(2, elsewhere(&ask, &one), ms(140)));
     assert_eq!((two.weight_version, two.fetch[0]), (Some(1), None));
 }
 
@@ -71,12 +74,12 @@
 /// contexts that engines hold few are read again, and nobody is late for it.
 #[test]
 fn a_lost_store_does_not_make_engines_read_again_what_others_hold() {
-    let mut world = World::new(12);
+    let mut world = Simulation::new(12);
     world.run(10, 1.0);
     world.scheduler.reset_store(address(9_000));
     let without = world.run(5, 1.0);
-    assert!(without.part_in_aim() > 0.97, "{without:?}");
-    assert!(without.again_tokens * 20 < without.read_tokens, "{without:?}");
+    assert!(without.on_time_share() > 0.97, "{without:?}");
+    assert!(without.recomputed_tokens * 20 < without.prefilled_tokens, "{without:?}");
 }
 
 /// After an outage more than a hundred prompts come to a scheduler at once, within the 50 ms in which it
@@ -86,9 +89,9 @@
 fn prompts_wait_until_a_new_scheduler_knows_what_is_kept() {
     let mut scheduler = Scheduler::new(1, ms(0));
     scheduler.await_cache_state(ms(0));
-    scheduler.observe_deployment(&site());
+    scheduler.observe_deployment(&simulated_deployment());
     scheduler.observe_roster(&roster(engines(2)));
-    let ask = ask_of(0, 1, 1);
+    let ask = placement_request(0, 1, 1);
     assert_eq!(scheduler.submit(1, ask.clone(), ms(10)), None);
     let context = &ask.parts[0];
     let part =
@@ -111,9 +114,9 @@
 fn prompts_do_not_wait_for_long_for_a_store_that_does_not_answer() {
     let mut scheduler = Scheduler::new(1, ms(0));
     scheduler.await_cache_state(ms(0));
-    scheduler.observe_deployment(&site());
+    scheduler.observe_deployment(&simulated_deployment());
     scheduler.observe_roster(&roster(engines(2)));
-    assert_eq!(scheduler.submit(1, ask_of(0, 1, 1), ms(10)), None);
+    assert_eq!(scheduler.submit(1, placement_request(0, 1, 1), ms(10)), None);
     assert_eq!(scheduler.dispatch(ms(140)), []);
     assert_eq!(scheduler.dispatch(ms(160)).len(), 1);
 }
@@ -123,12 +126,12 @@
 /// have no time for it.
 #[test]
 fn links_are_not_taken_for_slow_because_engines_are_busy() {
-    let mut world = World::new(12);
+    let mut world = Simulation::new(12);
     world.run(10, 1.0);
     let busy_until = world.now + ms(400);
     world.free_at.extend(engines(12).into_iter().map(|engine| (engine.start, busy_until)));
     let after = world.run(2, 1.0);
-    assert!(after.again_tokens * 20 < after.read_tokens, "{after:?}");
+    assert!(after.recomputed_tokens * 20 < after.prefilled_tokens, "{after:?}");
 }
 
 #[test]
@@ -150,7 +153,7 @@
     let mut listed = engines(2);
     listed[0].failure_domain = "b".to_string();
     scheduler.observe_roster(&roster(listed));
-    let ask = ask_of(0, 1, 1);
+    let ask = placement_request(0, 1, 1);
     let context = &ask.parts[0];
     let salt = "all/m/1".to_string();
     let part = StoredPart { salt, id: context.id.clone(), tokens: context.tokens };
@@ -159,10 +162,11 @@
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // Each has 2,400 tokens of another prompt to read, for longer than the fetch takes.
     for (waiter, other) in [(1, "i-01"), (2, "i-00")] {
-        let busy = PlacementRequest { avoid: vec![start(other)], ..ask_of(2, waiter, waiter) };
-        placed(scheduler.submit(waiter, busy, ms(10)));
+        let busy =
+            PlacementRequest { avoid: vec![start(other)], ..placement_request(2, waiter, waiter) };
+        expect_placed(scheduler.submit(waiter, busy, ms(10)));
     }
-    let fetches = placed(scheduler.submit(3, ask, ms(11)));
+    let fetches = expect_placed(scheduler.submit(3, ask, ms(11)));
     assert_eq!((fetches.target, fetches.trace.fetched_tokens), (start("i-01"), 9_100));
 }
 
@@ -173,7 +177,7 @@
     let mut scheduler = scheduler(1);
     let salt = "all/m/1".to_string();
     let part = |n: u64| {
-        let context = &ask_of(0, n, n).parts[0];
+        let context = &placement_request(0, n, n).parts[0];
         StoredPart { salt: salt.clone(), id: context.id.clone(), tokens: 9_100 }
     };
     let complete = (0..60).map(part).collect();
@@ -181,12 +185,12 @@
     scheduler.observe_inventory(address(9_000), inventory, ms(0));
     // 50 fetches of 9 ms each keep the engine's link; their prompts leave.
     for n in 0..50 {
-        let placed = placed(scheduler.submit(n, ask_of(0, n, n), ms(10)));
-        end(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
+        let placed = expect_placed(scheduler.submit(n, placement_request(0, n, n), ms(10)));
+        end_placement(&mut scheduler, placed.ticket, EndReason::Cancelled, ms(10));
     }
-    let hurried = placed(scheduler.submit(50, ask_of(0, 50, 50), ms(11)));
+    let hurried = expect_placed(scheduler.submit(50, placement_request(0, 50, 50), ms(11)));
     assert_eq!(hurried.trace.recomputed.link_full_tokens, 9_100);
-    end(&mut scheduler, hurried.ticket, EndReason::Cancelled, ms(11));
-    let late = PlacementRequest { elapsed: ms(600), ..ask_of(0, 51, 51) };
-    assert_eq!(placed(scheduler.submit(51, late, ms(12))).trace.fetched_tokens, 9_100);
+    end_placement(&mut scheduler, hurried.ticket, EndReason::Cancelled, ms(11));
+    let late = PlacementRequest { elapsed: ms(600), ..placement_request(0, 51, 51) };
+    assert_eq!(expect_placed(scheduler.submit(51, late, ms(12))).trace.fetched_tokens, 9_100);
 }
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -9,7 +9,7 @@
 use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler};
 
 use crate::fixtures::{address, born, ms, roster, target};
-use crate::load::{ask_of, end, placed, scheduler};
+use crate::load::{end_placement, expect_placed, placement_request, scheduler};
 
 /// Two starts of the same engine. Its clock was set back in between.
 fn starts() -> (TargetStart, TargetStart) {
@@ -31,7 +31,7 @@
 }
 
 fn submit(scheduler: &mut Scheduler, waiter: u64, at_ms: u64) -> Placement {
-    placed(scheduler.submit(waiter, ask_of(1, 1, waiter), ms(at_ms)))
+    expect_placed(scheduler.submit(waiter, placement_request(1, 1, waiter), ms(at_ms)))
 }
 
 fn first_token(scheduler: &mut Scheduler, ticket: u64, weights: u64, at_ms: u64) {
@@ -47,10 +47,10 @@
     let mut scheduler = scheduler_of_first_start();
     let one = submit(&mut scheduler, 1, 10);
     first_token(&mut scheduler, one.ticket, 1, 80);
-    end(&mut scheduler, one.ticket, EndReason::Completed, ms(200));
+    end_placement(&mut scheduler, one.ticket, EndReason::Completed, ms(200));
     let again = submit(&mut scheduler, 2, 2_000);
     assert_eq!(again.trace.resident_tokens, 650, "the context must be resident");
-    end(&mut scheduler, again.ticket, EndReason::Completed, ms(2_100));
+    end_placement(&mut scheduler, again.ticket, EndReason::Completed, ms(2_100));
     observe_listed(&mut scheduler, &starts().1);
     let restarted = submit(&mut scheduler, 3, 4_000);
     assert_eq!((&restarted.target, restarted.trace.resident_tokens), (&starts().1, 0));
@@ -92,7 +92,7 @@
         EndReason::Unreachable,
     ];
     for (placed, reason) in early.iter().zip(ends) {
-        end(&mut scheduler, placed.ticket, reason, ms(3_001));
+        end_placement(&mut scheduler, placed.ticket, reason, ms(3_001));
     }
     assert_eq!(scheduler.unverified_engines(), [], "the later start must keep its listed weights");
     let next = submit(&mut scheduler, 20, 3_002);
@@ -106,7 +106,7 @@
     let (first, second) = starts();
     let mut scheduler = scheduler_of_first_start();
     let one = submit(&mut scheduler, 1, 10);
-    end(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
+    end_placement(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
     assert_eq!(scheduler.unverified_engines(), [(first.clone(), address(1))]);
     observe_listed(&mut scheduler, &second);
     assert_eq!(scheduler.unverified_engines(), [], "the later start has refused nothing");
@@ -119,7 +119,10 @@
     let (first, second) = starts();
     let mut scheduler = scheduler_of_first_start();
     scheduler.observe_changing(&[first].into());
-    assert!(scheduler.submit(1, ask_of(1, 1, 1), ms(10)).is_none(), "the prompt must wait");
+    assert!(
+        scheduler.submit(1, placement_request(1, 1, 1), ms(10)).is_none(),
+        "the prompt must wait"
+    );
     scheduler.withdraw(1);
     observe_listed(&mut scheduler, &second);
     assert_eq!(submit(&mut scheduler, 2, 20).target, second);
@@ -135,15 +138,15 @@
     let other = Listed { start: born("i-2", 1), ..target("i-2", "llm", address(2)) };
     scheduler.observe_roster(&roster([other.clone()]));
     let avoid = vec![other.start.clone()];
-    let asked = PlacementRequest { avoid, ..ask_of(1, 1, 2) };
+    let asked = PlacementRequest { avoid, ..placement_request(1, 1, 2) };
     let outcome = scheduler.submit(2, asked, ms(600)).expect("a refusal at once");
     assert!(outcome.is_err(), "the only listed engine must be avoided");
     assert_eq!(scheduler.placed_on(&first), 1);
     scheduler.observe_roster(&roster([listed(&first), other.clone()]));
     first_token(&mut scheduler, one.ticket, 1, 700);
-    end(&mut scheduler, one.ticket, EndReason::Completed, ms(800));
-    let again = PlacementRequest { avoid: vec![other.start], ..ask_of(1, 1, 3) };
-    let again = placed(scheduler.submit(3, again, ms(2_000)));
+    end_placement(&mut scheduler, one.ticket, EndReason::Completed, ms(800));
+    let again = PlacementRequest { avoid: vec![other.start], ..placement_request(1, 1, 3) };
+    let again = expect_placed(scheduler.submit(3, again, ms(2_000)));
     assert_eq!((again.target, again.trace.resident_tokens), (first, 650));
 }
 
