--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -102,7 +102,7 @@
 }
 
 /// A start of a target that tells its birth.
-pub fn born(id: &str, born_ms: i64) -> TargetStart {
+pub fn start_born_at(id: &str, born_ms: i64) -> TargetStart {
     TargetStart { id: id.to_string(), born_ms: Some(born_ms) }
 }
 
--- a/tests/deployment/late_news.rs
+++ b/tests/deployment/late_news.rs
@@ -6,7 +6,7 @@
 use kumquatpost::fleet::Listed;
 use kumquatpost::fleet::compact::CompactTargets;
 
-use crate::fixtures::{address, born, deployment, roster, start, target};
+use crate::fixtures::{address, deployment, roster, start, start_born_at, target};
 use crate::gateway::{entry, ok, run, unhurried};
 use crate::stand_in::{StandIn, Then, header};
 
@@ -66,19 +66,22 @@
     run(async {
         let answers = (0..4).map(|_| (ok("done"), Then::KeepOpen)).collect();
         let one = StandIn::start(answers).await;
-        let at =
-            |born_ms| Listed { start: born("i-1", born_ms), ..target("i-1", "app", one.address) };
+        let at = |born_ms| Listed {
+            start: start_born_at("i-1", born_ms),
+            ..target("i-1", "app", one.address)
+        };
         let entry = entry(unhurried(), vec![at(9)]).await;
         for (id, connections) in [("r1", 1), ("r2", 1)] {
             assert_eq!(entry.call("/safe/a", id).await.status, 200);
             assert_eq!(one.connections.get(), connections, "it is kept");
         }
-        let connection = entry.gateway.pool.take_idle(&born("i-1", 9)).expect("it is kept");
+        let connection =
+            entry.gateway.pool.take_idle(&start_born_at("i-1", 9)).expect("it is kept");
         let roster = VersionedRoster::new(2, Arc::new(roster([at(3)])));
         entry.gateway.observe_roster(roster);
         // A request that was under way ends, and its connection is given back.
-        entry.gateway.return_connection(&born("i-1", 9), connection);
-        assert!(entry.gateway.pool.take_idle(&born("i-1", 9)).is_none());
+        entry.gateway.return_connection(&start_born_at("i-1", 9), connection);
+        assert!(entry.gateway.pool.take_idle(&start_born_at("i-1", 9)).is_none());
         assert_eq!(entry.call("/safe/a", "r3").await.status, 200);
         assert_eq!(one.connections.get(), 2);
         let request = one.requests.borrow().last().cloned().expect("it was asked");
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 
 use crate::asking::shared;
-use crate::fixtures::{born, ms, roster, target};
+use crate::fixtures::{ms, roster, start_born_at, target};
 use crate::gateway::run;
 use crate::stand_in::{StandIn, Then};
 
@@ -33,7 +33,7 @@
 }
 
 fn listed(engine: &StandIn) -> Listed {
-    Listed { start: born("i-1", 1), ..target("i-1", "llm", engine.address) }
+    Listed { start: start_born_at("i-1", 1), ..target("i-1", "llm", engine.address) }
 }
 
 /// Starts the rollout of weights 2 to an engine that is listed in its start 1 with weights 1.
@@ -104,13 +104,13 @@
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let engine = Listed {
-            start: born("i-1", 1),
+            start: start_born_at("i-1", 1),
             ..target("i-1", "llm", listener.local_addr().expect("an address"))
         };
         let shared = start_rollout(engine.clone());
         let (mut stream, _) = listener.accept().await.expect("a request for the report");
         // The roster shows the next start before the report arrives.
-        let mut second = Listed { start: born("i-1", 2), ..engine };
+        let mut second = Listed { start: start_born_at("i-1", 2), ..engine };
         second.weights.insert("m".to_string(), 2);
         shared.change_roster(|known| known.update(vec![second]));
         stream.write_all(report(1).0.as_bytes()).await.expect("the controller reads the report");
--- a/tests/deployment/roster.rs
+++ b/tests/deployment/roster.rs
@@ -10,7 +10,7 @@
 use kumquatpost::ids::{ServiceId, TargetStart};
 
 use crate::asking::shared;
-use crate::fixtures::{address, born, ms, roster, start, target};
+use crate::fixtures::{address, ms, roster, start, start_born_at, target};
 
 #[test]
 fn leaving_is_not_taken_back() {
@@ -111,7 +111,7 @@
 }
 
 fn reborn(id: &str, born_ms: i64) -> Listed {
-    Listed { start: born(id, born_ms), ..target(id, "llm", address(1)) }
+    Listed { start: start_born_at(id, born_ms), ..target(id, "llm", address(1)) }
 }
 
 fn leaving(mut listed: Listed) -> Listed {
@@ -125,11 +125,11 @@
     // Its clock may have gone back.
     for born_ms in [9, 2] {
         assert!(known.update(vec![reborn("i-1", born_ms)]));
-        let listed = known.get(&born("i-1", born_ms)).expect("listed");
+        let listed = known.get(&start_born_at("i-1", born_ms)).expect("listed");
         assert_eq!(listed.presence, Presence::Live);
         assert_eq!(known.len(), 1);
     }
-    assert!(known.get(&born("i-1", 5)).is_none());
+    assert!(known.get(&start_born_at("i-1", 5)).is_none());
 }
 
 #[test]
@@ -139,55 +139,59 @@
     // An older list that comes late, also long afterwards.
     for _ in 0..300 {
         assert!(!known.update(vec![reborn("i-1", 1)]), "it changes nothing");
-        assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
+        assert_eq!(known.get(&start_born_at("i-1", 2)).expect("listed").presence, Presence::Live);
         known.update(vec![reborn("i-1", 2)]);
     }
     // Also where a list that lacked it came between.
     known.update(vec![]);
     known.update(vec![reborn("i-1", 3)]);
     assert!(!known.update(vec![reborn("i-1", 2)]));
-    assert!(known.get(&born("i-1", 3)).is_some());
+    assert!(known.get(&start_born_at("i-1", 3)).is_some());
 }
 
 #[test]
 fn a_later_start_runs_the_weights_that_it_is_listed_with() {
     let mut known = roster([reborn("i-1", 1)]);
-    assert!(known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
+    assert!(known.set_weights(&start_born_at("i-1", 1), &[("m".to_string(), 4)].into()));
     known.update(vec![reborn("i-1", 1)]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").weights["m"], 4, "the list lags");
+    assert_eq!(
+        known.get(&start_born_at("i-1", 1)).expect("listed").weights["m"],
+        4,
+        "the list lags"
+    );
     known.update(vec![reborn("i-1", 2)]);
-    assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
+    assert_eq!(known.get(&start_born_at("i-1", 2)).expect("listed").weights["m"], 1);
     // A report on the earlier start that comes late.
-    assert!(!known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into()));
-    assert_eq!(known.get(&born("i-1", 2)).expect("listed").weights["m"], 1);
+    assert!(!known.set_weights(&start_born_at("i-1", 1), &[("m".to_string(), 4)].into()));
+    assert_eq!(known.get(&start_born_at("i-1", 2)).expect("listed").weights["m"], 1);
     // The later one is told to load them anew.
     let lagging = next_loads(
         &known,
         &[("m".to_string(), 4)].into(),
-        &[born("i-1", 1)].into(),
+        &[start_born_at("i-1", 1)].into(),
         &[].into(),
         |_| true,
     );
     assert_eq!(lagging.len(), 1);
-    assert_eq!(lagging[0].engine, born("i-1", 2));
+    assert_eq!(lagging[0].engine, start_born_at("i-1", 2));
 }
 
 #[test]
 fn a_target_whose_entry_is_missing_for_a_while_is_used_again() {
     let mut known = roster([reborn("i-1", 1), reborn("i-2", 1)]);
-    known.set_weights(&born("i-1", 1), &[("m".to_string(), 4)].into());
+    known.set_weights(&start_born_at("i-1", 1), &[("m".to_string(), 4)].into());
     for _ in 0..5 {
         known.update(vec![reborn("i-2", 1)]);
-        assert!(known.get(&born("i-1", 1)).is_none(), "no new work meanwhile");
+        assert!(known.get(&start_born_at("i-1", 1)).is_none(), "no new work meanwhile");
     }
     known.update(vec![reborn("i-1", 1), reborn("i-2", 1)]);
-    let again = known.get(&born("i-1", 1)).expect("listed");
+    let again = known.get(&start_born_at("i-1", 1)).expect("listed");
     assert_eq!((again.presence, again.weights["m"]), (Presence::Live, 4));
     // One that said that it leaves is not.
     known.update(vec![leaving(reborn("i-1", 1))]);
     known.update(vec![]);
     known.update(vec![reborn("i-1", 1)]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
+    assert_eq!(known.get(&start_born_at("i-1", 1)).expect("listed").presence, Presence::Leaving);
 }
 
 /// Births that are equal tell two starts apart by nothing but the time between them.
@@ -198,7 +202,7 @@
         known.update(vec![reborn("i-2", 1)]);
     }
     known.update(vec![reborn("i-1", 1)]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
+    assert_eq!(known.get(&start_born_at("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
 #[test]
@@ -224,12 +228,12 @@
     assert!(!known.update(vec![unborn()]), "it is the start that is known");
     assert!(known.update(vec![reborn("i-1", 2)]));
     assert!(!known.update(vec![unborn()]));
-    assert_eq!(known.get(&born("i-1", 2)).expect("listed").presence, Presence::Live);
+    assert_eq!(known.get(&start_born_at("i-1", 2)).expect("listed").presence, Presence::Live);
     // Births that are told for the first time.
     let mut known = roster([unborn()]);
     known.update(vec![reborn("i-1", 1)]);
     known.update(vec![unborn()]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Live);
+    assert_eq!(known.get(&start_born_at("i-1", 1)).expect("listed").presence, Presence::Live);
 }
 
 #[test]
@@ -238,13 +242,13 @@
     let mut known = Roster::default();
     // The page shifted between two reads, and the target began to leave.
     known.update(vec![reborn("i-1", 1), leaving(reborn("i-1", 1)), reborn("i-2", 1)]);
-    assert_eq!(known.get(&born("i-1", 1)).expect("listed").presence, Presence::Leaving);
+    assert_eq!(known.get(&start_born_at("i-1", 1)).expect("listed").presence, Presence::Leaving);
     assert_eq!(known.len(), 2);
     // It started again between two reads: the start that was not known is the later one.
     for list in [vec![reborn("i-2", 1), reborn("i-2", 2)], vec![reborn("i-2", 2), reborn("i-2", 1)]]
     {
         known.update(list);
-        assert_eq!(known.get(&born("i-2", 2)).expect("listed").presence, Presence::Live);
+        assert_eq!(known.get(&start_born_at("i-2", 2)).expect("listed").presence, Presence::Live);
     }
     // Nothing tells which of two is the later one, or where it is: the others hold.
     for pair in [
@@ -265,7 +269,7 @@
     let before = roster([reborn("i-1", 1), reborn("i-2", 1)]);
     let later = roster([reborn("i-1", 2), reborn("i-2", 1)]);
     let change = before.change_to(&later);
-    assert_eq!(change.gone, [born("i-1", 1)]);
+    assert_eq!(change.gone, [start_born_at("i-1", 1)]);
     assert_eq!(change.changed, [reborn("i-1", 2)]);
     let mut applied = before.clone();
     applied.apply(change);
@@ -275,7 +279,7 @@
 #[test]
 fn what_an_entry_believes_of_an_earlier_start_is_not_believed_of_the_later_one() {
     let mut view = FleetView::default();
-    let (first, second) = (born("i-1", 1), born("i-1", 2));
+    let (first, second) = (start_born_at("i-1", 1), start_born_at("i-1", 2));
     view.update(&roster([reborn("i-1", 1)]));
     let dispatch = view.begin(&first, 500);
     let load = TargetLoad { running: 30, waiting: 9, slots: 48 };
@@ -311,7 +315,11 @@
     assert!(known.merge_retired(&other));
     assert!(!known.merge_retired(&other), "it is known");
     let leaves = |start| known.get(&start).expect("listed").presence == Presence::Leaving;
-    assert!(leaves(born("i-1", 1)) && leaves(born("i-2", 1)) && !leaves(born("i-3", 2)));
+    assert!(
+        leaves(start_born_at("i-1", 1))
+            && leaves(start_born_at("i-2", 1))
+            && !leaves(start_born_at("i-3", 2))
+    );
 }
 
 /// What was seen: an engine got no prompt any more, though it was listed and sound.
@@ -321,9 +329,9 @@
 #[test]
 fn an_entry_of_a_service_that_is_not_named_ends_no_target() {
     let is_named = |service: &ServiceId| service != "nobody";
-    let own = Listed { start: born("i-1", 5_000), ..target("i-1", "llm", address(1)) };
-    let foreign = Listed { start: born("i-1", 1), ..target("i-1", "nobody", address(2)) };
-    let new = Listed { start: born("i-2", 1), ..target("i-2", "nobody", address(3)) };
+    let own = Listed { start: start_born_at("i-1", 5_000), ..target("i-1", "llm", address(1)) };
+    let foreign = Listed { start: start_born_at("i-1", 1), ..target("i-1", "nobody", address(2)) };
+    let new = Listed { start: start_born_at("i-2", 1), ..target("i-2", "nobody", address(3)) };
     let mut known = roster([own.clone()]);
     for list in [
         vec![own.clone(), foreign.clone()],
--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -8,12 +8,12 @@
 use kumquatpost::scheduler::store::{StoreEvent, StoredPart};
 use kumquatpost::scheduler::{EndReason, Placement, PlacementEvent, PlacementRequest, Scheduler};
 
-use crate::fixtures::{address, born, ms, roster, target};
+use crate::fixtures::{address, ms, roster, start_born_at, target};
 use crate::load::{end_placement, expect_placed, placement_request, scheduler};
 
 /// Two starts of the same engine. Its clock was set back in between.
 fn starts() -> (TargetStart, TargetStart) {
-    (born("i-1", 9), born("i-1", 3))
+    (start_born_at("i-1", 9), start_born_at("i-1", 3))
 }
 
 fn listed(start: &TargetStart) -> Listed {
@@ -135,7 +135,7 @@
     let (first, _) = starts();
     let mut scheduler = scheduler_of_first_start();
     let one = submit(&mut scheduler, 1, 10);
-    let other = Listed { start: born("i-2", 1), ..target("i-2", "llm", address(2)) };
+    let other = Listed { start: start_born_at("i-2", 1), ..target("i-2", "llm", address(2)) };
     scheduler.observe_roster(&roster([other.clone()]));
     let avoid = vec![other.start.clone()];
     let asked = PlacementRequest { avoid, ..placement_request(1, 1, 2) };
--- a/tests/deployment/weights.rs
+++ b/tests/deployment/weights.rs
@@ -133,7 +133,7 @@
     for born in ["\"1\"", "1.5", "null"] {
         assert!(report(&format!(r#","born":{born}"#)).is_err(), "{born}");
     }
-    let start = crate::fixtures::born("i-1", 7);
+    let start = crate::fixtures::start_born_at("i-1", 7);
     assert!(
         start.may_match_birth(Some(7))
             && start.may_match_birth(None)
