--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -1,8 +1,7 @@
-//! A site's mix of prompts, and engines that read them, on a virtual clock.
+//! A simulation of engines under a mix of prompts, and helpers for tests of the scheduler, on a virtual clock.
 //!
-//! Figures: the first site's engines (12, 140 tokens read in a millisecond, 109,900 tokens of memory)
-//! and its mix of prompts at 198 a second: 37 with a context of 9,100 tokens and 2,900 of their own,
-//! 71 with 650 and 180, 90 with 1,900 and 500; the first part of an answer comes 53 ms after reading.
+//! Modelled on a site with 12 engines, which prefill 140 tokens per millisecond and hold 109,900 tokens each, and
+//! 198 prompts per second.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -20,16 +19,18 @@
 
 use crate::fixtures::{address, deployment, ms, roster, store_start, target};
 
-const READ_TOKENS_PER_MS: f64 = 140.0;
-const FIRST_AFTER: Duration = Duration::from_millis(53);
-/// A token every few milliseconds beside others.
+const PREFILL_TOKENS_PER_MS: f64 = 140.0;
+/// Time from the end of prefill to the first token.
+const FIRST_TOKEN_LATENCY: Duration = Duration::from_millis(53);
+/// Decoding time of a token in a batch.
 const MS_PER_OUTPUT_TOKEN: u64 = 5;
 
-/// The three kinds of prompt: rate, context, own tokens, output, priority, objective.
-const MIX: [(f64, u64, u64, u64, u8, u64); 3] =
+/// For each kind of prompt: prompts per second, context tokens, own tokens, output tokens, priority and objective in
+/// milliseconds.
+const PROMPT_KINDS: [(f64, u64, u64, u64, u8, u64); 3] =
     [(37.0, 9_100, 2_900, 42, 2, 600), (71.0, 650, 180, 32, 1, 300), (90.0, 1_900, 500, 3, 0, 400)];
-/// Contexts of each kind.
-const CONTEXTS: [u64; 3] = [373, 707, 900];
+/// Number of different contexts of each kind.
+const CONTEXT_COUNTS: [u64; 3] = [373, 707, 900];
 
 pub fn engines(count: u16) -> Vec<Listed> {
     (0..count).map(|n| target(&format!("i-{n:02}"), "llm", address(n))).collect()
@@ -41,7 +42,7 @@
         match &mut service.role {
             ServiceRole::Engines(traits) => traits.capacity_tokens = 109_900,
             ServiceRole::Store(traits) => {
-                // Room for all contexts, and the links of the site's five stores in one.
+                // One store stands for five: it has room for all contexts and the bandwidth of five links.
                 traits.capacity_tokens = 7_000_000;
                 traits.link_mbps = 5_700_000.0;
             }
@@ -62,7 +63,7 @@
 }
 
 pub fn placement_request(kind: usize, context: u64, own: u64) -> PlacementRequest {
-    let (_, context_tokens, own_tokens, output_tokens, priority, objective_ms) = MIX[kind];
+    let (_, context_tokens, own_tokens, output_tokens, priority, objective_ms) = PROMPT_KINDS[kind];
     let part = |id: String, tokens| Part { id, tokens };
     PlacementRequest {
         service: "llm".to_string(),
@@ -83,7 +84,7 @@
 }
 
 pub fn expect_placed(outcome: Option<PlacementResult>) -> Placement {
-    outcome.expect("it need not wait").expect("it is placed")
+    outcome.expect("an immediate outcome").expect("a placement")
 }
 
 pub fn end_placement(scheduler: &mut Scheduler, ticket: u64, end: EndReason, now: Duration) {
@@ -95,14 +96,14 @@
         .observe(&PlacementEvent::FirstToken { ticket, weight_version: Some(1), load: None }, now);
 }
 
-/// Makes what was granted to be saved whole.
+/// Reports the saves that a placement granted as completed.
 pub fn finish_saves(
     scheduler: &mut Scheduler,
     placed: &Placement,
-    ask: &PlacementRequest,
+    request: &PlacementRequest,
     now: Duration,
 ) {
-    for (store, part) in placed.save.iter().zip(&ask.parts) {
+    for (store, part) in placed.save.iter().zip(&request.parts) {
         let Some(store) = store else { continue };
         let part =
             StoredPart { salt: placed.salt.clone(), id: part.id.clone(), tokens: part.tokens };
@@ -110,40 +111,43 @@
     }
 }
 
-/// A world of engines that read one prompt after another.
+/// Engines that prefill one prompt at a time, and their scheduler.
 pub struct Simulation {
     pub scheduler: Scheduler,
     random: SmallRng,
     pub now: Duration,
-    asks: HashMap<WaiterId, (usize, PlacementRequest, Duration)>,
-    /// What happens to prompts at engines, by time.
-    due: BTreeMap<(Duration, u64), Due>,
+    /// Prompts without an outcome: kind, request and time of submission.
+    undecided: HashMap<WaiterId, (usize, PlacementRequest, Duration)>,
+    /// Future events at engines, by time.
+    events: BTreeMap<(Duration, u64), EngineEvent>,
+    /// When each engine has finished the prefill of its prompts.
     pub free_at: HashMap<TargetStart, Duration>,
-    pub dead: BTreeSet<TargetStart>,
-    next: u64,
+    /// Engines at which placements fail.
+    pub unreachable: BTreeSet<TargetStart>,
+    next_id: u64,
     tally: Tally,
 }
 
-enum Due {
-    First {
+enum EngineEvent {
+    FirstToken {
         ticket: u64,
         kind: usize,
         since: Duration,
         saves: Vec<(std::net::SocketAddr, StoredPart)>,
     },
-    End {
+    Ended {
         ticket: u64,
     },
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    pub asked: u32,
+    pub submitted: u32,
     pub on_time: u32,
     pub late: u32,
     pub refused: u32,
     pub prefilled_tokens: u64,
-    /// Of these, tokens of contexts that some engine had read before.
+    /// Those of `prefilled_tokens` that some engine had computed before.
     pub recomputed_tokens: u64,
 }
 
@@ -153,102 +157,104 @@
             scheduler: scheduler(count),
             random: SmallRng::seed_from_u64(7),
             now: ms(0),
-            asks: HashMap::new(),
-            due: BTreeMap::new(),
+            undecided: HashMap::new(),
+            events: BTreeMap::new(),
             free_at: HashMap::new(),
-            dead: BTreeSet::new(),
-            next: 0,
+            unreachable: BTreeSet::new(),
+            next_id: 0,
             tally: Tally::default(),
         }
     }
 
-    /// Runs for some seconds at `load` times the site's rate, and returns what came of it.
+    /// Runs for some seconds at `load` times the usual rate of prompts, and returns the outcomes.
     pub fn run(&mut self, seconds: u64, load: f64) -> Tally {
         self.tally = Tally::default();
         let until = self.now + Duration::from_secs(seconds);
         while self.now < until {
             self.now += ms(1);
-            for (kind, (rate, ..)) in MIX.iter().enumerate() {
+            for (kind, (rate, ..)) in PROMPT_KINDS.iter().enumerate() {
                 if self.random.random::<f64>() < rate * load / 1_000.0 {
-                    self.ask(kind);
+                    self.submit(kind);
                 }
             }
-            self.work();
+            self.process_events();
             self.scheduler.read_clock(self.now.as_millis() as u64, self.now);
             for (waiter, outcome) in self.scheduler.dispatch(self.now) {
-                self.take(waiter, outcome);
+                self.handle_outcome(waiter, outcome);
             }
         }
         self.tally
     }
 
-    fn ask(&mut self, kind: usize) {
-        self.next += 1;
-        let context = self.random.random_range(0..CONTEXTS[kind]);
-        let ask = placement_request(kind, context, self.next);
-        self.tally.asked += 1;
-        self.asks.insert(self.next, (kind, ask.clone(), self.now));
-        if let Some(outcome) = self.scheduler.submit(self.next, ask, self.now) {
-            self.take(self.next, outcome);
+    fn submit(&mut self, kind: usize) {
+        self.next_id += 1;
+        let context = self.random.random_range(0..CONTEXT_COUNTS[kind]);
+        let request = placement_request(kind, context, self.next_id);
+        self.tally.submitted += 1;
+        self.undecided.insert(self.next_id, (kind, request.clone(), self.now));
+        if let Some(outcome) = self.scheduler.submit(self.next_id, request, self.now) {
+            self.handle_outcome(self.next_id, outcome);
         }
     }
 
-    fn take(&mut self, waiter: WaiterId, outcome: PlacementResult) {
-        let (kind, ask, since) = self.asks.remove(&waiter).expect("it was asked");
+    fn handle_outcome(&mut self, waiter: WaiterId, outcome: PlacementResult) {
+        let (kind, request, since) = self.undecided.remove(&waiter).expect("a submitted prompt");
         let Ok(placed) = outcome else {
             self.tally.refused += 1;
             return;
         };
-        if self.dead.contains(&placed.target) {
+        if self.unreachable.contains(&placed.target) {
             self.scheduler.observe(
                 &PlacementEvent::Ended { ticket: placed.ticket, end: EndReason::Unreachable },
                 self.now,
             );
-            self.asks.insert(waiter, (kind, ask.clone(), since));
-            let again = PlacementRequest { avoid: vec![placed.target], ..ask };
+            self.undecided.insert(waiter, (kind, request.clone(), since));
+            let again = PlacementRequest { avoid: vec![placed.target], ..request };
             if let Some(outcome) = self.scheduler.submit(waiter, again, self.now) {
-                self.take(waiter, outcome);
+                self.handle_outcome(waiter, outcome);
             }
             return;
         }
-        let kept = placed.trace.resident_tokens + placed.trace.fetched_tokens;
-        let tokens = ask.prompt_tokens.saturating_sub(kept);
+        let reused = placed.trace.resident_tokens + placed.trace.fetched_tokens;
+        let tokens = request.prompt_tokens.saturating_sub(reused);
         self.tally.prefilled_tokens += tokens;
         self.tally.recomputed_tokens += placed.trace.recomputed.total();
         let free_at = self.free_at.entry(placed.target.clone()).or_default();
         *free_at = (*free_at).max(self.now)
-            + Duration::from_secs_f64(tokens as f64 / READ_TOKENS_PER_MS / 1e3);
-        let first_at = *free_at + FIRST_AFTER;
-        let saves = placed.save.iter().zip(&ask.parts).filter_map(|(store, part)| {
+            + Duration::from_secs_f64(tokens as f64 / PREFILL_TOKENS_PER_MS / 1e3);
+        let first_at = *free_at + FIRST_TOKEN_LATENCY;
+        let saves = placed.save.iter().zip(&request.parts).filter_map(|(store, part)| {
             let salt = placed.salt.clone();
             let part = StoredPart { salt, id: part.id.clone(), tokens: part.tokens };
             store.map(|store| (store, part))
         });
-        let first = Due::First { ticket: placed.ticket, kind, since, saves: saves.collect() };
-        self.due.insert((first_at, self.next * 2), first);
-        self.next += 1;
-        let ends_at = first_at + ms(ask.output_tokens * MS_PER_OUTPUT_TOKEN);
-        self.due.insert((ends_at, self.next * 2 + 1), Due::End { ticket: placed.ticket });
-        self.next += 1;
+        let first =
+            EngineEvent::FirstToken { ticket: placed.ticket, kind, since, saves: saves.collect() };
+        self.events.insert((first_at, self.next_id * 2), first);
+        self.next_id += 1;
+        let ends_at = first_at + ms(request.output_tokens * MS_PER_OUTPUT_TOKEN);
+        self.events
+            .insert((ends_at, self.next_id * 2 + 1), EngineEvent::Ended { ticket: placed.ticket });
+        self.next_id += 1;
     }
 
-    fn work(&mut self) {
-        while let Some(entry) = self.due.first_entry()
+    fn process_events(&mut self) {
+        while let Some(entry) = self.events.first_entry()
             && entry.key().0 <= self.now
         {
             match entry.remove() {
-                Due::First { ticket, kind, since, saves } => {
+                EngineEvent::FirstToken { ticket, kind, since, saves } => {
                     observe_first_token(&mut self.scheduler, ticket, self.now);
                     for (store, part) in saves {
                         let event = vec![StoreEvent::Stored(part)];
                         self.scheduler.observe_events(store, event, self.now);
                     }
-                    match self.now - since <= ms(MIX[kind].5) {
+                    match self.now - since <= ms(PROMPT_KINDS[kind].5) {
                         true => self.tally.on_time += 1,
                         false => self.tally.late += 1,
                     }
                 }
-                Due::End { ticket } => {
+                EngineEvent::Ended { ticket } => {
                     end_placement(&mut self.scheduler, ticket, EndReason::Completed, self.now)
                 }
             }
@@ -258,6 +264,6 @@
 
 impl Tally {
     pub fn on_time_share(&self) -> f64 {
-        f64::from(self.on_time) / f64::from(self.asked)
+        f64::from(self.on_time) / f64::from(self.submitted)
     }
 }
