--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -1,4 +1,4 @@
-//! Deployments and targets that several tests use.
+//! Deployments, targets and other fixtures that several tests share.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -14,7 +14,7 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
-/// The same cases on every run.
+/// A proptest configuration with a fixed seed, so that all runs test the same cases.
 pub fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -28,7 +28,7 @@
     Duration::from_millis(ms)
 }
 
-/// An address of this host that no other run of these tests on it uses: some ports are the same in all.
+/// A loopback address of this test process, so that concurrent runs can use the same fixed ports.
 pub fn loopback(last: u8) -> IpAddr {
     let [low, high, ..] = std::process::id().to_le_bytes();
     IpAddr::from([127, high.clamp(1, 254), low, last])
@@ -38,7 +38,7 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-/// A route with one service of the same name as the policy serves.
+/// A route with the path prefix `/{name}/` to a single service.
 pub fn route(name: &str, policy: RunPolicy, service: &str) -> Route {
     Route {
         name: name.to_string(),
@@ -56,7 +56,7 @@
     }
 }
 
-/// Routes of each policy before engines `llm`, a plain service `app` and one store.
+/// One route per policy, to engines `llm` and a plain service `app`, and a service `store`.
 pub fn deployment(version: u64) -> Deployment {
     let engines = ServiceRole::Engines(EngineSpec {
         slots: 48,
@@ -96,22 +96,22 @@
     Account { id: id.to_string(), keys: vec![key.to_string()], is_isolated, priority: None }
 }
 
-/// A start of a target that tells no birth.
+/// A start of a target that doesn't report its birth time.
 pub fn start(id: &str) -> TargetStart {
     TargetStart { id: id.to_string(), born_ms: None }
 }
 
-/// A start of a target that tells its birth.
+/// A start of a target that reports its birth time.
 pub fn start_born_at(id: &str, born_ms: i64) -> TargetStart {
     TargetStart { id: id.to_string(), born_ms: Some(born_ms) }
 }
 
-/// A start of a store that tells no birth.
+/// A start of a store that doesn't report its birth time.
 pub fn store_start(epoch: u64) -> StoreStart {
     StoreStart { epoch, born_ms: None }
 }
 
-pub fn target(id: &str, service: &str, at: SocketAddr) -> Listed {
+pub fn target(id: &str, service: &str, address: SocketAddr) -> Listed {
     let weights = match service {
         "llm" => BTreeMap::from([("m".to_string(), 1)]),
         _ => BTreeMap::new(),
@@ -119,7 +119,7 @@
     Listed {
         start: start(id),
         service: service.to_string(),
-        address: at,
+        address,
         failure_domain: "a".to_string(),
         slots: 48,
         presence: Presence::Live,
--- a/tests/deployment/stand_in.rs
+++ b/tests/deployment/stand_in.rs
@@ -1,4 +1,4 @@
-//! A target that answers as scripted, over loopback.
+//! A stand-in target that answers from a script, over loopback.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,23 +7,23 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What a stand-in target does with one request: bytes to answer, and whether it closes then.
+/// The answers to successive requests, each with what to do with the connection afterwards.
 pub type Script = Vec<(String, AfterAnswer)>;
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum AfterAnswer {
     KeepOpen,
     Close,
-    /// Never answers until the caller closes.
+    /// Sends nothing more and waits until the caller closes the connection.
     Hang,
 }
 
-/// A target that answers its requests, one after another, as scripted.
+/// A target that gives each request the next answer of its script.
 pub struct StandIn {
     pub address: SocketAddr,
-    /// Whole requests as they came.
+    /// The head and body of each request, in order of arrival.
     pub requests: Rc<RefCell<Vec<String>>>,
-    /// Connections that were closed while it worked.
+    /// The number of connections that the caller closed after `AfterAnswer::Hang`.
     pub interrupted: Rc<Cell<u32>>,
     pub connections: Rc<Cell<u32>>,
 }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads a head and the body that it announces.
+/// Reads a request head and a body of its `Content-Length`.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -100,7 +100,7 @@
     Some(head + &String::from_utf8_lossy(&body))
 }
 
-/// A header of a head.
+/// The value of the first header with this name in a request or response.
 pub fn header(head: &str, name: &str) -> Option<String> {
     head.lines().find_map(|line| {
         let (key, value) = line.split_once(':')?;
