--- a/tests/deployment/fixtures.rs
+++ b/tests/deployment/fixtures.rs
@@ -111,7 +111,7 @@
     StoreStart { epoch, born_ms: None }
 }
 
-pub fn target(id: &str, service: &str, address: SocketAddr) -> Listed {
+pub fn target(id: &str, service: &str, listen_address: SocketAddr) -> Listed {
     let weights = match service {
         "llm" => BTreeMap::from([("m".to_string(), 1)]),
         _ => BTreeMap::new(),
@@ -119,7 +119,7 @@
     Listed {
         start: start(id),
         service: service.to_string(),
-        address,
+        address: listen_address,
         failure_domain: "a".to_string(),
         slots: 48,
         presence: Presence::Live,
