--- a/tests/deployment/final_refusals.rs
+++ b/tests/deployment/final_refusals.rs
@@ -142,7 +142,7 @@
         assert_retryable(&entry.call("/added/", "r1").await, "an unknown route");
         assert_retryable(&call_with_key(&entry, "/safe/", "key-added").await, "an unknown key");
         assert_eq!(entry.call("/safe/", "r2").await.status, 200, "a known route must be served");
-        assert_eq!(app.seen(), 1);
+        assert_eq!(app.request_count(), 1);
     });
 }
 
@@ -176,7 +176,7 @@
         assert_eq!(entry.call("/added/", "r2").await.status, 200);
         assert_eq!(call_with_key(&entry, "/safe/", "key-added").await.status, 200);
         assert_eq!(entry.call("/elsewhere/", "r3").await.status, 404);
-        assert_eq!(app.seen(), 2);
+        assert_eq!(app.request_count(), 2);
     });
 }
 
--- a/tests/deployment/gateway.rs
+++ b/tests/deployment/gateway.rs
@@ -207,7 +207,7 @@
         let mut text = String::new();
         stream.read_to_string(&mut text).await.expect("an answer");
         assert!(text.starts_with("HTTP/1.1 401"), "{text}");
-        assert_eq!(one.seen() + two.seen(), 0);
+        assert_eq!(one.request_count() + two.request_count(), 0);
     });
 }
 
@@ -277,9 +277,9 @@
                 let (entry, one, two) = before_two("app", fault(), second).await;
                 let got = entry.call(path, "r1").await;
                 assert_eq!(got.status, expected, "{name} {path}: {}", got.text);
-                assert_eq!(one.seen(), 1, "{name} {path}");
+                assert_eq!(one.request_count(), 1, "{name} {path}");
                 let asked_second = got.text.ends_with("second");
-                assert_eq!(two.seen(), usize::from(asked_second), "{name} {path}");
+                assert_eq!(two.request_count(), usize::from(asked_second), "{name} {path}");
                 if [502, 503].contains(&got.status) {
                     assert!(header(&got.text, "x-response-stamp").is_none(), "{name}: our own");
                 }
@@ -314,7 +314,7 @@
         assert_eq!(got.status, 503, "{}", got.text);
         let after: f64 = header(&got.text, "retry-after").unwrap().parse().expect("a number");
         assert!((0.1..2.0).contains(&after));
-        assert_eq!((one.seen(), two.seen()), (1, 1));
+        assert_eq!((one.request_count(), two.request_count()), (1, 1));
     });
 }
 
@@ -392,7 +392,7 @@
             let got = entry.call_with("/stream/", "r1", PROMPT).await;
             assert!(got.text.contains("id: 1\n\n") && !got.text.contains("id: 2"), "{name}");
             assert!(!got.text.ends_with("0\r\n\r\n"), "{name}: {}", got.text);
-            assert_eq!(two.seen(), 0, "{name}");
+            assert_eq!(two.request_count(), 0, "{name}");
         });
     }
 }
@@ -426,7 +426,7 @@
                  Authorization: Bearer key-a\r\nContent-Length: 0\r\n\r\n"
             );
             stream.write_all(request.as_bytes()).await.expect("it reads");
-            eventually(|| one.seen() == 1).await;
+            eventually(|| one.request_count() == 1).await;
             drop(stream);
             eventually(|| one.interrupted.get() == 1).await;
             eventually(|| entry.gateway.active_requests.get() == 0).await;
@@ -460,7 +460,7 @@
         let entry = entry(small, vec![target("i-1", "app", one.address)]).await;
         entry.is_confirmed();
         assert_eq!(entry.call("/once/", "r1").await.status, 413);
-        assert_eq!(one.seen(), 0);
+        assert_eq!(one.request_count(), 0);
     });
 }
 
--- a/tests/deployment/leaving.rs
+++ b/tests/deployment/leaving.rs
@@ -252,6 +252,6 @@
         replica.change_roster(|known| known.update(vec![first, second]));
         Heard::new(&entry.gateway, &replica);
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
-        assert_eq!((leaves.seen(), stays.seen()), (0, 1), "{}", got.text);
+        assert_eq!((leaves.request_count(), stays.request_count()), (0, 1), "{}", got.text);
     });
 }
--- a/tests/deployment/orders.rs
+++ b/tests/deployment/orders.rs
@@ -95,7 +95,7 @@
         let reports = (0..30).map(|_| report(2)).collect();
         let engine = StandIn::start(reports).await;
         start_rollout(listed(&engine));
-        wait_until(|| engine.seen() >= 4).await;
+        wait_until(|| engine.request_count() >= 4).await;
         assert_eq!(orders(&engine), [] as [String; 0]);
     });
 }
--- a/tests/deployment/stand_in.rs
+++ b/tests/deployment/stand_in.rs
@@ -51,7 +51,7 @@
         stand_in
     }
 
-    pub fn seen(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.borrow().len()
     }
 }
--- a/tests/deployment/told_once.rs
+++ b/tests/deployment/told_once.rs
@@ -128,7 +128,7 @@
         let named = [("m".to_string(), vec![weights])].into();
         entry.gateway.observe(Update::Weights(named)).expect("it is whole");
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
-        assert_eq!(old.seen(), 0, "it began on replaced weights: {}", got.text);
+        assert_eq!(old.request_count(), 0, "it began on replaced weights: {}", got.text);
     });
 }
 
--- a/tests/deployment/weights_alone.rs
+++ b/tests/deployment/weights_alone.rs
@@ -53,7 +53,7 @@
         let got = entry.call_with("/stream/", "r1", PROMPT).await;
         assert_eq!(got.status, 503, "{}", got.text);
         assert!(header(&got.text, "retry-after").is_some(), "{}", got.text);
-        assert_eq!(old.seen(), 0, "a refused prompt must not reach the engine");
+        assert_eq!(old.request_count(), 0, "a refused prompt must not reach the engine");
     });
 }
 
@@ -73,7 +73,7 @@
         let got = entry.call_with("/stream/", "r2", PROMPT).await;
         assert!(got.text.contains("data: b\n\n"), "{}", got.text);
         assert_eq!(
-            (one.seen(), two.seen()),
+            (one.request_count(), two.request_count()),
             (1, 2),
             "the entry must remember the version that an engine reported"
         );
@@ -102,7 +102,7 @@
         observe_named_weights(&entry, 2, ms(0));
         observe_named_weights(&entry, 1, ms(0));
         assert_eq!(entry.call_with("/stream/", "r1", PROMPT).await.status, 503);
-        assert_eq!(old.seen(), 0);
+        assert_eq!(old.request_count(), 0);
     });
 }
 
@@ -118,6 +118,6 @@
         assert_eq!(entry.call_with("/stream/", "r1", PROMPT).await.status, 503);
         entry.hears_list(2, vec![engine("i-1", &old, 1), engine("i-2", &newer, 2)]);
         assert_eq!(entry.call_with("/stream/", "r2", PROMPT).await.status, 200);
-        assert_eq!((old.seen(), newer.seen()), (0, 1));
+        assert_eq!((old.request_count(), newer.request_count()), (0, 1));
     });
 }
