--- a/tests/deployment/links.rs
+++ b/tests/deployment/links.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn reserved_transfers_queue_and_scale_with_the_distance_factor() {
+fn reserved_transfers_queue_and_scale_with_the_domain_factor() {
     let mut link = Link::new(590_000.0);
     assert!((15.0..17.0).contains(&transfer_ms(&link)));
     link.reserve(SIZE_BYTES, 2.0, ms(0));
--- a/tests/deployment/load.rs
+++ b/tests/deployment/load.rs
@@ -37,8 +37,8 @@
 }
 
 pub fn simulated_deployment() -> Deployment {
-    let mut site = deployment(1);
-    for service in site.services.values_mut() {
+    let mut deployment = deployment(1);
+    for service in deployment.services.values_mut() {
         match &mut service.role {
             ServiceRole::Engines(traits) => traits.capacity_tokens = 109_900,
             ServiceRole::Store(traits) => {
@@ -49,7 +49,7 @@
             ServiceRole::Plain => {}
         }
     }
-    site
+    deployment
 }
 
 pub fn scheduler(count: u16) -> Scheduler {
