--- a/tests/deployment/starts.rs
+++ b/tests/deployment/starts.rs
@@ -12,7 +12,7 @@
 use crate::load::{end_placement, expect_placed, placement_request, scheduler};
 
 /// Two starts of the same engine. Its clock was set back in between.
-fn starts() -> (TargetStart, TargetStart) {
+fn two_starts() -> (TargetStart, TargetStart) {
     (start_born_at("i-1", 9), start_born_at("i-1", 3))
 }
 
@@ -26,7 +26,7 @@
 
 fn scheduler_of_first_start() -> Scheduler {
     let mut scheduler = scheduler(0);
-    observe_listed(&mut scheduler, &starts().0);
+    observe_listed(&mut scheduler, &two_starts().0);
     scheduler
 }
 
@@ -51,30 +51,30 @@
     let again = submit(&mut scheduler, 2, 2_000);
     assert_eq!(again.trace.resident_tokens, 650, "the context must be resident");
     end_placement(&mut scheduler, again.ticket, EndReason::Completed, ms(2_100));
-    observe_listed(&mut scheduler, &starts().1);
+    observe_listed(&mut scheduler, &two_starts().1);
     let restarted = submit(&mut scheduler, 3, 4_000);
-    assert_eq!((&restarted.target, restarted.trace.resident_tokens), (&starts().1, 0));
+    assert_eq!((&restarted.target, restarted.trace.resident_tokens), (&two_starts().1, 0));
 }
 
 #[test]
 fn cache_events_of_an_earlier_start_are_ignored() {
     let mut scheduler = scheduler_of_first_start();
-    observe_listed(&mut scheduler, &starts().1);
+    observe_listed(&mut scheduler, &two_starts().1);
     let part = StoredPart { salt: "all/m/1".into(), id: "1-context-1".into(), tokens: 650 };
     assert_eq!(
-        scheduler.observe_cache_events(&starts().0, vec![StoreEvent::Stored(part.clone())]),
+        scheduler.observe_cache_events(&two_starts().0, vec![StoreEvent::Stored(part.clone())]),
         0
     );
     assert_eq!(submit(&mut scheduler, 1, 10).trace.resident_tokens, 0);
     // Events of the listed start count.
     let mut scheduler = scheduler_of_first_start();
-    assert_eq!(scheduler.observe_cache_events(&starts().0, vec![StoreEvent::Stored(part)]), 1);
+    assert_eq!(scheduler.observe_cache_events(&two_starts().0, vec![StoreEvent::Stored(part)]), 1);
     assert_eq!(submit(&mut scheduler, 1, 10).trace.resident_tokens, 650);
 }
 
 #[test]
 fn placement_events_of_an_earlier_start_do_not_affect_the_later_one() {
-    let (first, second) = starts();
+    let (first, second) = two_starts();
     let mut scheduler = scheduler_of_first_start();
     let early: Vec<Placement> = (0..8).map(|n| submit(&mut scheduler, n, 10 + n * 300)).collect();
     observe_listed(&mut scheduler, &second);
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_weight_mismatch_of_an_earlier_start_does_not_affect_the_later_one() {
-    let (first, second) = starts();
+    let (first, second) = two_starts();
     let mut scheduler = scheduler_of_first_start();
     let one = submit(&mut scheduler, 1, 10);
     end_placement(&mut scheduler, one.ticket, EndReason::WeightMismatch(None), ms(20));
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_weight_change_blocks_placements_for_that_start_only() {
-    let (first, second) = starts();
+    let (first, second) = two_starts();
     let mut scheduler = scheduler_of_first_start();
     scheduler.observe_changing(&[first].into());
     assert!(
@@ -132,7 +132,7 @@
 /// placements on it in the meantime.
 #[test]
 fn an_engine_keeps_its_state_while_its_roster_entry_is_missing() {
-    let (first, _) = starts();
+    let (first, _) = two_starts();
     let mut scheduler = scheduler_of_first_start();
     let one = submit(&mut scheduler, 1, 10);
     let other = Listed { start: start_born_at("i-2", 1), ..target("i-2", "llm", address(2)) };
@@ -154,7 +154,7 @@
 fn unreadable_entries_are_logged_on_change_at_a_limited_rate() {
     let listing = |states: &[&str]| {
         let mut listing = Listing::default();
-        listing.add(Ok(listed(&starts().0)));
+        listing.add(Ok(listed(&two_starts().0)));
         for state in states {
             let flaw = EntryError::Field((*state).to_string());
             listing.add(Err(UnreadableEntry { id: Some("i-7".to_string()), flaw }));
