--- a/tests/process/asking.rs
+++ b/tests/process/api.rs
@@ -4,11 +4,11 @@
 
 use crate::testenv::{TestEnv, until};
 
-pub fn execution(body: &Value) -> &str {
+pub fn execution_of(body: &Value) -> &str {
     body["error"]["execution"].as_str().unwrap_or("none")
 }
 
-pub fn priority(number: u64) -> Value {
+pub fn priority_patch(number: u64) -> Value {
     json!({"kinds": {"counter": {"priority": number % 8}}})
 }
 
--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use crate::asking::execution;
+use crate::api::execution_of;
 use crate::testenv::{Plan, TestEnv};
 
 const FATAL: &str = "the prompt on which engines die";
@@ -55,7 +55,7 @@
     let (status, body) = repeat(&env, &[0, 1, 2], KNOWN_WITHIN);
     let then = ends(&env);
     assert!(then - at_first <= ENDS_AFTER, "{at_first} engines ended, and {then} in all");
-    assert_eq!((status, execution(&body)), (503, "not_run"), "{body}");
+    assert_eq!((status, execution_of(&body)), (503, "not_run"), "{body}");
     assert_eq!(body["error"]["code"], "held");
 
     // Who has started again, or follows another leader, is told.
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::asking::{config_number, execution, patch_until_answered, priority};
+use crate::api::{config_number, execution_of, patch_until_answered, priority_patch};
 use crate::testenv::{Plan, Process, TestEnv, text, until};
 
 #[test]
@@ -14,20 +14,24 @@
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     std::thread::scope(|scope| {
-        let sender = scope.spawn(|| env.patch(leader, 1, "mid", &priority(5)).is_ok());
+        let sender = scope.spawn(|| env.patch(leader, 1, "mid", &priority_patch(5)).is_ok());
         env.nodes[leader].signal("KILL");
         drop(sender.join());
     });
     // Its answer may be lost: the operator resends it elsewhere.
-    let first = patch_until_answered(&env, &others, 1, "mid", &priority(5));
+    let first = patch_until_answered(&env, &others, 1, "mid", &priority_patch(5));
     assert_eq!(first["number"], 2);
-    let second = patch_until_answered(&env, &others, 2, "next", &priority(6));
+    let second = patch_until_answered(&env, &others, 2, "next", &priority_patch(6));
     assert_eq!(second["number"], 3);
-    assert_eq!(patch_until_answered(&env, &others, 1, "mid", &priority(5)), first, "again");
+    assert_eq!(patch_until_answered(&env, &others, 1, "mid", &priority_patch(5)), first, "again");
     env.nodes[leader].kill();
     env.restart(leader);
     env.until_ready(leader);
-    assert_eq!(patch_until_answered(&env, &[leader], 1, "mid", &priority(5)), first, "and there");
+    assert_eq!(
+        patch_until_answered(&env, &[leader], 1, "mid", &priority_patch(5)),
+        first,
+        "and there"
+    );
     assert_eq!(config_number(&env, leader), Some(3));
 }
 
@@ -40,7 +44,10 @@
                 let env = &env;
                 scope.spawn(move || {
                     let id = format!("{base}-{node}");
-                    env.patch(node, base, &id, &priority(base)).expect("answered").status().as_u16()
+                    env.patch(node, base, &id, &priority_patch(base))
+                        .expect("answered")
+                        .status()
+                        .as_u16()
                 })
             };
             let racing: Vec<_> = (0..3).map(send).collect();
@@ -70,7 +77,7 @@
         let response = env.ask(frozen, "anna", "still here?", 2);
         assert!(!response.status().is_success(), "the old configuration came back");
         let body: Value = response.json().expect("JSON");
-        assert_eq!(execution(&body), "not_run");
+        assert_eq!(execution_of(&body), "not_run");
         (body["error"]["code"] == "wrong_key").then_some(())
     });
 }
@@ -88,12 +95,17 @@
     let refused = env.ask(lone, "anna", "anyone?", 2);
     assert!(refused.headers().contains_key("retry-after"));
     let body: Value = refused.json().expect("JSON");
-    assert_eq!((execution(&body), &body["error"]["code"]), ("not_run", &json!("not_fresh")));
+    assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("not_fresh")));
     assert_eq!(config_number(&env, lone), None, "it can't know the newest number");
     let mut base = 1;
     for number in 0..20 {
-        let answer =
-            patch_until_answered(&env, &others, base, &format!("p{number}"), &priority(number));
+        let answer = patch_until_answered(
+            &env,
+            &others,
+            base,
+            &format!("p{number}"),
+            &priority_patch(number),
+        );
         base = answer["number"].as_u64().expect("a number");
     }
     env.cut(lone, &[]);
@@ -114,8 +126,13 @@
     env.nodes[away].kill();
     let mut base = 1;
     for number in 0..300 {
-        let answer =
-            patch_until_answered(&env, &others, base, &format!("p{number}"), &priority(number));
+        let answer = patch_until_answered(
+            &env,
+            &others,
+            base,
+            &format!("p{number}"),
+            &priority_patch(number),
+        );
         base = answer["number"].as_u64().expect("a number");
     }
     env.restart(away);
@@ -123,7 +140,7 @@
     until("its replica has caught up", || {
         (env.status(away)["replica"]["number"].as_u64() == Some(base)).then_some(())
     });
-    let again = patch_until_answered(&env, &[away], 1, "p0", &priority(0));
+    let again = patch_until_answered(&env, &[away], 1, "p0", &priority_patch(0));
     assert_eq!(again["number"], 2, "a resend gets the first answer, hundreds of numbers later");
 }
 
@@ -134,8 +151,13 @@
     let hurt = (leader + 1) % 3;
     let mut base = 1;
     for number in 0..20 {
-        let answer =
-            patch_until_answered(&env, &[leader], base, &format!("p{number}"), &priority(number));
+        let answer = patch_until_answered(
+            &env,
+            &[leader],
+            base,
+            &format!("p{number}"),
+            &priority_patch(number),
+        );
         base = answer["number"].as_u64().expect("a number");
     }
     env.nodes[hurt].kill();
@@ -179,7 +201,7 @@
         base = answer["number"].as_u64().expect("a number");
         (env.status(full)["replica"]["stopped"] == true).then_some(())
     });
-    let answer = patch_until_answered(&env, &others, base, "after", &priority(2));
+    let answer = patch_until_answered(&env, &others, base, "after", &priority_patch(2));
     assert_eq!(answer["number"].as_u64(), Some(base + 1), "the others go on");
     assert!(
         env.ask(full, "anna", "still serving?", 2).status().is_success(),
--- a/tests/process/main.rs
+++ b/tests/process/main.rs
@@ -1,6 +1,6 @@
 //! Tests that drive the real binary as separate processes on loopback.
 
-mod asking;
+mod api;
 mod ending_prompts;
 mod failures;
 mod interface;
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Value, json};
 
-use crate::asking::{execution, patch_until_answered};
+use crate::api::{execution_of, patch_until_answered};
 use crate::serving::expected;
 use crate::testenv::{Plan, TestEnv, until};
 
@@ -25,7 +25,7 @@
     if let Ok(refused) = refused {
         let body: Value = refused.json().expect("JSON");
         assert_eq!(
-            (execution(&body), &body["error"]["code"]),
+            (execution_of(&body), &body["error"]["code"]),
             ("not_run", &json!("shutting_down"))
         );
     }
@@ -99,7 +99,7 @@
     let response = env.ask(0, "anna", "all crossed", 8);
     assert!(response.status().is_server_error());
     let body: Value = response.json().expect("JSON");
-    assert_eq!(execution(&body), "may_have_run");
+    assert_eq!(execution_of(&body), "may_have_run");
 }
 
 #[test]
@@ -128,11 +128,11 @@
     }
     let broken: Value =
         env.order(0, "anna", "order-2", "gear").expect("answered").json().expect("JSON");
-    assert_eq!(execution(&broken), "may_have_run");
+    assert_eq!(execution_of(&broken), "may_have_run");
     for node in 0..3 {
         let again = env.order(node, "anna", "order-2", "gear").expect("answered");
         assert_eq!(again.status(), 409);
-        assert_eq!(execution(&again.json().expect("JSON")), "may_have_run");
+        assert_eq!(execution_of(&again.json().expect("JSON")), "may_have_run");
     }
     assert_eq!(env.runs("order-2"), 1);
 
@@ -142,7 +142,7 @@
     }
     let refused: Value =
         env.order(0, "anna", "order-3", "gear").expect("answered").json().expect("JSON");
-    assert_eq!(execution(&refused), "not_run");
+    assert_eq!(execution_of(&refused), "not_run");
     assert_eq!(env.runs("order-3"), 0);
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {}}));
@@ -168,7 +168,7 @@
         (response.status() != 503).then_some(response)
     });
     assert_eq!(resent.status(), 409);
-    assert_eq!(execution(&resent.json().expect("JSON")), "may_have_run");
+    assert_eq!(execution_of(&resent.json().expect("JSON")), "may_have_run");
     assert_eq!(env.runs("order-4"), 1);
 }
 
@@ -318,7 +318,7 @@
     assert_eq!(refused.status(), 503);
     let retry_after = refused.headers()["retry-after"].to_str().expect("text").to_string();
     let body: Value = refused.json().expect("JSON");
-    assert_eq!((execution(&body), &body["error"]["code"]), ("not_run", &json!("deadline")));
+    assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("deadline")));
     assert!((7..=9).contains(&retry_after.parse().unwrap_or(0)), "{retry_after} s");
     assert_eq!(env.runs("late"), 0);
     assert!(prompt("a short one", "early", "2000").status().is_success());
