--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use crate::api::execution_of;
-use crate::testenv::{Plan, TestEnv};
+use crate::testenv::{TestEnv, TestEnvOptions};
 
 const FATAL: &str = "the prompt on which engines die";
 /// Its caller sends it again this long after each answer.
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_prompt_on_which_engines_die_is_kept_from_them_at_all_nodes() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     for engine in 0..3 {
         let knobs = json!({"set": {"dies_on": FATAL}});
         env.set_fault(&format!("engine-{engine}"), knobs);
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -6,11 +6,11 @@
 use serde_json::{Value, json};
 
 use crate::api::{config_number, execution_of, patch_until_answered, priority_patch};
-use crate::testenv::{Plan, Process, TestEnv, text, until};
+use crate::testenv::{Process, TestEnv, TestEnvOptions, text, until};
 
 #[test]
 fn a_leader_killed_in_mid_patch_neither_loses_nor_doubles_it() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     std::thread::scope(|scope| {
@@ -37,7 +37,7 @@
 
 #[test]
 fn of_two_operators_at_two_nodes_exactly_one_wins_each_number() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     for base in 1..6 {
         let answers: Vec<u16> = std::thread::scope(|scope| {
             let send = |node: usize| {
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_node_frozen_past_its_lease_admits_nothing_until_it_is_fresh_again() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     let frozen = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != frozen).collect();
     env.nodes[frozen].signal("STOP");
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_cut_off_node_stops_admitting_and_never_shows_an_older_number() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     let lone = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != lone).collect();
     env.cut(lone, &others);
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_replica_that_was_away_for_hundreds_of_changes_comes_back_by_itself() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     let away = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != away).collect();
     env.nodes[away].kill();
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_cut_log_file_is_noticed_and_mended_from_the_others() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     let leader = env.leader();
     let hurt = (leader + 1) % 3;
     let mut base = 1;
@@ -176,7 +176,7 @@
 
 #[test]
 fn a_replica_with_a_full_disk_says_so_and_the_others_go_on() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     let full = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != full).collect();
     env.nodes[full].kill();
@@ -211,7 +211,7 @@
 
 #[test]
 fn a_node_whose_relay_dies_stays_ready() {
-    let mut env = TestEnv::start(Plan { nodes: 4, ..Plan::default() });
+    let mut env = TestEnv::start(TestEnvOptions { nodes: 4, ..TestEnvOptions::default() });
     // Nodes 0 and 3 share a failure domain, and 0 is the relay. It must not lead the log, else
     // this would be a test of the election.
     while env.leader() == 0 {
--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::testenv::{Plan, TestEnv, run};
+use crate::testenv::{TestEnv, TestEnvOptions, run};
 
 struct Wrong {
     what: &'static str,
@@ -15,11 +15,11 @@
 
 #[test]
 fn each_wrong_request_is_refused_with_its_remedy() {
-    let env = TestEnv::start(Plan {
+    let env = TestEnv::start(TestEnvOptions {
         nodes: 1,
         replicas: 1,
         bounds: json!({"body_bytes": 10_000}),
-        ..Plan::default()
+        ..TestEnvOptions::default()
     });
     let good = json!({"model": "mechanic", "messages": [{"role": "user", "content": "x"}]});
     let chat = "/v1/chat/completions";
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -7,11 +7,11 @@
 
 use crate::api::{execution_of, patch_until_answered};
 use crate::serving::expected;
-use crate::testenv::{Plan, TestEnv, until};
+use crate::testenv::{TestEnv, TestEnvOptions, until};
 
 #[test]
 fn a_planned_stop_cuts_off_no_request_in_progress() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     let prompt = "a long diagnosis";
     let response = env.prompt(0, "anna", prompt, 400, true).send().expect("an answer");
     let mut lines = BufReader::new(response).lines();
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_answer_survives_the_death_of_its_engine() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     let prompt = "survive this";
     // The deadline is for the first token; when the engine dies it has passed.
     let response = env
@@ -71,7 +71,7 @@
 
 #[test]
 fn broken_and_crossed_streams_end_in_the_callers_own_whole_answer_or_none() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     let cases = [
         ("broken once", json!({"break_after_tokens": 3, "break_count": 1})),
         ("crossed", json!({"crossed": true})),
@@ -104,7 +104,7 @@
 
 #[test]
 fn an_order_runs_at_most_once_whatever_is_resent_and_whoever_dies() {
-    let mut env = TestEnv::start(Plan::default());
+    let mut env = TestEnv::start(TestEnvOptions::default());
     // The answer is recorded: a resend at any node gets it again.
     let first = env.order(0, "anna", "order-1", "gear").expect("answered").text().expect("text");
     for node in 0..3 {
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_leaving_target_gets_no_new_work_from_any_node() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     env.set_fault("engine-1", json!("leave"));
     until("every node knows", || {
         let knows = |node: usize| {
@@ -193,7 +193,7 @@
 
 #[test]
 fn a_damaged_or_lost_kept_block_is_recomputed_never_used() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     let history = "tooth wear ".repeat(700);
     let ask = |prompt: &str| -> Value { env.ask(0, "anna", prompt, 4).json().expect("JSON") };
     let check = |body: &Value, prompt: &str| {
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_weight_roll_out_goes_on_over_a_change_of_leader_and_no_request_fails() {
-    let mut plan = Plan::default();
+    let mut options = TestEnvOptions::default();
     let engines: Vec<Value> = (0..6)
         .map(|i| {
             let domain = ["patan", "bhaktapur", "kirtipur"][i % 3];
@@ -230,8 +230,8 @@
                    "load_lag_ms": 20, "checks_fencing": i % 2 == 0})
         })
         .collect();
-    plan.emulator["engines"] = json!(engines);
-    let mut env = TestEnv::start(plan);
+    options.emulator["engines"] = json!(engines);
+    let mut env = TestEnv::start(options);
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
@@ -273,13 +273,13 @@
 
 #[test]
 fn a_prompt_that_waited_while_all_engines_changed_weights_is_answered() {
-    let mut plan = Plan { nodes: 1, replicas: 1, ..Plan::default() };
+    let mut options = TestEnvOptions { nodes: 1, replicas: 1, ..TestEnvOptions::default() };
     let engines = ["one", "two"].map(|id| {
         json!({"id": id, "model": "mechanic", "failure_domain": "patan", "max_batch": 1,
                "token_us": 50_000, "load_lag_ms": 20})
     });
-    plan.emulator["engines"] = json!(engines);
-    let env = TestEnv::start(plan);
+    options.emulator["engines"] = json!(engines);
+    let env = TestEnv::start(options);
     // Both engines' places, which are twice their batches, are taken until these callers hang up.
     let busy: Vec<TcpStream> = (0..4).map(|n| endless_prompt(&env, n)).collect();
     until("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
@@ -301,12 +301,12 @@
 
 #[test]
 fn a_prompt_that_no_engine_can_begin_in_time_is_refused_at_once() {
-    let mut plan = Plan { nodes: 1, replicas: 1, ..Plan::default() };
-    plan.emulator["engines"] = json!([
+    let mut options = TestEnvOptions { nodes: 1, replicas: 1, ..TestEnvOptions::default() };
+    options.emulator["engines"] = json!([
         {"id": "slow", "model": "mechanic", "failure_domain": "patan", "prefill_tokens_per_s": 100,
          "load_lag_ms": 20}
     ]);
-    let env = TestEnv::start(plan);
+    let env = TestEnv::start(options);
     let prompt = |text: &str, id: &str, deadline_ms: &str| {
         env.prompt(0, "anna", text, 2, false)
             .header("idempotency-key", id)
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -4,7 +4,7 @@
 use kumquatpost::prompt::Owner;
 use serde_json::Value;
 
-use crate::testenv::{ACCOUNTS, Plan, TestEnv};
+use crate::testenv::{ACCOUNTS, TestEnv, TestEnvOptions};
 
 /// The answer that the stand-in engines give to an account's prompt.
 pub fn expected(account: &str, prompt: &str, tokens: u32) -> String {
@@ -19,7 +19,7 @@
 
 #[test]
 fn whole_and_streamed_answers_of_two_accounts_at_three_nodes() {
-    let env = TestEnv::start(Plan::default());
+    let env = TestEnv::start(TestEnvOptions::default());
     for node in 0..3 {
         for account in ACCOUNTS {
             let prompt = format!("gearbox history {node}");
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -90,7 +90,7 @@
 }
 
 /// What a test wants to differ from the usual.
-pub struct Plan {
+pub struct TestEnvOptions {
     pub nodes: usize,
     pub replicas: usize,
     pub emulator: Value,
@@ -98,9 +98,9 @@
     pub bounds: Value,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for TestEnvOptions {
+    fn default() -> TestEnvOptions {
+        TestEnvOptions {
             nodes: 3,
             replicas: 3,
             emulator: emulator(),
@@ -144,19 +144,19 @@
 }
 
 impl TestEnv {
-    pub fn start(plan: Plan) -> TestEnv {
+    pub fn start(options: TestEnvOptions) -> TestEnv {
         let folder = TempDir::new().expect("a folder");
         let write = |name: &str, value: &Value| -> PathBuf {
             let path = folder.path().join(name);
             std::fs::write(&path, value.to_string()).expect("settings can be written");
             path
         };
-        let emulator_settings = write("emulate.json", &plan.emulator);
+        let emulator_settings = write("emulate.json", &options.emulator);
         let emulator = Process::start(&["emulate", "--settings", text(&emulator_settings)]);
         let key_file = folder.path().join("key");
         std::fs::write(&key_file, "k".repeat(64)).expect("the key can be written");
         let network = own_network();
-        let peers: Vec<SocketAddr> = (1..=plan.nodes)
+        let peers: Vec<SocketAddr> = (1..=options.nodes)
             .map(|n| SocketAddr::from(([127, network.0, network.1, n as u8], PEER_PORT)))
             .collect();
         let domains = ["patan", "bhaktapur", "kirtipur"];
@@ -164,11 +164,11 @@
             .iter()
             .enumerate()
             .map(|(i, peer)| {
-                json!({"node_id": i + 1, "peer_address": peer, "replica": i < plan.replicas,
+                json!({"node_id": i + 1, "peer_address": peer, "replica": i < options.replicas,
                        "failure_domain": domains[i % 3]})
             })
             .collect();
-        let settings: Vec<PathBuf> = (0..plan.nodes)
+        let settings: Vec<PathBuf> = (0..options.nodes)
             .map(|i| {
                 let value = json!({
                     "environment": "test", "fault_knobs": true, "node_id": i + 1,
@@ -178,7 +178,7 @@
                     "data_folder": folder.path().join(format!("data-{}", i + 1)),
                     "platform_url": emulator.value("platform"), "nodes": nodes,
                     "first_config": config(), "log": {"level": "warn"},
-                    "timing": plan.timing, "bounds": plan.bounds,
+                    "timing": options.timing, "bounds": options.bounds,
                 });
                 write(&format!("node-{}.json", i + 1), &value)
             })
@@ -189,7 +189,7 @@
             .collect();
         let client = Client::builder().no_proxy().timeout(PATIENCE).build().expect("a client");
         let env = TestEnv { folder, emulator, nodes, settings, client };
-        for node in 0..plan.nodes {
+        for node in 0..options.nodes {
             env.until_ready(node);
         }
         env
