--- a/tests/process/api.rs
+++ b/tests/process/api.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::testenv::{TestEnv, until};
+use crate::testenv::{TestEnv, wait_for};
 
 pub fn execution_of(body: &Value) -> &str {
     body["error"]["execution"].as_str().unwrap_or("none")
@@ -21,7 +21,7 @@
     patch: &Value,
 ) -> Value {
     let mut turn = 0;
-    until("the patch is answered", || {
+    wait_for("the patch is answered", || {
         let node = nodes[turn % nodes.len()];
         turn += 1;
         let response = env.patch(node, base, id, patch).ok()?;
--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -64,7 +64,7 @@
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     repeat(&env, &others, KNOWN_WITHIN);
     env.restart(leader);
-    env.until_ready(leader);
+    env.wait_until_ready(leader);
     repeat(&env, &[leader], KNOWN_WITHIN);
     let last = ends(&env);
     assert!(last - at_first <= ENDS_AFTER, "{at_first} engines ended, and {last} in all");
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use crate::api::{config_number, execution_of, patch_until_answered, priority_patch};
-use crate::testenv::{Process, TestEnv, TestEnvOptions, text, until};
+use crate::testenv::{Process, TestEnv, TestEnvOptions, text, wait_for};
 
 #[test]
 fn a_leader_killed_in_mid_patch_neither_loses_nor_doubles_it() {
@@ -26,7 +26,7 @@
     assert_eq!(patch_until_answered(&env, &others, 1, "mid", &priority_patch(5)), first, "again");
     env.nodes[leader].kill();
     env.restart(leader);
-    env.until_ready(leader);
+    env.wait_until_ready(leader);
     assert_eq!(
         patch_until_answered(&env, &[leader], 1, "mid", &priority_patch(5)),
         first,
@@ -67,13 +67,13 @@
     let remove = json!({"accounts": {"anna": null}});
     let answer = patch_until_answered(&env, &others, 1, "remove", &remove);
     assert_eq!(answer["number"], 2);
-    until("the removal is in force everywhere", || {
+    wait_for("the removal is in force everywhere", || {
         let in_force = |node: &usize| env.status(*node)["replica"]["in_force"].as_u64() == Some(2);
         others.iter().any(in_force).then_some(())
     });
     // From now on no node may serve the account, whenever the frozen one goes on.
     env.nodes[frozen].signal("CONT");
-    until("the account is unknown at the woken node too", || {
+    wait_for("the account is unknown at the woken node too", || {
         let response = env.ask(frozen, "anna", "still here?", 2);
         assert!(!response.status().is_success(), "the old configuration came back");
         let body: Value = response.json().expect("JSON");
@@ -88,7 +88,7 @@
     let lone = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != lone).collect();
     env.cut(lone, &others);
-    until("it turns not ready", || {
+    wait_for("it turns not ready", || {
         let ready = env.client.get(format!("{}/health/ready", env.callers(lone))).send();
         ready.is_ok_and(|response| response.status() == 503).then_some(())
     });
@@ -109,7 +109,7 @@
         base = answer["number"].as_u64().expect("a number");
     }
     env.cut(lone, &[]);
-    until("it is ready again", || {
+    wait_for("it is ready again", || {
         let number = config_number(&env, lone);
         assert!(number.is_none_or(|number| number == base), "an older number: {number:?}");
         let ready = env.client.get(format!("{}/health/ready", env.callers(lone))).send();
@@ -136,8 +136,8 @@
         base = answer["number"].as_u64().expect("a number");
     }
     env.restart(away);
-    env.until_ready(away);
-    until("its replica has caught up", || {
+    env.wait_until_ready(away);
+    wait_for("its replica has caught up", || {
         (env.status(away)["replica"]["number"].as_u64() == Some(base)).then_some(())
     });
     let again = patch_until_answered(&env, &[away], 1, "p0", &priority_patch(0));
@@ -166,8 +166,8 @@
     let file = std::fs::OpenOptions::new().write(true).open(&log).expect("the log");
     file.set_len(length * 2 / 3 + 1).expect("cut");
     env.restart(hurt);
-    env.until_ready(hurt);
-    until("it has caught up and counts again", || {
+    env.wait_until_ready(hurt);
+    wait_for("it has caught up and counts again", || {
         let replica = env.status(hurt)["replica"].clone();
         let caught_up = replica["number"].as_u64() == Some(base) && replica["recovering"] == false;
         caught_up.then_some(())
@@ -191,9 +191,9 @@
     let stdout = child.stdout.take().expect("its output is piped");
     BufReader::new(stdout).read_line(&mut line).expect("its output can be read");
     env.nodes[full] = Process::adopt(child, &line);
-    env.until_ready(full);
+    env.wait_until_ready(full);
     let mut base = 1;
-    until("its disk is full", || {
+    wait_for("its disk is full", || {
         let id = format!("p{base}");
         let padding = "x".repeat(500);
         let patch = json!({"kinds": {padding: {"priority": 1}}});
@@ -216,12 +216,12 @@
     // this would be a test of the election.
     while env.leader() == 0 {
         env.nodes[0].kill();
-        until("another one leads", || (env.status(1)["replica"]["leader"] != 1).then_some(()));
+        wait_for("another one leads", || (env.status(1)["replica"]["leader"] != 1).then_some(()));
         env.restart(0);
-        env.until_ready(0);
+        env.wait_until_ready(0);
     }
     env.nodes[0].kill();
-    until("the relay is taken for dead", || {
+    wait_for("the relay is taken for dead", || {
         let ready = env.client.get(format!("{}/health/ready", env.callers(3))).send();
         assert!(ready.is_ok_and(|response| response.status().is_success()), "it stays ready");
         let live = env.status(3)["live"].as_array().expect("live nodes").clone();
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -7,7 +7,7 @@
 
 use crate::api::{execution_of, patch_until_answered};
 use crate::serving::expected;
-use crate::testenv::{TestEnv, TestEnvOptions, until};
+use crate::testenv::{TestEnv, TestEnvOptions, wait_for};
 
 #[test]
 fn a_planned_stop_cuts_off_no_request_in_progress() {
@@ -18,7 +18,7 @@
     lines.next().expect("a first chunk").expect("it can be read");
     env.nodes[0].signal("TERM");
     let ready = format!("{}/health/ready", env.callers(0));
-    until("it turns not ready", || {
+    wait_for("it turns not ready", || {
         env.client.get(&ready).send().map_or(true, |r| r.status() == 503).then_some(())
     });
     let refused = env.prompt(0, "anna", "too late", 2, false).send();
@@ -49,7 +49,7 @@
     for line in lines.by_ref().take(2 * 300) {
         push_content(&mut whole, &line.expect("it can be read"));
     }
-    let running = until("an engine runs it", || {
+    let running = wait_for("an engine runs it", || {
         let status = env.status(1);
         let engines = status["engines"].as_array().expect("engines").clone();
         let busy = engines.iter().find(|engine| engine["running"].as_u64() > Some(0));
@@ -147,7 +147,7 @@
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {}}));
     }
-    until("the claim was given back", || {
+    wait_for("the claim was given back", || {
         env.order(2, "anna", "order-3", "gear").is_ok_and(|r| r.status().is_success()).then_some(())
     });
     assert_eq!(env.runs("order-3"), 1);
@@ -158,12 +158,12 @@
     }
     std::thread::scope(|scope| {
         let sender = scope.spawn(|| env.order(0, "anna", "order-4", "gear").is_ok());
-        until("it runs", || (env.runs("order-4") == 1).then_some(()));
+        wait_for("it runs", || (env.runs("order-4") == 1).then_some(()));
         env.nodes[0].signal("KILL");
         drop(sender.join());
     });
     env.nodes[0].kill();
-    let resent = until("another node answers", || {
+    let resent = wait_for("another node answers", || {
         let response = env.order(1, "anna", "order-4", "gear").ok()?;
         (response.status() != 503).then_some(response)
     });
@@ -176,7 +176,7 @@
 fn a_leaving_target_gets_no_new_work_from_any_node() {
     let env = TestEnv::start(TestEnvOptions::default());
     env.set_fault("engine-1", json!("leave"));
-    until("every node knows", || {
+    wait_for("every node knows", || {
         let knows = |node: usize| {
             let engines = env.status(node)["engines"].clone();
             let engines = engines.as_array().expect("engines").clone();
@@ -201,7 +201,7 @@
         assert_eq!(content, &json!(expected("anna", prompt, 4)));
     };
     check(&ask(&history), &history);
-    until("it is exported", || (env.ledger()["export_bytes"].as_u64() > Some(0)).then_some(()));
+    wait_for("it is exported", || (env.ledger()["export_bytes"].as_u64() > Some(0)).then_some(()));
     // All engines lose their caches; what the stores send is damaged.
     for target in ["store-0", "store-1"] {
         env.set_fault(target, json!({"set": {"damage": true}}));
@@ -209,7 +209,7 @@
     for target in ["engine-0", "engine-1", "engine-2"] {
         env.set_fault(target, json!("restart"));
     }
-    until("an import was tried and refused", || {
+    wait_for("an import was tried and refused", || {
         let prompt = format!("{history} and now?");
         let response = env.ask(0, "anna", &prompt, 4);
         if response.status().is_success() {
@@ -236,13 +236,13 @@
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
     patch_until_answered(&env, &others, 1, "roll", &next);
-    until("the first engines were ordered", || {
+    wait_for("the first engines were ordered", || {
         let orders = env.ledger()["orders"].as_object().map_or(0, serde_json::Map::len);
         (orders > 0).then_some(())
     });
     env.nodes[leader].kill();
     let mut asked = 0;
-    until("all engines were ordered", || {
+    wait_for("all engines were ordered", || {
         asked += 1;
         let response = env.ask(others[asked % 2], "anna", &format!("meanwhile {asked}"), 2);
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
@@ -282,13 +282,13 @@
     let env = TestEnv::start(options);
     // Both engines' places, which are twice their batches, are taken until these callers hang up.
     let busy: Vec<TcpStream> = (0..4).map(|n| endless_prompt(&env, n)).collect();
-    until("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
+    wait_for("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
     let asked = std::thread::scope(|scope| {
         let asking = scope.spawn(|| env.ask(0, "anna", "asked under the weights of before", 2));
-        until("it waits for a place", || (env.status(0)["waiting"] == 1).then_some(()));
+        wait_for("it waits for a place", || (env.status(0)["waiting"] == 1).then_some(()));
         let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
         patch_until_answered(&env, &[0], 1, "roll", &next);
-        until("both engines run other weights", || {
+        wait_for("both engines run other weights", || {
             (env.status(0)["engines"].as_array()?.iter().all(|engine| engine["weights"] == "v2"))
                 .then_some(())
         });
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -13,7 +13,7 @@
 use tempfile::TempDir;
 
 /// Whatever is waited for must have come by then.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Where the nodes of a test listen for each other.
 const PEER_PORT: u16 = 7_000;
@@ -69,7 +69,7 @@
 
     /// Waits for the process to end, and returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the process ends", || self.child.try_wait().expect("it can be waited for")).code()
+        wait_for("the process ends", || self.child.try_wait().expect("it can be waited for")).code()
     }
 }
 
@@ -187,10 +187,10 @@
             .iter()
             .map(|file| Process::start(&["serve", "--settings", text(file)]))
             .collect();
-        let client = Client::builder().no_proxy().timeout(PATIENCE).build().expect("a client");
+        let client = Client::builder().no_proxy().timeout(WAIT_TIMEOUT).build().expect("a client");
         let env = TestEnv { folder, emulator, nodes, settings, client };
         for node in 0..options.nodes {
-            env.until_ready(node);
+            env.wait_until_ready(node);
         }
         env
     }
@@ -208,15 +208,15 @@
         format!("http://{}", self.nodes[node].value("operators"))
     }
 
-    pub fn until_ready(&self, node: usize) {
+    pub fn wait_until_ready(&self, node: usize) {
         let url = format!("{}/health/ready", self.callers(node));
-        until("the node is ready", || {
+        wait_for("the node is ready", || {
             let ready = self.client.get(&url).send().is_ok_and(|r| r.status().is_success());
             let engines = self.status(node)["engines"].as_array().map_or(0, Vec::len);
             (ready && engines > 0).then_some(())
         });
         // A first prompt proves that engines' loads are known.
-        until("a prompt is answered", || {
+        wait_for("a prompt is answered", || {
             let response = self.ask(node, "anna", "warm up", 1);
             response.status().is_success().then_some(())
         });
@@ -230,7 +230,7 @@
 
     /// The node that leads the log.
     pub fn leader(&self) -> usize {
-        until("there is a leader", || {
+        wait_for("there is a leader", || {
             (0..self.nodes.len())
                 .find(|node| self.status(*node)["replica"]["is_leader"] == Value::Bool(true))
         })
@@ -322,10 +322,10 @@
 }
 
 /// Looks again and again until there is something, and fails if there never is.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < end, "waited in vain: {what}");
