--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -22,7 +22,7 @@
 
 /// How often engines have ended: each start has a number.
 fn ends(env: &TestEnv) -> u64 {
-    let url = format!("{}/targets", env.emulator.value("platform"));
+    let url = format!("{}/targets", env.emulator.ready_value("platform"));
     let list: Value = env.client.get(url).send().expect("it answers").json().expect("JSON");
     let starts = list["targets"].as_array().expect("targets").iter();
     starts.filter_map(|target| target["incarnation"].as_u64()).map(|start| start - 1).sum()
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -190,7 +190,7 @@
     let mut line = String::new();
     let stdout = child.stdout.take().expect("its output is piped");
     BufReader::new(stdout).read_line(&mut line).expect("its output can be read");
-    env.nodes[full] = Process::adopt(child, &line);
+    env.nodes[full] = Process::from_ready_line(child, &line);
     env.wait_until_ready(full);
     let mut base = 1;
     wait_for("its disk is full", || {
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -261,7 +261,7 @@
     let body = json!({"model": "mechanic", "max_tokens": 100_000, "stream": true,
                       "messages": [{"role": "user", "content": format!("endless {number}")}]});
     let body = body.to_string();
-    let mut caller = TcpStream::connect(env.nodes[0].value("callers")).expect("it listens");
+    let mut caller = TcpStream::connect(env.nodes[0].ready_value("callers")).expect("it listens");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nAuthorization: Bearer key-of-bibek\r\n\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -25,7 +25,7 @@
 pub struct Process {
     child: Child,
     /// The values of the line that it printed when it was ready.
-    pub ready: Vec<(String, String)>,
+    pub ready_values: Vec<(String, String)>,
 }
 
 impl Process {
@@ -39,20 +39,20 @@
         let mut line = String::new();
         let stdout = child.stdout.take().expect("its output is piped");
         BufReader::new(stdout).read_line(&mut line).expect("its output can be read");
-        Process::adopt(child, &line)
+        Process::from_ready_line(child, &line)
     }
 
     /// A process that printed this line when it was ready.
-    pub fn adopt(child: Child, line: &str) -> Process {
+    pub fn from_ready_line(child: Child, line: &str) -> Process {
         assert!(line.starts_with("ready "), "not ready: {line:?}");
         let values = line.split_whitespace().filter_map(|word| word.split_once('='));
-        let ready = values.map(|(name, value)| (name.into(), value.into())).collect();
-        Process { child, ready }
+        let ready_values = values.map(|(name, value)| (name.into(), value.into())).collect();
+        Process { child, ready_values }
     }
 
-    pub fn value(&self, name: &str) -> &str {
-        let found = self.ready.iter().find(|(key, _)| key == name);
-        &found.unwrap_or_else(|| panic!("no {name} in {:?}", self.ready)).1
+    pub fn ready_value(&self, name: &str) -> &str {
+        let found = self.ready_values.iter().find(|(key, _)| key == name);
+        &found.unwrap_or_else(|| panic!("no {name} in {:?}", self.ready_values)).1
     }
 
     /// Sends a signal by its name, for example `STOP`.
@@ -176,7 +176,7 @@
                     "callers_address": "127.0.0.1:0", "operators_address": "127.0.0.1:0",
                     "peer_address": peers[i], "key_file": key_file,
                     "data_folder": folder.path().join(format!("data-{}", i + 1)),
-                    "platform_url": emulator.value("platform"), "nodes": nodes,
+                    "platform_url": emulator.ready_value("platform"), "nodes": nodes,
                     "first_config": config(), "log": {"level": "warn"},
                     "timing": options.timing, "bounds": options.bounds,
                 });
@@ -201,11 +201,11 @@
     }
 
     pub fn callers(&self, node: usize) -> String {
-        format!("http://{}", self.nodes[node].value("callers"))
+        format!("http://{}", self.nodes[node].ready_value("callers"))
     }
 
     pub fn operators(&self, node: usize) -> String {
-        format!("http://{}", self.nodes[node].value("operators"))
+        format!("http://{}", self.nodes[node].ready_value("operators"))
     }
 
     pub fn wait_until_ready(&self, node: usize) {
@@ -288,7 +288,7 @@
     }
 
     pub fn set_fault(&self, target: &str, fault: Value) {
-        let url = format!("{}/faults", self.emulator.value("platform"));
+        let url = format!("{}/faults", self.emulator.ready_value("platform"));
         let body = json!({"target": target, "fault": fault});
         let response = self.client.post(url).json(&body).send().expect("the emulator answers");
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
@@ -303,7 +303,7 @@
     }
 
     pub fn ledger(&self) -> Value {
-        let url = format!("{}/ledger", self.emulator.value("platform"));
+        let url = format!("{}/ledger", self.emulator.ready_value("platform"));
         self.client.get(url).send().expect("the emulator answers").json().expect("JSON")
     }
 
