--- a/tests/process/api.rs
+++ b/tests/process/api.rs
@@ -24,13 +24,13 @@
     wait_for("the patch is answered", || {
         let node = nodes[turn % nodes.len()];
         turn += 1;
-        let response = env.patch(node, base, id, patch).ok()?;
+        let response = env.send_patch(node, base, id, patch).ok()?;
         (!response.status().is_server_error()).then(|| response.json().expect("JSON"))
     })
 }
 
 pub fn config_number(env: &TestEnv, node: usize) -> Option<u64> {
-    let url = format!("{}/v1/config", env.operators(node));
+    let url = format!("{}/v1/config", env.operators_url(node));
     let response = env.client.get(url).send().ok()?;
     let body: Value = response.error_for_status().ok()?.json().ok()?;
     body["number"].as_u64()
--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -33,7 +33,7 @@
     let begun = Instant::now();
     let mut last = (0, Value::Null);
     for node in nodes.iter().cycle() {
-        let answer = env.ask(*node, "anna", FATAL, 4);
+        let answer = env.send_prompt(*node, "anna", FATAL, 4);
         last = (answer.status().as_u16(), answer.json().unwrap_or_default());
         if begun.elapsed() > lasts {
             break;
@@ -69,6 +69,6 @@
     let last = ends(&env);
     assert!(last - at_first <= ENDS_AFTER, "{at_first} engines ended, and {last} in all");
     for node in 0..3 {
-        assert!(env.ask(node, "anna", "another prompt", 4).status().is_success());
+        assert!(env.send_prompt(node, "anna", "another prompt", 4).status().is_success());
     }
 }
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -14,7 +14,7 @@
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     std::thread::scope(|scope| {
-        let sender = scope.spawn(|| env.patch(leader, 1, "mid", &priority_patch(5)).is_ok());
+        let sender = scope.spawn(|| env.send_patch(leader, 1, "mid", &priority_patch(5)).is_ok());
         env.nodes[leader].signal("KILL");
         drop(sender.join());
     });
@@ -44,7 +44,7 @@
                 let env = &env;
                 scope.spawn(move || {
                     let id = format!("{base}-{node}");
-                    env.patch(node, base, &id, &priority_patch(base))
+                    env.send_patch(node, base, &id, &priority_patch(base))
                         .expect("answered")
                         .status()
                         .as_u16()
@@ -74,7 +74,7 @@
     // From now on no node may serve the account, whenever the frozen one goes on.
     env.nodes[frozen].signal("CONT");
     wait_for("the account is unknown at the woken node too", || {
-        let response = env.ask(frozen, "anna", "still here?", 2);
+        let response = env.send_prompt(frozen, "anna", "still here?", 2);
         assert!(!response.status().is_success(), "the old configuration came back");
         let body: Value = response.json().expect("JSON");
         assert_eq!(execution_of(&body), "not_run");
@@ -87,12 +87,12 @@
     let env = TestEnv::start(TestEnvOptions::default());
     let lone = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != lone).collect();
-    env.cut(lone, &others);
+    env.isolate(lone, &others);
     wait_for("it turns not ready", || {
-        let ready = env.client.get(format!("{}/health/ready", env.callers(lone))).send();
+        let ready = env.client.get(format!("{}/health/ready", env.callers_url(lone))).send();
         ready.is_ok_and(|response| response.status() == 503).then_some(())
     });
-    let refused = env.ask(lone, "anna", "anyone?", 2);
+    let refused = env.send_prompt(lone, "anna", "anyone?", 2);
     assert!(refused.headers().contains_key("retry-after"));
     let body: Value = refused.json().expect("JSON");
     assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("not_fresh")));
@@ -108,11 +108,11 @@
         );
         base = answer["number"].as_u64().expect("a number");
     }
-    env.cut(lone, &[]);
+    env.isolate(lone, &[]);
     wait_for("it is ready again", || {
         let number = config_number(&env, lone);
         assert!(number.is_none_or(|number| number == base), "an older number: {number:?}");
-        let ready = env.client.get(format!("{}/health/ready", env.callers(lone))).send();
+        let ready = env.client.get(format!("{}/health/ready", env.callers_url(lone))).send();
         ready.is_ok_and(|response| response.status().is_success()).then_some(())
     });
     assert_eq!(env.status(lone)["number"].as_u64(), Some(base));
@@ -204,7 +204,7 @@
     let answer = patch_until_answered(&env, &others, base, "after", &priority_patch(2));
     assert_eq!(answer["number"].as_u64(), Some(base + 1), "the others go on");
     assert!(
-        env.ask(full, "anna", "still serving?", 2).status().is_success(),
+        env.send_prompt(full, "anna", "still serving?", 2).status().is_success(),
         "as a node it serves"
     );
 }
@@ -222,10 +222,10 @@
     }
     env.nodes[0].kill();
     wait_for("the relay is taken for dead", || {
-        let ready = env.client.get(format!("{}/health/ready", env.callers(3))).send();
+        let ready = env.client.get(format!("{}/health/ready", env.callers_url(3))).send();
         assert!(ready.is_ok_and(|response| response.status().is_success()), "it stays ready");
         let live = env.status(3)["live"].as_array().expect("live nodes").clone();
         live.iter().all(|member| member["node"] != 1).then_some(())
     });
-    assert!(env.ask(3, "anna", "still fresh?", 2).status().is_success());
+    assert!(env.send_prompt(3, "anna", "still fresh?", 2).status().is_success());
 }
--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -82,7 +82,7 @@
         wrong("other path", "/v2/x", ANNA, String::new(), 404, "not_found"),
     ];
     for case in cases {
-        let mut request = env.client.post(format!("{}{}", env.callers(0), case.path));
+        let mut request = env.client.post(format!("{}{}", env.callers_url(0), case.path));
         for (name, value) in case.headers {
             request = request.header(*name, *value);
         }
@@ -97,11 +97,12 @@
             case.what
         );
     }
-    let models = env.client.get(format!("{}/v1/models", env.callers(0)));
+    let models = env.client.get(format!("{}/v1/models", env.callers_url(0)));
     let models: Value =
         models.bearer_auth("key-of-anna").send().expect("an answer").json().expect("JSON");
     assert_eq!(models["data"][0]["id"], "mechanic");
-    let metrics = env.client.get(format!("{}/metrics", env.callers(0))).send().expect("an answer");
+    let metrics =
+        env.client.get(format!("{}/metrics", env.callers_url(0))).send().expect("an answer");
     assert!(metrics.text().expect("text").contains("kumquatpost_requests"));
 }
 
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -13,15 +13,15 @@
 fn a_planned_stop_cuts_off_no_request_in_progress() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let prompt = "a long diagnosis";
-    let response = env.prompt(0, "anna", prompt, 400, true).send().expect("an answer");
+    let response = env.prompt_request(0, "anna", prompt, 400, true).send().expect("an answer");
     let mut lines = BufReader::new(response).lines();
     lines.next().expect("a first chunk").expect("it can be read");
     env.nodes[0].signal("TERM");
-    let ready = format!("{}/health/ready", env.callers(0));
+    let ready = format!("{}/health/ready", env.callers_url(0));
     wait_for("it turns not ready", || {
         env.client.get(&ready).send().map_or(true, |r| r.status() == 503).then_some(())
     });
-    let refused = env.prompt(0, "anna", "too late", 2, false).send();
+    let refused = env.prompt_request(0, "anna", "too late", 2, false).send();
     if let Ok(refused) = refused {
         let body: Value = refused.json().expect("JSON");
         assert_eq!(
@@ -40,7 +40,7 @@
     let prompt = "survive this";
     // The deadline is for the first token; when the engine dies it has passed.
     let response = env
-        .prompt(1, "bibek", prompt, 600, true)
+        .prompt_request(1, "bibek", prompt, 600, true)
         .header("x-kumquatpost-deadline-ms", "500")
         .send()
         .expect("an answer");
@@ -84,7 +84,7 @@
         }
         for number in 0..6 {
             let prompt = format!("{what} {number}");
-            let body: Value = env.ask(number % 3, "anna", &prompt, 8).json().expect("JSON");
+            let body: Value = env.send_prompt(number % 3, "anna", &prompt, 8).json().expect("JSON");
             let content = &body["choices"][0]["message"]["content"];
             assert_eq!(content, &json!(expected("anna", &prompt, 8)), "{what}: {body}");
         }
@@ -96,7 +96,7 @@
     for target in ["engine-0", "engine-1", "engine-2"] {
         env.set_fault(target, json!({"set": {"crossed": true}}));
     }
-    let response = env.ask(0, "anna", "all crossed", 8);
+    let response = env.send_prompt(0, "anna", "all crossed", 8);
     assert!(response.status().is_server_error());
     let body: Value = response.json().expect("JSON");
     assert_eq!(execution_of(&body), "may_have_run");
@@ -106,70 +106,73 @@
 fn an_order_runs_at_most_once_whatever_is_resent_and_whoever_dies() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     // The answer is recorded: a resend at any node gets it again.
-    let first = env.order(0, "anna", "order-1", "gear").expect("answered").text().expect("text");
+    let first =
+        env.send_order(0, "anna", "order-1", "gear").expect("answered").text().expect("text");
     for node in 0..3 {
-        let again = env.order(node, "anna", "order-1", "gear").expect("answered");
+        let again = env.send_order(node, "anna", "order-1", "gear").expect("answered");
         assert!(again.status().is_success());
         assert_eq!(again.text().expect("text"), first);
     }
-    assert_eq!(env.runs("order-1"), 1);
-    let other = env.order(1, "anna", "order-1", "shaft").expect("answered");
+    assert_eq!(env.run_count("order-1"), 1);
+    let other = env.send_order(1, "anna", "order-1", "shaft").expect("answered");
     assert_eq!(other.status(), 422, "the same id with other content");
     assert_eq!(
-        env.order(1, "bibek", "order-1", "gear").expect("answered").status(),
+        env.send_order(1, "bibek", "order-1", "gear").expect("answered").status(),
         200,
         "another account's"
     );
-    assert_eq!(env.runs("order-1"), 2, "once for each account");
+    assert_eq!(env.run_count("order-1"), 2, "once for each account");
 
     // The call breaks off after it ran: unknown outcome, and never a second run.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"break_after_tokens": 0}}));
     }
     let broken: Value =
-        env.order(0, "anna", "order-2", "gear").expect("answered").json().expect("JSON");
+        env.send_order(0, "anna", "order-2", "gear").expect("answered").json().expect("JSON");
     assert_eq!(execution_of(&broken), "may_have_run");
     for node in 0..3 {
-        let again = env.order(node, "anna", "order-2", "gear").expect("answered");
+        let again = env.send_order(node, "anna", "order-2", "gear").expect("answered");
         assert_eq!(again.status(), 409);
         assert_eq!(execution_of(&again.json().expect("JSON")), "may_have_run");
     }
-    assert_eq!(env.runs("order-2"), 1);
+    assert_eq!(env.run_count("order-2"), 1);
 
     // Nothing takes it: provably not run, so a later resend runs it.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"refuse": true}}));
     }
     let refused: Value =
-        env.order(0, "anna", "order-3", "gear").expect("answered").json().expect("JSON");
+        env.send_order(0, "anna", "order-3", "gear").expect("answered").json().expect("JSON");
     assert_eq!(execution_of(&refused), "not_run");
-    assert_eq!(env.runs("order-3"), 0);
+    assert_eq!(env.run_count("order-3"), 0);
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {}}));
     }
     wait_for("the claim was given back", || {
-        env.order(2, "anna", "order-3", "gear").is_ok_and(|r| r.status().is_success()).then_some(())
+        env.send_order(2, "anna", "order-3", "gear")
+            .is_ok_and(|r| r.status().is_success())
+            .then_some(())
     });
-    assert_eq!(env.runs("order-3"), 1);
+    assert_eq!(env.run_count("order-3"), 1);
 
     // The node that holds the claim is killed while the call runs.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"delay_ms": 1500}}));
     }
     std::thread::scope(|scope| {
-        let sender = scope.spawn(|| env.order(0, "anna", "order-4", "gear").is_ok());
-        wait_for("it runs", || (env.runs("order-4") == 1).then_some(()));
+        let sender = scope.spawn(|| env.send_order(0, "anna", "order-4", "gear").is_ok());
+        wait_for("it runs", || (env.run_count("order-4") == 1).then_some(()));
         env.nodes[0].signal("KILL");
         drop(sender.join());
     });
     env.nodes[0].kill();
     let resent = wait_for("another node answers", || {
-        let response = env.order(1, "anna", "order-4", "gear").ok()?;
+        let response = env.send_order(1, "anna", "order-4", "gear").ok()?;
         (response.status() != 503).then_some(response)
     });
     assert_eq!(resent.status(), 409);
     assert_eq!(execution_of(&resent.json().expect("JSON")), "may_have_run");
-    assert_eq!(env.runs("order-4"), 1);
+    assert_eq!(env.run_count("order-4"), 1);
 }
 
 #[test]
@@ -186,7 +189,11 @@
     });
     let before = env.ledger()["by_target"]["engine-1"].as_u64();
     for number in 0..30 {
-        assert!(env.ask(number % 3, "anna", &format!("leave {number}"), 2).status().is_success());
+        assert!(
+            env.send_prompt(number % 3, "anna", &format!("leave {number}"), 2)
+                .status()
+                .is_success()
+        );
     }
     assert_eq!(env.ledger()["by_target"]["engine-1"].as_u64(), before);
 }
@@ -195,7 +202,8 @@
 fn a_damaged_or_lost_kept_block_is_recomputed_never_used() {
     let env = TestEnv::start(TestEnvOptions::default());
     let history = "tooth wear ".repeat(700);
-    let ask = |prompt: &str| -> Value { env.ask(0, "anna", prompt, 4).json().expect("JSON") };
+    let ask =
+        |prompt: &str| -> Value { env.send_prompt(0, "anna", prompt, 4).json().expect("JSON") };
     let check = |body: &Value, prompt: &str| {
         let content = &body["choices"][0]["message"]["content"];
         assert_eq!(content, &json!(expected("anna", prompt, 4)));
@@ -211,7 +219,7 @@
     }
     wait_for("an import was tried and refused", || {
         let prompt = format!("{history} and now?");
-        let response = env.ask(0, "anna", &prompt, 4);
+        let response = env.send_prompt(0, "anna", &prompt, 4);
         if response.status().is_success() {
             check(&response.json().expect("JSON"), &prompt);
         }
@@ -244,7 +252,7 @@
     let mut asked = 0;
     wait_for("all engines were ordered", || {
         asked += 1;
-        let response = env.ask(others[asked % 2], "anna", &format!("meanwhile {asked}"), 2);
+        let response = env.send_prompt(others[asked % 2], "anna", &format!("meanwhile {asked}"), 2);
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
         let orders = env.ledger()["orders"].as_object().map_or(0, serde_json::Map::len);
         (orders == 6).then_some(())
@@ -284,7 +292,8 @@
     let busy: Vec<TcpStream> = (0..4).map(|n| endless_prompt(&env, n)).collect();
     wait_for("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
     let asked = std::thread::scope(|scope| {
-        let asking = scope.spawn(|| env.ask(0, "anna", "asked under the weights of before", 2));
+        let asking =
+            scope.spawn(|| env.send_prompt(0, "anna", "asked under the weights of before", 2));
         wait_for("it waits for a place", || (env.status(0)["waiting"] == 1).then_some(()));
         let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
         patch_until_answered(&env, &[0], 1, "roll", &next);
@@ -308,7 +317,7 @@
     ]);
     let env = TestEnv::start(options);
     let prompt = |text: &str, id: &str, deadline_ms: &str| {
-        env.prompt(0, "anna", text, 2, false)
+        env.prompt_request(0, "anna", text, 2, false)
             .header("idempotency-key", id)
             .header("x-kumquatpost-deadline-ms", deadline_ms)
             .send()
@@ -320,6 +329,6 @@
     let body: Value = refused.json().expect("JSON");
     assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("deadline")));
     assert!((7..=9).contains(&retry_after.parse().unwrap_or(0)), "{retry_after} s");
-    assert_eq!(env.runs("late"), 0);
+    assert_eq!(env.run_count("late"), 0);
     assert!(prompt("a short one", "early", "2000").status().is_success());
 }
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -23,14 +23,15 @@
     for node in 0..3 {
         for account in ACCOUNTS {
             let prompt = format!("gearbox history {node}");
-            let whole: Value = env.ask(node, account, &prompt, 12).json().expect("JSON");
+            let whole: Value = env.send_prompt(node, account, &prompt, 12).json().expect("JSON");
             let content = &whole["choices"][0]["message"]["content"];
             assert_eq!(content, &Value::String(expected(account, &prompt, 12)));
             assert_eq!(whole["object"], "chat.completion");
             assert_eq!(whole["choices"][0]["finish_reason"], "stop");
             assert_eq!(whole["usage"]["completion_tokens"], 12);
 
-            let streamed = env.prompt(node, account, &prompt, 12, true).send().expect("an answer");
+            let streamed =
+                env.prompt_request(node, account, &prompt, 12, true).send().expect("an answer");
             let text = streamed.text().expect("a whole stream");
             let mut events: Vec<&str> =
                 text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -200,16 +200,16 @@
         self.nodes[node] = Process::start(&["serve", "--settings", text(&self.settings[node])]);
     }
 
-    pub fn callers(&self, node: usize) -> String {
+    pub fn callers_url(&self, node: usize) -> String {
         format!("http://{}", self.nodes[node].ready_value("callers"))
     }
 
-    pub fn operators(&self, node: usize) -> String {
+    pub fn operators_url(&self, node: usize) -> String {
         format!("http://{}", self.nodes[node].ready_value("operators"))
     }
 
     pub fn wait_until_ready(&self, node: usize) {
-        let url = format!("{}/health/ready", self.callers(node));
+        let url = format!("{}/health/ready", self.callers_url(node));
         wait_for("the node is ready", || {
             let ready = self.client.get(&url).send().is_ok_and(|r| r.status().is_success());
             let engines = self.status(node)["engines"].as_array().map_or(0, Vec::len);
@@ -217,13 +217,13 @@
         });
         // A first prompt proves that engines' loads are known.
         wait_for("a prompt is answered", || {
-            let response = self.ask(node, "anna", "warm up", 1);
+            let response = self.send_prompt(node, "anna", "warm up", 1);
             response.status().is_success().then_some(())
         });
     }
 
     pub fn status(&self, node: usize) -> Value {
-        let url = format!("{}/v1/status", self.operators(node));
+        let url = format!("{}/v1/status", self.operators_url(node));
         let response = self.client.get(url).send();
         response.ok().and_then(|response| response.json().ok()).unwrap_or_default()
     }
@@ -237,11 +237,11 @@
     }
 
     /// A whole answer to a prompt.
-    pub fn ask(&self, node: usize, account: &str, prompt: &str, tokens: u32) -> Response {
-        self.prompt(node, account, prompt, tokens, false).send().expect("the node answers")
+    pub fn send_prompt(&self, node: usize, account: &str, prompt: &str, tokens: u32) -> Response {
+        self.prompt_request(node, account, prompt, tokens, false).send().expect("the node answers")
     }
 
-    pub fn prompt(
+    pub fn prompt_request(
         &self,
         node: usize,
         account: &str,
@@ -250,14 +250,14 @@
         stream: bool,
     ) -> reqwest::blocking::RequestBuilder {
         self.client
-            .post(format!("{}/v1/chat/completions", self.callers(node)))
+            .post(format!("{}/v1/chat/completions", self.callers_url(node)))
             .bearer_auth(format!("key-of-{account}"))
             .json(&json!({"model": "mechanic", "max_tokens": tokens, "stream": stream,
                           "messages": [{"role": "user", "content": prompt}]}))
     }
 
     /// Orders a part under an id.
-    pub fn order(
+    pub fn send_order(
         &self,
         node: usize,
         account: &str,
@@ -265,14 +265,14 @@
         body: &str,
     ) -> reqwest::Result<Response> {
         self.client
-            .post(format!("{}/v1/services/part-order/orders", self.callers(node)))
+            .post(format!("{}/v1/services/part-order/orders", self.callers_url(node)))
             .bearer_auth(format!("key-of-{account}"))
             .header("idempotency-key", id)
             .body(body.to_string())
             .send()
     }
 
-    pub fn patch(
+    pub fn send_patch(
         &self,
         node: usize,
         base: u64,
@@ -280,7 +280,7 @@
         patch: &Value,
     ) -> reqwest::Result<Response> {
         self.client
-            .patch(format!("{}/v1/config", self.operators(node)))
+            .patch(format!("{}/v1/config", self.operators_url(node)))
             .header("if-match", format!("\"{base}\""))
             .header("idempotency-key", id)
             .json(patch)
@@ -295,9 +295,9 @@
     }
 
     /// Cuts a node off from others, in both directions.
-    pub fn cut(&self, node: usize, others: &[usize]) {
+    pub fn isolate(&self, node: usize, others: &[usize]) {
         let ids: Vec<usize> = others.iter().map(|other| other + 1).collect();
-        let url = format!("{}/v1/faults", self.operators(node));
+        let url = format!("{}/v1/faults", self.operators_url(node));
         let response = self.client.post(url).json(&json!({"cut_off_from": ids})).send();
         assert!(response.expect("the node answers").status().is_success());
     }
@@ -308,7 +308,7 @@
     }
 
     /// How often a request started to run on any target.
-    pub fn runs(&self, request_id: &str) -> u64 {
+    pub fn run_count(&self, request_id: &str) -> u64 {
         let ledger = self.ledger();
         let runs = ledger["runs"].as_object().expect("runs");
         let is_of = |id: &str| id == request_id || id.starts_with(&format!("{request_id}~"));
