--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use crate::api::{config_number, execution_of, patch_until_answered, priority_patch};
-use crate::testenv::{Process, TestEnv, TestEnvOptions, text, wait_for};
+use crate::testenv::{Process, TestEnv, TestEnvOptions, path_str, wait_for};
 
 #[test]
 fn a_leader_killed_in_mid_patch_neither_loses_nor_doubles_it() {
@@ -183,7 +183,12 @@
     // Files may not grow beyond what they are: the shell hands the limit on.
     let script = "trap '' XFSZ; ulimit -f 2; exec \"$0\" serve --settings \"$1\"";
     let mut child = Command::new("sh")
-        .args(["-c", script, env!("CARGO_BIN_EXE_kumquatpost"), text(&env.settings[full])])
+        .args([
+            "-c",
+            script,
+            env!("CARGO_BIN_EXE_kumquatpost"),
+            path_str(&env.settings_files[full]),
+        ])
         .stdout(std::process::Stdio::piped())
         .spawn()
         .expect("the shell starts");
--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::testenv::{TestEnv, TestEnvOptions, run};
+use crate::testenv::{TestEnv, TestEnvOptions, run_binary};
 
 struct Wrong {
     what: &'static str,
@@ -117,14 +117,14 @@
         (&["status", "--node", "http://127.0.0.1:1"], 1, "check that it runs"),
     ];
     for (args, code, remedy) in cases {
-        let output = run(args);
+        let output = run_binary(args);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(code), "{args:?}: {error}");
         assert!(error.contains(remedy), "{args:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{args:?}: {error}");
     }
-    assert_eq!(run(&["--version"]).status.code(), Some(0));
-    assert_eq!(run(&["serve", "--help"]).status.code(), Some(0));
+    assert_eq!(run_binary(&["--version"]).status.code(), Some(0));
+    assert_eq!(run_binary(&["serve", "--help"]).status.code(), Some(0));
 }
 
 #[test]
@@ -138,7 +138,7 @@
         "timing": {"lease_ms": 100},
     });
     std::fs::write(&file, settings.to_string()).expect("settings can be written");
-    let output = run(&["check-settings", file.to_str().expect("text")]);
+    let output = run_binary(&["check-settings", file.to_str().expect("text")]);
     assert_eq!(output.status.code(), Some(3));
     let error =
         String::from_utf8_lossy(&output.stderr).replace(&*folder.path().to_string_lossy(), "");
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -85,7 +85,7 @@
     pub folder: TempDir,
     pub emulator: Process,
     pub nodes: Vec<Process>,
-    pub settings: Vec<PathBuf>,
+    pub settings_files: Vec<PathBuf>,
     pub client: Client,
 }
 
@@ -103,7 +103,7 @@
         TestEnvOptions {
             nodes: 3,
             replicas: 3,
-            emulator: emulator(),
+            emulator: default_emulator_settings(),
             timing: json!({"lease_ms": 1500, "renew_ms": 300, "probe_ms": 200,
                            "election_ms": 400, "heartbeat_ms": 50,
                            "load_poll_ms": 50, "platform_poll_ms": 100}),
@@ -113,7 +113,7 @@
 }
 
 /// Three engines, two stores and a service.
-pub fn emulator() -> Value {
+pub fn default_emulator_settings() -> Value {
     let domains = ["patan", "bhaktapur", "kirtipur"];
     let engines: Vec<Value> = (0..3)
         .map(|i| {
@@ -133,7 +133,7 @@
 }
 
 /// The configuration that the tests start from.
-pub fn config() -> Value {
+pub fn initial_config() -> Value {
     let account = |name: &str| json!({"key_blake3": key_hash(&format!("key-of-{name}"))});
     json!({
         "accounts": {"anna": account("anna"), "bibek": account("bibek")},
@@ -151,11 +151,12 @@
             std::fs::write(&path, value.to_string()).expect("settings can be written");
             path
         };
-        let emulator_settings = write("emulate.json", &options.emulator);
-        let emulator = Process::start(&["emulate", "--settings", text(&emulator_settings)]);
+        let emulator_settings_file = write("emulate.json", &options.emulator);
+        let emulator =
+            Process::start(&["emulate", "--settings", path_str(&emulator_settings_file)]);
         let key_file = folder.path().join("key");
         std::fs::write(&key_file, "k".repeat(64)).expect("the key can be written");
-        let network = own_network();
+        let network = unique_loopback_network();
         let peers: Vec<SocketAddr> = (1..=options.nodes)
             .map(|n| SocketAddr::from(([127, network.0, network.1, n as u8], PEER_PORT)))
             .collect();
@@ -168,7 +169,7 @@
                        "failure_domain": domains[i % 3]})
             })
             .collect();
-        let settings: Vec<PathBuf> = (0..options.nodes)
+        let settings_files: Vec<PathBuf> = (0..options.nodes)
             .map(|i| {
                 let value = json!({
                     "environment": "test", "fault_knobs": true, "node_id": i + 1,
@@ -177,18 +178,18 @@
                     "peer_address": peers[i], "key_file": key_file,
                     "data_folder": folder.path().join(format!("data-{}", i + 1)),
                     "platform_url": emulator.ready_value("platform"), "nodes": nodes,
-                    "first_config": config(), "log": {"level": "warn"},
+                    "first_config": initial_config(), "log": {"level": "warn"},
                     "timing": options.timing, "bounds": options.bounds,
                 });
                 write(&format!("node-{}.json", i + 1), &value)
             })
             .collect();
-        let nodes = settings
+        let nodes = settings_files
             .iter()
-            .map(|file| Process::start(&["serve", "--settings", text(file)]))
+            .map(|file| Process::start(&["serve", "--settings", path_str(file)]))
             .collect();
         let client = Client::builder().no_proxy().timeout(WAIT_TIMEOUT).build().expect("a client");
-        let env = TestEnv { folder, emulator, nodes, settings, client };
+        let env = TestEnv { folder, emulator, nodes, settings_files, client };
         for node in 0..options.nodes {
             env.wait_until_ready(node);
         }
@@ -197,7 +198,8 @@
 
     /// Starts a node again with its settings and data.
     pub fn restart(&mut self, node: usize) {
-        self.nodes[node] = Process::start(&["serve", "--settings", text(&self.settings[node])]);
+        self.nodes[node] =
+            Process::start(&["serve", "--settings", path_str(&self.settings_files[node])]);
     }
 
     pub fn callers_url(&self, node: usize) -> String {
@@ -311,13 +313,13 @@
     pub fn run_count(&self, request_id: &str) -> u64 {
         let ledger = self.ledger();
         let runs = ledger["runs"].as_object().expect("runs");
-        let is_of = |id: &str| id == request_id || id.starts_with(&format!("{request_id}~"));
-        runs.iter().filter(|(id, _)| is_of(id)).filter_map(|(_, n)| n.as_u64()).sum()
+        let is_run_of = |id: &str| id == request_id || id.starts_with(&format!("{request_id}~"));
+        runs.iter().filter(|(id, _)| is_run_of(id)).filter_map(|(_, n)| n.as_u64()).sum()
     }
 }
 
 /// Runs the binary to its end.
-pub fn run(args: &[&str]) -> Output {
+pub fn run_binary(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_kumquatpost")).args(args).output().expect("the binary runs")
 }
 
@@ -336,12 +338,12 @@
 
 /// Two middle bytes of loopback addresses that no other test uses, so that nodes can have known
 /// ports that nobody else takes.
-fn own_network() -> (u8, u8) {
+fn unique_loopback_network() -> (u8, u8) {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let first = 1 + (std::process::id() % 250) as u8;
     (first, NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn text(path: &std::path::Path) -> &str {
+pub fn path_str(path: &std::path::Path) -> &str {
     path.to_str().expect("the path is text")
 }
