--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 use crate::api::{execution_of, patch_until_answered};
-use crate::serving::expected;
+use crate::serving::expected_answer;
 use crate::testenv::{TestEnv, TestEnvOptions, wait_for};
 
 #[test]
@@ -45,9 +45,9 @@
         .send()
         .expect("an answer");
     let mut lines = BufReader::new(response).lines();
-    let mut whole = String::new();
+    let mut answer = String::new();
     for line in lines.by_ref().take(2 * 300) {
-        push_content(&mut whole, &line.expect("it can be read"));
+        append_content(&mut answer, &line.expect("it can be read"));
     }
     let running = wait_for("an engine runs it", || {
         let status = env.status(1);
@@ -57,13 +57,13 @@
     });
     env.set_fault(&running, json!("die"));
     for line in lines {
-        push_content(&mut whole, &line.expect("it can be read"));
+        append_content(&mut answer, &line.expect("it can be read"));
     }
-    assert_eq!(whole, expected("bibek", prompt, 600), "one whole answer");
+    assert_eq!(answer, expected_answer("bibek", prompt, 600), "one whole answer");
 }
 
 /// Adds the text that a line of a stream carries.
-fn push_content(text: &mut String, line: &str) {
+fn append_content(text: &mut String, line: &str) {
     let Some(data) = line.strip_prefix("data: ") else { return };
     let Ok(chunk) = serde_json::from_str::<Value>(data) else { return };
     text.push_str(chunk["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
@@ -78,15 +78,15 @@
         ("refusing", json!({"refuse": true})),
         ("broken at once", json!({"break_after_tokens": 0, "break_count": 2})),
     ];
-    for (what, knobs) in cases {
+    for (case_name, fault) in cases {
         for target in ["engine-0", "engine-1"] {
-            env.set_fault(target, json!({"set": knobs}));
+            env.set_fault(target, json!({"set": fault}));
         }
         for number in 0..6 {
-            let prompt = format!("{what} {number}");
+            let prompt = format!("{case_name} {number}");
             let body: Value = env.send_prompt(number % 3, "anna", &prompt, 8).json().expect("JSON");
             let content = &body["choices"][0]["message"]["content"];
-            assert_eq!(content, &json!(expected("anna", &prompt, 8)), "{what}: {body}");
+            assert_eq!(content, &json!(expected_answer("anna", &prompt, 8)), "{case_name}: {body}");
         }
         for target in ["engine-0", "engine-1"] {
             env.set_fault(target, json!({"set": {}}));
@@ -206,7 +206,7 @@
         |prompt: &str| -> Value { env.send_prompt(0, "anna", prompt, 4).json().expect("JSON") };
     let check = |body: &Value, prompt: &str| {
         let content = &body["choices"][0]["message"]["content"];
-        assert_eq!(content, &json!(expected("anna", prompt, 4)));
+        assert_eq!(content, &json!(expected_answer("anna", prompt, 4)));
     };
     check(&ask(&history), &history);
     wait_for("it is exported", || (env.ledger()["export_bytes"].as_u64() > Some(0)).then_some(()));
@@ -242,8 +242,8 @@
     let mut env = TestEnv::start(options);
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-    let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
-    patch_until_answered(&env, &others, 1, "roll", &next);
+    let patch = json!({"models": {"mechanic": {"next_version": "v2"}}});
+    patch_until_answered(&env, &others, 1, "roll", &patch);
     wait_for("the first engines were ordered", || {
         let orders = env.ledger()["orders"].as_object().map_or(0, serde_json::Map::len);
         (orders > 0).then_some(())
@@ -257,15 +257,15 @@
         let orders = env.ledger()["orders"].as_object().map_or(0, serde_json::Map::len);
         (orders == 6).then_some(())
     });
-    for (engine, fencing) in env.ledger()["orders"].as_object().expect("orders") {
-        let numbers: Vec<u64> =
-            fencing.as_array().expect("numbers").iter().filter_map(Value::as_u64).collect();
-        assert!(numbers.is_sorted(), "{engine}: {numbers:?}");
+    for (engine, fences) in env.ledger()["orders"].as_object().expect("orders") {
+        let tokens: Vec<u64> =
+            fences.as_array().expect("numbers").iter().filter_map(Value::as_u64).collect();
+        assert!(tokens.is_sorted(), "{engine}: {tokens:?}");
     }
 }
 
 /// A prompt whose answer goes on until its caller hangs up.
-fn endless_prompt(env: &TestEnv, number: usize) -> TcpStream {
+fn start_endless_prompt(env: &TestEnv, number: usize) -> TcpStream {
     let body = json!({"model": "mechanic", "max_tokens": 100_000, "stream": true,
                       "messages": [{"role": "user", "content": format!("endless {number}")}]});
     let body = body.to_string();
@@ -289,14 +289,14 @@
     options.emulator["engines"] = json!(engines);
     let env = TestEnv::start(options);
     // Both engines' places, which are twice their batches, are taken until these callers hang up.
-    let busy: Vec<TcpStream> = (0..4).map(|n| endless_prompt(&env, n)).collect();
+    let busy: Vec<TcpStream> = (0..4).map(|n| start_endless_prompt(&env, n)).collect();
     wait_for("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
     let asked = std::thread::scope(|scope| {
         let asking =
             scope.spawn(|| env.send_prompt(0, "anna", "asked under the weights of before", 2));
         wait_for("it waits for a place", || (env.status(0)["waiting"] == 1).then_some(()));
-        let next = json!({"models": {"mechanic": {"next_version": "v2"}}});
-        patch_until_answered(&env, &[0], 1, "roll", &next);
+        let patch = json!({"models": {"mechanic": {"next_version": "v2"}}});
+        patch_until_answered(&env, &[0], 1, "roll", &patch);
         wait_for("both engines run other weights", || {
             (env.status(0)["engines"].as_array()?.iter().all(|engine| engine["weights"] == "v2"))
                 .then_some(())
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -7,7 +7,7 @@
 use crate::testenv::{ACCOUNTS, TestEnv, TestEnvOptions};
 
 /// The answer that the stand-in engines give to an account's prompt.
-pub fn expected(account: &str, prompt: &str, tokens: u32) -> String {
+pub fn expected_answer(account: &str, prompt: &str, tokens: u32) -> String {
     let owner = Owner {
         account: account.into(),
         model: "mechanic".into(),
@@ -23,12 +23,13 @@
     for node in 0..3 {
         for account in ACCOUNTS {
             let prompt = format!("gearbox history {node}");
-            let whole: Value = env.send_prompt(node, account, &prompt, 12).json().expect("JSON");
-            let content = &whole["choices"][0]["message"]["content"];
-            assert_eq!(content, &Value::String(expected(account, &prompt, 12)));
-            assert_eq!(whole["object"], "chat.completion");
-            assert_eq!(whole["choices"][0]["finish_reason"], "stop");
-            assert_eq!(whole["usage"]["completion_tokens"], 12);
+            let unstreamed: Value =
+                env.send_prompt(node, account, &prompt, 12).json().expect("JSON");
+            let content = &unstreamed["choices"][0]["message"]["content"];
+            assert_eq!(content, &Value::String(expected_answer(account, &prompt, 12)));
+            assert_eq!(unstreamed["object"], "chat.completion");
+            assert_eq!(unstreamed["choices"][0]["finish_reason"], "stop");
+            assert_eq!(unstreamed["usage"]["completion_tokens"], 12);
 
             let streamed =
                 env.prompt_request(node, account, &prompt, 12, true).send().expect("an answer");
@@ -40,11 +41,11 @@
                 events.iter().map(|data| serde_json::from_str(data).expect("JSON")).collect();
             assert!(chunks.iter().all(|chunk| chunk["object"] == "chat.completion.chunk"));
             assert!(chunks.iter().all(|chunk| chunk["id"] == chunks[0]["id"]));
-            let pieces: String = chunks
+            let streamed_text: String = chunks
                 .iter()
                 .filter_map(|chunk| chunk["choices"][0]["delta"]["content"].as_str())
                 .collect();
-            assert_eq!(pieces, expected(account, &prompt, 12));
+            assert_eq!(streamed_text, expected_answer(account, &prompt, 12));
             let last = chunks.last().expect("chunks");
             assert_eq!(last["choices"][0]["finish_reason"], "stop");
         }
