--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -12,16 +12,16 @@
 use crate::api::execution_of;
 use crate::testenv::{TestEnv, TestEnvOptions};
 
-const FATAL: &str = "the prompt on which engines die";
+const CRASHING_PROMPT: &str = "the prompt on which engines die";
 /// Its caller sends it again this long after each answer.
-const AGAIN_AFTER: Duration = Duration::from_millis(150);
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
 /// Until all nodes know of it: news go up and down a tree with one lease renewal a step.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Engines that may end after that.
-const ENDS_AFTER: u64 = 3;
+const MAX_LATER_CRASHES: u64 = 3;
 
 /// How often engines have ended: each start has a number.
-fn ends(env: &TestEnv) -> u64 {
+fn engine_crashes(env: &TestEnv) -> u64 {
     let url = format!("{}/targets", env.emulator.ready_value("platform"));
     let list: Value = env.client.get(url).send().expect("it answers").json().expect("JSON");
     let starts = list["targets"].as_array().expect("targets").iter();
@@ -29,16 +29,16 @@
 }
 
 /// Sends the prompt at one node after the other. Returns the last answer.
-fn repeat(env: &TestEnv, nodes: &[usize], lasts: Duration) -> (u16, Value) {
+fn resend_for(env: &TestEnv, nodes: &[usize], duration: Duration) -> (u16, Value) {
     let begun = Instant::now();
     let mut last = (0, Value::Null);
     for node in nodes.iter().cycle() {
-        let answer = env.send_prompt(*node, "anna", FATAL, 4);
+        let answer = env.send_prompt(*node, "anna", CRASHING_PROMPT, 4);
         last = (answer.status().as_u16(), answer.json().unwrap_or_default());
-        if begun.elapsed() > lasts {
+        if begun.elapsed() > duration {
             break;
         }
-        std::thread::sleep(AGAIN_AFTER);
+        std::thread::sleep(RESEND_INTERVAL);
     }
     last
 }
@@ -47,14 +47,17 @@
 fn a_prompt_on_which_engines_die_is_kept_from_them_at_all_nodes() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     for engine in 0..3 {
-        let knobs = json!({"set": {"dies_on": FATAL}});
-        env.set_fault(&format!("engine-{engine}"), knobs);
+        let fault = json!({"set": {"dies_on": CRASHING_PROMPT}});
+        env.set_fault(&format!("engine-{engine}"), fault);
     }
-    repeat(&env, &[0, 1, 2], KNOWN_WITHIN);
-    let at_first = ends(&env);
-    let (status, body) = repeat(&env, &[0, 1, 2], KNOWN_WITHIN);
-    let then = ends(&env);
-    assert!(then - at_first <= ENDS_AFTER, "{at_first} engines ended, and {then} in all");
+    resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
+    let crashes_at_first = engine_crashes(&env);
+    let (status, body) = resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
+    let crashes_then = engine_crashes(&env);
+    assert!(
+        crashes_then - crashes_at_first <= MAX_LATER_CRASHES,
+        "{crashes_at_first} engines ended, and {crashes_then} in all"
+    );
     assert_eq!((status, execution_of(&body)), (503, "not_run"), "{body}");
     assert_eq!(body["error"]["code"], "held");
 
@@ -62,12 +65,15 @@
     let leader = env.leader();
     env.nodes[leader].kill();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-    repeat(&env, &others, KNOWN_WITHIN);
+    resend_for(&env, &others, PROPAGATION_TIMEOUT);
     env.restart(leader);
     env.wait_until_ready(leader);
-    repeat(&env, &[leader], KNOWN_WITHIN);
-    let last = ends(&env);
-    assert!(last - at_first <= ENDS_AFTER, "{at_first} engines ended, and {last} in all");
+    resend_for(&env, &[leader], PROPAGATION_TIMEOUT);
+    let crashes_at_last = engine_crashes(&env);
+    assert!(
+        crashes_at_last - crashes_at_first <= MAX_LATER_CRASHES,
+        "{crashes_at_first} engines ended, and {crashes_at_last} in all"
+    );
     for node in 0..3 {
         assert!(env.send_prompt(node, "anna", "another prompt", 4).status().is_success());
     }
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -85,18 +85,18 @@
 #[test]
 fn a_cut_off_node_stops_admitting_and_never_shows_an_older_number() {
     let env = TestEnv::start(TestEnvOptions::default());
-    let lone = (env.leader() + 1) % 3;
-    let others: Vec<usize> = (0..3).filter(|node| *node != lone).collect();
-    env.isolate(lone, &others);
+    let isolated = (env.leader() + 1) % 3;
+    let others: Vec<usize> = (0..3).filter(|node| *node != isolated).collect();
+    env.isolate(isolated, &others);
     wait_for("it turns not ready", || {
-        let ready = env.client.get(format!("{}/health/ready", env.callers_url(lone))).send();
+        let ready = env.client.get(format!("{}/health/ready", env.callers_url(isolated))).send();
         ready.is_ok_and(|response| response.status() == 503).then_some(())
     });
-    let refused = env.send_prompt(lone, "anna", "anyone?", 2);
+    let refused = env.send_prompt(isolated, "anna", "anyone?", 2);
     assert!(refused.headers().contains_key("retry-after"));
     let body: Value = refused.json().expect("JSON");
     assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("not_fresh")));
-    assert_eq!(config_number(&env, lone), None, "it can't know the newest number");
+    assert_eq!(config_number(&env, isolated), None, "it can't know the newest number");
     let mut base = 1;
     for number in 0..20 {
         let answer = patch_until_answered(
@@ -108,22 +108,22 @@
         );
         base = answer["number"].as_u64().expect("a number");
     }
-    env.isolate(lone, &[]);
+    env.isolate(isolated, &[]);
     wait_for("it is ready again", || {
-        let number = config_number(&env, lone);
+        let number = config_number(&env, isolated);
         assert!(number.is_none_or(|number| number == base), "an older number: {number:?}");
-        let ready = env.client.get(format!("{}/health/ready", env.callers_url(lone))).send();
+        let ready = env.client.get(format!("{}/health/ready", env.callers_url(isolated))).send();
         ready.is_ok_and(|response| response.status().is_success()).then_some(())
     });
-    assert_eq!(env.status(lone)["number"].as_u64(), Some(base));
+    assert_eq!(env.status(isolated)["number"].as_u64(), Some(base));
 }
 
 #[test]
 fn a_replica_that_was_away_for_hundreds_of_changes_comes_back_by_itself() {
     let mut env = TestEnv::start(TestEnvOptions::default());
-    let away = (env.leader() + 1) % 3;
-    let others: Vec<usize> = (0..3).filter(|node| *node != away).collect();
-    env.nodes[away].kill();
+    let stopped = (env.leader() + 1) % 3;
+    let others: Vec<usize> = (0..3).filter(|node| *node != stopped).collect();
+    env.nodes[stopped].kill();
     let mut base = 1;
     for number in 0..300 {
         let answer = patch_until_answered(
@@ -135,12 +135,12 @@
         );
         base = answer["number"].as_u64().expect("a number");
     }
-    env.restart(away);
-    env.wait_until_ready(away);
+    env.restart(stopped);
+    env.wait_until_ready(stopped);
     wait_for("its replica has caught up", || {
-        (env.status(away)["replica"]["number"].as_u64() == Some(base)).then_some(())
+        (env.status(stopped)["replica"]["number"].as_u64() == Some(base)).then_some(())
     });
-    let again = patch_until_answered(&env, &[away], 1, "p0", &priority_patch(0));
+    let again = patch_until_answered(&env, &[stopped], 1, "p0", &priority_patch(0));
     assert_eq!(again["number"], 2, "a resend gets the first answer, hundreds of numbers later");
 }
 
@@ -148,7 +148,7 @@
 fn a_cut_log_file_is_noticed_and_mended_from_the_others() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let leader = env.leader();
-    let hurt = (leader + 1) % 3;
+    let damaged = (leader + 1) % 3;
     let mut base = 1;
     for number in 0..20 {
         let answer = patch_until_answered(
@@ -160,15 +160,15 @@
         );
         base = answer["number"].as_u64().expect("a number");
     }
-    env.nodes[hurt].kill();
-    let log = env.folder.path().join(format!("data-{}/log", hurt + 1));
+    env.nodes[damaged].kill();
+    let log = env.folder.path().join(format!("data-{}/log", damaged + 1));
     let length = std::fs::metadata(&log).expect("the log").len();
     let file = std::fs::OpenOptions::new().write(true).open(&log).expect("the log");
     file.set_len(length * 2 / 3 + 1).expect("cut");
-    env.restart(hurt);
-    env.wait_until_ready(hurt);
+    env.restart(damaged);
+    env.wait_until_ready(damaged);
     wait_for("it has caught up and counts again", || {
-        let replica = env.status(hurt)["replica"].clone();
+        let replica = env.status(damaged)["replica"].clone();
         let caught_up = replica["number"].as_u64() == Some(base) && replica["recovering"] == false;
         caught_up.then_some(())
     });
--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -4,8 +4,8 @@
 
 use crate::testenv::{TestEnv, TestEnvOptions, run_binary};
 
-struct Wrong {
-    what: &'static str,
+struct InvalidRequest {
+    case_name: &'static str,
     path: &'static str,
     headers: &'static [(&'static str, &'static str)],
     body: String,
@@ -21,11 +21,11 @@
         bounds: json!({"body_bytes": 10_000}),
         ..TestEnvOptions::default()
     });
-    let good = json!({"model": "mechanic", "messages": [{"role": "user", "content": "x"}]});
+    let valid_body = json!({"model": "mechanic", "messages": [{"role": "user", "content": "x"}]});
     let chat = "/v1/chat/completions";
     let anna: (&str, &str) = ("authorization", "Bearer key-of-anna");
-    let wrong = |what, path, headers, body: String, status, code| Wrong {
-        what,
+    let invalid = |case_name, path, headers, body: String, status, code| InvalidRequest {
+        case_name,
         path,
         headers,
         body,
@@ -35,17 +35,17 @@
     const ANNA: &[(&str, &str)] = &[("authorization", "Bearer key-of-anna")];
     assert_eq!(ANNA[0], anna);
     let cases = [
-        wrong("no key", chat, &[], good.to_string(), 401, "wrong_key"),
-        wrong(
+        invalid("no key", chat, &[], valid_body.to_string(), 401, "wrong_key"),
+        invalid(
             "wrong key",
             chat,
             &[("authorization", "Bearer x")],
-            good.to_string(),
+            valid_body.to_string(),
             401,
             "wrong_key",
         ),
-        wrong("not JSON", chat, ANNA, "{".into(), 400, "bad_request"),
-        wrong(
+        invalid("not JSON", chat, ANNA, "{".into(), 400, "bad_request"),
+        invalid(
             "no messages",
             chat,
             ANNA,
@@ -53,33 +53,33 @@
             400,
             "bad_request",
         ),
-        wrong(
+        invalid(
             "other model",
             chat,
             ANNA,
-            good.to_string().replace("mechanic", "x"),
+            valid_body.to_string().replace("mechanic", "x"),
             404,
             "unknown_model",
         ),
-        wrong("too long", chat, ANNA, "x".repeat(20_000), 413, "too_large"),
-        wrong(
+        invalid("too long", chat, ANNA, "x".repeat(20_000), 413, "too_large"),
+        invalid(
             "other kind",
             chat,
             &[("authorization", "Bearer key-of-anna"), ("x-kumquatpost-kind", "x")],
-            good.to_string(),
+            valid_body.to_string(),
             400,
             "unknown_kind",
         ),
-        wrong(
+        invalid(
             "no deadline",
             chat,
             &[("authorization", "Bearer key-of-anna"), ("x-kumquatpost-deadline-ms", "soon")],
-            good.to_string(),
+            valid_body.to_string(),
             400,
             "bad_request",
         ),
-        wrong("other service", "/v1/services/x/y", ANNA, String::new(), 404, "unknown_service"),
-        wrong("other path", "/v2/x", ANNA, String::new(), 404, "not_found"),
+        invalid("other service", "/v1/services/x/y", ANNA, String::new(), 404, "unknown_service"),
+        invalid("other path", "/v2/x", ANNA, String::new(), 404, "not_found"),
     ];
     for case in cases {
         let mut request = env.client.post(format!("{}{}", env.callers_url(0), case.path));
@@ -87,14 +87,14 @@
             request = request.header(*name, *value);
         }
         let response = request.body(case.body).send().expect("an answer");
-        assert_eq!(response.status(), case.status, "{}", case.what);
+        assert_eq!(response.status(), case.status, "{}", case.case_name);
         let body: Value = response.json().expect("JSON");
-        assert_eq!(body["error"]["code"], case.code, "{}", case.what);
-        assert_eq!(body["error"]["execution"], "not_run", "{}", case.what);
+        assert_eq!(body["error"]["code"], case.code, "{}", case.case_name);
+        assert_eq!(body["error"]["execution"], "not_run", "{}", case.case_name);
         assert!(
             body["error"]["message"].as_str().is_some_and(|m| m.contains("; ")),
             "{}",
-            case.what
+            case.case_name
         );
     }
     let models = env.client.get(format!("{}/v1/models", env.callers_url(0)));
@@ -116,11 +116,11 @@
         (&["check-settings", "/nonexistent"], 1, "name a file that this user may read"),
         (&["status", "--node", "http://127.0.0.1:1"], 1, "check that it runs"),
     ];
-    for (args, code, remedy) in cases {
+    for (args, code, hint) in cases {
         let output = run_binary(args);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(code), "{args:?}: {error}");
-        assert!(error.contains(remedy), "{args:?}: {error}");
+        assert!(error.contains(hint), "{args:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{args:?}: {error}");
     }
     assert_eq!(run_binary(&["--version"]).status.code(), Some(0));
