--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_prompt_on_which_engines_die_is_kept_from_them_at_all_nodes() {
+fn a_prompt_that_crashes_engines_is_held_at_all_nodes() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     for engine in 0..3 {
         let fault = json!({"set": {"dies_on": CRASHING_PROMPT}});
--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -9,7 +9,7 @@
 use crate::testenv::{Process, TestEnv, TestEnvOptions, path_str, wait_for};
 
 #[test]
-fn a_leader_killed_in_mid_patch_neither_loses_nor_doubles_it() {
+fn a_patch_is_applied_once_if_the_leader_is_killed_while_handling_it() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let leader = env.leader();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_cut_off_node_stops_admitting_and_never_shows_an_older_number() {
+fn an_isolated_node_stops_admitting_and_never_returns_an_older_number() {
     let env = TestEnv::start(TestEnvOptions::default());
     let isolated = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != isolated).collect();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_replica_that_was_away_for_hundreds_of_changes_comes_back_by_itself() {
+fn a_replica_that_missed_hundreds_of_changes_catches_up_by_itself() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let stopped = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != stopped).collect();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_cut_log_file_is_noticed_and_mended_from_the_others() {
+fn a_truncated_log_file_is_detected_and_repaired_from_the_other_replicas() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let leader = env.leader();
     let damaged = (leader + 1) % 3;
--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_wrong_request_is_refused_with_its_remedy() {
+fn each_invalid_request_is_refused_with_a_remedy() {
     let env = TestEnv::start(TestEnvOptions {
         nodes: 1,
         replicas: 1,
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn the_command_line_names_the_remedy() {
+fn command_line_errors_name_the_remedy() {
     let cases: [(&[&str], i32, &str); 6] = [
         (&[], 2, "name one"),
         (&["sevre"], 2, "did you mean serve?"),
@@ -116,11 +116,11 @@
         (&["check-settings", "/nonexistent"], 1, "name a file that this user may read"),
         (&["status", "--node", "http://127.0.0.1:1"], 1, "check that it runs"),
     ];
-    for (args, code, hint) in cases {
+    for (args, code, remedy) in cases {
         let output = run_binary(args);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(code), "{args:?}: {error}");
-        assert!(error.contains(hint), "{args:?}: {error}");
+        assert!(error.contains(remedy), "{args:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{args:?}: {error}");
     }
     assert_eq!(run_binary(&["--version"]).status.code(), Some(0));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn settings_are_checked_whole() {
+fn all_settings_errors_are_reported_at_once() {
     let folder = tempfile::TempDir::new().expect("a folder");
     let file = folder.path().join("serve.json");
     let settings = json!({
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -10,7 +10,7 @@
 use crate::testenv::{TestEnv, TestEnvOptions, wait_for};
 
 #[test]
-fn a_planned_stop_cuts_off_no_request_in_progress() {
+fn a_planned_stop_interrupts_no_request_in_progress() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let prompt = "a long diagnosis";
     let response = env.prompt_request(0, "anna", prompt, 400, true).send().expect("an answer");
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_answer_survives_the_death_of_its_engine() {
+fn an_answer_is_completed_after_its_engine_crashes() {
     let env = TestEnv::start(TestEnvOptions::default());
     let prompt = "survive this";
     // The deadline is for the first token; when the engine dies it has passed.
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn broken_and_crossed_streams_end_in_the_callers_own_whole_answer_or_none() {
+fn broken_or_crossed_streams_give_the_correct_answer_or_an_error() {
     let env = TestEnv::start(TestEnvOptions::default());
     let cases = [
         ("broken once", json!({"break_after_tokens": 3, "break_count": 1})),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_order_runs_at_most_once_whatever_is_resent_and_whoever_dies() {
+fn an_order_runs_at_most_once_despite_resends_and_crashes() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     // The answer is recorded: a resend at any node gets it again.
     let first =
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_damaged_or_lost_kept_block_is_recomputed_never_used() {
+fn a_damaged_stored_block_is_recomputed_and_never_used() {
     let env = TestEnv::start(TestEnvOptions::default());
     let history = "tooth wear ".repeat(700);
     let ask =
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn whole_and_streamed_answers_of_two_accounts_at_three_nodes() {
+fn complete_and_streamed_answers_are_correct_at_each_node() {
     let env = TestEnv::start(TestEnvOptions::default());
     for node in 0..3 {
         for account in ACCOUNTS {
