--- a/tests/process/main.rs
+++ b/tests/process/main.rs
@@ -1,4 +1,4 @@
-//! Tests that drive the real binary as separate processes on loopback.
+//! End-to-end tests that run the binary as separate processes on loopback.
 
 mod api;
 mod ending_prompts;
--- a/tests/process/serving.rs
+++ b/tests/process/serving.rs
@@ -1,4 +1,4 @@
-//! A prompt goes in at any node and its whole answer comes back.
+//! Every node returns complete, correct answers, in one body or streamed.
 
 use kumquatpost::emulator::answer::Answer;
 use kumquatpost::prompt::Owner;
@@ -6,7 +6,7 @@
 
 use crate::testenv::{ACCOUNTS, TestEnv, TestEnvOptions};
 
-/// The answer that the stand-in engines give to an account's prompt.
+/// The answer of the emulated engines to an account's prompt.
 pub fn expected_answer(account: &str, prompt: &str, tokens: u32) -> String {
     let owner = Owner {
         account: account.into(),
@@ -32,11 +32,11 @@
             assert_eq!(unstreamed["usage"]["completion_tokens"], 12);
 
             let streamed =
-                env.prompt_request(node, account, &prompt, 12, true).send().expect("an answer");
-            let text = streamed.text().expect("a whole stream");
+                env.prompt_request(node, account, &prompt, 12, true).send().expect("a response");
+            let text = streamed.text().expect("the stream is complete");
             let mut events: Vec<&str> =
                 text.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
-            assert_eq!(events.pop(), Some("[DONE]"), "the end mark comes last");
+            assert_eq!(events.pop(), Some("[DONE]"), "[DONE] is the last event");
             let chunks: Vec<Value> =
                 events.iter().map(|data| serde_json::from_str(data).expect("JSON")).collect();
             assert!(chunks.iter().all(|chunk| chunk["object"] == "chat.completion.chunk"));
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -1,4 +1,4 @@
-//! Runs the binary's processes in a folder of their own, and ends all of them at the end.
+//! Runs an emulator and nodes as processes with their own data folder, and kills them when dropped.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,24 +12,24 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Whatever is waited for must have come by then.
+/// Limit of each wait and of each HTTP request.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where the nodes of a test listen for each other.
+/// Port at which nodes listen for their peers, each at its own loopback address.
 const PEER_PORT: u16 = 7_000;
 
-/// Accounts of the tests, each with key `key-of-NAME`.
+/// Client accounts; the API key of each is `key-of-NAME`.
 pub const ACCOUNTS: [&str; 2] = ["anna", "bibek"];
 
 /// A process that is killed when it is dropped.
 pub struct Process {
     child: Child,
-    /// The values of the line that it printed when it was ready.
+    /// The `name=value` pairs of the line that the process printed when it was ready.
     pub ready_values: Vec<(String, String)>,
 }
 
 impl Process {
-    /// Starts `kumquatpost ARGS` and waits until it prints that it is ready.
+    /// Starts `kumquatpost ARGS` and waits for its `ready` line.
     pub fn start(args: &[&str]) -> Process {
         let mut child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .args(args)
@@ -42,9 +42,9 @@
         Process::from_ready_line(child, &line)
     }
 
-    /// A process that printed this line when it was ready.
+    /// Wraps a child process that has printed `line`; panics if that is no `ready` line.
     pub fn from_ready_line(child: Child, line: &str) -> Process {
-        assert!(line.starts_with("ready "), "not ready: {line:?}");
+        assert!(line.starts_with("ready "), "not a ready line: {line:?}");
         let values = line.split_whitespace().filter_map(|word| word.split_once('='));
         let ready_values = values.map(|(name, value)| (name.into(), value.into())).collect();
         Process { child, ready_values }
@@ -55,7 +55,7 @@
         &found.unwrap_or_else(|| panic!("no {name} in {:?}", self.ready_values)).1
     }
 
-    /// Sends a signal by its name, for example `STOP`.
+    /// Sends the signal of this name, for example `STOP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", name, &id]).status().expect("kill runs");
@@ -67,7 +67,7 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Waits for the process to end, and returns its exit code.
+    /// Waits for the process to exit. Returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         wait_for("the process ends", || self.child.try_wait().expect("it can be waited for")).code()
     }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Nodes and stand-ins.
+/// The processes of a test: an emulator of the platform, and nodes that use it.
 pub struct TestEnv {
     pub folder: TempDir,
     pub emulator: Process,
@@ -89,7 +89,7 @@
     pub client: Client,
 }
 
-/// What a test wants to differ from the usual.
+/// Options of a [`TestEnv`].
 pub struct TestEnvOptions {
     pub nodes: usize,
     pub replicas: usize,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Three engines, two stores and a service.
+/// Settings of an emulator with three engines, two stores and two instances of a service.
 pub fn default_emulator_settings() -> Value {
     let domains = ["patan", "bhaktapur", "kirtipur"];
     let engines: Vec<Value> = (0..3)
@@ -132,7 +132,7 @@
     })
 }
 
-/// The configuration that the tests start from.
+/// The configuration with which nodes start.
 pub fn initial_config() -> Value {
     let account = |name: &str| json!({"key_blake3": key_hash(&format!("key-of-{name}"))});
     json!({
@@ -145,7 +145,7 @@
 
 impl TestEnv {
     pub fn start(options: TestEnvOptions) -> TestEnv {
-        let folder = TempDir::new().expect("a folder");
+        let folder = TempDir::new().expect("a temporary folder");
         let write = |name: &str, value: &Value| -> PathBuf {
             let path = folder.path().join(name);
             std::fs::write(&path, value.to_string()).expect("settings can be written");
@@ -196,7 +196,7 @@
         env
     }
 
-    /// Starts a node again with its settings and data.
+    /// Starts a node that has exited, with its earlier settings and data.
     pub fn restart(&mut self, node: usize) {
         self.nodes[node] =
             Process::start(&["serve", "--settings", path_str(&self.settings_files[node])]);
@@ -210,6 +210,7 @@
         format!("http://{}", self.nodes[node].ready_value("operators"))
     }
 
+    /// Waits until a node is ready and answers prompts.
     pub fn wait_until_ready(&self, node: usize) {
         let url = format!("{}/health/ready", self.callers_url(node));
         wait_for("the node is ready", || {
@@ -217,20 +218,21 @@
             let engines = self.status(node)["engines"].as_array().map_or(0, Vec::len);
             (ready && engines > 0).then_some(())
         });
-        // A first prompt proves that engines' loads are known.
+        // Prompts are answered only once the loads of engines are known.
         wait_for("a prompt is answered", || {
             let response = self.send_prompt(node, "anna", "warm up", 1);
             response.status().is_success().then_some(())
         });
     }
 
+    /// The status document of a node, or null if it cannot be read.
     pub fn status(&self, node: usize) -> Value {
         let url = format!("{}/v1/status", self.operators_url(node));
         let response = self.client.get(url).send();
         response.ok().and_then(|response| response.json().ok()).unwrap_or_default()
     }
 
-    /// The node that leads the log.
+    /// Waits for a leader of the replicated log. Returns its index.
     pub fn leader(&self) -> usize {
         wait_for("there is a leader", || {
             (0..self.nodes.len())
@@ -238,7 +240,7 @@
         })
     }
 
-    /// A whole answer to a prompt.
+    /// Sends a prompt and waits for the complete answer.
     pub fn send_prompt(&self, node: usize, account: &str, prompt: &str, tokens: u32) -> Response {
         self.prompt_request(node, account, prompt, tokens, false).send().expect("the node answers")
     }
@@ -258,7 +260,7 @@
                           "messages": [{"role": "user", "content": prompt}]}))
     }
 
-    /// Orders a part under an id.
+    /// Sends an order to the service `part-order` under an idempotency key.
     pub fn send_order(
         &self,
         node: usize,
@@ -274,6 +276,7 @@
             .send()
     }
 
+    /// Sends a patch of configuration number `base` under an idempotency key.
     pub fn send_patch(
         &self,
         node: usize,
@@ -289,6 +292,7 @@
             .send()
     }
 
+    /// Sends a fault of an emulated target to the emulator.
     pub fn set_fault(&self, target: &str, fault: Value) {
         let url = format!("{}/faults", self.emulator.ready_value("platform"));
         let body = json!({"target": target, "fault": fault});
@@ -296,7 +300,7 @@
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
     }
 
-    /// Cuts a node off from others, in both directions.
+    /// Blocks traffic between a node and others in both directions; an empty list removes the block.
     pub fn isolate(&self, node: usize, others: &[usize]) {
         let ids: Vec<usize> = others.iter().map(|other| other + 1).collect();
         let url = format!("{}/v1/faults", self.operators_url(node));
@@ -304,12 +308,13 @@
         assert!(response.expect("the node answers").status().is_success());
     }
 
+    /// The emulator's counts of what its targets have done.
     pub fn ledger(&self) -> Value {
         let url = format!("{}/ledger", self.emulator.ready_value("platform"));
         self.client.get(url).send().expect("the emulator answers").json().expect("JSON")
     }
 
-    /// How often a request started to run on any target.
+    /// How often runs of a request have started, over all targets and attempts.
     pub fn run_count(&self, request_id: &str) -> u64 {
         let ledger = self.ledger();
         let runs = ledger["runs"].as_object().expect("runs");
@@ -318,26 +323,26 @@
     }
 }
 
-/// Runs the binary to its end.
+/// Runs the binary and waits for it to exit.
 pub fn run_binary(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_kumquatpost")).args(args).output().expect("the binary runs")
 }
 
-/// Looks again and again until there is something, and fails if there never is.
+/// Polls until there is a result. Panics after [`WAIT_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         std::thread::yield_now();
         std::thread::park_timeout(Duration::from_millis(20));
     }
 }
 
-/// Two middle bytes of loopback addresses that no other test uses, so that nodes can have known
-/// ports that nobody else takes.
+/// The two middle bytes of loopback addresses that no other test of this process uses, so that
+/// nodes can listen on a fixed port.
 fn unique_loopback_network() -> (u8, u8) {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let first = 1 + (std::process::id() % 250) as u8;
@@ -345,5 +350,5 @@
 }
 
 pub fn path_str(path: &std::path::Path) -> &str {
-    path.to_str().expect("the path is text")
+    path.to_str().expect("the path is UTF-8")
 }
