--- a/tests/process/failures.rs
+++ b/tests/process/failures.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes, cuts and damaged disks of nodes.
+//! Nodes that are killed, suspended or isolated, and nodes with damaged or full disks.
 
 use std::io::{BufRead, BufReader};
 use std::process::Command;
@@ -18,12 +18,16 @@
         env.nodes[leader].signal("KILL");
         drop(sender.join());
     });
-    // Its answer may be lost: the operator resends it elsewhere.
+    // The response may be lost, so the operator resends the patch to another node.
     let first = patch_until_answered(&env, &others, 1, "mid", &priority_patch(5));
     assert_eq!(first["number"], 2);
     let second = patch_until_answered(&env, &others, 2, "next", &priority_patch(6));
     assert_eq!(second["number"], 3);
-    assert_eq!(patch_until_answered(&env, &others, 1, "mid", &priority_patch(5)), first, "again");
+    assert_eq!(
+        patch_until_answered(&env, &others, 1, "mid", &priority_patch(5)),
+        first,
+        "a resend gets the first response"
+    );
     env.nodes[leader].kill();
     env.restart(leader);
     env.wait_until_ready(leader);
@@ -45,13 +49,13 @@
                 scope.spawn(move || {
                     let id = format!("{base}-{node}");
                     env.send_patch(node, base, &id, &priority_patch(base))
-                        .expect("answered")
+                        .expect("the node responds")
                         .status()
                         .as_u16()
                 })
             };
             let racing: Vec<_> = (0..3).map(send).collect();
-            racing.into_iter().map(|one| one.join().expect("it ends")).collect()
+            racing.into_iter().map(|one| one.join().expect("the thread does not panic")).collect()
         });
         assert_eq!(answers.iter().filter(|status| **status == 200).count(), 1, "{answers:?}");
         assert_eq!(answers.iter().filter(|status| **status == 412).count(), 2, "{answers:?}");
@@ -67,15 +71,15 @@
     let remove = json!({"accounts": {"anna": null}});
     let answer = patch_until_answered(&env, &others, 1, "remove", &remove);
     assert_eq!(answer["number"], 2);
-    wait_for("the removal is in force everywhere", || {
+    wait_for("the removal is in force", || {
         let in_force = |node: &usize| env.status(*node)["replica"]["in_force"].as_u64() == Some(2);
         others.iter().any(in_force).then_some(())
     });
-    // From now on no node may serve the account, whenever the frozen one goes on.
+    // No node may serve the account any more, including the suspended one once it resumes.
     env.nodes[frozen].signal("CONT");
-    wait_for("the account is unknown at the woken node too", || {
+    wait_for("the resumed node rejects the account", || {
         let response = env.send_prompt(frozen, "anna", "still here?", 2);
-        assert!(!response.status().is_success(), "the old configuration came back");
+        assert!(!response.status().is_success(), "the resumed node admitted a removed account");
         let body: Value = response.json().expect("JSON");
         assert_eq!(execution_of(&body), "not_run");
         (body["error"]["code"] == "wrong_key").then_some(())
@@ -88,7 +92,7 @@
     let isolated = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != isolated).collect();
     env.isolate(isolated, &others);
-    wait_for("it turns not ready", || {
+    wait_for("the isolated node is not ready", || {
         let ready = env.client.get(format!("{}/health/ready", env.callers_url(isolated))).send();
         ready.is_ok_and(|response| response.status() == 503).then_some(())
     });
@@ -96,7 +100,11 @@
     assert!(refused.headers().contains_key("retry-after"));
     let body: Value = refused.json().expect("JSON");
     assert_eq!((execution_of(&body), &body["error"]["code"]), ("not_run", &json!("not_fresh")));
-    assert_eq!(config_number(&env, isolated), None, "it can't know the newest number");
+    assert_eq!(
+        config_number(&env, isolated),
+        None,
+        "an isolated node cannot know the newest number"
+    );
     let mut base = 1;
     for number in 0..20 {
         let answer = patch_until_answered(
@@ -109,7 +117,7 @@
         base = answer["number"].as_u64().expect("a number");
     }
     env.isolate(isolated, &[]);
-    wait_for("it is ready again", || {
+    wait_for("the node is ready again", || {
         let number = config_number(&env, isolated);
         assert!(number.is_none_or(|number| number == base), "an older number: {number:?}");
         let ready = env.client.get(format!("{}/health/ready", env.callers_url(isolated))).send();
@@ -137,11 +145,11 @@
     }
     env.restart(stopped);
     env.wait_until_ready(stopped);
-    wait_for("its replica has caught up", || {
+    wait_for("the replica has caught up", || {
         (env.status(stopped)["replica"]["number"].as_u64() == Some(base)).then_some(())
     });
     let again = patch_until_answered(&env, &[stopped], 1, "p0", &priority_patch(0));
-    assert_eq!(again["number"], 2, "a resend gets the first answer, hundreds of numbers later");
+    assert_eq!(again["number"], 2, "a resend gets the first response after hundreds of changes");
 }
 
 #[test]
@@ -164,10 +172,10 @@
     let log = env.folder.path().join(format!("data-{}/log", damaged + 1));
     let length = std::fs::metadata(&log).expect("the log").len();
     let file = std::fs::OpenOptions::new().write(true).open(&log).expect("the log");
-    file.set_len(length * 2 / 3 + 1).expect("cut");
+    file.set_len(length * 2 / 3 + 1).expect("the log can be truncated");
     env.restart(damaged);
     env.wait_until_ready(damaged);
-    wait_for("it has caught up and counts again", || {
+    wait_for("the replica has caught up and ended its recovery", || {
         let replica = env.status(damaged)["replica"].clone();
         let caught_up = replica["number"].as_u64() == Some(base) && replica["recovering"] == false;
         caught_up.then_some(())
@@ -180,7 +188,8 @@
     let full = (env.leader() + 1) % 3;
     let others: Vec<usize> = (0..3).filter(|node| *node != full).collect();
     env.nodes[full].kill();
-    // Files may not grow beyond what they are: the shell hands the limit on.
+    // The process inherits the shell's limit on the size of files; with SIGXFSZ ignored, writes
+    // beyond it fail.
     let script = "trap '' XFSZ; ulimit -f 2; exec \"$0\" serve --settings \"$1\"";
     let mut child = Command::new("sh")
         .args([
@@ -198,7 +207,7 @@
     env.nodes[full] = Process::from_ready_line(child, &line);
     env.wait_until_ready(full);
     let mut base = 1;
-    wait_for("its disk is full", || {
+    wait_for("the replica has stopped", || {
         let id = format!("p{base}");
         let padding = "x".repeat(500);
         let patch = json!({"kinds": {padding: {"priority": 1}}});
@@ -207,28 +216,28 @@
         (env.status(full)["replica"]["stopped"] == true).then_some(())
     });
     let answer = patch_until_answered(&env, &others, base, "after", &priority_patch(2));
-    assert_eq!(answer["number"].as_u64(), Some(base + 1), "the others go on");
+    assert_eq!(answer["number"].as_u64(), Some(base + 1), "the other replicas accept patches");
     assert!(
         env.send_prompt(full, "anna", "still serving?", 2).status().is_success(),
-        "as a node it serves"
+        "the node still answers prompts"
     );
 }
 
 #[test]
 fn a_node_whose_relay_dies_stays_ready() {
     let mut env = TestEnv::start(TestEnvOptions { nodes: 4, ..TestEnvOptions::default() });
-    // Nodes 0 and 3 share a failure domain, and 0 is the relay. It must not lead the log, else
-    // this would be a test of the election.
+    // Nodes 0 and 3 share a failure domain, and node 0 is its relay. It must not lead the log,
+    // or its death would also cause an election.
     while env.leader() == 0 {
         env.nodes[0].kill();
-        wait_for("another one leads", || (env.status(1)["replica"]["leader"] != 1).then_some(()));
+        wait_for("another node leads", || (env.status(1)["replica"]["leader"] != 1).then_some(()));
         env.restart(0);
         env.wait_until_ready(0);
     }
     env.nodes[0].kill();
-    wait_for("the relay is taken for dead", || {
+    wait_for("the relay is declared dead", || {
         let ready = env.client.get(format!("{}/health/ready", env.callers_url(3))).send();
-        assert!(ready.is_ok_and(|response| response.status().is_success()), "it stays ready");
+        assert!(ready.is_ok_and(|response| response.status().is_success()), "the node stays ready");
         let live = env.status(3)["live"].as_array().expect("live nodes").clone();
         live.iter().all(|member| member["node"] != 1).then_some(())
     });
--- a/tests/process/requests.rs
+++ b/tests/process/requests.rs
@@ -1,4 +1,4 @@
-//! What callers get when targets fail, leave, or change, and when nodes die under a request.
+//! Requests while targets fail, leave or change weights, and while nodes stop or crash.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
@@ -13,12 +13,12 @@
 fn a_planned_stop_interrupts_no_request_in_progress() {
     let mut env = TestEnv::start(TestEnvOptions::default());
     let prompt = "a long diagnosis";
-    let response = env.prompt_request(0, "anna", prompt, 400, true).send().expect("an answer");
+    let response = env.prompt_request(0, "anna", prompt, 400, true).send().expect("a response");
     let mut lines = BufReader::new(response).lines();
-    lines.next().expect("a first chunk").expect("it can be read");
+    lines.next().expect("a first chunk").expect("the stream can be read");
     env.nodes[0].signal("TERM");
     let ready = format!("{}/health/ready", env.callers_url(0));
-    wait_for("it turns not ready", || {
+    wait_for("the node is not ready", || {
         env.client.get(&ready).send().map_or(true, |r| r.status() == 503).then_some(())
     });
     let refused = env.prompt_request(0, "anna", "too late", 2, false).send();
@@ -29,8 +29,8 @@
             ("not_run", &json!("shutting_down"))
         );
     }
-    let rest: Vec<String> = lines.map(|line| line.expect("it can be read")).collect();
-    assert!(rest.iter().any(|line| line == "data: [DONE]"), "the answer is whole");
+    let rest: Vec<String> = lines.map(|line| line.expect("the stream can be read")).collect();
+    assert!(rest.iter().any(|line| line == "data: [DONE]"), "the stream is complete");
     assert_eq!(env.nodes[0].exit_code(), Some(0));
 }
 
@@ -38,31 +38,35 @@
 fn an_answer_is_completed_after_its_engine_crashes() {
     let env = TestEnv::start(TestEnvOptions::default());
     let prompt = "survive this";
-    // The deadline is for the first token; when the engine dies it has passed.
+    // The deadline applies to the first token only, and has passed when the engine crashes.
     let response = env
         .prompt_request(1, "bibek", prompt, 600, true)
         .header("x-kumquatpost-deadline-ms", "500")
         .send()
-        .expect("an answer");
+        .expect("a response");
     let mut lines = BufReader::new(response).lines();
     let mut answer = String::new();
     for line in lines.by_ref().take(2 * 300) {
-        append_content(&mut answer, &line.expect("it can be read"));
+        append_content(&mut answer, &line.expect("the stream can be read"));
     }
-    let running = wait_for("an engine runs it", || {
+    let running = wait_for("an engine runs the prompt", || {
         let status = env.status(1);
         let engines = status["engines"].as_array().expect("engines").clone();
         let busy = engines.iter().find(|engine| engine["running"].as_u64() > Some(0));
-        busy.map(|engine| engine["target"].as_str().expect("its name").to_string())
+        busy.map(|engine| engine["target"].as_str().expect("a target id").to_string())
     });
     env.set_fault(&running, json!("die"));
     for line in lines {
-        append_content(&mut answer, &line.expect("it can be read"));
+        append_content(&mut answer, &line.expect("the stream can be read"));
     }
-    assert_eq!(answer, expected_answer("bibek", prompt, 600), "one whole answer");
+    assert_eq!(
+        answer,
+        expected_answer("bibek", prompt, 600),
+        "the answer is complete and has no duplicate text"
+    );
 }
 
-/// Adds the text that a line of a stream carries.
+/// Appends the content of a line of an event stream, if it has any.
 fn append_content(text: &mut String, line: &str) {
     let Some(data) = line.strip_prefix("data: ") else { return };
     let Ok(chunk) = serde_json::from_str::<Value>(data) else { return };
@@ -92,7 +96,7 @@
             env.set_fault(target, json!({"set": {}}));
         }
     }
-    // With every engine crossing, there is no answer rather than a wrong one.
+    // If all engines send chunks of other requests, the caller gets an error.
     for target in ["engine-0", "engine-1", "engine-2"] {
         env.set_fault(target, json!({"set": {"crossed": true}}));
     }
@@ -105,68 +109,77 @@
 #[test]
 fn an_order_runs_at_most_once_despite_resends_and_crashes() {
     let mut env = TestEnv::start(TestEnvOptions::default());
-    // The answer is recorded: a resend at any node gets it again.
-    let first =
-        env.send_order(0, "anna", "order-1", "gear").expect("answered").text().expect("text");
+    // A resend at any node gets the recorded answer.
+    let first = env
+        .send_order(0, "anna", "order-1", "gear")
+        .expect("the node responds")
+        .text()
+        .expect("text");
     for node in 0..3 {
-        let again = env.send_order(node, "anna", "order-1", "gear").expect("answered");
+        let again = env.send_order(node, "anna", "order-1", "gear").expect("the node responds");
         assert!(again.status().is_success());
         assert_eq!(again.text().expect("text"), first);
     }
     assert_eq!(env.run_count("order-1"), 1);
-    let other = env.send_order(1, "anna", "order-1", "shaft").expect("answered");
-    assert_eq!(other.status(), 422, "the same id with other content");
+    let other = env.send_order(1, "anna", "order-1", "shaft").expect("the node responds");
+    assert_eq!(other.status(), 422, "a key cannot be reused with another body");
     assert_eq!(
-        env.send_order(1, "bibek", "order-1", "gear").expect("answered").status(),
+        env.send_order(1, "bibek", "order-1", "gear").expect("the node responds").status(),
         200,
-        "another account's"
+        "accounts have separate keys"
     );
-    assert_eq!(env.run_count("order-1"), 2, "once for each account");
+    assert_eq!(env.run_count("order-1"), 2, "one run per account");
 
-    // The call breaks off after it ran: unknown outcome, and never a second run.
+    // The connection breaks after the order has run: its outcome is unknown, so it is not retried.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"break_after_tokens": 0}}));
     }
-    let broken: Value =
-        env.send_order(0, "anna", "order-2", "gear").expect("answered").json().expect("JSON");
+    let broken: Value = env
+        .send_order(0, "anna", "order-2", "gear")
+        .expect("the node responds")
+        .json()
+        .expect("JSON");
     assert_eq!(execution_of(&broken), "may_have_run");
     for node in 0..3 {
-        let again = env.send_order(node, "anna", "order-2", "gear").expect("answered");
+        let again = env.send_order(node, "anna", "order-2", "gear").expect("the node responds");
         assert_eq!(again.status(), 409);
         assert_eq!(execution_of(&again.json().expect("JSON")), "may_have_run");
     }
     assert_eq!(env.run_count("order-2"), 1);
 
-    // Nothing takes it: provably not run, so a later resend runs it.
+    // All instances refuse the order: it has not run, so a resend may run it.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"refuse": true}}));
     }
-    let refused: Value =
-        env.send_order(0, "anna", "order-3", "gear").expect("answered").json().expect("JSON");
+    let refused: Value = env
+        .send_order(0, "anna", "order-3", "gear")
+        .expect("the node responds")
+        .json()
+        .expect("JSON");
     assert_eq!(execution_of(&refused), "not_run");
     assert_eq!(env.run_count("order-3"), 0);
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {}}));
     }
-    wait_for("the claim was given back", || {
+    wait_for("the claim is released", || {
         env.send_order(2, "anna", "order-3", "gear")
             .is_ok_and(|r| r.status().is_success())
             .then_some(())
     });
     assert_eq!(env.run_count("order-3"), 1);
 
-    // The node that holds the claim is killed while the call runs.
+    // The node that holds the claim is killed while the order runs.
     for target in ["order-0", "order-1"] {
         env.set_fault(target, json!({"set": {"delay_ms": 1500}}));
     }
     std::thread::scope(|scope| {
         let sender = scope.spawn(|| env.send_order(0, "anna", "order-4", "gear").is_ok());
-        wait_for("it runs", || (env.run_count("order-4") == 1).then_some(()));
+        wait_for("the order runs", || (env.run_count("order-4") == 1).then_some(()));
         env.nodes[0].signal("KILL");
         drop(sender.join());
     });
     env.nodes[0].kill();
-    let resent = wait_for("another node answers", || {
+    let resent = wait_for("another node responds", || {
         let response = env.send_order(1, "anna", "order-4", "gear").ok()?;
         (response.status() != 503).then_some(response)
     });
@@ -179,7 +192,7 @@
 fn a_leaving_target_gets_no_new_work_from_any_node() {
     let env = TestEnv::start(TestEnvOptions::default());
     env.set_fault("engine-1", json!("leave"));
-    wait_for("every node knows", || {
+    wait_for("all nodes know that the engine leaves", || {
         let knows = |node: usize| {
             let engines = env.status(node)["engines"].clone();
             let engines = engines.as_array().expect("engines").clone();
@@ -209,15 +222,17 @@
         assert_eq!(content, &json!(expected_answer("anna", prompt, 4)));
     };
     check(&ask(&history), &history);
-    wait_for("it is exported", || (env.ledger()["export_bytes"].as_u64() > Some(0)).then_some(()));
-    // All engines lose their caches; what the stores send is damaged.
+    wait_for("the prompt's blocks are exported", || {
+        (env.ledger()["export_bytes"].as_u64() > Some(0)).then_some(())
+    });
+    // The restart empties the caches of all engines, and the stores send damaged blocks.
     for target in ["store-0", "store-1"] {
         env.set_fault(target, json!({"set": {"damage": true}}));
     }
     for target in ["engine-0", "engine-1", "engine-2"] {
         env.set_fault(target, json!("restart"));
     }
-    wait_for("an import was tried and refused", || {
+    wait_for("an import has failed", || {
         let prompt = format!("{history} and now?");
         let response = env.send_prompt(0, "anna", &prompt, 4);
         if response.status().is_success() {
@@ -244,13 +259,13 @@
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
     let patch = json!({"models": {"mechanic": {"next_version": "v2"}}});
     patch_until_answered(&env, &others, 1, "roll", &patch);
-    wait_for("the first engines were ordered", || {
+    wait_for("an engine has received an order", || {
         let orders = env.ledger()["orders"].as_object().map_or(0, serde_json::Map::len);
         (orders > 0).then_some(())
     });
     env.nodes[leader].kill();
     let mut asked = 0;
-    wait_for("all engines were ordered", || {
+    wait_for("all engines have received orders", || {
         asked += 1;
         let response = env.send_prompt(others[asked % 2], "anna", &format!("meanwhile {asked}"), 2);
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
@@ -264,18 +279,19 @@
     }
 }
 
-/// A prompt whose answer goes on until its caller hangs up.
+/// Sends a prompt whose answer is streamed until the returned connection is closed.
 fn start_endless_prompt(env: &TestEnv, number: usize) -> TcpStream {
     let body = json!({"model": "mechanic", "max_tokens": 100_000, "stream": true,
                       "messages": [{"role": "user", "content": format!("endless {number}")}]});
     let body = body.to_string();
-    let mut caller = TcpStream::connect(env.nodes[0].ready_value("callers")).expect("it listens");
+    let mut caller =
+        TcpStream::connect(env.nodes[0].ready_value("callers")).expect("the node listens");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nHost: node\r\nAuthorization: Bearer key-of-bibek\r\n\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    caller.write_all(format!("{head}{body}").as_bytes()).expect("it reads");
+    caller.write_all(format!("{head}{body}").as_bytes()).expect("the node reads the request");
     caller
 }
 
@@ -288,21 +304,22 @@
     });
     options.emulator["engines"] = json!(engines);
     let env = TestEnv::start(options);
-    // Both engines' places, which are twice their batches, are taken until these callers hang up.
+    // Each engine admits twice its batch size of 1; these prompts occupy both until their
+    // connections are closed.
     let busy: Vec<TcpStream> = (0..4).map(|n| start_endless_prompt(&env, n)).collect();
-    wait_for("all places are taken", || (env.status(0)["running"] == 4).then_some(()));
+    wait_for("the engines are full", || (env.status(0)["running"] == 4).then_some(()));
     let asked = std::thread::scope(|scope| {
         let asking =
             scope.spawn(|| env.send_prompt(0, "anna", "asked under the weights of before", 2));
-        wait_for("it waits for a place", || (env.status(0)["waiting"] == 1).then_some(()));
+        wait_for("the prompt is queued", || (env.status(0)["waiting"] == 1).then_some(()));
         let patch = json!({"models": {"mechanic": {"next_version": "v2"}}});
         patch_until_answered(&env, &[0], 1, "roll", &patch);
-        wait_for("both engines run other weights", || {
+        wait_for("both engines have loaded the new weights", || {
             (env.status(0)["engines"].as_array()?.iter().all(|engine| engine["weights"] == "v2"))
                 .then_some(())
         });
         drop(busy);
-        asking.join().expect("it ends")
+        asking.join().expect("the thread does not panic")
     });
     let status = asked.status();
     assert!(status.is_success(), "{status}: {}", asked.text().unwrap_or_default());
@@ -321,7 +338,7 @@
             .header("idempotency-key", id)
             .header("x-kumquatpost-deadline-ms", deadline_ms)
             .send()
-            .expect("answered")
+            .expect("the node responds")
     };
     let refused = prompt(&"word ".repeat(1_000), "late", "2000");
     assert_eq!(refused.status(), 503);
