--- a/tests/process/interface.rs
+++ b/tests/process/interface.rs
@@ -1,4 +1,4 @@
-//! The command line, settings, and the refusals of the callers' interface.
+//! Errors of the command line, of settings and of the callers' HTTP API.
 
 use serde_json::{Value, json};
 
@@ -86,7 +86,7 @@
         for (name, value) in case.headers {
             request = request.header(*name, *value);
         }
-        let response = request.body(case.body).send().expect("an answer");
+        let response = request.body(case.body).send().expect("a response");
         assert_eq!(response.status(), case.status, "{}", case.case_name);
         let body: Value = response.json().expect("JSON");
         assert_eq!(body["error"]["code"], case.code, "{}", case.case_name);
@@ -99,10 +99,10 @@
     }
     let models = env.client.get(format!("{}/v1/models", env.callers_url(0)));
     let models: Value =
-        models.bearer_auth("key-of-anna").send().expect("an answer").json().expect("JSON");
+        models.bearer_auth("key-of-anna").send().expect("a response").json().expect("JSON");
     assert_eq!(models["data"][0]["id"], "mechanic");
     let metrics =
-        env.client.get(format!("{}/metrics", env.callers_url(0))).send().expect("an answer");
+        env.client.get(format!("{}/metrics", env.callers_url(0))).send().expect("a response");
     assert!(metrics.text().expect("text").contains("kumquatpost_requests"));
 }
 
@@ -129,7 +129,7 @@
 
 #[test]
 fn all_settings_errors_are_reported_at_once() {
-    let folder = tempfile::TempDir::new().expect("a folder");
+    let folder = tempfile::TempDir::new().expect("a temporary folder");
     let file = folder.path().join("serve.json");
     let settings = json!({
         "node_id": 0, "regoin": "x", "failure_domain": "patan", "callers_address": "nowhere",
