--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -52,7 +52,7 @@
 /// No engine gets the prompt once all have had time to know it for what it is, but for a few tries.
 fn assert_known(site: &Site, when: &str) {
     let platform = site.platform.lock();
-    let ending = platform.account.ending.get(ENDING).expect("it has reached engines");
+    let ending = platform.observations.ending.get(ENDING).expect("it has reached engines");
     assert_eq!(ending.reached_too_often(KNOWN_WITHIN, |_| true), None, "{when}");
 }
 
@@ -108,7 +108,7 @@
     for number in 1_000..1_020 {
         assert_serves_another(&site, number).await;
     }
-    assert_eq!(site.platform.lock().account.violations, Vec::<String>::new());
+    assert_eq!(site.platform.lock().observations.violations, Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -179,7 +179,7 @@
     }
 
     fn violations(&self) -> Vec<String> {
-        self.platform.lock().account.violations.clone()
+        self.platform.lock().observations.violations.clone()
     }
 }
 
@@ -280,5 +280,5 @@
     site.serves_until(|site| have_named(site) == [Some(2); 2]).await;
     assert_eq!(have_named(&site), [Some(2); 2], "weights of the engines");
     assert_eq!(site.violations(), Vec::<String>::new());
-    assert_eq!(nobody_knows.lock().account.violations, Vec::<String>::new());
+    assert_eq!(nobody_knows.lock().observations.violations, Vec::<String>::new());
 }
--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -45,8 +45,8 @@
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each was told once");
-    assert_eq!(inner.account.violations, Vec::<String>::new());
+    assert_eq!(inner.observations.orders, ENGINES as u64, "each was told once");
+    assert_eq!(inner.observations.violations, Vec::<String>::new());
 }
 
 /// The weights that a replica tells an entry of first, with the time since they were named.
@@ -119,6 +119,6 @@
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each has loaded once");
-    assert_eq!(inner.account.violations, Vec::<String>::new());
+    assert_eq!(inner.observations.orders, ENGINES as u64, "each has loaded once");
+    assert_eq!(inner.observations.violations, Vec::<String>::new());
 }
--- a/tests/platform_stand_in/job.rs
+++ b/tests/platform_stand_in/job.rs
@@ -7,8 +7,8 @@
 use futures::StreamExt;
 
 use super::Platform;
-use super::account::RunEnd;
 use super::http::{self, Answer};
+use super::observations::RunEnd;
 use super::store::{PartName, clock_ms};
 use super::target::EVENT_EVERY;
 
@@ -56,7 +56,7 @@
 
 impl Job {
     pub fn end(&self, end: RunEnd) {
-        self.platform.lock().account.ended(&self.request, &self.stamp, end);
+        self.platform.lock().observations.ended(&self.request, &self.stamp, end);
     }
 
     pub fn stamped(&self, mut answer: Answer) -> Answer {
@@ -103,7 +103,7 @@
             // What is missing is read again. What is there but not whole must not be asked for.
             if inner.store.is_partial(part) {
                 let what = format!("{} takes {part:?}, which is not whole {when}", self.request);
-                inner.account.violation(what);
+                inner.observations.violation(what);
             }
         }
         inner.store.fetched += 1;
--- a/tests/platform_stand_in/list.rs
+++ b/tests/platform_stand_in/list.rs
@@ -112,7 +112,7 @@
             let platform = platform.clone();
             async move {
                 let what = format!("an entry of another writer gets {}", request.uri());
-                platform.lock().account.violation(what);
+                platform.lock().observations.violation(what);
                 http::status(404)
             }
         })
--- a/tests/platform_stand_in/mod.rs
+++ b/tests/platform_stand_in/mod.rs
@@ -2,10 +2,10 @@
 //! and a store of kept KV cache. They keep account of what reaches them, and of what must never
 //! happen.
 
-pub mod account;
 pub mod http;
 pub mod job;
 pub mod list;
+pub mod observations;
 pub mod starts;
 pub mod store;
 pub mod target;
@@ -14,8 +14,8 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use account::Account;
 use list::List;
+use observations::Observations;
 use store::Store;
 use target::Target;
 
@@ -34,7 +34,7 @@
     /// nothing.
     pub engine_addresses: BTreeSet<SocketAddr>,
     /// What has reached them.
-    pub account: Account,
+    pub observations: Observations,
     /// The store of kept KV cache.
     pub store: Store,
     /// The newest version of the model's weights that was named, which new engines have.
--- a/tests/platform_stand_in/account.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -40,7 +40,7 @@
 
 /// The account.
 #[derive(Default)]
-pub struct Account {
+pub struct Observations {
     /// Runs of each request, by its id.
     pub runs: HashMap<String, Vec<Run>>,
     /// What must never happen and did.
@@ -132,7 +132,7 @@
 /// A leaving target gets no new requests after this time whatever is wrong.
 const LEAVES_AT_LAST: Duration = Duration::from_secs(8);
 
-impl Account {
+impl Observations {
     /// Records something that must never happen.
     pub fn violation(&mut self, what: String) {
         self.violations.push(what);
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -9,10 +9,10 @@
 use serde_json::{Value, json};
 use tokio::task::AbortHandle;
 
-use super::account::{Run, RunEnd};
 use super::http::{self, Answer, header};
 use super::job::Job;
 pub use super::job::{event_of, text_of};
+use super::observations::{Run, RunEnd};
 use super::starts::Restart;
 use super::store::{PartName, clock_ms};
 use super::{Inner, Platform};
@@ -265,7 +265,7 @@
     fn end_under(&self, job: &Job, body: &[u8]) {
         let (id, start) = (job.target.clone(), job.start);
         let body = String::from_utf8_lossy(body).into_owned();
-        self.lock().account.reached(&body);
+        self.lock().observations.reached(&body);
         let platform = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(EVENT_EVERY / 2).await;
@@ -274,7 +274,7 @@
                 if !inner.runs(&id, start) {
                     return;
                 }
-                inner.account.ended_under(&body);
+                inner.observations.ended_under(&body);
                 inner.targets.get(&id).map(|target| (target.address, target.listed_address))
             };
             let Some((address, listed_address)) = addresses else { return };
@@ -362,7 +362,7 @@
         let is_settled = !is_late && target.started_at.elapsed() > ORDER_UNDER_WAY;
         if count.is_none_or(|count| is_settled && count > target.orders) {
             let what = format!("start {} of {id} gets an order after {count:?}", target.start);
-            self.account.violation(format!("{what} orders, it has taken {}", target.orders));
+            self.observations.violation(format!("{what} orders, it has taken {}", target.orders));
         }
         if fence < target.fence {
             return 412;
@@ -377,7 +377,7 @@
         target.orders += 1;
         target.loading = version;
         target.forget_parts();
-        self.account.orders += 1;
+        self.observations.orders += 1;
         202
     }
 
@@ -417,13 +417,13 @@
         target.running += 1;
         target.begun += 1;
         if let Some(from) = target.leaves_from {
-            self.account.reaches_leaving(&name, id, from);
+            self.observations.reaches_leaving(&name, id, from);
         }
         if let Some(weights) = weights {
-            self.account.begins_on(&name, id, weights);
+            self.observations.begins_on(&name, id, weights);
         }
         if request.headers().contains_key("authorization") {
-            self.account.violation(format!("{name} brings its caller's key to {id}"));
+            self.observations.violation(format!("{name} brings its caller's key to {id}"));
         }
         let tenant = text("x-tenant");
         let parts = parts_of(&text("x-cache-salt"), &text("x-prompt-prefix"));
@@ -453,9 +453,9 @@
             let kept = kept.map(|(reader, _)| reader.clone());
             self.check_reader(&name, kept, &reader);
         }
-        let stamp = self.account.next_stamp();
+        let stamp = self.observations.next_stamp();
         let made = number("last-event-id").unwrap_or(0);
-        self.account.began(
+        self.observations.began(
             &name,
             Run {
                 target: id.to_string(),
@@ -506,11 +506,12 @@
     fn check_reader(&mut self, name: &str, kept: Option<Reader>, user: &Reader) {
         let Some(kept) = kept else { return };
         if kept.weights != user.weights {
-            self.account.violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
+            self.observations
+                .violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
         }
         let is_walled = [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED);
         if is_walled && kept.tenant != user.tenant {
-            self.account.violation(format!("{name} of {user:?} uses what {kept:?} made"));
+            self.observations.violation(format!("{name} of {user:?} uses what {kept:?} made"));
         }
     }
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -15,7 +15,7 @@
 
 use crate::World;
 use crate::ending::HELD;
-use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
+use crate::platform_stand_in::observations::{REPEATABLE, RESUMABLE};
 use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
 use crate::system::Disturbance;
 
@@ -281,7 +281,7 @@
             self.violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
         let platform = self.world.platform.lock();
-        let runs = platform.account.runs_of(&self.request).to_vec();
+        let runs = platform.observations.runs_of(&self.request).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
             self.violation(format!("a success with {stamp:?}, its runs are {runs:?}"));
@@ -311,7 +311,7 @@
         let is_planned = done.iter().all(|what| *what != Disturbance::Unplanned);
         // A connection that is closed just when a request is sent on it has not read it.
         let platform = self.world.platform.lock();
-        let runs = platform.account.runs_of(&self.request);
+        let runs = platform.observations.runs_of(&self.request);
         // A target that ended may have broken off before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -60,8 +60,8 @@
 /// How ids of requests begin that may run more than once.
 fn prefix_of(path: &str) -> &'static str {
     match path {
-        "/resumable/" => crate::platform_stand_in::account::RESUMABLE,
-        "/safe/" => crate::platform_stand_in::account::REPEATABLE,
+        "/resumable/" => crate::platform_stand_in::observations::RESUMABLE,
+        "/safe/" => crate::platform_stand_in::observations::REPEATABLE,
         _ => "once-",
     }
 }
@@ -107,7 +107,7 @@
     if held * HELD_ONE_IN > sent {
         world.violation(format!("{held} of {sent} held, though no target ends under them"));
     }
-    let ending = world.platform.lock().account.ending.clone();
+    let ending = world.platform.lock().observations.ending.clone();
     let counts = |at: Instant| !world.was_harmed(at - IN_TOUCH_AFTER, at);
     for (body, ending) in ending {
         if let Some(what) = ending.reached_too_often(KNOWN_WITHIN, counts) {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -28,7 +28,7 @@
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
-use platform_stand_in::account::{Late, Promise, RunEnd};
+use platform_stand_in::observations::{Late, Promise, RunEnd};
 use platform_stand_in::target::Fault;
 use proxy::Proxy;
 use system::{Disturbance, REPLICAS, System};
@@ -135,7 +135,7 @@
         for claim in self.claims.lock().expect("nobody panics with it").drain(..) {
             match claim {
                 Claim::NotRun(request) => {
-                    let runs = self.platform.lock().account.runs_of(&request).to_vec();
+                    let runs = self.platform.lock().observations.runs_of(&request).to_vec();
                     if !runs.is_empty() {
                         self.violation(format!("{request} was said not to have run: {runs:?}"));
                     }
@@ -150,7 +150,7 @@
         if self.was_harmed(at, at + LEAVING_TAKES) || done.contains(&Disturbance::Unplanned) {
             return;
         }
-        for run in self.platform.lock().account.runs_of(request) {
+        for run in self.platform.lock().observations.runs_of(request) {
             let worked_on = match run.end {
                 RunEnd::Whole => continue,
                 RunEnd::Left(end) => end.saturating_duration_since(at),
@@ -168,18 +168,19 @@
     /// What came latest while nothing was wrong, if later than a deployment allows.
     fn latest(&self, promise: Promise) -> Option<Late> {
         let platform = self.platform.lock();
-        let late = platform.account.late.iter().filter(|late| late.promise == promise);
+        let late = platform.observations.late.iter().filter(|late| late.promise == promise);
         let calm = late.filter(|late| !self.was_harmed(late.from, late.to));
         calm.max_by_key(|late| late.late).cloned()
     }
 
     fn check_repeats(&self) {
         let platform = self.platform.lock();
-        let repeats: usize = platform.account.runs.values().map(|runs| runs.len() - 1).sum();
+        let repeats: usize = platform.observations.runs.values().map(|runs| runs.len() - 1).sum();
         let (ratio, slack) = REPEATS;
-        let most = platform.account.runs.len() as f64 * ratio + slack;
-        let mut violations = platform.account.violations.clone();
-        let late = platform.account.late.iter().filter(|late| late.late > late.promise.allowed());
+        let most = platform.observations.runs.len() as f64 * ratio + slack;
+        let mut violations = platform.observations.violations.clone();
+        let late =
+            platform.observations.late.iter().filter(|late| late.late > late.promise.allowed());
         let wrong = late.filter(|late| !self.was_harmed(late.from, late.to));
         violations.extend(wrong.map(|late| late.what.clone()));
         drop(platform);
@@ -260,13 +261,13 @@
         of(&world.tally.failed),
         faults.count,
         platform.targets.values().map(|target| target.start - 1).sum::<u64>(),
-        platform.account.orders,
+        platform.observations.orders,
         platform.store.freed,
         platform.store.fetched,
         of(&world.judged),
         of(&world.finals),
-        platform.account.ending.len(),
-        platform.account.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
+        platform.observations.ending.len(),
+        platform.observations.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
         of(&world.tally.held),
         begun.elapsed().as_secs(),
     )
