--- a/tests/platform_stand_in/job.rs
+++ b/tests/platform_stand_in/job.rs
@@ -10,10 +10,10 @@
 use super::http::{self, Answer};
 use super::observations::RunEnd;
 use super::store::{PartName, clock_ms};
-use super::target::EVENT_EVERY;
+use super::target::EVENT_INTERVAL;
 
 /// How long a save or a fetch takes.
-const TRANSFER_TAKES: Duration = Duration::from_millis(5);
+const TRANSFER_TIME: Duration = Duration::from_millis(5);
 
 /// The whole answer of a plain request.
 pub fn text_of(request: &str) -> String {
@@ -78,7 +78,7 @@
     pub async fn fetch(&self) {
         if !self.fetches.is_empty() {
             self.check_fetches("at its begin");
-            tokio::time::sleep(TRANSFER_TAKES).await;
+            tokio::time::sleep(TRANSFER_TIME).await;
             if clock_ms() <= self.until_ms {
                 self.check_fetches("at its end");
             }
@@ -88,7 +88,7 @@
         if !saves.is_empty() {
             tokio::spawn(async move {
                 let epoch = platform.lock().store.epoch;
-                tokio::time::sleep(TRANSFER_TAKES).await;
+                tokio::time::sleep(TRANSFER_TIME).await;
                 let mut inner = platform.lock();
                 if inner.store.epoch == epoch && inner.runs(&target, start) {
                     saves.iter().for_each(|part| inner.store.end_save(part));
@@ -118,7 +118,7 @@
                 job.end(RunEnd::Whole);
                 return None;
             }
-            tokio::time::sleep(EVENT_EVERY).await;
+            tokio::time::sleep(EVENT_INTERVAL).await;
             if made >= breaks_at {
                 let broken = std::io::Error::other("it breaks off");
                 return Some((Err(broken), (job, all)));
--- a/tests/platform_stand_in/list.rs
+++ b/tests/platform_stand_in/list.rs
@@ -13,7 +13,7 @@
 /// How late the list shows a change.
 pub const LIST_LAG: Duration = Duration::from_millis(200);
 /// What tokens of pages begin with.
-const TOKEN: &str = "p-";
+const PAGE_TOKEN_PREFIX: &str = "p-";
 
 /// The list, and what is wrong with it.
 #[derive(Default)]
@@ -139,7 +139,8 @@
         }
         let entries = shown.and(list.shown.first()).map_or(&[][..], |(_, entries)| entries);
         let token = request.uri().query().and_then(|query| query.split("PageToken=").nth(1));
-        let begun = token.and_then(|token| token.strip_prefix(TOKEN)?.parse::<usize>().ok());
+        let begun =
+            token.and_then(|token| token.strip_prefix(PAGE_TOKEN_PREFIX)?.parse::<usize>().ok());
         let first = begun.map_or(0, |begun| begun.saturating_add_signed(list.shift));
         let first = first.min(entries.len());
         let last = match list.page_entries {
@@ -147,7 +148,7 @@
             // Pages go on even where entries move by a whole page.
             size => (first + size).max(begun.map_or(0, |begun| begun + 1)).min(entries.len()),
         };
-        let next = (last < entries.len()).then(|| format!("{TOKEN}{last}"));
+        let next = (last < entries.len()).then(|| format!("{PAGE_TOKEN_PREFIX}{last}"));
         let entries = entries[first..last].join(&b","[..]);
         let end = format!("],\"NextToken\":{}}}", json!(next));
         http::with_body(200, [b"{\"Instances\":[".to_vec(), entries, end.into_bytes()].concat())
--- a/tests/platform_stand_in/observations.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 /// Requests whose ids begin so may run more than once.
-pub const REPEATABLE: &str = "safe-";
+pub const REPEATABLE_ID_PREFIX: &str = "safe-";
 /// Streams whose ids begin so may go on at another target.
-pub const RESUMABLE: &str = "resumable-";
+pub const RESUMABLE_ID_PREFIX: &str = "resumable-";
 
 /// One run of a request at a target.
 #[derive(Clone, Debug)]
@@ -66,9 +66,9 @@
 }
 
 /// Targets may end under one request until it is known for what it is.
-const ENDS_ALLOWED: usize = 3;
+const MAX_CRASHES_BEFORE_HOLD: usize = 3;
 /// It may reach so many more after that and the time until all hosts know.
-const REACHED_AFTER: usize = 3;
+const MAX_LATE_SENDS: usize = 3;
 
 impl Ending {
     /// What is wrong, if it reached targets too often once all had this time to know it for what it is, and
@@ -78,11 +78,11 @@
         known_within: Duration,
         counts: impl Fn(Instant) -> bool,
     ) -> Option<String> {
-        let known = *self.ended.get(ENDS_ALLOWED - 1)? + known_within;
+        let known = *self.ended.get(MAX_CRASHES_BEFORE_HOLD - 1)? + known_within;
         let late = self.reached.iter().filter(|at| **at > known && counts(**at)).count();
         let ended = self.ended.len();
         let what = || format!("sent {late} times more, {ended} targets ended in all");
-        (late > REACHED_AFTER).then(what)
+        (late > MAX_LATE_SENDS).then(what)
     }
 }
 
@@ -130,7 +130,7 @@
 }
 
 /// A leaving target gets no new requests after this time whatever is wrong.
-const LEAVES_AT_LAST: Duration = Duration::from_secs(8);
+const LEAVING_HARD_LIMIT: Duration = Duration::from_secs(8);
 
 impl Observations {
     /// Records something that must never happen.
@@ -143,7 +143,7 @@
         let late = from.elapsed();
         let what = format!("{request} reaches {target} {late:?} after it began to leave");
         match late {
-            late if late > LEAVES_AT_LAST => self.violations.push(what),
+            late if late > LEAVING_HARD_LIMIT => self.violations.push(what),
             late => self.came_late(Promise::Leaving, what, late),
         }
     }
@@ -187,7 +187,8 @@
     /// Records that a run began.
     pub fn began(&mut self, request: &str, run: Run) {
         let runs = self.runs.entry(request.to_string()).or_default();
-        let may_repeat = request.starts_with(REPEATABLE) || request.starts_with(RESUMABLE);
+        let may_repeat =
+            request.starts_with(REPEATABLE_ID_PREFIX) || request.starts_with(RESUMABLE_ID_PREFIX);
         if !may_repeat && !runs.is_empty() {
             self.violations.push(format!("{request} runs again: {runs:?}, then {run:?}"));
         }
--- a/tests/platform_stand_in/starts.rs
+++ b/tests/platform_stand_in/starts.rs
@@ -11,7 +11,7 @@
 use super::{Inner, Platform, http};
 
 /// How long it may take until the address of a target that has ended is free.
-const FREES_WITHIN: Duration = Duration::from_secs(5);
+const ADDRESS_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How a target starts again under its id.
 #[derive(Clone, Copy, Debug)]
@@ -90,7 +90,7 @@
         let begun = Instant::now();
         while restart.at.port() != 0
             && std::net::TcpListener::bind(restart.at).is_err()
-            && begun.elapsed() < FREES_WITHIN
+            && begun.elapsed() < ADDRESS_RELEASE_TIMEOUT
         {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
--- a/tests/platform_stand_in/store.rs
+++ b/tests/platform_stand_in/store.rs
@@ -14,7 +14,7 @@
 pub type PartName = (String, String);
 
 /// Events that are kept.
-const EVENTS: usize = 2_000;
+const MAX_EVENTS: usize = 2_000;
 
 /// The store's contents.
 #[derive(Default)]
@@ -79,7 +79,7 @@
         let number = self.next_event;
         self.next_event += 1;
         self.events.push_back((number, json!([number, sign, part.0, part.1, tokens, "m"])));
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -18,18 +18,18 @@
 use super::{Inner, Platform};
 
 /// Time between two events of a stream.
-pub(super) const EVENT_EVERY: Duration = Duration::from_millis(8);
+pub(super) const EVENT_INTERVAL: Duration = Duration::from_millis(8);
 /// How long a load of weights takes.
-const LOAD_TAKES: Duration = Duration::from_millis(300);
+const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(300);
 /// How often it is looked whether orders are still held.
-const HELD_LOOK_EVERY: Duration = Duration::from_millis(10);
+const HELD_ORDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How late an order that gets no answer is carried out.
-const ORDER_LATE: Duration = Duration::from_millis(1_500);
+const LATE_ORDER_DELAY: Duration = Duration::from_millis(1_500);
 /// An order may rest on a report of an earlier start for this long: it was under way, on a busy
 /// machine.
-const ORDER_UNDER_WAY: Duration = Duration::from_secs(4);
+const OUTDATED_REPORT_GRACE: Duration = Duration::from_secs(4);
 /// Events about parts that a target keeps.
-const EVENTS: usize = 2_000;
+const MAX_EVENTS: usize = 2_000;
 
 /// One start of a target.
 pub struct Target {
@@ -108,12 +108,12 @@
 type Named = ((PartName, u64), SocketAddr);
 
 /// A target that begins to run a request with a body that begins so ends, and starts again after a while.
-pub const ENDS_TARGETS: &[u8] = b"ends its target";
+pub const CRASHING_BODY_PREFIX: &[u8] = b"ends its target";
 /// How long it is down then.
-const DOWN_AFTER_END: Duration = Duration::from_millis(1_200);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_200);
 
 /// Accounts that share nothing with others.
-pub const ISOLATED: &str = "walled";
+pub const ISOLATED_ACCOUNT: &str = "walled";
 
 impl Target {
     /// A target that has just started.
@@ -181,7 +181,7 @@
         let event = json!([self.next_event, sign, part.0, part.1, tokens, "m"]);
         self.events.push_back(event);
         self.next_event += 1;
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
@@ -242,7 +242,7 @@
                 let (platform, id) = (self.clone(), id.to_string());
                 if fault == Some(Fault::LateOrders) {
                     tokio::spawn(async move {
-                        tokio::time::sleep(ORDER_LATE).await;
+                        tokio::time::sleep(LATE_ORDER_DELAY).await;
                         platform.order(&id, expected.as_deref(), &order, true)
                     });
                     return std::future::pending().await;
@@ -251,7 +251,7 @@
                 let carried_out = tokio::spawn(async move {
                     let is_held = platform.lock().holds_orders;
                     while platform.lock().holds_orders {
-                        tokio::time::sleep(HELD_LOOK_EVERY).await;
+                        tokio::time::sleep(HELD_ORDER_POLL_INTERVAL).await;
                     }
                     platform.order(&id, expected.as_deref(), &order, is_held)
                 });
@@ -268,7 +268,7 @@
         self.lock().observations.reached(&body);
         let platform = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(EVENT_EVERY / 2).await;
+            tokio::time::sleep(EVENT_INTERVAL / 2).await;
             let addresses = {
                 let mut inner = platform.lock();
                 if !inner.runs(&id, start) {
@@ -278,7 +278,7 @@
                 inner.targets.get(&id).map(|target| (target.address, target.listed_address))
             };
             let Some((address, listed_address)) = addresses else { return };
-            let (down, listed_address) = (DOWN_AFTER_END, Some(listed_address));
+            let (down, listed_address) = (CRASH_DOWNTIME, Some(listed_address));
             let restart = Restart { down, listed_address, ..Restart::at(address) };
             platform.restart_target(&id, restart).await;
         });
@@ -292,7 +292,7 @@
         if status == 202 {
             let (platform, id) = (self.clone(), id.to_string());
             tokio::spawn(async move {
-                tokio::time::sleep(LOAD_TAKES).await;
+                tokio::time::sleep(WEIGHT_LOAD_TIME).await;
                 platform.lock().loaded(&id, start);
             });
         }
@@ -311,7 +311,7 @@
             return http::status(400);
         };
         job.fetch().await;
-        if body.starts_with(ENDS_TARGETS) {
+        if body.starts_with(CRASHING_BODY_PREFIX) {
             self.end_under(&job, &body);
             return match job.is_stream {
                 true => job.into_events(false),
@@ -326,7 +326,7 @@
             }
             _ if job.is_stream => job.into_events(fault == Fault::BreaksOff),
             _ => {
-                tokio::time::sleep(EVENT_EVERY).await;
+                tokio::time::sleep(EVENT_INTERVAL).await;
                 job.end(RunEnd::Whole);
                 let mut answer = job.stamped(http::with_body(200, text_of(&job.request)));
                 if fault == Fault::Crosses {
@@ -359,7 +359,7 @@
             return 400;
         }
         let count = order["Precondition"].as_u64();
-        let is_settled = !is_late && target.started_at.elapsed() > ORDER_UNDER_WAY;
+        let is_settled = !is_late && target.started_at.elapsed() > OUTDATED_REPORT_GRACE;
         if count.is_none_or(|count| is_settled && count > target.orders) {
             let what = format!("start {} of {id} gets an order after {count:?}", target.start);
             self.observations.violation(format!("{what} orders, it has taken {}", target.orders));
@@ -509,7 +509,8 @@
             self.observations
                 .violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
         }
-        let is_walled = [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED);
+        let is_walled =
+            [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED_ACCOUNT);
         if is_walled && kept.tenant != user.tenant {
             self.observations.violation(format!("{name} of {user:?} uses what {kept:?} made"));
         }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -15,8 +15,8 @@
 
 use crate::World;
 use crate::ending::HELD;
-use crate::platform_stand_in::observations::{REPEATABLE, RESUMABLE};
-use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
+use crate::platform_stand_in::observations::{REPEATABLE_ID_PREFIX, RESUMABLE_ID_PREFIX};
+use crate::platform_stand_in::target::{ISOLATED_ACCOUNT, event_of, text_of};
 use crate::system::Disturbance;
 
 /// How long a caller waits.
@@ -29,7 +29,7 @@
 const BEFORE_A_STOP: Duration = Duration::from_secs(1);
 /// Accounts that callers belong to, with their keys.
 pub const ACCOUNTS: [(&str, &str); 3] =
-    [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED, "key-walled")];
+    [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED_ACCOUNT, "key-walled")];
 /// Contexts that prompts share.
 const CONTEXTS: u32 = 40;
 
@@ -75,9 +75,9 @@
     fn prefix(self) -> &'static str {
         match self {
             Kind::Unsafe => "unsafe-",
-            Kind::Safe => REPEATABLE,
+            Kind::Safe => REPEATABLE_ID_PREFIX,
             Kind::Stream => "stream-",
-            Kind::Resumable => RESUMABLE,
+            Kind::Resumable => RESUMABLE_ID_PREFIX,
         }
     }
 
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -13,7 +13,7 @@
 
 use crate::World;
 use crate::callers::{ACCOUNTS, open};
-use crate::platform_stand_in::target::ENDS_TARGETS;
+use crate::platform_stand_in::target::CRASHING_BODY_PREFIX;
 
 /// What entries say to those that are held.
 pub const HELD: &[u8] = b"targets have ended under this request";
@@ -60,8 +60,8 @@
 /// How ids of requests begin that may run more than once.
 fn prefix_of(path: &str) -> &'static str {
     match path {
-        "/resumable/" => crate::platform_stand_in::observations::RESUMABLE,
-        "/safe/" => crate::platform_stand_in::observations::REPEATABLE,
+        "/resumable/" => crate::platform_stand_in::observations::RESUMABLE_ID_PREFIX,
+        "/safe/" => crate::platform_stand_in::observations::REPEATABLE_ID_PREFIX,
         _ => "once-",
     }
 }
@@ -79,7 +79,7 @@
         system.callers(random.random_range(0..system.entries()))
     };
     let mut connection = open(address).await?;
-    let mut body = ENDS_TARGETS.to_vec();
+    let mut body = CRASHING_BODY_PREFIX.to_vec();
     body.extend_from_slice(format!(" {number}").as_bytes());
     let mut head = Request::builder()
         .method("POST")
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -48,7 +48,7 @@
     let mut tenants: Vec<Value> = ACCOUNTS
         .iter()
         .map(|(name, key)| {
-            let isolated = *name == crate::platform_stand_in::target::ISOLATED;
+            let isolated = *name == crate::platform_stand_in::target::ISOLATED_ACCOUNT;
             json!({"Name": name, "ApiKeys": [key], "Isolated": isolated})
         })
         .collect();
