--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -7,10 +7,10 @@
 use serde_json::{Value, json};
 
 use crate::platform_stand_in::Platform;
-use crate::platform_stand_in::list::{FOREIGN, Foreign};
+use crate::platform_stand_in::list::{FOREIGN_ENTRIES, ForeignEntry};
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
-use crate::platform_stand_in::target::event_of;
+use crate::platform_stand_in::target::expected_event;
 use crate::processes::{REPLICAS, System};
 
 /// Longest wait for what must happen: many times what it takes, for busy machines.
@@ -185,7 +185,7 @@
 
 /// What is right of a stream: its events in order, each once, and whole only if they are all there.
 fn assert_not_spliced(id: &str, got: &Got) {
-    let expected: String = (1..=LONG_STREAM).map(|number| event_of(id, number)).collect();
+    let expected: String = (1..=LONG_STREAM).map(|number| expected_event(id, number)).collect();
     assert!(expected.starts_with(&got.body), "{id} got {:?}", got.body);
     let is_refused = got.status != 200 && got.body.is_empty();
     assert!(is_refused || !got.is_whole || got.body == expected, "{id} looks whole: {}", got.body);
@@ -264,12 +264,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn entries_of_other_writers_take_no_other_entry_away_and_get_no_request() {
     let nobody_knows = Platform::new();
-    let nobody = nobody_knows.serve_nobody(any_address()).await;
+    let nobody = nobody_knows.serve_unused_address(any_address()).await;
     let foreign =
-        |(number, kind): (usize, &Foreign)| kind.entry(&format!("i-foreign-{number}"), nobody);
-    let mut entries: Vec<Vec<u8>> = FOREIGN.iter().enumerate().map(foreign).collect();
+        |(number, kind): (usize, &ForeignEntry)| kind.entry(&format!("i-foreign-{number}"), nobody);
+    let mut entries: Vec<Vec<u8>> = FOREIGN_ENTRIES.iter().enumerate().map(foreign).collect();
     // And one under the id of an engine.
-    entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", nobody));
+    entries.push(ForeignEntry::Has("State", b"\"evacuating\"").entry("i-1", nobody));
     let mut site = Site::start(&["i-0", "i-1"], entries, 233).await;
     for id in ["i-0", "i-1"] {
         let gets_work = site.serves_until(|site| site.engine(id, |e| e.begun > 0)).await;
--- a/tests/platform_stand_in/http.rs
+++ b/tests/platform_stand_in/http.rs
@@ -19,13 +19,13 @@
 use tokio::task::AbortHandle;
 
 /// An answer. Its body may break off.
-pub type Answer = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
+pub type HttpResponse = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
 /// Serves until the runtime ends. Returns the address.
 pub async fn serve<F, A>(at: SocketAddr, answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
-    A: Future<Output = Answer> + Send,
+    A: Future<Output = HttpResponse> + Send,
 {
     let (address, _) = start(at, answer).await;
     address
@@ -35,7 +35,7 @@
 pub async fn start<F, A>(at: SocketAddr, answer: F) -> (SocketAddr, AbortHandle)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
-    A: Future<Output = Answer> + Send,
+    A: Future<Output = HttpResponse> + Send,
 {
     let listener = TcpListener::bind(at).await.expect("the address is free");
     let address = listener.local_addr().expect("it has an address");
@@ -61,23 +61,23 @@
 }
 
 /// An answer without a body.
-pub fn status(code: u16) -> Answer {
+pub fn status(code: u16) -> HttpResponse {
     with_body(code, Bytes::new())
 }
 
 /// An answer with a body.
-pub fn with_body(code: u16, body: impl Into<Bytes>) -> Answer {
+pub fn with_body(code: u16, body: impl Into<Bytes>) -> HttpResponse {
     let body = Full::new(body.into()).map_err(|never| match never {}).boxed_unsync();
     Response::builder().status(code).body(body).expect("a status")
 }
 
 /// A JSON document.
-pub fn json(document: &Value) -> Answer {
+pub fn json(document: &Value) -> HttpResponse {
     with_body(200, document.to_string())
 }
 
 /// An answer that comes in parts.
-pub fn in_parts(parts: BoxStream<'static, std::io::Result<Bytes>>) -> Answer {
+pub fn streaming(parts: BoxStream<'static, std::io::Result<Bytes>>) -> HttpResponse {
     let frames = parts.map(|part| part.map(Frame::data));
     Response::new(StreamBody::new(frames).boxed_unsync())
 }
@@ -88,6 +88,6 @@
 }
 
 /// The whole body of a request.
-pub async fn body_of(request: Request<Incoming>) -> Option<Bytes> {
+pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     request.into_body().collect().await.ok().map(|body| body.to_bytes())
 }
--- a/tests/platform_stand_in/job.rs
+++ b/tests/platform_stand_in/job.rs
@@ -7,7 +7,7 @@
 use futures::StreamExt;
 
 use super::Platform;
-use super::http::{self, Answer};
+use super::http::{self, HttpResponse};
 use super::observations::RunEnd;
 use super::store::{PartName, clock_ms};
 use super::target::EVENT_INTERVAL;
@@ -16,12 +16,12 @@
 const TRANSFER_TIME: Duration = Duration::from_millis(5);
 
 /// The whole answer of a plain request.
-pub fn text_of(request: &str) -> String {
+pub fn expected_body(request: &str) -> String {
     format!("the answer to {request}")
 }
 
 /// One event of a stream.
-pub fn event_of(request: &str, number: u64) -> String {
+pub fn expected_event(request: &str, number: u64) -> String {
     format!("id: {number}\ndata: {request} {number}\n\n")
 }
 
@@ -56,10 +56,10 @@
 
 impl Job {
     pub fn end(&self, end: RunEnd) {
-        self.platform.lock().observations.ended(&self.request, &self.stamp, end);
+        self.platform.lock().observations.record_end(&self.request, &self.stamp, end);
     }
 
-    pub fn stamped(&self, mut answer: Answer) -> Answer {
+    pub fn add_response_headers(&self, mut answer: HttpResponse) -> HttpResponse {
         let load = self.platform.lock().targets.get(&self.target).map_or(0, |t| t.running);
         let mut set = |name: &'static str, value: String| {
             let value = HeaderValue::from_str(&value).expect("a header's text");
@@ -75,7 +75,7 @@
     }
 
     /// Takes parts from the store, and then saves what it was told to.
-    pub async fn fetch(&self) {
+    pub async fn transfer_parts(&self) {
         if !self.fetches.is_empty() {
             self.check_fetches("at its begin");
             tokio::time::sleep(TRANSFER_TIME).await;
@@ -91,7 +91,7 @@
                 tokio::time::sleep(TRANSFER_TIME).await;
                 let mut inner = platform.lock();
                 if inner.store.epoch == epoch && inner.runs(&target, start) {
-                    saves.iter().for_each(|part| inner.store.end_save(part));
+                    saves.iter().for_each(|part| inner.store.complete_save(part));
                 }
             });
         }
@@ -109,10 +109,10 @@
         inner.store.fetched += 1;
     }
 
-    pub fn into_events(self, breaks_off: bool) -> Answer {
+    pub fn into_event_stream(self, breaks_off: bool) -> HttpResponse {
         let (made, all) = self.events;
         let breaks_at = if breaks_off { made + (all - made) / 2 } else { u64::MAX };
-        let stamped = self.stamped(http::status(200));
+        let stamped = self.add_response_headers(http::status(200));
         let parts = futures::stream::unfold((self, made), move |(job, made)| async move {
             if made == all {
                 job.end(RunEnd::Whole);
@@ -123,10 +123,10 @@
                 let broken = std::io::Error::other("it breaks off");
                 return Some((Err(broken), (job, all)));
             }
-            let event = event_of(&job.request, made + 1);
+            let event = expected_event(&job.request, made + 1);
             Some((Ok(Bytes::from(event)), (job, made + 1)))
         });
-        let mut answer = http::in_parts(parts.boxed());
+        let mut answer = http::streaming(parts.boxed());
         answer.headers_mut().extend(stamped.headers().clone());
         let kind = HeaderValue::from_static("text/event-stream");
         answer.headers_mut().insert("content-type", kind);
--- a/tests/platform_stand_in/list.rs
+++ b/tests/platform_stand_in/list.rs
@@ -6,7 +6,7 @@
 use ::http::Request;
 use serde_json::json;
 
-use super::http::{self, Answer};
+use super::http::{self, HttpResponse};
 use super::target::Target;
 use super::{Inner, Platform};
 
@@ -31,7 +31,7 @@
 
 /// How an entry of another writer differs from one that names a target.
 #[derive(Clone, Copy, Debug)]
-pub enum Foreign {
+pub enum ForeignEntry {
     /// It lacks a field.
     Lacks(&'static str),
     /// A field is other bytes than it should.
@@ -39,38 +39,38 @@
 }
 
 /// Entries that name no target to use.
-pub const FOREIGN: [Foreign; 28] = [
-    Foreign::Lacks("Id"),
-    Foreign::Lacks("Service"),
-    Foreign::Lacks("Addr"),
-    Foreign::Lacks("Zone"),
-    Foreign::Lacks("State"),
-    Foreign::Has("Id", b"7"),
-    Foreign::Has("Id", b"null"),
-    Foreign::Has("Service", b"[\"llm\"]"),
-    Foreign::Has("Service", b"\"nobody\""),
-    Foreign::Has("Addr", b"8080"),
-    Foreign::Has("Addr", b"\"127.0.0.1\""),
-    Foreign::Has("Addr", b"\"127.0.0.1:99999\""),
-    Foreign::Has("Addr", b"\"http://127.0.0.1:80/\""),
-    Foreign::Has("Addr", b"\"[::1:80\""),
-    Foreign::Has("Zone", b"{\"Name\":\"hall-0\"}"),
-    Foreign::Has("Slots", b"\"16\""),
-    Foreign::Has("Slots", b"-1"),
-    Foreign::Has("State", b"\"evacuating\""),
-    Foreign::Has("State", b"\"Ready \""),
-    Foreign::Has("State", b"1"),
-    Foreign::Has("Models", b"\"m\""),
-    Foreign::Has("Zone", b"\"\xff\xfe\""),
-    Foreign::Has("Zone", b"\"\\ud800\""),
-    Foreign::Has("ColdLeftMs", b"@"),
-    Foreign::Lacks("Version"),
-    Foreign::Lacks("Slots"),
-    Foreign::Lacks("ColdLeftMs"),
-    Foreign::Has("Version", b"1"),
+pub const FOREIGN_ENTRIES: [ForeignEntry; 28] = [
+    ForeignEntry::Lacks("Id"),
+    ForeignEntry::Lacks("Service"),
+    ForeignEntry::Lacks("Addr"),
+    ForeignEntry::Lacks("Zone"),
+    ForeignEntry::Lacks("State"),
+    ForeignEntry::Has("Id", b"7"),
+    ForeignEntry::Has("Id", b"null"),
+    ForeignEntry::Has("Service", b"[\"llm\"]"),
+    ForeignEntry::Has("Service", b"\"nobody\""),
+    ForeignEntry::Has("Addr", b"8080"),
+    ForeignEntry::Has("Addr", b"\"127.0.0.1\""),
+    ForeignEntry::Has("Addr", b"\"127.0.0.1:99999\""),
+    ForeignEntry::Has("Addr", b"\"http://127.0.0.1:80/\""),
+    ForeignEntry::Has("Addr", b"\"[::1:80\""),
+    ForeignEntry::Has("Zone", b"{\"Name\":\"hall-0\"}"),
+    ForeignEntry::Has("Slots", b"\"16\""),
+    ForeignEntry::Has("Slots", b"-1"),
+    ForeignEntry::Has("State", b"\"evacuating\""),
+    ForeignEntry::Has("State", b"\"Ready \""),
+    ForeignEntry::Has("State", b"1"),
+    ForeignEntry::Has("Models", b"\"m\""),
+    ForeignEntry::Has("Zone", b"\"\xff\xfe\""),
+    ForeignEntry::Has("Zone", b"\"\\ud800\""),
+    ForeignEntry::Has("ColdLeftMs", b"@"),
+    ForeignEntry::Lacks("Version"),
+    ForeignEntry::Lacks("Slots"),
+    ForeignEntry::Lacks("ColdLeftMs"),
+    ForeignEntry::Has("Version", b"1"),
 ];
 
-impl Foreign {
+impl ForeignEntry {
     /// The entry, whose other fields are as they should be.
     pub fn entry(self, id: &str, address: SocketAddr) -> Vec<u8> {
         let whole = json!({"Id": id, "Service": "llm", "Addr": address, "Zone": "hall-0",
@@ -79,8 +79,8 @@
         let fields = whole.as_object().into_iter().flatten();
         let written = fields.filter_map(|(name, value)| {
             let value = match self {
-                Foreign::Lacks(lacked) if lacked == name => return None,
-                Foreign::Has(field, bytes) if field == name => bytes.to_vec(),
+                ForeignEntry::Lacks(lacked) if lacked == name => return None,
+                ForeignEntry::Has(field, bytes) if field == name => bytes.to_vec(),
                 _ => value.to_string().into_bytes(),
             };
             Some([format!("\"{name}\":").into_bytes(), value].concat())
@@ -106,7 +106,7 @@
     }
 
     /// An address that entries of other writers name: nothing must come there.
-    pub async fn serve_nobody(&self, at: SocketAddr) -> SocketAddr {
+    pub async fn serve_unused_address(&self, at: SocketAddr) -> SocketAddr {
         let platform = self.clone();
         http::serve(at, move |request| {
             let platform = platform.clone();
@@ -131,7 +131,7 @@
         self.list.shown.push((Instant::now(), entries));
     }
 
-    fn page<B>(&mut self, request: &Request<B>) -> Answer {
+    fn page<B>(&mut self, request: &Request<B>) -> HttpResponse {
         let list = &mut self.list;
         let shown = list.shown.iter().rposition(|(at, _)| at.elapsed() >= LIST_LAG);
         if let Some(shown) = shown {
--- a/tests/platform_stand_in/observations.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -52,13 +52,13 @@
     /// Versions of weights that were acknowledged, and when.
     pub named: Vec<(u64, Instant)>,
     /// Requests under which targets end, by body.
-    pub ending: BTreeMap<String, Ending>,
+    pub ending: BTreeMap<String, CrashingRequest>,
     stamps: u64,
 }
 
 /// What a request has done under which targets end.
 #[derive(Clone, Debug, Default)]
-pub struct Ending {
+pub struct CrashingRequest {
     /// When it reached targets.
     pub reached: Vec<Instant>,
     /// When targets ended under it.
@@ -70,7 +70,7 @@
 /// It may reach so many more after that and the time until all hosts know.
 const MAX_LATE_SENDS: usize = 3;
 
-impl Ending {
+impl CrashingRequest {
     /// What is wrong, if it reached targets too often once all had this time to know it for what it is, and
     /// at times that count.
     pub fn reached_too_often(
@@ -139,17 +139,17 @@
     }
 
     /// A request reaches a target that leaves.
-    pub fn reaches_leaving(&mut self, request: &str, target: &str, from: Instant) {
+    pub fn record_leaving_target(&mut self, request: &str, target: &str, from: Instant) {
         let late = from.elapsed();
         let what = format!("{request} reaches {target} {late:?} after it began to leave");
         match late {
             late if late > LEAVING_HARD_LIMIT => self.violations.push(what),
-            late => self.came_late(Promise::Leaving, what, late),
+            late => self.record_late(Promise::Leaving, what, late),
         }
     }
 
     /// A prompt begins on weights.
-    pub fn begins_on(&mut self, request: &str, target: &str, weights: u64) {
+    pub fn record_weights_of_run(&mut self, request: &str, target: &str, weights: u64) {
         let newer = self.named.iter().find(|(version, _)| *version > weights);
         let Some((version, late)) = newer.map(|(version, at)| (*version, at.elapsed())) else {
             return;
@@ -157,10 +157,10 @@
         let what = format!(
             "{request} begins at {target} on weights {weights}, {late:?} after {version} was named"
         );
-        self.came_late(Promise::Weights, what, late);
+        self.record_late(Promise::Weights, what, late);
     }
 
-    fn came_late(&mut self, promise: Promise, what: String, late: Duration) {
+    fn record_late(&mut self, promise: Promise, what: String, late: Duration) {
         if late > promise.bound() {
             let to = Instant::now();
             let from = to - late.min(promise.allowed());
@@ -169,12 +169,12 @@
     }
 
     /// A request under which targets end reaches one.
-    pub fn reached(&mut self, body: &str) {
+    pub fn record_crashing_send(&mut self, body: &str) {
         self.ending.entry(body.to_string()).or_default().reached.push(Instant::now());
     }
 
     /// A target ended under a request.
-    pub fn ended_under(&mut self, body: &str) {
+    pub fn record_crash(&mut self, body: &str) {
         self.ending.entry(body.to_string()).or_default().ended.push(Instant::now());
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Records that a run began.
-    pub fn began(&mut self, request: &str, run: Run) {
+    pub fn record_start(&mut self, request: &str, run: Run) {
         let runs = self.runs.entry(request.to_string()).or_default();
         let may_repeat =
             request.starts_with(REPEATABLE_ID_PREFIX) || request.starts_with(RESUMABLE_ID_PREFIX);
@@ -196,7 +196,7 @@
     }
 
     /// Records how a run ended.
-    pub fn ended(&mut self, request: &str, stamp: &str, end: RunEnd) {
+    pub fn record_end(&mut self, request: &str, stamp: &str, end: RunEnd) {
         let runs = self.runs.get_mut(request).into_iter().flatten();
         for run in runs.filter(|run| run.stamp == stamp && run.end == RunEnd::Running) {
             run.end = end;
--- a/tests/platform_stand_in/starts.rs
+++ b/tests/platform_stand_in/starts.rs
@@ -72,7 +72,7 @@
         let (platform, name) = (self.clone(), id.to_string());
         http::start(at, move |request| {
             let (platform, name) = (platform.clone(), name.clone());
-            async move { platform.answer_of_target(&name, start, request).await }
+            async move { platform.respond_as_target(&name, start, request).await }
         })
         .await
     }
--- a/tests/platform_stand_in/store.rs
+++ b/tests/platform_stand_in/store.rs
@@ -6,8 +6,8 @@
 
 use serde_json::{Value, json};
 
-use super::http::{self, Answer};
-use super::target::Reader;
+use super::http::{self, HttpResponse};
+use super::target::PartOrigin;
 use super::{Inner, Platform};
 
 /// Names a part: the text under which it is kept, and its id.
@@ -33,7 +33,7 @@
 struct Part {
     tokens: u64,
     is_whole: bool,
-    reader: Reader,
+    origin: PartOrigin,
 }
 
 impl Store {
@@ -49,33 +49,33 @@
     }
 
     /// Reserves room for a part.
-    pub fn begin_save(&mut self, part: &PartName, tokens: u64, reader: &Reader) {
-        let new = || Part { tokens, is_whole: false, reader: reader.clone() };
+    pub fn begin_save(&mut self, part: &PartName, tokens: u64, origin: &PartOrigin) {
+        let new = || Part { tokens, is_whole: false, origin: origin.clone() };
         self.parts.entry(part.clone()).or_insert_with(new);
     }
 
     /// Whose request made a part, if it lies here whole.
-    pub fn reader(&self, part: &PartName) -> Option<Reader> {
-        self.parts.get(part).filter(|part| part.is_whole).map(|part| part.reader.clone())
+    pub fn origin(&self, part: &PartName) -> Option<PartOrigin> {
+        self.parts.get(part).filter(|part| part.is_whole).map(|part| part.origin.clone())
     }
 
     /// A part has come whole.
-    pub fn end_save(&mut self, part: &PartName) {
+    pub fn complete_save(&mut self, part: &PartName) {
         if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_whole) {
             known.is_whole = true;
             let tokens = known.tokens;
-            self.tell("+", part, tokens);
+            self.push_event("+", part, tokens);
         }
     }
 
     fn free(&mut self, part: &PartName) {
         if self.parts.remove(part).is_some() {
             self.freed += 1;
-            self.tell("-", part, 0);
+            self.push_event("-", part, 0);
         }
     }
 
-    fn tell(&mut self, sign: &str, part: &PartName, tokens: u64) {
+    fn push_event(&mut self, sign: &str, part: &PartName, tokens: u64) {
         let number = self.next_event;
         self.next_event += 1;
         self.events.push_back((number, json!([number, sign, part.0, part.1, tokens, "m"])));
@@ -113,12 +113,15 @@
         let platform = self.clone();
         http::serve(at, move |request| {
             let platform = platform.clone();
-            async move { platform.answer_of_store(request).await }
+            async move { platform.respond_as_store(request).await }
         })
         .await
     }
 
-    async fn answer_of_store(&self, request: ::http::Request<hyper::body::Incoming>) -> Answer {
+    async fn respond_as_store(
+        &self,
+        request: ::http::Request<hyper::body::Incoming>,
+    ) -> HttpResponse {
         let path = request.uri().path().to_string();
         let query = request.uri().query().unwrap_or_default();
         let since = query.strip_prefix("Since=").and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -132,7 +135,7 @@
                 }
                 http::json(&self.lock().store.events_since(since, clock_ms()))
             }
-            "/kv-free" => match http::body_of(request).await {
+            "/kv-free" => match http::read_body(request).await {
                 Some(body) => self.lock().free(&serde_json::from_slice(&body).unwrap_or_default()),
                 None => http::status(400),
             },
@@ -142,7 +145,7 @@
 }
 
 impl Inner {
-    fn free(&mut self, order: &Value) -> Answer {
+    fn free(&mut self, order: &Value) -> HttpResponse {
         let is_void = order["until_ms"].as_u64().is_some_and(|until| clock_ms() > until);
         if is_void || order["BootEpoch"].as_u64().is_some_and(|epoch| epoch != self.store.epoch) {
             return http::status(409);
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -9,9 +9,9 @@
 use serde_json::{Value, json};
 use tokio::task::AbortHandle;
 
-use super::http::{self, Answer, header};
+use super::http::{self, HttpResponse, header};
 use super::job::Job;
-pub use super::job::{event_of, text_of};
+pub use super::job::{expected_body, expected_event};
 use super::observations::{Run, RunEnd};
 use super::starts::Restart;
 use super::store::{PartName, clock_ms};
@@ -70,14 +70,14 @@
     /// The highest fencing token of an order.
     fence: u64,
     /// What it has read: the text under which it is kept, whose request read it, and its tokens.
-    resident: HashMap<PartName, (Reader, u64)>,
+    resident: HashMap<PartName, (PartOrigin, u64)>,
     events: VecDeque<Value>,
     next_event: u64,
 }
 
 /// Whose request read a part, and with which weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reader {
+pub struct PartOrigin {
     /// The account.
     pub tenant: String,
     /// The version of the weights.
@@ -105,7 +105,7 @@
 }
 
 /// A part of a prompt with its tokens, and the address that is named for it.
-type Named = ((PartName, u64), SocketAddr);
+type LocatedPart = ((PartName, u64), SocketAddr);
 
 /// A target that begins to run a request with a body that begins so ends, and starts again after a while.
 pub const CRASHING_BODY_PREFIX: &[u8] = b"ends its target";
@@ -177,7 +177,7 @@
         }
     }
 
-    fn tell(&mut self, sign: &str, part: &PartName, tokens: u64) {
+    fn push_event(&mut self, sign: &str, part: &PartName, tokens: u64) {
         let event = json!([self.next_event, sign, part.0, part.1, tokens, "m"]);
         self.events.push_back(event);
         self.next_event += 1;
@@ -188,7 +188,7 @@
 
     fn forget_parts(&mut self) {
         for part in std::mem::take(&mut self.resident).keys() {
-            self.tell("-", part, 0);
+            self.push_event("-", part, 0);
         }
     }
 
@@ -201,8 +201,9 @@
     }
 
     fn parts(&self) -> Value {
-        let part =
-            |((salt, id), (_, tokens)): (&PartName, &(Reader, u64))| json!([salt, id, tokens, "m"]);
+        let part = |((salt, id), (_, tokens)): (&PartName, &(PartOrigin, u64))| {
+            json!([salt, id, tokens, "m"])
+        };
         let held = self.resident.iter().map(part);
         json!({"BootEpoch": self.start, "NextToken": self.next_event,
                "Held": held.collect::<Vec<_>>(), "clock_ms": clock_ms(), "born": self.born_ms})
@@ -210,12 +211,12 @@
 }
 
 impl Platform {
-    pub(super) async fn answer_of_target(
+    pub(super) async fn respond_as_target(
         &self,
         id: &str,
         start: u64,
         request: Request<Incoming>,
-    ) -> Answer {
+    ) -> HttpResponse {
         if !self.lock().runs(id, start) {
             // Its connections are about to be reset.
             return std::future::pending().await;
@@ -235,7 +236,7 @@
             "/healthz" => http::status(200),
             "/order" => {
                 let expected = header(&request, "x-expect-instance").map(str::to_string);
-                let Some(body) = http::body_of(request).await else { return http::status(400) };
+                let Some(body) = http::read_body(request).await else { return http::status(400) };
                 let order = serde_json::from_slice(&body).unwrap_or_default();
                 self.lock().ordered.insert(id.to_string());
                 let fault = self.lock().targets.get(id).map(|target| target.fault);
@@ -262,10 +263,10 @@
     }
 
     /// The target ends under a request, after the head of a stream, and starts again later.
-    fn end_under(&self, job: &Job, body: &[u8]) {
+    fn crash_during(&self, job: &Job, body: &[u8]) {
         let (id, start) = (job.target.clone(), job.start);
         let body = String::from_utf8_lossy(body).into_owned();
-        self.lock().observations.reached(&body);
+        self.lock().observations.record_crashing_send(&body);
         let platform = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(EVENT_INTERVAL / 2).await;
@@ -274,7 +275,7 @@
                 if !inner.runs(&id, start) {
                     return;
                 }
-                inner.observations.ended_under(&body);
+                inner.observations.record_crash(&body);
                 inner.targets.get(&id).map(|target| (target.address, target.listed_address))
             };
             let Some((address, listed_address)) = addresses else { return };
@@ -284,7 +285,13 @@
         });
     }
 
-    fn order(&self, id: &str, expected: Option<&str>, order: &Value, is_late: bool) -> Answer {
+    fn order(
+        &self,
+        id: &str,
+        expected: Option<&str>,
+        order: &Value,
+        is_late: bool,
+    ) -> HttpResponse {
         let mut inner = self.lock();
         let status = inner.take_order(id, expected, order, is_late);
         let start = inner.targets.get(id).map_or(0, |target| target.start);
@@ -299,22 +306,22 @@
         http::status(status)
     }
 
-    async fn run(&self, id: &str, request: Request<Incoming>) -> Answer {
+    async fn run(&self, id: &str, request: Request<Incoming>) -> HttpResponse {
         let began = self.lock().begin(self, id, &request);
         let (job, fault) = match began {
             Ok(began) => began,
             Err(refused) => return *refused,
         };
         // Reads the body to its end: some callers' bodies come in chunks.
-        let Some(body) = http::body_of(request).await else {
+        let Some(body) = http::read_body(request).await else {
             job.end(RunEnd::Left(Instant::now()));
             return http::status(400);
         };
-        job.fetch().await;
+        job.transfer_parts().await;
         if body.starts_with(CRASHING_BODY_PREFIX) {
-            self.end_under(&job, &body);
+            self.crash_during(&job, &body);
             return match job.is_stream {
-                true => job.into_events(false),
+                true => job.into_event_stream(false),
                 false => std::future::pending().await,
             };
         }
@@ -322,13 +329,14 @@
             Fault::Mute => std::future::pending().await,
             Fault::Fails => {
                 job.end(RunEnd::Whole);
-                job.stamped(http::with_body(500, "it failed"))
+                job.add_response_headers(http::with_body(500, "it failed"))
             }
-            _ if job.is_stream => job.into_events(fault == Fault::BreaksOff),
+            _ if job.is_stream => job.into_event_stream(fault == Fault::BreaksOff),
             _ => {
                 tokio::time::sleep(EVENT_INTERVAL).await;
                 job.end(RunEnd::Whole);
-                let mut answer = job.stamped(http::with_body(200, text_of(&job.request)));
+                let mut answer =
+                    job.add_response_headers(http::with_body(200, expected_body(&job.request)));
                 if fault == Fault::Crosses {
                     let other = HeaderValue::from_static("another-request");
                     answer.headers_mut().insert("x-request-id", other);
@@ -398,7 +406,7 @@
         platform: &Platform,
         id: &str,
         request: &Request<Incoming>,
-    ) -> Result<(Job, Fault), Box<Answer>> {
+    ) -> Result<(Job, Fault), Box<HttpResponse>> {
         let text = |name: &str| header(request, name).unwrap_or_default().to_string();
         let number = |name: &str| text(name).parse::<u64>().ok();
         let name = text("x-request-id");
@@ -417,45 +425,45 @@
         target.running += 1;
         target.begun += 1;
         if let Some(from) = target.leaves_from {
-            self.observations.reaches_leaving(&name, id, from);
+            self.observations.record_leaving_target(&name, id, from);
         }
         if let Some(weights) = weights {
-            self.observations.begins_on(&name, id, weights);
+            self.observations.record_weights_of_run(&name, id, weights);
         }
         if request.headers().contains_key("authorization") {
             self.observations.violation(format!("{name} brings its caller's key to {id}"));
         }
         let tenant = text("x-tenant");
         let parts = parts_of(&text("x-cache-salt"), &text("x-prompt-prefix"));
-        let reader = Reader { tenant: tenant.clone(), weights: weights.unwrap_or_default() };
-        self.read(id, &name, &parts, &reader);
+        let origin = PartOrigin { tenant: tenant.clone(), weights: weights.unwrap_or_default() };
+        self.read(id, &name, &parts, &origin);
         let chosen = |header: &str| {
             let texts: Vec<String> = text(header).split(',').map(str::to_string).collect();
             let named = parts.iter().zip(texts);
             let named = named.filter_map(|(part, address)| Some((part, address.parse().ok()?)));
-            named.map(|(part, address)| (part.clone(), address)).collect::<Vec<Named>>()
+            named.map(|(part, address)| (part.clone(), address)).collect::<Vec<LocatedPart>>()
         };
         let (fetches, saves) = (chosen("x-kv-fetch"), chosen("x-kv-save"));
         for ((part, tokens), _) in &saves {
-            self.store.begin_save(part, *tokens, &reader);
+            self.store.begin_save(part, *tokens, &origin);
         }
         let engines = self.targets.values().filter(|target| target.weights.is_some());
         self.engine_addresses.extend(engines.map(|target| target.listed_address));
         let (from_engines, from_store): (Vec<_>, Vec<_>) =
             fetches.into_iter().partition(|(_, at)| self.engine_addresses.contains(at));
         for ((part, _), _) in &from_store {
-            self.check_reader(&name, self.store.reader(part), &reader);
+            self.check_origin(&name, self.store.origin(part), &origin);
         }
         // An engine gives what it keeps of a prompt, which may be nothing or a beginning.
         for ((part, _), address) in &from_engines {
             let source = self.engine_at(*address);
             let kept = source.and_then(|source| source.resident.get(part));
-            let kept = kept.map(|(reader, _)| reader.clone());
-            self.check_reader(&name, kept, &reader);
+            let kept = kept.map(|(origin, _)| origin.clone());
+            self.check_origin(&name, kept, &origin);
         }
         let stamp = self.observations.next_stamp();
         let made = number("last-event-id").unwrap_or(0);
-        self.observations.began(
+        self.observations.record_start(
             &name,
             Run {
                 target: id.to_string(),
@@ -491,33 +499,33 @@
     }
 
     /// Reads parts into an engine's memory, or uses them where they are resident.
-    fn read(&mut self, id: &str, name: &str, parts: &[(PartName, u64)], reader: &Reader) {
+    fn read(&mut self, id: &str, name: &str, parts: &[(PartName, u64)], origin: &PartOrigin) {
         for (part, tokens) in parts {
             let Some(target) = self.targets.get_mut(id) else { return };
-            let resident = target.resident.get(part).map(|(reader, _)| reader.clone());
+            let resident = target.resident.get(part).map(|(origin, _)| origin.clone());
             if resident.is_none() {
-                target.resident.insert(part.clone(), (reader.clone(), *tokens));
-                target.tell("+", part, *tokens);
+                target.resident.insert(part.clone(), (origin.clone(), *tokens));
+                target.push_event("+", part, *tokens);
             }
-            self.check_reader(name, resident, reader);
+            self.check_origin(name, resident, origin);
         }
     }
 
-    fn check_reader(&mut self, name: &str, kept: Option<Reader>, user: &Reader) {
+    fn check_origin(&mut self, name: &str, kept: Option<PartOrigin>, user: &PartOrigin) {
         let Some(kept) = kept else { return };
         if kept.weights != user.weights {
             self.observations
                 .violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
         }
-        let is_walled =
+        let is_isolated =
             [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED_ACCOUNT);
-        if is_walled && kept.tenant != user.tenant {
+        if is_isolated && kept.tenant != user.tenant {
             self.observations.violation(format!("{name} of {user:?} uses what {kept:?} made"));
         }
     }
 }
 
-fn not_run(code: u16) -> Box<Answer> {
+fn not_run(code: u16) -> Box<HttpResponse> {
     let mut answer = http::status(code);
     answer.headers_mut().insert("x-not-run", HeaderValue::from_static("1"));
     Box::new(answer)
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -16,7 +16,7 @@
 use crate::World;
 use crate::ending::HELD;
 use crate::platform_stand_in::observations::{REPEATABLE_ID_PREFIX, RESUMABLE_ID_PREFIX};
-use crate::platform_stand_in::target::{ISOLATED_ACCOUNT, event_of, text_of};
+use crate::platform_stand_in::target::{ISOLATED_ACCOUNT, expected_body, expected_event};
 use crate::system::Disturbance;
 
 /// How long a caller waits.
@@ -269,8 +269,8 @@
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
         let expected: String = match self.kind.is_stream() {
-            true => (1..=self.events).map(|number| event_of(&self.request, number)).collect(),
-            false => text_of(&self.request),
+            true => (1..=self.events).map(|number| expected_event(&self.request, number)).collect(),
+            false => expected_body(&self.request),
         };
         let is_right = match is_whole {
             true => body == expected.as_bytes(),
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -67,7 +67,7 @@
     pub async fn new(world: Arc<World>, lists: Vec<Proxy>, kinds: Kinds) -> Faults {
         let random = SmallRng::seed_from_u64(world.seed);
         let list_random = SmallRng::seed_from_u64(world.seed ^ 0x6c69_7374);
-        let nobody = world.platform.serve_nobody(any_address()).await;
+        let nobody = world.platform.serve_unused_address(any_address()).await;
         let mut faults = Faults {
             world,
             random,
--- a/tests/soak/listing.rs
+++ b/tests/soak/listing.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::faults::{Faults, any_address};
-use crate::platform_stand_in::list::FOREIGN;
+use crate::platform_stand_in::list::FOREIGN_ENTRIES;
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
 use crate::platform_stand_in::target::Fault;
@@ -96,7 +96,7 @@
                 Some(id) if random.random_ratio(1, 3) => id,
                 _ => format!("i-foreign-{number}"),
             };
-            let kind = FOREIGN.choose(random).expect("there are some");
+            let kind = FOREIGN_ENTRIES.choose(random).expect("there are some");
             foreign.push((random.random_range(0..PLACES), kind.entry(&id, self.nobody)));
         }
         let mut platform = self.world.platform.lock();
