--- a/tests/platform_stand_in/http.rs
+++ b/tests/platform_stand_in/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! HTTP server and responses of the emulated platform.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 use tokio::net::TcpListener;
 use tokio::task::AbortHandle;
 
-/// An answer. Its body may break off.
+/// A response whose body may fail part-way.
 pub type HttpResponse = Response<UnsyncBoxBody<Bytes, std::io::Error>>;
 
-/// Serves until the runtime ends. Returns the address.
+/// Serves until the runtime shuts down. Returns the address.
 pub async fn serve<F, A>(at: SocketAddr, answer: F) -> SocketAddr
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -31,7 +31,7 @@
     address
 }
 
-/// Serves until the runtime ends or it is aborted; then all its connections are reset.
+/// Serves until the runtime shuts down or the handle is aborted, which resets all connections.
 pub async fn start<F, A>(at: SocketAddr, answer: F) -> (SocketAddr, AbortHandle)
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
@@ -43,7 +43,7 @@
         let mut connections = tokio::task::JoinSet::new();
         while let Ok((stream, _)) = listener.accept().await {
             stream.set_nodelay(true).expect("a TCP socket");
-            // A stand-in that goes down resets what it had.
+            // Connections are reset when the server stops, as after a crash.
             SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a TCP socket");
             let answer = answer.clone();
             connections.spawn(async move {
@@ -51,7 +51,7 @@
                     let answer = answer(request);
                     async move { Ok::<_, Infallible>(answer.await) }
                 });
-                // A caller that leaves is no fault of the stand-in.
+                // Clients may disconnect at any time.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
             while connections.try_join_next().is_some() {}
@@ -60,34 +60,34 @@
     (address, accepting.abort_handle())
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub fn status(code: u16) -> HttpResponse {
     with_body(code, Bytes::new())
 }
 
-/// An answer with a body.
+/// A response with a body.
 pub fn with_body(code: u16, body: impl Into<Bytes>) -> HttpResponse {
     let body = Full::new(body.into()).map_err(|never| match never {}).boxed_unsync();
     Response::builder().status(code).body(body).expect("a status")
 }
 
-/// A JSON document.
+/// A response with a JSON body.
 pub fn json(document: &Value) -> HttpResponse {
     with_body(200, document.to_string())
 }
 
-/// An answer that comes in parts.
+/// A response whose body is streamed.
 pub fn streaming(parts: BoxStream<'static, std::io::Result<Bytes>>) -> HttpResponse {
     let frames = parts.map(|part| part.map(Frame::data));
     Response::new(StreamBody::new(frames).boxed_unsync())
 }
 
-/// A header of a request.
+/// The value of a request header, if it is text.
 pub fn header<'r, B>(request: &'r Request<B>, name: &str) -> Option<&'r str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// The whole body of a request.
+/// Reads the body of a request to its end; `None` if the connection fails.
 pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     request.into_body().collect().await.ok().map(|body| body.to_bytes())
 }
--- a/tests/platform_stand_in/job.rs
+++ b/tests/platform_stand_in/job.rs
@@ -1,4 +1,4 @@
-//! A request that a stand-in target runs.
+//! A request while an emulated target runs it.
 
 use std::time::{Duration, Instant};
 
@@ -12,20 +12,20 @@
 use super::store::{PartName, clock_ms};
 use super::target::EVENT_INTERVAL;
 
-/// How long a save or a fetch takes.
+/// Duration of a save to or a fetch from the store.
 const TRANSFER_TIME: Duration = Duration::from_millis(5);
 
-/// The whole answer of a plain request.
+/// The response body of a plain service to a request.
 pub fn expected_body(request: &str) -> String {
     format!("the answer to {request}")
 }
 
-/// One event of a stream.
+/// One event of the response stream to a request.
 pub fn expected_event(request: &str, number: u64) -> String {
     format!("id: {number}\ndata: {request} {number}\n\n")
 }
 
-/// A request that a target runs.
+/// A request while a target runs it.
 pub struct Job {
     pub platform: Platform,
     pub target: String,
@@ -33,17 +33,19 @@
     pub request: String,
     pub stamp: String,
     pub is_stream: bool,
-    /// Events that have been made before, and that there shall be.
+    /// The number of the last event sent by an earlier run, and the total number of events.
     pub events: (u64, u64),
     pub weights: Option<u64>,
-    /// What it takes from the store.
+    /// Parts to fetch from the store.
     pub fetches: Vec<PartName>,
+    /// When the fetches expire, in Unix milliseconds.
     pub until_ms: u64,
+    /// Parts to save to the store.
     pub saves: Vec<PartName>,
 }
 
 impl Drop for Job {
-    /// However it ends, also when its caller closes the connection.
+    /// Records the end of the run, also if the client has disconnected.
     fn drop(&mut self) {
         self.end(RunEnd::Left(Instant::now()));
         let mut inner = self.platform.lock();
@@ -62,7 +64,7 @@
     pub fn add_response_headers(&self, mut answer: HttpResponse) -> HttpResponse {
         let load = self.platform.lock().targets.get(&self.target).map_or(0, |t| t.running);
         let mut set = |name: &'static str, value: String| {
-            let value = HeaderValue::from_str(&value).expect("a header's text");
+            let value = HeaderValue::from_str(&value).expect("a valid header value");
             answer.headers_mut().insert(name, value);
         };
         set("x-request-id", self.request.clone());
@@ -74,13 +76,13 @@
         answer
     }
 
-    /// Takes parts from the store, and then saves what it was told to.
+    /// Fetches parts from the store, then saves parts in the background.
     pub async fn transfer_parts(&self) {
         if !self.fetches.is_empty() {
-            self.check_fetches("at its begin");
+            self.check_fetches("when the fetch starts");
             tokio::time::sleep(TRANSFER_TIME).await;
             if clock_ms() <= self.until_ms {
-                self.check_fetches("at its end");
+                self.check_fetches("when the fetch ends");
             }
         }
         let (platform, saves) = (self.platform.clone(), self.saves.clone());
@@ -100,9 +102,9 @@
     pub fn check_fetches(&self, when: &str) {
         let mut inner = self.platform.lock();
         for part in &self.fetches {
-            // What is missing is read again. What is there but not whole must not be asked for.
+            // A missing part is recomputed, but an incomplete one must not be requested.
             if inner.store.is_partial(part) {
-                let what = format!("{} takes {part:?}, which is not whole {when}", self.request);
+                let what = format!("{} fetches {part:?}, which is incomplete {when}", self.request);
                 inner.observations.violation(what);
             }
         }
@@ -120,7 +122,7 @@
             }
             tokio::time::sleep(EVENT_INTERVAL).await;
             if made >= breaks_at {
-                let broken = std::io::Error::other("it breaks off");
+                let broken = std::io::Error::other("injected failure of the stream");
                 return Some((Err(broken), (job, all)));
             }
             let event = expected_event(&job.request, made + 1);
--- a/tests/platform_stand_in/list.rs
+++ b/tests/platform_stand_in/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of targets: it lags, comes in pages, and bears entries of other writers.
+//! The platform's list of targets: delayed, paginated, and with entries of other writers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,35 +10,35 @@
 use super::target::Target;
 use super::{Inner, Platform};
 
-/// How late the list shows a change.
+/// Delay until the list shows a change.
 pub const LIST_LAG: Duration = Duration::from_millis(200);
-/// What tokens of pages begin with.
+/// Prefix of pagination tokens.
 const PAGE_TOKEN_PREFIX: &str = "p-";
 
-/// The list, and what is wrong with it.
+/// The list, with its faults.
 #[derive(Default)]
 pub struct List {
-    /// Entries of other writers: where on the list each stands, and its text.
+    /// Entries of other writers, each with its position and its bytes.
     pub foreign: Vec<(usize, Vec<u8>)>,
-    /// Entries on a page; 0 if there is one page only.
+    /// Entries per page; 0 disables pagination.
     pub page_entries: usize,
-    /// How far entries move between the read of a page and that of the next one. Upwards, some are
-    /// shown on neither page; downwards, some on both.
+    /// Added to the position at which each further page starts, as if entries moved between reads:
+    /// positive values skip entries, negative ones repeat them.
     pub shift: isize,
-    /// The list as it was some time ago, newest last: what is shown lags.
+    /// Versions of the list with the time of each, newest last; shown after [`LIST_LAG`].
     shown: Vec<(Instant, Vec<Vec<u8>>)>,
 }
 
-/// How an entry of another writer differs from one that names a target.
+/// How an entry of another writer differs from that of a target.
 #[derive(Clone, Copy, Debug)]
 pub enum ForeignEntry {
-    /// It lacks a field.
+    /// A field is missing.
     Lacks(&'static str),
-    /// A field is other bytes than it should.
+    /// A field has these bytes as its value.
     Has(&'static str, &'static [u8]),
 }
 
-/// Entries that name no target to use.
+/// Entries of other writers, to which no request may be sent.
 pub const FOREIGN_ENTRIES: [ForeignEntry; 28] = [
     ForeignEntry::Lacks("Id"),
     ForeignEntry::Lacks("Service"),
@@ -71,7 +71,7 @@
 ];
 
 impl ForeignEntry {
-    /// The entry, whose other fields are as they should be.
+    /// The bytes of the entry; all other fields are valid.
     pub fn entry(self, id: &str, address: SocketAddr) -> Vec<u8> {
         let whole = json!({"Id": id, "Service": "llm", "Addr": address, "Zone": "hall-0",
                            "Version": "v1", "Slots": 16, "ColdLeftMs": 0, "State": "ready",
@@ -90,7 +90,7 @@
 }
 
 impl Platform {
-    /// Serves the list until the runtime ends. Returns its address.
+    /// Serves the list until the runtime shuts down. Returns its address.
     pub async fn serve_list(&self, at: SocketAddr) -> SocketAddr {
         let platform = self.clone();
         http::serve(at, move |request| {
@@ -105,13 +105,13 @@
         .await
     }
 
-    /// An address that entries of other writers name: nothing must come there.
+    /// Serves the address that entries of other writers name, and records each request as a violation.
     pub async fn serve_unused_address(&self, at: SocketAddr) -> SocketAddr {
         let platform = self.clone();
         http::serve(at, move |request| {
             let platform = platform.clone();
             async move {
-                let what = format!("an entry of another writer gets {}", request.uri());
+                let what = format!("the address of a foreign entry receives {}", request.uri());
                 platform.lock().observations.violation(what);
                 http::status(404)
             }
@@ -121,7 +121,7 @@
 }
 
 impl Inner {
-    /// Records the list as it is now, to be shown later.
+    /// Records the current list, which is shown after [`LIST_LAG`].
     pub fn list_changed(&mut self) {
         let listed = self.targets.values().filter_map(Target::listed);
         let mut entries: Vec<Vec<u8>> = listed.map(|entry| entry.to_string().into()).collect();
@@ -145,7 +145,7 @@
         let first = first.min(entries.len());
         let last = match list.page_entries {
             0 => entries.len(),
-            // Pages go on even where entries move by a whole page.
+            // Each page advances, even if `shift` moves entries by a whole page.
             size => (first + size).max(begun.map_or(0, |begun| begun + 1)).min(entries.len()),
         };
         let next = (last < entries.len()).then(|| format!("{PAGE_TOKEN_PREFIX}{last}"));
--- a/tests/platform_stand_in/mod.rs
+++ b/tests/platform_stand_in/mod.rs
@@ -1,6 +1,5 @@
-//! Stand-ins of the users' platform on loopback: its list of targets, model engines, plain services
-//! and a store of kept KV cache. They keep account of what reaches them, and of what must never
-//! happen.
+//! In-process emulation of the users' platform on loopback: its list of targets, model engines, plain
+//! services and a store of KV cache. It records requests and violations of guarantees.
 
 pub mod http;
 pub mod job;
@@ -19,31 +18,27 @@
 use store::Store;
 use target::Target;
 
-/// All that the stand-ins know, shared by their tasks and by whoever checks.
+/// State shared by the emulated servers and the tests that inspect it.
 #[derive(Clone, Default)]
 pub struct Platform {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// The state.
 #[derive(Default)]
 pub struct Inner {
-    /// Targets by id, each as it last started.
+    /// The latest start of each target, by target id.
     pub targets: BTreeMap<String, Target>,
-    /// Addresses at which engines were listed at some time: whoever fetches from one that has gone finds
-    /// nothing.
+    /// Addresses at which engines are or were listed. A fetch from an engine that is gone finds nothing.
     pub engine_addresses: BTreeSet<SocketAddr>,
-    /// What has reached them.
+    /// Requests that have reached targets, and violations.
     pub observations: Observations,
-    /// The store of kept KV cache.
     pub store: Store,
-    /// The newest version of the model's weights that was named, which new engines have.
+    /// The newest announced version of the model's weights, which new engines run.
     pub named_weights: u64,
-    /// Whether orders are neither answered nor carried out before this is over.
+    /// Orders are neither answered nor executed while this is set.
     pub holds_orders: bool,
-    /// Targets that were given an order.
+    /// Ids of targets that have received an order.
     pub ordered: BTreeSet<String>,
-    /// The list of targets.
     pub list: List,
 }
 
@@ -55,9 +50,9 @@
         platform
     }
 
-    /// Looks at or changes the state.
+    /// Locks the state, also if a thread panicked while holding the lock.
     pub fn lock(&self) -> MutexGuard<'_, Inner> {
-        // A check that failed elsewhere must not hide what others find.
+        // The failure of one check must not hide the results of the others.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/tests/platform_stand_in/observations.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -1,78 +1,78 @@
-//! What has reached the targets, and what must not have.
+//! Records the runs of requests at targets and violations of guarantees.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Requests whose ids begin so may run more than once.
+/// Requests whose ids have this prefix may run more than once.
 pub const REPEATABLE_ID_PREFIX: &str = "safe-";
-/// Streams whose ids begin so may go on at another target.
+/// Streams whose ids have this prefix may be resumed at another target.
 pub const RESUMABLE_ID_PREFIX: &str = "resumable-";
 
 /// One run of a request at a target.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The target's id.
+    /// The id of the target.
     pub target: String,
-    /// Which of its starts that was.
+    /// The start of the target.
     pub start: u64,
-    /// When it began.
+    /// When the run began.
     pub begun: Instant,
-    /// The account that it was said to be of.
+    /// The client account in the request.
     pub tenant: String,
-    /// The event after which it was to go on.
+    /// The last event of an earlier run after which the stream resumes; 0 for a new stream.
     pub resumed_after: u64,
-    /// The stamp of its answer.
+    /// The stamp in the response.
     pub stamp: String,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// It goes on.
+    /// The run has not ended.
     Running,
-    /// With a whole answer.
+    /// The response was complete.
     Whole,
-    /// The caller's side closed, or the target broke off.
+    /// The client disconnected, or the target broke off the response.
     Left(Instant),
 }
 
-/// The account.
+/// Everything that the emulated platform records.
 #[derive(Default)]
 pub struct Observations {
     /// Runs of each request, by its id.
     pub runs: HashMap<String, Vec<Run>>,
-    /// What must never happen and did.
+    /// Violated guarantees.
     pub violations: Vec<String>,
-    /// Orders that targets have taken.
+    /// Number of orders that targets have accepted.
     pub orders: u64,
-    /// What came later than a deployment allows.
+    /// Events that came later than the deployment allows.
     pub late: Vec<Late>,
-    /// Versions of weights that were acknowledged, and when.
+    /// Announced versions of weights, each with the time of the acknowledgement.
     pub named: Vec<(u64, Instant)>,
-    /// Requests under which targets end, by body.
+    /// Requests that crash targets, by body.
     pub ending: BTreeMap<String, CrashingRequest>,
     stamps: u64,
 }
 
-/// What a request has done under which targets end.
+/// The history of a request that crashes targets.
 #[derive(Clone, Debug, Default)]
 pub struct CrashingRequest {
-    /// When it reached targets.
+    /// When it was received by targets.
     pub reached: Vec<Instant>,
-    /// When targets ended under it.
+    /// When it crashed targets.
     pub ended: Vec<Instant>,
 }
 
-/// Targets may end under one request until it is known for what it is.
+/// Crashes after which a request must be held.
 const MAX_CRASHES_BEFORE_HOLD: usize = 3;
-/// It may reach so many more after that and the time until all hosts know.
+/// Sends that are tolerated after all hosts should hold the request.
 const MAX_LATE_SENDS: usize = 3;
 
 impl CrashingRequest {
-    /// What is wrong, if it reached targets too often once all had this time to know it for what it is, and
-    /// at times that count.
+    /// Describes the violation if the request reached targets too often after `known_within` of the
+    /// crash that makes it held. Counts only times that `counts` accepts.
     pub fn reached_too_often(
         &self,
         known_within: Duration,
@@ -81,38 +81,38 @@
         let known = *self.ended.get(MAX_CRASHES_BEFORE_HOLD - 1)? + known_within;
         let late = self.reached.iter().filter(|at| **at > known && counts(**at)).count();
         let ended = self.ended.len();
-        let what = || format!("sent {late} times more, {ended} targets ended in all");
+        let what = || format!("sent {late} more times, {ended} crashes in total");
         (late > MAX_LATE_SENDS).then(what)
     }
 }
 
-/// Something that came late. It must not come later than is allowed, unless something was wrong
-/// meanwhile.
+/// An event that came late. This is a violation beyond [`Promise::allowed`], unless there was a fault
+/// in the meantime.
 #[derive(Clone, Debug)]
 pub struct Late {
-    /// Which promise it is about.
+    /// The guarantee that applies.
     pub promise: Promise,
-    /// What it is.
+    /// Description of the event.
     pub what: String,
-    /// How late it came.
+    /// Its delay.
     pub late: Duration,
-    /// The span in which something may have been wrong.
+    /// Start of the span in which a fault excuses the delay.
     pub from: Instant,
-    /// Its end, when it came.
+    /// End of the span: the time of the event.
     pub to: Instant,
 }
 
-/// What is promised within a time.
+/// A guarantee with a time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Promise {
-    /// A target that leaves gets no new requests.
+    /// A leaving target receives no new requests.
     Leaving,
-    /// Prompts begin on named weights.
+    /// Prompts start on announced weights.
     Weights,
 }
 
 impl Promise {
-    /// What the soak's deployment allows.
+    /// The limit in the soak test's deployment.
     pub fn bound(self) -> Duration {
         match self {
             Promise::Leaving => Duration::from_secs(3),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// What the soak allows: a busy machine may keep a process waiting for a while.
+    /// The limit that the soak test checks, with time for scheduling delays on a busy machine.
     pub fn allowed(self) -> Duration {
         match self {
             Promise::Leaving => Duration::from_secs(5),
@@ -129,33 +129,33 @@
     }
 }
 
-/// A leaving target gets no new requests after this time whatever is wrong.
+/// A leaving target receives no new requests after this time, regardless of faults.
 const LEAVING_HARD_LIMIT: Duration = Duration::from_secs(8);
 
 impl Observations {
-    /// Records something that must never happen.
+    /// Records a violated guarantee.
     pub fn violation(&mut self, what: String) {
         self.violations.push(what);
     }
 
-    /// A request reaches a target that leaves.
+    /// Records that a request reached a leaving target.
     pub fn record_leaving_target(&mut self, request: &str, target: &str, from: Instant) {
         let late = from.elapsed();
-        let what = format!("{request} reaches {target} {late:?} after it began to leave");
+        let what = format!("{request} reaches {target} {late:?} after it started to drain");
         match late {
             late if late > LEAVING_HARD_LIMIT => self.violations.push(what),
             late => self.record_late(Promise::Leaving, what, late),
         }
     }
 
-    /// A prompt begins on weights.
+    /// Records a prompt that starts on outdated weights.
     pub fn record_weights_of_run(&mut self, request: &str, target: &str, weights: u64) {
         let newer = self.named.iter().find(|(version, _)| *version > weights);
         let Some((version, late)) = newer.map(|(version, at)| (*version, at.elapsed())) else {
             return;
         };
         let what = format!(
-            "{request} begins at {target} on weights {weights}, {late:?} after {version} was named"
+            "{request} starts at {target} on weights {weights}, {late:?} after {version} was announced"
         );
         self.record_late(Promise::Weights, what, late);
     }
@@ -168,23 +168,23 @@
         }
     }
 
-    /// A request under which targets end reaches one.
+    /// Records that a target received a request that crashes targets.
     pub fn record_crashing_send(&mut self, body: &str) {
         self.ending.entry(body.to_string()).or_default().reached.push(Instant::now());
     }
 
-    /// A target ended under a request.
+    /// Records that a request crashed a target.
     pub fn record_crash(&mut self, body: &str) {
         self.ending.entry(body.to_string()).or_default().ended.push(Instant::now());
     }
 
-    /// A stamp that no other run has.
+    /// A unique response stamp.
     pub fn next_stamp(&mut self) -> String {
         self.stamps += 1;
         format!("stamp-{}", self.stamps)
     }
 
-    /// Records that a run began.
+    /// Records a run, which is a violation if the request must not run again.
     pub fn record_start(&mut self, request: &str, run: Run) {
         let runs = self.runs.entry(request.to_string()).or_default();
         let may_repeat =
@@ -195,7 +195,7 @@
         runs.push(run);
     }
 
-    /// Records how a run ended.
+    /// Records the end of a run, unless it has ended already.
     pub fn record_end(&mut self, request: &str, stamp: &str, end: RunEnd) {
         let runs = self.runs.get_mut(request).into_iter().flatten();
         for run in runs.filter(|run| run.stamp == stamp && run.end == RunEnd::Running) {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Runs of a request.
+    /// The runs of a request, oldest first.
     pub fn runs_of(&self, request: &str) -> &[Run] {
         self.runs.get(request).map_or(&[], Vec::as_slice)
     }
--- a/tests/platform_stand_in/starts.rs
+++ b/tests/platform_stand_in/starts.rs
@@ -1,4 +1,4 @@
-//! Targets that start, start again under their ids, leave and end.
+//! Starts, restarts, draining and crashes of emulated targets.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,26 +10,26 @@
 use super::target::Target;
 use super::{Inner, Platform, http};
 
-/// How long it may take until the address of a target that has ended is free.
+/// Limit of the wait for the address of a stopped target to be free.
 const ADDRESS_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a target starts again under its id.
+/// How a target restarts under its id.
 #[derive(Clone, Copy, Debug)]
 pub struct Restart {
-    /// How long it is down.
+    /// Time between the end and the next start.
     pub down: Duration,
-    /// Where it listens then.
+    /// The address at which it listens after the restart.
     pub at: SocketAddr,
-    /// Where its entry says so, if a proxy stands before it.
+    /// The address in its list entry, if it is behind a proxy.
     pub listed_address: Option<SocketAddr>,
-    /// When it started, by a clock of its own. It may be earlier than that of the start before.
+    /// Its start time by its own clock, which may be before that of the previous start.
     pub born_ms: u64,
-    /// How long its entry shows the earlier start still.
+    /// How long the list still shows the entry of the previous start.
     pub entry_lags: Duration,
 }
 
 impl Restart {
-    /// At once, at an address, with a right clock.
+    /// An immediate restart at an address, with a correct clock.
     pub fn at(address: SocketAddr) -> Restart {
         Restart {
             down: Duration::ZERO,
@@ -42,7 +42,7 @@
 }
 
 impl Platform {
-    /// Starts a target and lists it, at an address that a proxy may stand before.
+    /// Starts a target and lists it, at `listed_address` if it is behind a proxy.
     pub async fn start_target(
         &self,
         id: &str,
@@ -77,8 +77,8 @@
         .await
     }
 
-    /// A target ends at once and starts again under its id. It knows nothing of before, but has the
-    /// weights that it had. Returns its address.
+    /// Stops a target and restarts it under its id. It keeps its weights, but neither cache nor
+    /// count of orders. Returns its new address, or `None` if the target is unknown or was restarted meanwhile.
     pub async fn restart_target(&self, id: &str, restart: Restart) -> Option<SocketAddr> {
         let earlier = {
             let mut inner = self.lock();
@@ -118,7 +118,8 @@
         Some(address)
     }
 
-    /// Ends a start of a target at once: its connections are reset and its address is free.
+    /// Stops this start of a target and removes it from the list: its connections are reset and its
+    /// address is free.
     pub fn crash_target(&self, id: &str, start: u64) {
         let mut inner = self.lock();
         if let Some(target) = inner.targets.get_mut(id).filter(|target| target.start == start) {
@@ -128,7 +129,7 @@
         inner.list_changed();
     }
 
-    /// A target says on the list that it leaves, and serves on. Returns which start of it does.
+    /// Lists a target as draining while it continues to serve. Returns the number of its start.
     pub fn drain_target(&self, id: &str) -> u64 {
         let mut inner = self.lock();
         let start = inner.targets.get_mut(id).map_or(0, |target| {
@@ -143,7 +144,7 @@
 }
 
 impl Inner {
-    /// Whether a start of a target runs.
+    /// Whether this start of a target is running.
     pub fn runs(&self, id: &str, start: u64) -> bool {
         let target = self.targets.get(id).filter(|target| target.start == start);
         target.is_some_and(|target| target.server.is_some())
--- a/tests/platform_stand_in/store.rs
+++ b/tests/platform_stand_in/store.rs
@@ -1,4 +1,4 @@
-//! A store of kept KV cache that frees only what it is told to.
+//! An emulated store of KV cache, which frees parts only on request.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -10,23 +10,22 @@
 use super::target::PartOrigin;
 use super::{Inner, Platform};
 
-/// Names a part: the text under which it is kept, and its id.
+/// Name of a part: its cache salt and its id.
 pub type PartName = (String, String);
 
-/// Events that are kept.
+/// Events that the store retains.
 const MAX_EVENTS: usize = 2_000;
 
-/// The store's contents.
 #[derive(Default)]
 pub struct Store {
-    /// Names this start; 0 while it is down.
+    /// Number of this start of the store; 0 before the first one.
     pub epoch: u64,
     parts: BTreeMap<PartName, Part>,
     events: VecDeque<(u64, Value)>,
     next_event: u64,
-    /// Parts that were freed on order.
+    /// Number of parts freed.
     pub freed: u64,
-    /// Fetches that found all they asked for.
+    /// How often the fetches of a run have been checked.
     pub fetched: u64,
 }
 
@@ -37,29 +36,29 @@
 }
 
 impl Store {
-    /// Starts anew and empty.
+    /// Restarts the store empty, in the next epoch.
     pub fn restart(&mut self) {
         let epoch = self.epoch + 1;
         *self = Store { epoch, freed: self.freed, fetched: self.fetched, ..Store::default() };
     }
 
-    /// Whether room is reserved for a part that has not come whole.
+    /// Whether a part has a reservation but is incomplete.
     pub fn is_partial(&self, part: &PartName) -> bool {
         self.parts.get(part).is_some_and(|part| !part.is_whole)
     }
 
-    /// Reserves room for a part.
+    /// Reserves space for a part.
     pub fn begin_save(&mut self, part: &PartName, tokens: u64, origin: &PartOrigin) {
         let new = || Part { tokens, is_whole: false, origin: origin.clone() };
         self.parts.entry(part.clone()).or_insert_with(new);
     }
 
-    /// Whose request made a part, if it lies here whole.
+    /// The origin of a part, if it is stored completely.
     pub fn origin(&self, part: &PartName) -> Option<PartOrigin> {
         self.parts.get(part).filter(|part| part.is_whole).map(|part| part.origin.clone())
     }
 
-    /// A part has come whole.
+    /// Marks a part as complete and publishes an event.
     pub fn complete_save(&mut self, part: &PartName) {
         if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_whole) {
             known.is_whole = true;
@@ -107,7 +106,7 @@
 }
 
 impl Platform {
-    /// Serves the store until the runtime ends. Returns its address.
+    /// Serves the store until the runtime shuts down. Returns its address.
     pub async fn serve_store(&self, at: SocketAddr) -> SocketAddr {
         self.lock().store.restart();
         let platform = self.clone();
@@ -158,7 +157,7 @@
     }
 }
 
-/// The engines' clock.
+/// Wall-clock time in Unix milliseconds.
 pub fn clock_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -1,4 +1,4 @@
-//! Model engines and plain services.
+//! Emulated targets: model engines and plain services.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,102 +17,102 @@
 use super::store::{PartName, clock_ms};
 use super::{Inner, Platform};
 
-/// Time between two events of a stream.
+/// Interval between events of a stream.
 pub(super) const EVENT_INTERVAL: Duration = Duration::from_millis(8);
-/// How long a load of weights takes.
+/// Time to load weights.
 const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(300);
-/// How often it is looked whether orders are still held.
+/// Interval of checks whether orders are still blocked.
 const HELD_ORDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How late an order that gets no answer is carried out.
+/// Delay until an unanswered order is executed.
 const LATE_ORDER_DELAY: Duration = Duration::from_millis(1_500);
-/// An order may rest on a report of an earlier start for this long: it was under way, on a busy
-/// machine.
+/// How long after a start an order may still be based on a report of the previous start, because it
+/// was in transit.
 const OUTDATED_REPORT_GRACE: Duration = Duration::from_secs(4);
-/// Events about parts that a target keeps.
+/// Events about parts that a target retains.
 const MAX_EVENTS: usize = 2_000;
 
 /// One start of a target.
 pub struct Target {
-    /// Its id.
+    /// Target id.
     pub id: String,
-    /// Counts its starts under this id, from 1.
+    /// Number of this start under the id, from 1.
     pub start: u64,
-    /// When it started, in Unix milliseconds of its own clock.
+    /// Start time in Unix milliseconds of its own clock.
     pub born_ms: u64,
-    /// What it serves.
+    /// The service that it provides.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Where the list says that it listens.
+    /// Its address in the list.
     pub listed_address: SocketAddr,
     /// Its failure domain.
     pub zone: String,
-    /// The version of the weights that it runs; `None` for a plain service.
+    /// Version of its weights; `None` for a plain service.
     pub weights: Option<u64>,
-    /// When the list began to show that it leaves.
+    /// When the list starts to show it as draining.
     pub leaves_from: Option<Instant>,
     /// Whether it is on the list.
     pub is_listed: bool,
-    /// What it does wrong.
+    /// Injected fault.
     pub fault: Fault,
-    /// The weights that it loads, by an order under way.
+    /// The weights that it is loading.
     pub loading: Option<u64>,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     pub orders: u64,
-    /// Requests that it has begun.
+    /// Number of requests that it has started.
     pub begun: u64,
-    /// The entry of the start before, shown until a time.
+    /// The list entry of the previous start, shown until this time.
     pub(super) earlier_entry: Option<(Value, Instant)>,
-    /// Answers its calls; none once it has ended.
+    /// Its HTTP server; `None` once it has stopped.
     pub(super) server: Option<AbortHandle>,
     started_at: Instant,
     pub(super) running: u32,
     /// The highest fencing token of an order.
     fence: u64,
-    /// What it has read: the text under which it is kept, whose request read it, and its tokens.
+    /// Parts in its cache, with the origin and the number of tokens of each.
     resident: HashMap<PartName, (PartOrigin, u64)>,
     events: VecDeque<Value>,
     next_event: u64,
 }
 
-/// Whose request read a part, and with which weights.
+/// The account and the weights for which a part was computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartOrigin {
-    /// The account.
+    /// The client account.
     pub tenant: String,
     /// The version of the weights.
     pub weights: u64,
 }
 
-/// What a target does wrong.
+/// A fault of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It says that it is full, and runs nothing.
+    /// Refuses all requests as if full.
     Full,
-    /// It runs each request and then fails.
+    /// Runs each request, then responds with status 500.
     Fails,
-    /// It runs each request and never answers.
+    /// Runs each request and never responds.
     Mute,
-    /// It breaks off in the middle of an answer.
+    /// Breaks off streams half-way.
     BreaksOff,
-    /// It runs each request, and the answer is another request's.
+    /// Responds with the id of another request.
     Crosses,
-    /// It answers no order, and carries it out later, perhaps in its next start.
+    /// Never answers orders and executes them late, possibly after a restart.
     LateOrders,
 }
 
-/// A part of a prompt with its tokens, and the address that is named for it.
+/// A part of a prompt with its number of tokens and the address to fetch it from or save it to.
 type LocatedPart = ((PartName, u64), SocketAddr);
 
-/// A target that begins to run a request with a body that begins so ends, and starts again after a while.
+/// A request whose body has this prefix crashes its target, which restarts after [`CRASH_DOWNTIME`].
 pub const CRASHING_BODY_PREFIX: &[u8] = b"ends its target";
-/// How long it is down then.
+/// Time until a crashed target restarts.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(1_200);
 
-/// Accounts that share nothing with others.
+/// Client account that shares no cache with others.
 pub const ISOLATED_ACCOUNT: &str = "walled";
 
 impl Target {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Its entry on the list.
+    /// The entry that the list shows, if the target is listed.
     pub fn listed(&self) -> Option<Value> {
         let earlier = self.earlier_entry.as_ref().filter(|(_, until)| Instant::now() < *until);
         let entry = earlier.map(|(entry, _)| entry.clone());
@@ -169,7 +169,7 @@
                "KvTotal": 1_000_000, "Handles": 0, "born": self.born_ms})
     }
 
-    /// Ends its calls at once, and what it has under way.
+    /// Stops the server and cancels the load of weights.
     pub(super) fn end(&mut self) {
         self.loading = None;
         if let Some(server) = self.server.take() {
@@ -218,7 +218,7 @@
         request: Request<Incoming>,
     ) -> HttpResponse {
         if !self.lock().runs(id, start) {
-            // Its connections are about to be reset.
+            // This start has stopped: its connections are about to be reset.
             return std::future::pending().await;
         }
         let told = |tell: fn(&Target) -> Value| self.lock().targets.get(id).map(tell);
@@ -248,7 +248,7 @@
                     });
                     return std::future::pending().await;
                 }
-                // Goes on when its sender waits no longer.
+                // The order is executed even if its sender disconnects.
                 let carried_out = tokio::spawn(async move {
                     let is_held = platform.lock().holds_orders;
                     while platform.lock().holds_orders {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// The target ends under a request, after the head of a stream, and starts again later.
+    /// Crashes the target shortly after the response head of a stream, and restarts it later.
     fn crash_during(&self, job: &Job, body: &[u8]) {
         let (id, start) = (job.target.clone(), job.start);
         let body = String::from_utf8_lossy(body).into_owned();
@@ -312,7 +312,7 @@
             Ok(began) => began,
             Err(refused) => return *refused,
         };
-        // Reads the body to its end: some callers' bodies come in chunks.
+        // Reads the body to its end, as it may come in chunks.
         let Some(body) = http::read_body(request).await else {
             job.end(RunEnd::Left(Instant::now()));
             return http::status(400);
@@ -329,7 +329,7 @@
             Fault::Mute => std::future::pending().await,
             Fault::Fails => {
                 job.end(RunEnd::Whole);
-                job.add_response_headers(http::with_body(500, "it failed"))
+                job.add_response_headers(http::with_body(500, "injected failure"))
             }
             _ if job.is_stream => job.into_event_stream(fault == Fault::BreaksOff),
             _ => {
@@ -348,7 +348,7 @@
 }
 
 impl Inner {
-    /// Takes an order. Returns the status of its answer.
+    /// Checks an order and starts its execution. Returns the response status.
     fn take_order(
         &mut self,
         id: &str,
@@ -369,8 +369,10 @@
         let count = order["Precondition"].as_u64();
         let is_settled = !is_late && target.started_at.elapsed() > OUTDATED_REPORT_GRACE;
         if count.is_none_or(|count| is_settled && count > target.orders) {
-            let what = format!("start {} of {id} gets an order after {count:?}", target.start);
-            self.observations.violation(format!("{what} orders, it has taken {}", target.orders));
+            let what =
+                format!("start {} of {id} receives an order based on {count:?}", target.start);
+            self.observations
+                .violation(format!("{what} orders, but has accepted {}", target.orders));
         }
         if fence < target.fence {
             return 412;
@@ -389,7 +391,7 @@
         202
     }
 
-    /// A start has loaded what it was told to, if it still runs.
+    /// Completes the load of weights, if this start of the target still runs.
     fn loaded(&mut self, id: &str, start: u64) {
         let target = self.targets.get_mut(id).filter(|target| target.start == start);
         if let Some(target) = target
@@ -400,7 +402,7 @@
         }
     }
 
-    /// Begins a request, or says why it does not run.
+    /// Starts a request, or returns the response that refuses it.
     fn begin(
         &mut self,
         platform: &Platform,
@@ -431,7 +433,8 @@
             self.observations.record_weights_of_run(&name, id, weights);
         }
         if request.headers().contains_key("authorization") {
-            self.observations.violation(format!("{name} brings its caller's key to {id}"));
+            self.observations
+                .violation(format!("{name} forwards the API key of its caller to {id}"));
         }
         let tenant = text("x-tenant");
         let parts = parts_of(&text("x-cache-salt"), &text("x-prompt-prefix"));
@@ -454,7 +457,7 @@
         for ((part, _), _) in &from_store {
             self.check_origin(&name, self.store.origin(part), &origin);
         }
-        // An engine gives what it keeps of a prompt, which may be nothing or a beginning.
+        // An engine sends what it has of a prompt, which may be nothing or only a prefix.
         for ((part, _), address) in &from_engines {
             let source = self.engine_at(*address);
             let kept = source.and_then(|source| source.resident.get(part));
@@ -492,13 +495,13 @@
         Ok((job, fault))
     }
 
-    /// The engine that is listed at an address.
+    /// The engine with this address in the list.
     fn engine_at(&self, address: SocketAddr) -> Option<&Target> {
         let mut targets = self.targets.values();
         targets.find(|target| target.listed_address == address && target.weights.is_some())
     }
 
-    /// Reads parts into an engine's memory, or uses them where they are resident.
+    /// Computes parts into the cache of an engine, or uses those that are resident.
     fn read(&mut self, id: &str, name: &str, parts: &[(PartName, u64)], origin: &PartOrigin) {
         for (part, tokens) in parts {
             let Some(target) = self.targets.get_mut(id) else { return };
@@ -515,12 +518,12 @@
         let Some(kept) = kept else { return };
         if kept.weights != user.weights {
             self.observations
-                .violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
+                .violation(format!("{name} on weights {user:?} uses a part of {kept:?}"));
         }
         let is_isolated =
             [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED_ACCOUNT);
         if is_isolated && kept.tenant != user.tenant {
-            self.observations.violation(format!("{name} of {user:?} uses what {kept:?} made"));
+            self.observations.violation(format!("{name} of {user:?} uses a part of {kept:?}"));
         }
     }
 }
@@ -531,7 +534,7 @@
     Box::new(answer)
 }
 
-/// The parts of a prompt with their tokens.
+/// Parses the parts of a prompt with their numbers of tokens.
 fn parts_of(salt: &str, prefix: &str) -> Vec<(PartName, u64)> {
     let part = |text: &str| {
         let (id, tokens) = text.split_once(':')?;
