--- a/tests/platform_stand_in/job.rs
+++ b/tests/platform_stand_in/job.rs
@@ -47,7 +47,7 @@
 impl Drop for Job {
     /// Records the end of the run, also if the client has disconnected.
     fn drop(&mut self) {
-        self.end(RunEnd::Left(Instant::now()));
+        self.end(RunEnd::Aborted(Instant::now()));
         let mut inner = self.platform.lock();
         let target = inner.targets.get_mut(&self.target);
         if let Some(target) = target.filter(|target| target.start == self.start) {
@@ -117,7 +117,7 @@
         let stamped = self.add_response_headers(http::status(200));
         let parts = futures::stream::unfold((self, made), move |(job, made)| async move {
             if made == all {
-                job.end(RunEnd::Whole);
+                job.end(RunEnd::Complete);
                 return None;
             }
             tokio::time::sleep(EVENT_INTERVAL).await;
--- a/tests/platform_stand_in/observations.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -33,9 +33,9 @@
     /// The run has not ended.
     Running,
     /// The response was complete.
-    Whole,
+    Complete,
     /// The client disconnected, or the target broke off the response.
-    Left(Instant),
+    Aborted(Instant),
 }
 
 /// Everything that the emulated platform records.
@@ -48,7 +48,7 @@
     /// Number of orders that targets have accepted.
     pub orders: u64,
     /// Events that came later than the deployment allows.
-    pub late: Vec<Late>,
+    pub late: Vec<LateEvent>,
     /// Announced versions of weights, each with the time of the acknowledgement.
     pub named: Vec<(u64, Instant)>,
     /// Requests that crash targets, by body.
@@ -86,12 +86,12 @@
     }
 }
 
-/// An event that came late. This is a violation beyond [`Promise::allowed`], unless there was a fault
+/// An event that came late. This is a violation beyond [`Guarantee::allowed`], unless there was a fault
 /// in the meantime.
 #[derive(Clone, Debug)]
-pub struct Late {
+pub struct LateEvent {
     /// The guarantee that applies.
-    pub promise: Promise,
+    pub promise: Guarantee,
     /// Description of the event.
     pub what: String,
     /// Its delay.
@@ -104,27 +104,27 @@
 
 /// A guarantee with a time limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
+pub enum Guarantee {
     /// A leaving target receives no new requests.
     Leaving,
     /// Prompts start on announced weights.
     Weights,
 }
 
-impl Promise {
+impl Guarantee {
     /// The limit in the soak test's deployment.
     pub fn bound(self) -> Duration {
         match self {
-            Promise::Leaving => Duration::from_secs(3),
-            Promise::Weights => Duration::from_secs(6),
+            Guarantee::Leaving => Duration::from_secs(3),
+            Guarantee::Weights => Duration::from_secs(6),
         }
     }
 
     /// The limit that the soak test checks, with time for scheduling delays on a busy machine.
     pub fn allowed(self) -> Duration {
         match self {
-            Promise::Leaving => Duration::from_secs(5),
-            Promise::Weights => Duration::from_secs(10),
+            Guarantee::Leaving => Duration::from_secs(5),
+            Guarantee::Weights => Duration::from_secs(10),
         }
     }
 }
@@ -144,7 +144,7 @@
         let what = format!("{request} reaches {target} {late:?} after it started to drain");
         match late {
             late if late > LEAVING_HARD_LIMIT => self.violations.push(what),
-            late => self.record_late(Promise::Leaving, what, late),
+            late => self.record_late(Guarantee::Leaving, what, late),
         }
     }
 
@@ -157,14 +157,14 @@
         let what = format!(
             "{request} starts at {target} on weights {weights}, {late:?} after {version} was announced"
         );
-        self.record_late(Promise::Weights, what, late);
+        self.record_late(Guarantee::Weights, what, late);
     }
 
-    fn record_late(&mut self, promise: Promise, what: String, late: Duration) {
+    fn record_late(&mut self, promise: Guarantee, what: String, late: Duration) {
         if late > promise.bound() {
             let to = Instant::now();
             let from = to - late.min(promise.allowed());
-            self.late.push(Late { promise, what, late, from, to });
+            self.late.push(LateEvent { promise, what, late, from, to });
         }
     }
 
--- a/tests/platform_stand_in/store.rs
+++ b/tests/platform_stand_in/store.rs
@@ -31,7 +31,7 @@
 
 struct Part {
     tokens: u64,
-    is_whole: bool,
+    is_complete: bool,
     origin: PartOrigin,
 }
 
@@ -44,24 +44,24 @@
 
     /// Whether a part has a reservation but is incomplete.
     pub fn is_partial(&self, part: &PartName) -> bool {
-        self.parts.get(part).is_some_and(|part| !part.is_whole)
+        self.parts.get(part).is_some_and(|part| !part.is_complete)
     }
 
     /// Reserves space for a part.
     pub fn begin_save(&mut self, part: &PartName, tokens: u64, origin: &PartOrigin) {
-        let new = || Part { tokens, is_whole: false, origin: origin.clone() };
+        let new = || Part { tokens, is_complete: false, origin: origin.clone() };
         self.parts.entry(part.clone()).or_insert_with(new);
     }
 
     /// The origin of a part, if it is stored completely.
     pub fn origin(&self, part: &PartName) -> Option<PartOrigin> {
-        self.parts.get(part).filter(|part| part.is_whole).map(|part| part.origin.clone())
+        self.parts.get(part).filter(|part| part.is_complete).map(|part| part.origin.clone())
     }
 
     /// Marks a part as complete and publishes an event.
     pub fn complete_save(&mut self, part: &PartName) {
-        if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_whole) {
-            known.is_whole = true;
+        if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_complete) {
+            known.is_complete = true;
             let tokens = known.tokens;
             self.push_event("+", part, tokens);
         }
@@ -85,7 +85,7 @@
 
     fn list(&self, clock_ms: u64) -> Value {
         let entries = |whole| {
-            let parts = self.parts.iter().filter(move |(_, part)| part.is_whole == whole);
+            let parts = self.parts.iter().filter(move |(_, part)| part.is_complete == whole);
             parts.map(move |((salt, id), part)| match whole {
                 true => json!([salt, id, part.tokens, "m"]),
                 false => json!([salt, id, 0, part.tokens]),
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -93,13 +93,13 @@
     /// Refuses all requests as if full.
     Full,
     /// Runs each request, then responds with status 500.
-    Fails,
+    RespondsWithError,
     /// Runs each request and never responds.
-    Mute,
+    NeverResponds,
     /// Breaks off streams half-way.
     BreaksOff,
     /// Responds with the id of another request.
-    Crosses,
+    WrongRequestId,
     /// Never answers orders and executes them late, possibly after a restart.
     LateOrders,
 }
@@ -314,7 +314,7 @@
         };
         // Reads the body to its end, as it may come in chunks.
         let Some(body) = http::read_body(request).await else {
-            job.end(RunEnd::Left(Instant::now()));
+            job.end(RunEnd::Aborted(Instant::now()));
             return http::status(400);
         };
         job.transfer_parts().await;
@@ -326,18 +326,18 @@
             };
         }
         match fault {
-            Fault::Mute => std::future::pending().await,
-            Fault::Fails => {
-                job.end(RunEnd::Whole);
+            Fault::NeverResponds => std::future::pending().await,
+            Fault::RespondsWithError => {
+                job.end(RunEnd::Complete);
                 job.add_response_headers(http::with_body(500, "injected failure"))
             }
             _ if job.is_stream => job.into_event_stream(fault == Fault::BreaksOff),
             _ => {
                 tokio::time::sleep(EVENT_INTERVAL).await;
-                job.end(RunEnd::Whole);
+                job.end(RunEnd::Complete);
                 let mut answer =
                     job.add_response_headers(http::with_body(200, expected_body(&job.request)));
-                if fault == Fault::Crosses {
+                if fault == Fault::WrongRequestId {
                     let other = HeaderValue::from_static("another-request");
                     answer.headers_mut().insert("x-request-id", other);
                 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -253,7 +253,13 @@
 
     fn spoil_target(&mut self, lasts: Duration) {
         let Some(id) = self.any_target() else { return };
-        let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
+        let faults = [
+            Fault::Full,
+            Fault::RespondsWithError,
+            Fault::NeverResponds,
+            Fault::BreaksOff,
+            Fault::WrongRequestId,
+        ];
         let fault = *faults.choose(&mut self.random).expect("there are some");
         self.set_fault(&id, fault);
         self.later(lasts, move |world| world.set_fault(&id, Fault::None));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -28,7 +28,7 @@
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
-use platform_stand_in::observations::{Late, Promise, RunEnd};
+use platform_stand_in::observations::{Guarantee, LateEvent, RunEnd};
 use platform_stand_in::target::Fault;
 use proxy::Proxy;
 use system::{Disturbance, REPLICAS, System};
@@ -152,8 +152,8 @@
         }
         for run in self.platform.lock().observations.runs_of(request) {
             let worked_on = match run.end {
-                RunEnd::Whole => continue,
-                RunEnd::Left(end) => end.saturating_duration_since(at),
+                RunEnd::Complete => continue,
+                RunEnd::Aborted(end) => end.saturating_duration_since(at),
                 RunEnd::Running => at.elapsed(),
             };
             if worked_on > LEAVING_TAKES {
@@ -166,7 +166,7 @@
     }
 
     /// What came latest while nothing was wrong, if later than a deployment allows.
-    fn latest(&self, promise: Promise) -> Option<Late> {
+    fn latest(&self, promise: Guarantee) -> Option<LateEvent> {
         let platform = self.platform.lock();
         let late = platform.observations.late.iter().filter(|late| late.promise == promise);
         let calm = late.filter(|late| !self.was_harmed(late.from, late.to));
@@ -244,7 +244,7 @@
     world.check_repeats();
     ending::check(&world);
     let told = summary(&world, &faults, begun);
-    let latest = [Promise::Leaving, Promise::Weights].map(|promise| world.latest(promise));
+    let latest = [Guarantee::Leaving, Guarantee::Weights].map(|promise| world.latest(promise));
     faults.close().await;
     close(world, &told, latest.into_iter().flatten().collect())
 }
@@ -274,7 +274,7 @@
 }
 
 /// Ends the processes; keeps their logs if something was wrong, or came late.
-fn close(world: Arc<World>, told: &str, late: Vec<Late>) -> Vec<String> {
+fn close(world: Arc<World>, told: &str, late: Vec<LateEvent>) -> Vec<String> {
     let world = Arc::into_inner(world).expect("all tasks have ended");
     let mut violations = world.violations.into_inner().expect("nobody panics with it");
     let folder = world.system.into_inner().expect("nobody panics with it").close();
