--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -52,7 +52,8 @@
 /// No engine gets the prompt once all have had time to know it for what it is, but for a few tries.
 fn assert_known(site: &Site, when: &str) {
     let platform = site.platform.lock();
-    let ending = platform.observations.ending.get(ENDING).expect("it has reached engines");
+    let ending =
+        platform.observations.crashing_requests.get(ENDING).expect("it has reached engines");
     assert_eq!(ending.reached_too_often(KNOWN_WITHIN, |_| true), None, "{when}");
 }
 
--- a/tests/platform_stand_in/observations.rs
+++ b/tests/platform_stand_in/observations.rs
@@ -16,7 +16,7 @@
     /// The start of the target.
     pub start: u64,
     /// When the run began.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// The client account in the request.
     pub tenant: String,
     /// The last event of an earlier run after which the stream resumes; 0 for a new stream.
@@ -50,9 +50,9 @@
     /// Events that came later than the deployment allows.
     pub late: Vec<LateEvent>,
     /// Announced versions of weights, each with the time of the acknowledgement.
-    pub named: Vec<(u64, Instant)>,
+    pub announced_weights: Vec<(u64, Instant)>,
     /// Requests that crash targets, by body.
-    pub ending: BTreeMap<String, CrashingRequest>,
+    pub crashing_requests: BTreeMap<String, CrashingRequest>,
     stamps: u64,
 }
 
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct LateEvent {
     /// The guarantee that applies.
-    pub promise: Guarantee,
+    pub guarantee: Guarantee,
     /// Description of the event.
     pub what: String,
     /// Its delay.
@@ -150,7 +150,7 @@
 
     /// Records a prompt that starts on outdated weights.
     pub fn record_weights_of_run(&mut self, request: &str, target: &str, weights: u64) {
-        let newer = self.named.iter().find(|(version, _)| *version > weights);
+        let newer = self.announced_weights.iter().find(|(version, _)| *version > weights);
         let Some((version, late)) = newer.map(|(version, at)| (*version, at.elapsed())) else {
             return;
         };
@@ -160,22 +160,22 @@
         self.record_late(Guarantee::Weights, what, late);
     }
 
-    fn record_late(&mut self, promise: Guarantee, what: String, late: Duration) {
-        if late > promise.bound() {
+    fn record_late(&mut self, guarantee: Guarantee, what: String, late: Duration) {
+        if late > guarantee.bound() {
             let to = Instant::now();
-            let from = to - late.min(promise.allowed());
-            self.late.push(LateEvent { promise, what, late, from, to });
+            let from = to - late.min(guarantee.allowed());
+            self.late.push(LateEvent { guarantee, what, late, from, to });
         }
     }
 
     /// Records that a target received a request that crashes targets.
     pub fn record_crashing_send(&mut self, body: &str) {
-        self.ending.entry(body.to_string()).or_default().reached.push(Instant::now());
+        self.crashing_requests.entry(body.to_string()).or_default().reached.push(Instant::now());
     }
 
     /// Records that a request crashed a target.
     pub fn record_crash(&mut self, body: &str) {
-        self.ending.entry(body.to_string()).or_default().ended.push(Instant::now());
+        self.crashing_requests.entry(body.to_string()).or_default().ended.push(Instant::now());
     }
 
     /// A unique response stamp.
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -471,7 +471,7 @@
             Run {
                 target: id.to_string(),
                 start,
-                begun: Instant::now(),
+                started_at: Instant::now(),
                 tenant,
                 resumed_after: made,
                 stamp: stamp.clone(),
--- a/tests/process/api.rs
+++ b/tests/process/api.rs
@@ -4,7 +4,7 @@
 
 use crate::testenv::{TestEnv, wait_for};
 
-/// Whether the request of an error response ran: `not_run` or `may_have_run`; `none` if it is no error.
+/// Whether the request of an error response ran: `not_run` or `may_have_run`; `none` for other responses.
 pub fn execution_of(body: &Value) -> &str {
     body["error"]["execution"].as_str().unwrap_or("none")
 }
--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -27,12 +27,12 @@
 /// Sends the prompt to the nodes in turn for a duration. Returns the status and body of the last
 /// response.
 fn resend_for(env: &TestEnv, nodes: &[usize], duration: Duration) -> (u16, Value) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut last = (0, Value::Null);
     for node in nodes.iter().cycle() {
         let answer = env.send_prompt(*node, "anna", CRASHING_PROMPT, 4);
         last = (answer.status().as_u16(), answer.json().unwrap_or_default());
-        if begun.elapsed() > duration {
+        if started_at.elapsed() > duration {
             break;
         }
         std::thread::sleep(RESEND_INTERVAL);
@@ -48,12 +48,12 @@
         env.set_fault(&format!("engine-{engine}"), fault);
     }
     resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
-    let crashes_at_first = engine_crashes(&env);
+    let crashes_before = engine_crashes(&env);
     let (status, body) = resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
-    let crashes_then = engine_crashes(&env);
+    let crashes_after = engine_crashes(&env);
     assert!(
-        crashes_then - crashes_at_first <= MAX_LATER_CRASHES,
-        "{crashes_at_first} engine crashes at first, {crashes_then} in all"
+        crashes_after - crashes_before <= MAX_LATER_CRASHES,
+        "{crashes_before} engine crashes before, {crashes_after} in all"
     );
     assert_eq!((status, execution_of(&body)), (503, "not_run"), "{body}");
     assert_eq!(body["error"]["code"], "held");
@@ -66,10 +66,10 @@
     env.restart(leader);
     env.wait_until_ready(leader);
     resend_for(&env, &[leader], PROPAGATION_TIMEOUT);
-    let crashes_at_last = engine_crashes(&env);
+    let crashes_at_end = engine_crashes(&env);
     assert!(
-        crashes_at_last - crashes_at_first <= MAX_LATER_CRASHES,
-        "{crashes_at_first} engine crashes at first, {crashes_at_last} in all"
+        crashes_at_end - crashes_before <= MAX_LATER_CRASHES,
+        "{crashes_before} engine crashes before, {crashes_at_end} in all"
     );
     for node in 0..3 {
         assert!(env.send_prompt(node, "anna", "another prompt", 4).status().is_success());
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -92,9 +92,13 @@
 /// Options of a [`TestEnv`].
 pub struct TestEnvOptions {
     pub nodes: usize,
+    /// The first nodes, this many, are replicas of the log.
     pub replicas: usize,
+    /// Settings of the emulator.
     pub emulator: Value,
+    /// The `timing` of the settings of all nodes.
     pub timing: Value,
+    /// The `bounds` of the settings of all nodes.
     pub bounds: Value,
 }
 
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -107,7 +107,7 @@
     if held * HELD_ONE_IN > sent {
         world.violation(format!("{held} of {sent} held, though no target ends under them"));
     }
-    let ending = world.platform.lock().observations.ending.clone();
+    let ending = world.platform.lock().observations.crashing_requests.clone();
     let counts = |at: Instant| !world.was_harmed(at - IN_TOUCH_AFTER, at);
     for (body, ending) in ending {
         if let Some(what) = ending.reached_too_often(KNOWN_WITHIN, counts) {
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -166,9 +166,9 @@
     }
 
     /// What came latest while nothing was wrong, if later than a deployment allows.
-    fn latest(&self, promise: Guarantee) -> Option<LateEvent> {
+    fn latest(&self, guarantee: Guarantee) -> Option<LateEvent> {
         let platform = self.platform.lock();
-        let late = platform.observations.late.iter().filter(|late| late.promise == promise);
+        let late = platform.observations.late.iter().filter(|late| late.guarantee == guarantee);
         let calm = late.filter(|late| !self.was_harmed(late.from, late.to));
         calm.max_by_key(|late| late.late).cloned()
     }
@@ -180,7 +180,7 @@
         let most = platform.observations.runs.len() as f64 * ratio + slack;
         let mut violations = platform.observations.violations.clone();
         let late =
-            platform.observations.late.iter().filter(|late| late.late > late.promise.allowed());
+            platform.observations.late.iter().filter(|late| late.late > late.guarantee.allowed());
         let wrong = late.filter(|late| !self.was_harmed(late.from, late.to));
         violations.extend(wrong.map(|late| late.what.clone()));
         drop(platform);
@@ -244,7 +244,7 @@
     world.check_repeats();
     ending::check(&world);
     let told = summary(&world, &faults, begun);
-    let latest = [Guarantee::Leaving, Guarantee::Weights].map(|promise| world.latest(promise));
+    let latest = [Guarantee::Leaving, Guarantee::Weights].map(|guarantee| world.latest(guarantee));
     faults.close().await;
     close(world, &told, latest.into_iter().flatten().collect())
 }
@@ -266,8 +266,13 @@
         platform.store.fetched,
         of(&world.judged),
         of(&world.finals),
-        platform.observations.ending.len(),
-        platform.observations.ending.values().map(|ending| ending.ended.len()).sum::<usize>(),
+        platform.observations.crashing_requests.len(),
+        platform
+            .observations
+            .crashing_requests
+            .values()
+            .map(|ending| ending.ended.len())
+            .sum::<usize>(),
         of(&world.tally.held),
         begun.elapsed().as_secs(),
     )
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -162,7 +162,7 @@
             let answer = call(world, replica, "POST", "/version-put", Some(&body)).await;
             if answer.is_some_and(|(status, _)| status == 200) {
                 let mut platform = world.platform.lock();
-                return platform.observations.named.push((version, Instant::now()));
+                return platform.observations.announced_weights.push((version, Instant::now()));
             }
         }
     }
--- a/tests/soak/starts.rs
+++ b/tests/soak/starts.rs
@@ -42,7 +42,9 @@
 
 fn on_old_weights(world: &World) -> Vec<String> {
     let platform = world.platform.lock();
-    let Some(named) = platform.observations.named.iter().map(|(version, _)| *version).max() else {
+    let Some(named) =
+        platform.observations.announced_weights.iter().map(|(version, _)| *version).max()
+    else {
         return Vec::new();
     };
     let taking = platform.targets.values().filter(|t| t.is_listed && t.leaves_from.is_none());
