--- a/tests/deployment/ending_prompts.rs
+++ b/tests/deployment/ending_prompts.rs
@@ -47,7 +47,11 @@
 /// Checks that engines hardly get the prompt any more after its quarantine has had time to propagate.
 fn assert_crashing_prompt_is_quarantined(site: &TestDeployment, when: &str) {
     let platform = site.platform.lock();
-    let ending = platform.account.ending.get(CRASHING_PROMPT).expect("it has reached engines");
+    let ending = platform
+        .observations
+        .crashing_requests
+        .get(CRASHING_PROMPT)
+        .expect("it has reached engines");
     assert_eq!(ending.reached_too_often(PROPAGATION_TIMEOUT, |_| true), None, "{when}");
 }
 
@@ -108,7 +112,7 @@
     for number in 1_000..1_020 {
         assert_other_prompt_is_answered(&site, number).await;
     }
-    assert_eq!(site.platform.lock().account.violations, Vec::<String>::new());
+    assert_eq!(site.platform.lock().observations.violations, Vec::<String>::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/deployment/restarts.rs
+++ b/tests/deployment/restarts.rs
@@ -7,10 +7,10 @@
 use serde_json::{Value, json};
 
 use crate::platform_stand_in::Platform;
-use crate::platform_stand_in::list::{FOREIGN, Foreign};
+use crate::platform_stand_in::list::{FOREIGN_ENTRIES, ForeignEntry};
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
-use crate::platform_stand_in::target::event_of;
+use crate::platform_stand_in::target::expected_event;
 use crate::processes::{REPLICAS, System};
 
 /// Timeout for expected events, generous for busy machines.
@@ -185,14 +185,15 @@
     }
 
     fn violations(&self) -> Vec<String> {
-        self.platform.lock().account.violations.clone()
+        self.platform.lock().observations.violations.clone()
     }
 }
 
 /// Asserts that a stream has its own events in order, each once, and is complete only with all of
 /// them.
 fn assert_own_events_in_order(id: &str, got: &StreamResponse) {
-    let expected: String = (1..=LONG_STREAM_EVENTS).map(|number| event_of(id, number)).collect();
+    let expected: String =
+        (1..=LONG_STREAM_EVENTS).map(|number| expected_event(id, number)).collect();
     assert!(expected.starts_with(&got.body), "{id} got {:?}", got.body);
     let is_refused = got.status != 200 && got.body.is_empty();
     assert!(
@@ -301,13 +302,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_list_entries_hide_no_target_and_get_no_request() {
     let unused_platform = Platform::new();
-    let unused_address = unused_platform.serve_nobody(any_address()).await;
-    let foreign = |(number, kind): (usize, &Foreign)| {
+    let unused_address = unused_platform.serve_unused_address(any_address()).await;
+    let foreign = |(number, kind): (usize, &ForeignEntry)| {
         kind.entry(&format!("i-foreign-{number}"), unused_address)
     };
-    let mut entries: Vec<Vec<u8>> = FOREIGN.iter().enumerate().map(foreign).collect();
+    let mut entries: Vec<Vec<u8>> = FOREIGN_ENTRIES.iter().enumerate().map(foreign).collect();
     // One has the id of an engine.
-    entries.push(Foreign::Has("State", b"\"evacuating\"").entry("i-1", unused_address));
+    entries.push(ForeignEntry::Has("State", b"\"evacuating\"").entry("i-1", unused_address));
     let mut deployment = TestDeployment::start(&["i-0", "i-1"], entries, 233).await;
     for id in ["i-0", "i-1"] {
         let receives_work = deployment
@@ -324,5 +325,5 @@
     deployment.send_prompts_until(|deployment| engine_weights(deployment) == [Some(2); 2]).await;
     assert_eq!(engine_weights(&deployment), [Some(2); 2], "weights of the engines");
     assert_eq!(deployment.violations(), Vec::<String>::new());
-    assert_eq!(unused_platform.lock().account.violations, Vec::<String>::new());
+    assert_eq!(unused_platform.lock().observations.violations, Vec::<String>::new());
 }
--- a/tests/deployment/weights_in_force.rs
+++ b/tests/deployment/weights_in_force.rs
@@ -45,8 +45,8 @@
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each engine gets one order");
-    assert_eq!(inner.account.violations, Vec::<String>::new());
+    assert_eq!(inner.observations.orders, ENGINES as u64, "each engine gets one order");
+    assert_eq!(inner.observations.violations, Vec::<String>::new());
 }
 
 /// The first weights that a replica reports to a new entry, with the time since they were named.
@@ -113,6 +113,6 @@
         platform.lock().targets.values().all(|engine| engine.weights == Some(2))
     });
     let inner = platform.lock();
-    assert_eq!(inner.account.orders, ENGINES as u64, "each engine loads once");
-    assert_eq!(inner.account.violations, Vec::<String>::new());
+    assert_eq!(inner.observations.orders, ENGINES as u64, "each engine loads once");
+    assert_eq!(inner.observations.violations, Vec::<String>::new());
 }
--- a/tests/platform_stand_in/list.rs
+++ b/tests/platform_stand_in/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of targets: it lags, comes in pages, and bears entries of other writers.
+//! The platform's list of targets: delayed, paginated, and with entries of other writers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,72 +6,72 @@
 use ::http::Request;
 use serde_json::json;
 
-use super::http::{self, Answer};
+use super::http::{self, HttpResponse};
 use super::target::Target;
 use super::{Inner, Platform};
 
-/// How late the list shows a change.
+/// Delay until the list shows a change.
 pub const LIST_LAG: Duration = Duration::from_millis(200);
-/// What tokens of pages begin with.
-const TOKEN: &str = "p-";
+/// Prefix of pagination tokens.
+const PAGE_TOKEN_PREFIX: &str = "p-";
 
-/// The list, and what is wrong with it.
+/// The list, with its faults.
 #[derive(Default)]
 pub struct List {
-    /// Entries of other writers: where on the list each stands, and its text.
+    /// Entries of other writers, each with its position and its bytes.
     pub foreign: Vec<(usize, Vec<u8>)>,
-    /// Entries on a page; 0 if there is one page only.
+    /// Entries per page; 0 disables pagination.
     pub page_entries: usize,
-    /// How far entries move between the read of a page and that of the next one. Upwards, some are
-    /// shown on neither page; downwards, some on both.
+    /// Added to the position at which each further page starts, as if entries moved between reads:
+    /// positive values skip entries, negative ones repeat them.
     pub shift: isize,
-    /// The list as it was some time ago, newest last: what is shown lags.
+    /// Versions of the list with the time of each, newest last; shown after [`LIST_LAG`].
     shown: Vec<(Instant, Vec<Vec<u8>>)>,
 }
 
-/// How an entry of another writer differs from one that names a target.
+/// How an entry of another writer differs from that of a target.
 #[derive(Clone, Copy, Debug)]
-pub enum Foreign {
-    /// It lacks a field.
+pub enum ForeignEntry {
+    /// A field is missing.
     Lacks(&'static str),
-    /// A field is other bytes than it should.
+    /// A field has these bytes as its value.
     Has(&'static str, &'static [u8]),
 }
 
-/// Entries that name no target to use.
-pub const FOREIGN: [Foreign; 28] = [
-    Foreign::Lacks("Id"),
-    Foreign::Lacks("Service"),
-    Foreign::Lacks("Addr"),
-    Foreign::Lacks("Zone"),
-    Foreign::Lacks("State"),
-    Foreign::Has("Id", b"7"),
-    Foreign::Has("Id", b"null"),
-    Foreign::Has("Service", b"[\"llm\"]"),
-    Foreign::Has("Service", b"\"nobody\""),
-    Foreign::Has("Addr", b"8080"),
-    Foreign::Has("Addr", b"\"127.0.0.1\""),
-    Foreign::Has("Addr", b"\"127.0.0.1:99999\""),
-    Foreign::Has("Addr", b"\"http://127.0.0.1:80/\""),
-    Foreign::Has("Addr", b"\"[::1:80\""),
-    Foreign::Has("Zone", b"{\"Name\":\"hall-0\"}"),
-    Foreign::Has("Slots", b"\"16\""),
-    Foreign::Has("Slots", b"-1"),
-    Foreign::Has("State", b"\"evacuating\""),
-    Foreign::Has("State", b"\"Ready \""),
-    Foreign::Has("State", b"1"),
-    Foreign::Has("Models", b"\"m\""),
-    Foreign::Has("Zone", b"\"\xff\xfe\""),
-    Foreign::Has("Zone", b"\"\\ud800\""),
-    Foreign::Has("ColdLeftMs", b"@"),
-    Foreign::Lacks("Version"),
-    Foreign::Lacks("Slots"),
-    Foreign::Lacks("ColdLeftMs"),
-    Foreign::Has("Version", b"1"),
+/// Entries of other writers, to which no request may be sent.
+pub const FOREIGN_ENTRIES: [ForeignEntry; 28] = [
+    ForeignEntry::Lacks("Id"),
+    ForeignEntry::Lacks("Service"),
+    ForeignEntry::Lacks("Addr"),
+    ForeignEntry::Lacks("Zone"),
+    ForeignEntry::Lacks("State"),
+    ForeignEntry::Has("Id", b"7"),
+    ForeignEntry::Has("Id", b"null"),
+    ForeignEntry::Has("Service", b"[\"llm\"]"),
+    ForeignEntry::Has("Service", b"\"nobody\""),
+    ForeignEntry::Has("Addr", b"8080"),
+    ForeignEntry::Has("Addr", b"\"127.0.0.1\""),
+    ForeignEntry::Has("Addr", b"\"127.0.0.1:99999\""),
+    ForeignEntry::Has("Addr", b"\"http://127.0.0.1:80/\""),
+    ForeignEntry::Has("Addr", b"\"[::1:80\""),
+    ForeignEntry::Has("Zone", b"{\"Name\":\"hall-0\"}"),
+    ForeignEntry::Has("Slots", b"\"16\""),
+    ForeignEntry::Has("Slots", b"-1"),
+    ForeignEntry::Has("State", b"\"evacuating\""),
+    ForeignEntry::Has("State", b"\"Ready \""),
+    ForeignEntry::Has("State", b"1"),
+    ForeignEntry::Has("Models", b"\"m\""),
+    ForeignEntry::Has("Zone", b"\"\xff\xfe\""),
+    ForeignEntry::Has("Zone", b"\"\\ud800\""),
+    ForeignEntry::Has("ColdLeftMs", b"@"),
+    ForeignEntry::Lacks("Version"),
+    ForeignEntry::Lacks("Slots"),
+    ForeignEntry::Lacks("ColdLeftMs"),
+    ForeignEntry::Has("Version", b"1"),
 ];
 
-impl Foreign {
-    /// The entry, whose other fields are as they should be.
+impl ForeignEntry {
+    /// The bytes of the entry; all other fields are valid.
     pub fn entry(self, id: &str, address: SocketAddr) -> Vec<u8> {
         let whole = json!({"Id": id, "Service": "llm", "Addr": address, "Zone": "hall-0",
                            "Version": "v1", "Slots": 16, "ColdLeftMs": 0, "State": "ready",
@@ -79,8 +79,8 @@
         let fields = whole.as_object().into_iter().flatten();
         let written = fields.filter_map(|(name, value)| {
             let value = match self {
-                Foreign::Lacks(lacked) if lacked == name => return None,
-                Foreign::Has(field, bytes) if field == name => bytes.to_vec(),
+                ForeignEntry::Lacks(lacked) if lacked == name => return None,
+                ForeignEntry::Has(field, bytes) if field == name => bytes.to_vec(),
                 _ => value.to_string().into_bytes(),
             };
             Some([format!("\"{name}\":").into_bytes(), value].concat())
@@ -90,7 +90,7 @@
 }
 
 impl Platform {
-    /// Serves the list until the runtime ends. Returns its address.
+    /// Serves the list until the runtime shuts down. Returns its address.
     pub async fn serve_list(&self, at: SocketAddr) -> SocketAddr {
         let platform = self.clone();
         http::serve(at, move |request| {
@@ -105,14 +105,14 @@
         .await
     }
 
-    /// An address that entries of other writers name: nothing must come there.
-    pub async fn serve_nobody(&self, at: SocketAddr) -> SocketAddr {
+    /// Serves the address that entries of other writers name, and records each request as a violation.
+    pub async fn serve_unused_address(&self, at: SocketAddr) -> SocketAddr {
         let platform = self.clone();
         http::serve(at, move |request| {
             let platform = platform.clone();
             async move {
-                let what = format!("an entry of another writer gets {}", request.uri());
-                platform.lock().account.violation(what);
+                let what = format!("the address of a foreign entry receives {}", request.uri());
+                platform.lock().observations.violation(what);
                 http::status(404)
             }
         })
@@ -121,7 +121,7 @@
 }
 
 impl Inner {
-    /// Records the list as it is now, to be shown later.
+    /// Records the current list, which is shown after [`LIST_LAG`].
     pub fn list_changed(&mut self) {
         let listed = self.targets.values().filter_map(Target::listed);
         let mut entries: Vec<Vec<u8>> = listed.map(|entry| entry.to_string().into()).collect();
@@ -131,7 +131,7 @@
         self.list.shown.push((Instant::now(), entries));
     }
 
-    fn page<B>(&mut self, request: &Request<B>) -> Answer {
+    fn page<B>(&mut self, request: &Request<B>) -> HttpResponse {
         let list = &mut self.list;
         let shown = list.shown.iter().rposition(|(at, _)| at.elapsed() >= LIST_LAG);
         if let Some(shown) = shown {
@@ -139,15 +139,16 @@
         }
         let entries = shown.and(list.shown.first()).map_or(&[][..], |(_, entries)| entries);
         let token = request.uri().query().and_then(|query| query.split("PageToken=").nth(1));
-        let begun = token.and_then(|token| token.strip_prefix(TOKEN)?.parse::<usize>().ok());
+        let begun =
+            token.and_then(|token| token.strip_prefix(PAGE_TOKEN_PREFIX)?.parse::<usize>().ok());
         let first = begun.map_or(0, |begun| begun.saturating_add_signed(list.shift));
         let first = first.min(entries.len());
         let last = match list.page_entries {
             0 => entries.len(),
-            // Pages go on even where entries move by a whole page.
+            // Each page advances, even if `shift` moves entries by a whole page.
             size => (first + size).max(begun.map_or(0, |begun| begun + 1)).min(entries.len()),
         };
-        let next = (last < entries.len()).then(|| format!("{TOKEN}{last}"));
+        let next = (last < entries.len()).then(|| format!("{PAGE_TOKEN_PREFIX}{last}"));
         let entries = entries[first..last].join(&b","[..]);
         let end = format!("],\"NextToken\":{}}}", json!(next));
         http::with_body(200, [b"{\"Instances\":[".to_vec(), entries, end.into_bytes()].concat())
--- a/tests/platform_stand_in/store.rs
+++ b/tests/platform_stand_in/store.rs
@@ -1,4 +1,4 @@
-//! A store of kept KV cache that frees only what it is told to.
+//! An emulated store of KV cache, which frees parts only on request.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -6,87 +6,86 @@
 
 use serde_json::{Value, json};
 
-use super::http::{self, Answer};
-use super::target::Reader;
+use super::http::{self, HttpResponse};
+use super::target::PartOrigin;
 use super::{Inner, Platform};
 
-/// Names a part: the text under which it is kept, and its id.
+/// Name of a part: its cache salt and its id.
 pub type PartName = (String, String);
 
-/// Events that are kept.
-const EVENTS: usize = 2_000;
+/// Events that the store retains.
+const MAX_EVENTS: usize = 2_000;
 
-/// The store's contents.
 #[derive(Default)]
 pub struct Store {
-    /// Names this start; 0 while it is down.
+    /// Number of this start of the store; 0 before the first one.
     pub epoch: u64,
     parts: BTreeMap<PartName, Part>,
     events: VecDeque<(u64, Value)>,
     next_event: u64,
-    /// Parts that were freed on order.
+    /// Number of parts freed.
     pub freed: u64,
-    /// Fetches that found all they asked for.
+    /// How often the fetches of a run have been checked.
     pub fetched: u64,
 }
 
 struct Part {
     tokens: u64,
-    is_whole: bool,
-    reader: Reader,
+    is_complete: bool,
+    origin: PartOrigin,
 }
 
 impl Store {
-    /// Starts anew and empty.
+    /// Restarts the store empty, in the next epoch.
     pub fn restart(&mut self) {
         let epoch = self.epoch + 1;
         *self = Store { epoch, freed: self.freed, fetched: self.fetched, ..Store::default() };
     }
 
-    /// Whether room is reserved for a part that has not come whole.
+    /// Whether a part has a reservation but is incomplete.
     pub fn is_partial(&self, part: &PartName) -> bool {
-        self.parts.get(part).is_some_and(|part| !part.is_whole)
+        self.parts.get(part).is_some_and(|part| !part.is_complete)
     }
 
-    /// Reserves room for a part.
-    pub fn begin_save(&mut self, part: &PartName, tokens: u64, reader: &Reader) {
-        let new = || Part { tokens, is_whole: false, reader: reader.clone() };
+    /// Reserves space for a part.
+    pub fn begin_save(&mut self, part: &PartName, tokens: u64, origin: &PartOrigin) {
+        let new = || Part { tokens, is_complete: false, origin: origin.clone() };
         self.parts.entry(part.clone()).or_insert_with(new);
     }
 
-    /// Whose request made a part, if it lies here whole.
-    pub fn reader(&self, part: &PartName) -> Option<Reader> {
-        self.parts.get(part).filter(|part| part.is_whole).map(|part| part.reader.clone())
+    /// The origin of a part, if it is stored completely.
+    pub fn origin(&self, part: &PartName) -> Option<PartOrigin> {
+        self.parts.get(part).filter(|part| part.is_complete).map(|part| part.origin.clone())
     }
 
-    /// A part has come whole.
-    pub fn end_save(&mut self, part: &PartName) {
-        if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_whole) {
-            known.is_whole = true;
+    /// Marks a part as complete and publishes an event.
+    pub fn complete_save(&mut self, part: &PartName) {
+        if let Some(known) = self.parts.get_mut(part).filter(|known| !known.is_complete) {
+            known.is_complete = true;
             let tokens = known.tokens;
-            self.tell("+", part, tokens);
+            self.push_event("+", part, tokens);
         }
     }
 
     fn free(&mut self, part: &PartName) {
         if self.parts.remove(part).is_some() {
             self.freed += 1;
-            self.tell("-", part, 0);
+            self.push_event("-", part, 0);
         }
     }
 
-    fn tell(&mut self, sign: &str, part: &PartName, tokens: u64) {
+    fn push_event(&mut self, sign: &str, part: &PartName, tokens: u64) {
         let number = self.next_event;
         self.next_event += 1;
         self.events.push_back((number, json!([number, sign, part.0, part.1, tokens, "m"])));
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
     fn list(&self, clock_ms: u64) -> Value {
         let entries = |whole| {
-            let parts = self.parts.iter().filter(move |(_, part)| part.is_whole == whole);
+            let parts = self.parts.iter().filter(move |(_, part)| part.is_complete == whole);
             parts.map(move |((salt, id), part)| match whole {
                 true => json!([salt, id, part.tokens, "m"]),
                 false => json!([salt, id, 0, part.tokens]),
@@ -107,18 +106,21 @@
 }
 
 impl Platform {
-    /// Serves the store until the runtime ends. Returns its address.
+    /// Serves the store until the runtime shuts down. Returns its address.
     pub async fn serve_store(&self, at: SocketAddr) -> SocketAddr {
         self.lock().store.restart();
         let platform = self.clone();
         http::serve(at, move |request| {
             let platform = platform.clone();
-            async move { platform.answer_of_store(request).await }
+            async move { platform.respond_as_store(request).await }
         })
         .await
     }
 
-    async fn answer_of_store(&self, request: ::http::Request<hyper::body::Incoming>) -> Answer {
+    async fn respond_as_store(
+        &self,
+        request: ::http::Request<hyper::body::Incoming>,
+    ) -> HttpResponse {
         let path = request.uri().path().to_string();
         let query = request.uri().query().unwrap_or_default();
         let since = query.strip_prefix("Since=").and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -132,7 +134,7 @@
                 }
                 http::json(&self.lock().store.events_since(since, clock_ms()))
             }
-            "/kv-free" => match http::body_of(request).await {
+            "/kv-free" => match http::read_body(request).await {
                 Some(body) => self.lock().free(&serde_json::from_slice(&body).unwrap_or_default()),
                 None => http::status(400),
             },
@@ -142,7 +144,7 @@
 }
 
 impl Inner {
-    fn free(&mut self, order: &Value) -> Answer {
+    fn free(&mut self, order: &Value) -> HttpResponse {
         let is_void = order["until_ms"].as_u64().is_some_and(|until| clock_ms() > until);
         if is_void || order["BootEpoch"].as_u64().is_some_and(|epoch| epoch != self.store.epoch) {
             return http::status(409);
@@ -155,7 +157,7 @@
     }
 }
 
-/// The engines' clock.
+/// Wall-clock time in Unix milliseconds.
 pub fn clock_ms() -> u64 {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
--- a/tests/platform_stand_in/target.rs
+++ b/tests/platform_stand_in/target.rs
@@ -1,4 +1,4 @@
-//! Model engines and plain services.
+//! Emulated targets: model engines and plain services.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,111 +9,111 @@
 use serde_json::{Value, json};
 use tokio::task::AbortHandle;
 
-use super::account::{Run, RunEnd};
-use super::http::{self, Answer, header};
+use super::http::{self, HttpResponse, header};
 use super::job::Job;
-pub use super::job::{event_of, text_of};
+pub use super::job::{expected_body, expected_event};
+use super::observations::{Run, RunEnd};
 use super::starts::Restart;
 use super::store::{PartName, clock_ms};
 use super::{Inner, Platform};
 
-/// Time between two events of a stream.
-pub(super) const EVENT_EVERY: Duration = Duration::from_millis(8);
-/// How long a load of weights takes.
-const LOAD_TAKES: Duration = Duration::from_millis(300);
-/// How often it is looked whether orders are still held.
-const HELD_LOOK_EVERY: Duration = Duration::from_millis(10);
-/// How late an order that gets no answer is carried out.
-const ORDER_LATE: Duration = Duration::from_millis(1_500);
-/// An order may rest on a report of an earlier start for this long: it was under way, on a busy
-/// machine.
-const ORDER_UNDER_WAY: Duration = Duration::from_secs(4);
-/// Events about parts that a target keeps.
-const EVENTS: usize = 2_000;
+/// Interval between events of a stream.
+pub(super) const EVENT_INTERVAL: Duration = Duration::from_millis(8);
+/// Time to load weights.
+const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(300);
+/// Interval of checks whether orders are still blocked.
+const HELD_ORDER_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay until an unanswered order is executed.
+const LATE_ORDER_DELAY: Duration = Duration::from_millis(1_500);
+/// How long after a start an order may still be based on a report of the previous start, because it
+/// was in transit.
+const OUTDATED_REPORT_GRACE: Duration = Duration::from_secs(4);
+/// Events about parts that a target retains.
+const MAX_EVENTS: usize = 2_000;
 
 /// One start of a target.
 pub struct Target {
-    /// Its id.
+    /// Target id.
     pub id: String,
-    /// Counts its starts under this id, from 1.
+    /// Number of this start under the id, from 1.
     pub start: u64,
-    /// When it started, in Unix milliseconds of its own clock.
+    /// Start time in Unix milliseconds of its own clock.
     pub born_ms: u64,
-    /// What it serves.
+    /// The service that it provides.
     pub service: String,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Where the list says that it listens.
+    /// Its address in the list.
     pub listed_address: SocketAddr,
     /// Its failure domain.
     pub zone: String,
-    /// The version of the weights that it runs; `None` for a plain service.
+    /// Version of its weights; `None` for a plain service.
     pub weights: Option<u64>,
-    /// When the list began to show that it leaves.
+    /// When the list starts to show it as draining.
     pub leaves_from: Option<Instant>,
     /// Whether it is on the list.
     pub is_listed: bool,
-    /// What it does wrong.
+    /// Injected fault.
     pub fault: Fault,
-    /// The weights that it loads, by an order under way.
+    /// The weights that it is loading.
     pub loading: Option<u64>,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     pub orders: u64,
-    /// Requests that it has begun.
+    /// Number of requests that it has started.
     pub begun: u64,
-    /// The entry of the start before, shown until a time.
+    /// The list entry of the previous start, shown until this time.
     pub(super) earlier_entry: Option<(Value, Instant)>,
-    /// Answers its calls; none once it has ended.
+    /// Its HTTP server; `None` once it has stopped.
     pub(super) server: Option<AbortHandle>,
     started_at: Instant,
     pub(super) running: u32,
     /// The highest fencing token of an order.
     fence: u64,
-    /// What it has read: the text under which it is kept, whose request read it, and its tokens.
-    resident: HashMap<PartName, (Reader, u64)>,
+    /// Parts in its cache, with the origin and the number of tokens of each.
+    resident: HashMap<PartName, (PartOrigin, u64)>,
     events: VecDeque<Value>,
     next_event: u64,
 }
 
-/// Whose request read a part, and with which weights.
+/// The account and the weights for which a part was computed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reader {
-    /// The account.
+pub struct PartOrigin {
+    /// The client account.
     pub tenant: String,
     /// The version of the weights.
     pub weights: u64,
 }
 
-/// What a target does wrong.
+/// A fault of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It says that it is full, and runs nothing.
+    /// Refuses all requests as if full.
     Full,
-    /// It runs each request and then fails.
-    Fails,
-    /// It runs each request and never answers.
-    Mute,
-    /// It breaks off in the middle of an answer.
+    /// Runs each request, then responds with status 500.
+    RespondsWithError,
+    /// Runs each request and never responds.
+    NeverResponds,
+    /// Breaks off streams half-way.
     BreaksOff,
-    /// It runs each request, and the answer is another request's.
-    Crosses,
-    /// It answers no order, and carries it out later, perhaps in its next start.
+    /// Responds with the id of another request.
+    WrongRequestId,
+    /// Never answers orders and executes them late, possibly after a restart.
     LateOrders,
 }
 
-/// A part of a prompt with its tokens, and the address that is named for it.
-type Named = ((PartName, u64), SocketAddr);
+/// A part of a prompt with its number of tokens and the address to fetch it from or save it to.
+type LocatedPart = ((PartName, u64), SocketAddr);
 
-/// A target that begins to run a request with a body that begins so ends, and starts again after a while.
-pub const ENDS_TARGETS: &[u8] = b"ends its target";
-/// How long it is down then.
-const DOWN_AFTER_END: Duration = Duration::from_millis(1_200);
+/// A request whose body has this prefix crashes its target, which restarts after [`CRASH_DOWNTIME`].
+pub const CRASHING_BODY_PREFIX: &[u8] = b"ends its target";
+/// Time until a crashed target restarts.
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_200);
 
-/// Accounts that share nothing with others.
-pub const ISOLATED: &str = "walled";
+/// Client account that shares no cache with others.
+pub const ISOLATED_ACCOUNT: &str = "walled";
 
 impl Target {
     /// A target that has just started.
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Its entry on the list.
+    /// The entry that the list shows, if the target is listed.
     pub fn listed(&self) -> Option<Value> {
         let earlier = self.earlier_entry.as_ref().filter(|(_, until)| Instant::now() < *until);
         let entry = earlier.map(|(entry, _)| entry.clone());
@@ -169,7 +169,7 @@
                "KvTotal": 1_000_000, "Handles": 0, "born": self.born_ms})
     }
 
-    /// Ends its calls at once, and what it has under way.
+    /// Stops the server and cancels the load of weights.
     pub(super) fn end(&mut self) {
         self.loading = None;
         if let Some(server) = self.server.take() {
@@ -177,18 +177,18 @@
         }
     }
 
-    fn tell(&mut self, sign: &str, part: &PartName, tokens: u64) {
+    fn push_event(&mut self, sign: &str, part: &PartName, tokens: u64) {
         let event = json!([self.next_event, sign, part.0, part.1, tokens, "m"]);
         self.events.push_back(event);
         self.next_event += 1;
-        while self.events.len() > EVENTS {
+        while self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
     fn forget_parts(&mut self) {
         for part in std::mem::take(&mut self.resident).keys() {
-            self.tell("-", part, 0);
+            self.push_event("-", part, 0);
         }
     }
 
@@ -201,8 +201,9 @@
     }
 
     fn parts(&self) -> Value {
-        let part =
-            |((salt, id), (_, tokens)): (&PartName, &(Reader, u64))| json!([salt, id, tokens, "m"]);
+        let part = |((salt, id), (_, tokens)): (&PartName, &(PartOrigin, u64))| {
+            json!([salt, id, tokens, "m"])
+        };
         let held = self.resident.iter().map(part);
         json!({"BootEpoch": self.start, "NextToken": self.next_event,
                "Held": held.collect::<Vec<_>>(), "clock_ms": clock_ms(), "born": self.born_ms})
@@ -210,14 +211,14 @@
 }
 
 impl Platform {
-    pub(super) async fn answer_of_target(
+    pub(super) async fn respond_as_target(
         &self,
         id: &str,
         start: u64,
         request: Request<Incoming>,
-    ) -> Answer {
+    ) -> HttpResponse {
         if !self.lock().runs(id, start) {
-            // Its connections are about to be reset.
+            // This start has stopped: its connections are about to be reset.
             return std::future::pending().await;
         }
         let told = |tell: fn(&Target) -> Value| self.lock().targets.get(id).map(tell);
@@ -235,23 +236,23 @@
             "/healthz" => http::status(200),
             "/order" => {
                 let expected = header(&request, "x-expect-instance").map(str::to_string);
-                let Some(body) = http::body_of(request).await else { return http::status(400) };
+                let Some(body) = http::read_body(request).await else { return http::status(400) };
                 let order = serde_json::from_slice(&body).unwrap_or_default();
                 self.lock().ordered.insert(id.to_string());
                 let fault = self.lock().targets.get(id).map(|target| target.fault);
                 let (platform, id) = (self.clone(), id.to_string());
                 if fault == Some(Fault::LateOrders) {
                     tokio::spawn(async move {
-                        tokio::time::sleep(ORDER_LATE).await;
+                        tokio::time::sleep(LATE_ORDER_DELAY).await;
                         platform.order(&id, expected.as_deref(), &order, true)
                     });
                     return std::future::pending().await;
                 }
-                // Goes on when its sender waits no longer.
+                // The order is executed even if its sender disconnects.
                 let carried_out = tokio::spawn(async move {
                     let is_held = platform.lock().holds_orders;
                     while platform.lock().holds_orders {
-                        tokio::time::sleep(HELD_LOOK_EVERY).await;
+                        tokio::time::sleep(HELD_ORDER_POLL_INTERVAL).await;
                     }
                     platform.order(&id, expected.as_deref(), &order, is_held)
                 });
@@ -261,30 +262,36 @@
         }
     }
 
-    /// The target ends under a request, after the head of a stream, and starts again later.
-    fn end_under(&self, job: &Job, body: &[u8]) {
+    /// Crashes the target shortly after the response head of a stream, and restarts it later.
+    fn crash_during(&self, job: &Job, body: &[u8]) {
         let (id, start) = (job.target.clone(), job.start);
         let body = String::from_utf8_lossy(body).into_owned();
-        self.lock().account.reached(&body);
+        self.lock().observations.record_crashing_send(&body);
         let platform = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(EVENT_EVERY / 2).await;
+            tokio::time::sleep(EVENT_INTERVAL / 2).await;
             let addresses = {
                 let mut inner = platform.lock();
                 if !inner.runs(&id, start) {
                     return;
                 }
-                inner.account.ended_under(&body);
+                inner.observations.record_crash(&body);
                 inner.targets.get(&id).map(|target| (target.address, target.listed_address))
             };
             let Some((address, listed_address)) = addresses else { return };
-            let (down, listed_address) = (DOWN_AFTER_END, Some(listed_address));
+            let (down, listed_address) = (CRASH_DOWNTIME, Some(listed_address));
             let restart = Restart { down, listed_address, ..Restart::at(address) };
             platform.restart_target(&id, restart).await;
         });
     }
 
-    fn order(&self, id: &str, expected: Option<&str>, order: &Value, is_late: bool) -> Answer {
+    fn order(
+        &self,
+        id: &str,
+        expected: Option<&str>,
+        order: &Value,
+        is_late: bool,
+    ) -> HttpResponse {
         let mut inner = self.lock();
         let status = inner.take_order(id, expected, order, is_late);
         let start = inner.targets.get(id).map_or(0, |target| target.start);
@@ -292,44 +299,45 @@
         if status == 202 {
             let (platform, id) = (self.clone(), id.to_string());
             tokio::spawn(async move {
-                tokio::time::sleep(LOAD_TAKES).await;
+                tokio::time::sleep(WEIGHT_LOAD_TIME).await;
                 platform.lock().loaded(&id, start);
             });
         }
         http::status(status)
     }
 
-    async fn run(&self, id: &str, request: Request<Incoming>) -> Answer {
+    async fn run(&self, id: &str, request: Request<Incoming>) -> HttpResponse {
         let began = self.lock().begin(self, id, &request);
         let (job, fault) = match began {
             Ok(began) => began,
             Err(refused) => return *refused,
         };
-        // Reads the body to its end: some callers' bodies come in chunks.
-        let Some(body) = http::body_of(request).await else {
-            job.end(RunEnd::Left(Instant::now()));
+        // Reads the body to its end, as it may come in chunks.
+        let Some(body) = http::read_body(request).await else {
+            job.end(RunEnd::Aborted(Instant::now()));
             return http::status(400);
         };
-        job.fetch().await;
-        if body.starts_with(ENDS_TARGETS) {
-            self.end_under(&job, &body);
+        job.transfer_parts().await;
+        if body.starts_with(CRASHING_BODY_PREFIX) {
+            self.crash_during(&job, &body);
             return match job.is_stream {
-                true => job.into_events(false),
+                true => job.into_event_stream(false),
                 false => std::future::pending().await,
             };
         }
         match fault {
-            Fault::Mute => std::future::pending().await,
-            Fault::Fails => {
-                job.end(RunEnd::Whole);
-                job.stamped(http::with_body(500, "it failed"))
+            Fault::NeverResponds => std::future::pending().await,
+            Fault::RespondsWithError => {
+                job.end(RunEnd::Complete);
+                job.add_response_headers(http::with_body(500, "injected failure"))
             }
-            _ if job.is_stream => job.into_events(fault == Fault::BreaksOff),
+            _ if job.is_stream => job.into_event_stream(fault == Fault::BreaksOff),
             _ => {
-                tokio::time::sleep(EVENT_EVERY).await;
-                job.end(RunEnd::Whole);
-                let mut answer = job.stamped(http::with_body(200, text_of(&job.request)));
-                if fault == Fault::Crosses {
+                tokio::time::sleep(EVENT_INTERVAL).await;
+                job.end(RunEnd::Complete);
+                let mut answer =
+                    job.add_response_headers(http::with_body(200, expected_body(&job.request)));
+                if fault == Fault::WrongRequestId {
                     let other = HeaderValue::from_static("another-request");
                     answer.headers_mut().insert("x-request-id", other);
                 }
@@ -340,7 +348,7 @@
 }
 
 impl Inner {
-    /// Takes an order. Returns the status of its answer.
+    /// Checks an order and starts its execution. Returns the response status.
     fn take_order(
         &mut self,
         id: &str,
@@ -359,10 +367,12 @@
             return 400;
         }
         let count = order["Precondition"].as_u64();
-        let is_settled = !is_late && target.started_at.elapsed() > ORDER_UNDER_WAY;
+        let is_settled = !is_late && target.started_at.elapsed() > OUTDATED_REPORT_GRACE;
         if count.is_none_or(|count| is_settled && count > target.orders) {
-            let what = format!("start {} of {id} gets an order after {count:?}", target.start);
-            self.account.violation(format!("{what} orders, it has taken {}", target.orders));
+            let what =
+                format!("start {} of {id} receives an order based on {count:?}", target.start);
+            self.observations
+                .violation(format!("{what} orders, but has accepted {}", target.orders));
         }
         if fence < target.fence {
             return 412;
@@ -377,11 +387,11 @@
         target.orders += 1;
         target.loading = version;
         target.forget_parts();
-        self.account.orders += 1;
+        self.observations.orders += 1;
         202
     }
 
-    /// A start has loaded what it was told to, if it still runs.
+    /// Completes the load of weights, if this start of the target still runs.
     fn loaded(&mut self, id: &str, start: u64) {
         let target = self.targets.get_mut(id).filter(|target| target.start == start);
         if let Some(target) = target
@@ -392,13 +402,13 @@
         }
     }
 
-    /// Begins a request, or says why it does not run.
+    /// Starts a request, or returns the response that refuses it.
     fn begin(
         &mut self,
         platform: &Platform,
         id: &str,
         request: &Request<Incoming>,
-    ) -> Result<(Job, Fault), Box<Answer>> {
+    ) -> Result<(Job, Fault), Box<HttpResponse>> {
         let text = |name: &str| header(request, name).unwrap_or_default().to_string();
         let number = |name: &str| text(name).parse::<u64>().ok();
         let name = text("x-request-id");
@@ -417,50 +427,51 @@
         target.running += 1;
         target.begun += 1;
         if let Some(from) = target.leaves_from {
-            self.account.reaches_leaving(&name, id, from);
+            self.observations.record_leaving_target(&name, id, from);
         }
         if let Some(weights) = weights {
-            self.account.begins_on(&name, id, weights);
+            self.observations.record_weights_of_run(&name, id, weights);
         }
         if request.headers().contains_key("authorization") {
-            self.account.violation(format!("{name} brings its caller's key to {id}"));
+            self.observations
+                .violation(format!("{name} forwards the API key of its caller to {id}"));
         }
         let tenant = text("x-tenant");
         let parts = parts_of(&text("x-cache-salt"), &text("x-prompt-prefix"));
-        let reader = Reader { tenant: tenant.clone(), weights: weights.unwrap_or_default() };
-        self.read(id, &name, &parts, &reader);
+        let origin = PartOrigin { tenant: tenant.clone(), weights: weights.unwrap_or_default() };
+        self.read(id, &name, &parts, &origin);
         let chosen = |header: &str| {
             let texts: Vec<String> = text(header).split(',').map(str::to_string).collect();
             let named = parts.iter().zip(texts);
             let named = named.filter_map(|(part, address)| Some((part, address.parse().ok()?)));
-            named.map(|(part, address)| (part.clone(), address)).collect::<Vec<Named>>()
+            named.map(|(part, address)| (part.clone(), address)).collect::<Vec<LocatedPart>>()
         };
         let (fetches, saves) = (chosen("x-kv-fetch"), chosen("x-kv-save"));
         for ((part, tokens), _) in &saves {
-            self.store.begin_save(part, *tokens, &reader);
+            self.store.begin_save(part, *tokens, &origin);
         }
         let engines = self.targets.values().filter(|target| target.weights.is_some());
         self.engine_addresses.extend(engines.map(|target| target.listed_address));
         let (from_engines, from_store): (Vec<_>, Vec<_>) =
             fetches.into_iter().partition(|(_, at)| self.engine_addresses.contains(at));
         for ((part, _), _) in &from_store {
-            self.check_reader(&name, self.store.reader(part), &reader);
+            self.check_origin(&name, self.store.origin(part), &origin);
         }
-        // An engine gives what it keeps of a prompt, which may be nothing or a beginning.
+        // An engine sends what it has of a prompt, which may be nothing or only a prefix.
         for ((part, _), address) in &from_engines {
             let source = self.engine_at(*address);
             let kept = source.and_then(|source| source.resident.get(part));
-            let kept = kept.map(|(reader, _)| reader.clone());
-            self.check_reader(&name, kept, &reader);
+            let kept = kept.map(|(origin, _)| origin.clone());
+            self.check_origin(&name, kept, &origin);
         }
-        let stamp = self.account.next_stamp();
+        let stamp = self.observations.next_stamp();
         let made = number("last-event-id").unwrap_or(0);
-        self.account.began(
+        self.observations.record_start(
             &name,
             Run {
                 target: id.to_string(),
                 start,
-                begun: Instant::now(),
+                started_at: Instant::now(),
                 tenant,
                 resumed_after: made,
                 stamp: stamp.clone(),
@@ -484,44 +495,46 @@
         Ok((job, fault))
     }
 
-    /// The engine that is listed at an address.
+    /// The engine with this address in the list.
     fn engine_at(&self, address: SocketAddr) -> Option<&Target> {
         let mut targets = self.targets.values();
         targets.find(|target| target.listed_address == address && target.weights.is_some())
     }
 
-    /// Reads parts into an engine's memory, or uses them where they are resident.
-    fn read(&mut self, id: &str, name: &str, parts: &[(PartName, u64)], reader: &Reader) {
+    /// Computes parts into the cache of an engine, or uses those that are resident.
+    fn read(&mut self, id: &str, name: &str, parts: &[(PartName, u64)], origin: &PartOrigin) {
         for (part, tokens) in parts {
             let Some(target) = self.targets.get_mut(id) else { return };
-            let resident = target.resident.get(part).map(|(reader, _)| reader.clone());
+            let resident = target.resident.get(part).map(|(origin, _)| origin.clone());
             if resident.is_none() {
-                target.resident.insert(part.clone(), (reader.clone(), *tokens));
-                target.tell("+", part, *tokens);
+                target.resident.insert(part.clone(), (origin.clone(), *tokens));
+                target.push_event("+", part, *tokens);
             }
-            self.check_reader(name, resident, reader);
+            self.check_origin(name, resident, origin);
         }
     }
 
-    fn check_reader(&mut self, name: &str, kept: Option<Reader>, user: &Reader) {
+    fn check_origin(&mut self, name: &str, kept: Option<PartOrigin>, user: &PartOrigin) {
         let Some(kept) = kept else { return };
         if kept.weights != user.weights {
-            self.account.violation(format!("{name} on weights {user:?} uses what {kept:?} made"));
+            self.observations
+                .violation(format!("{name} on weights {user:?} uses a part of {kept:?}"));
         }
-        let is_walled = [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED);
-        if is_walled && kept.tenant != user.tenant {
-            self.account.violation(format!("{name} of {user:?} uses what {kept:?} made"));
+        let is_isolated =
+            [&kept.tenant, &user.tenant].into_iter().any(|tenant| *tenant == ISOLATED_ACCOUNT);
+        if is_isolated && kept.tenant != user.tenant {
+            self.observations.violation(format!("{name} of {user:?} uses a part of {kept:?}"));
         }
     }
 }
 
-fn not_run(code: u16) -> Box<Answer> {
+fn not_run(code: u16) -> Box<HttpResponse> {
     let mut answer = http::status(code);
     answer.headers_mut().insert("x-not-run", HeaderValue::from_static("1"));
     Box::new(answer)
 }
 
-/// The parts of a prompt with their tokens.
+/// Parses the parts of a prompt with their numbers of tokens.
 fn parts_of(salt: &str, prefix: &str) -> Vec<(PartName, u64)> {
     let part = |text: &str| {
         let (id, tokens) = text.split_once(':')?;
--- a/tests/process/ending_prompts.rs
+++ b/tests/process/ending_prompts.rs
@@ -1,74 +1,77 @@
-//! A prompt under which engines end, through the product's own interface.
-//!
-//! Seen: each time that its caller sent it again, at any node, up to four engines ended. How it came about: a
-//! node tried a prompt whose answer broke off at another engine, and forgot it with the answer.
-//! What caused it: what a node learnt of a request ended with that one call. Proof: the test here, in which 10
-//! engines ended within 3 s and 23 within 6 s, and three in all since requests are known by what they ask.
+//! A prompt that crashes engines is held at all nodes, however often its caller resends it.
 
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
 
-use crate::asking::execution;
-use crate::testenv::{Plan, TestEnv};
+use crate::api::execution_of;
+use crate::testenv::{TestEnv, TestEnvOptions};
 
-const FATAL: &str = "the prompt on which engines die";
-/// Its caller sends it again this long after each answer.
-const AGAIN_AFTER: Duration = Duration::from_millis(150);
-/// Until all nodes know of it: news go up and down a tree with one lease renewal a step.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Engines that may end after that.
-const ENDS_AFTER: u64 = 3;
+const CRASHING_PROMPT: &str = "the prompt on which engines die";
+/// Time between a response and the next attempt.
+const RESEND_INTERVAL: Duration = Duration::from_millis(150);
+/// Time for reports to reach all nodes: they pass up and down a tree, one lease renewal per step.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// Engine crashes that are tolerated after [`PROPAGATION_TIMEOUT`].
+const MAX_LATER_CRASHES: u64 = 3;
 
-/// How often engines have ended: each start has a number.
-fn ends(env: &TestEnv) -> u64 {
-    let url = format!("{}/targets", env.emulator.value("platform"));
-    let list: Value = env.client.get(url).send().expect("it answers").json().expect("JSON");
+/// The number of engine crashes so far: each start of an engine increments its incarnation.
+fn engine_crashes(env: &TestEnv) -> u64 {
+    let url = format!("{}/targets", env.emulator.ready_value("platform"));
+    let list: Value =
+        env.client.get(url).send().expect("the emulator answers").json().expect("JSON");
     let starts = list["targets"].as_array().expect("targets").iter();
     starts.filter_map(|target| target["incarnation"].as_u64()).map(|start| start - 1).sum()
 }
 
-/// Sends the prompt at one node after the other. Returns the last answer.
-fn repeat(env: &TestEnv, nodes: &[usize], lasts: Duration) -> (u16, Value) {
-    let begun = Instant::now();
+/// Sends the prompt to the nodes in turn for a duration. Returns the status and body of the last
+/// response.
+fn resend_for(env: &TestEnv, nodes: &[usize], duration: Duration) -> (u16, Value) {
+    let started_at = Instant::now();
     let mut last = (0, Value::Null);
     for node in nodes.iter().cycle() {
-        let answer = env.ask(*node, "anna", FATAL, 4);
+        let answer = env.send_prompt(*node, "anna", CRASHING_PROMPT, 4);
         last = (answer.status().as_u16(), answer.json().unwrap_or_default());
-        if begun.elapsed() > lasts {
+        if started_at.elapsed() > duration {
             break;
         }
-        std::thread::sleep(AGAIN_AFTER);
+        std::thread::sleep(RESEND_INTERVAL);
     }
     last
 }
 
 #[test]
-fn a_prompt_on_which_engines_die_is_kept_from_them_at_all_nodes() {
-    let mut env = TestEnv::start(Plan::default());
+fn a_prompt_that_crashes_engines_is_held_at_all_nodes() {
+    let mut env = TestEnv::start(TestEnvOptions::default());
     for engine in 0..3 {
-        let knobs = json!({"set": {"dies_on": FATAL}});
-        env.set_fault(&format!("engine-{engine}"), knobs);
+        let fault = json!({"set": {"dies_on": CRASHING_PROMPT}});
+        env.set_fault(&format!("engine-{engine}"), fault);
     }
-    repeat(&env, &[0, 1, 2], KNOWN_WITHIN);
-    let at_first = ends(&env);
-    let (status, body) = repeat(&env, &[0, 1, 2], KNOWN_WITHIN);
-    let then = ends(&env);
-    assert!(then - at_first <= ENDS_AFTER, "{at_first} engines ended, and {then} in all");
-    assert_eq!((status, execution(&body)), (503, "not_run"), "{body}");
+    resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
+    let crashes_before = engine_crashes(&env);
+    let (status, body) = resend_for(&env, &[0, 1, 2], PROPAGATION_TIMEOUT);
+    let crashes_after = engine_crashes(&env);
+    assert!(
+        crashes_after - crashes_before <= MAX_LATER_CRASHES,
+        "{crashes_before} engine crashes before, {crashes_after} in all"
+    );
+    assert_eq!((status, execution_of(&body)), (503, "not_run"), "{body}");
     assert_eq!(body["error"]["code"], "held");
 
-    // Who has started again, or follows another leader, is told.
+    // Nodes that restart or follow a new leader learn of the hold.
     let leader = env.leader();
     env.nodes[leader].kill();
     let others: Vec<usize> = (0..3).filter(|node| *node != leader).collect();
-    repeat(&env, &others, KNOWN_WITHIN);
+    resend_for(&env, &others, PROPAGATION_TIMEOUT);
     env.restart(leader);
-    env.until_ready(leader);
-    repeat(&env, &[leader], KNOWN_WITHIN);
-    let last = ends(&env);
-    assert!(last - at_first <= ENDS_AFTER, "{at_first} engines ended, and {last} in all");
+    env.wait_until_ready(leader);
+    resend_for(&env, &[leader], PROPAGATION_TIMEOUT);
+    let crashes_at_end = engine_crashes(&env);
+    assert!(
+        crashes_at_end - crashes_before <= MAX_LATER_CRASHES,
+        "{crashes_before} engine crashes before, {crashes_at_end} in all"
+    );
     for node in 0..3 {
-        assert!(env.ask(node, "anna", "another prompt", 4).status().is_success());
+        assert!(env.send_prompt(node, "anna", "another prompt", 4).status().is_success());
     }
 }
--- a/tests/process/testenv.rs
+++ b/tests/process/testenv.rs
@@ -1,4 +1,4 @@
-//! Runs the binary's processes in a folder of their own, and ends all of them at the end.
+//! Runs an emulator and nodes as processes with their own data folder, and kills them when dropped.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -12,24 +12,24 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-/// Whatever is waited for must have come by then.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Limit of each wait and of each HTTP request.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where the nodes of a test listen for each other.
+/// Port at which nodes listen for their peers, each at its own loopback address.
 const PEER_PORT: u16 = 7_000;
 
-/// Accounts of the tests, each with key `key-of-NAME`.
+/// Client accounts; the API key of each is `key-of-NAME`.
 pub const ACCOUNTS: [&str; 2] = ["anna", "bibek"];
 
 /// A process that is killed when it is dropped.
 pub struct Process {
     child: Child,
-    /// The values of the line that it printed when it was ready.
-    pub ready: Vec<(String, String)>,
+    /// The `name=value` pairs of the line that the process printed when it was ready.
+    pub ready_values: Vec<(String, String)>,
 }
 
 impl Process {
-    /// Starts `kumquatpost ARGS` and waits until it prints that it is ready.
+    /// Starts `kumquatpost ARGS` and waits for its `ready` line.
     pub fn start(args: &[&str]) -> Process {
         let mut child = Command::new(env!("CARGO_BIN_EXE_kumquatpost"))
             .args(args)
@@ -39,23 +39,23 @@
         let mut line = String::new();
         let stdout = child.stdout.take().expect("its output is piped");
         BufReader::new(stdout).read_line(&mut line).expect("its output can be read");
-        Process::adopt(child, &line)
+        Process::from_ready_line(child, &line)
     }
 
-    /// A process that printed this line when it was ready.
-    pub fn adopt(child: Child, line: &str) -> Process {
-        assert!(line.starts_with("ready "), "not ready: {line:?}");
+    /// Wraps a child process that has printed `line`; panics if that is no `ready` line.
+    pub fn from_ready_line(child: Child, line: &str) -> Process {
+        assert!(line.starts_with("ready "), "not a ready line: {line:?}");
         let values = line.split_whitespace().filter_map(|word| word.split_once('='));
-        let ready = values.map(|(name, value)| (name.into(), value.into())).collect();
-        Process { child, ready }
+        let ready_values = values.map(|(name, value)| (name.into(), value.into())).collect();
+        Process { child, ready_values }
     }
 
-    pub fn value(&self, name: &str) -> &str {
-        let found = self.ready.iter().find(|(key, _)| key == name);
-        &found.unwrap_or_else(|| panic!("no {name} in {:?}", self.ready)).1
+    pub fn ready_value(&self, name: &str) -> &str {
+        let found = self.ready_values.iter().find(|(key, _)| key == name);
+        &found.unwrap_or_else(|| panic!("no {name} in {:?}", self.ready_values)).1
     }
 
-    /// Sends a signal by its name, for example `STOP`.
+    /// Sends the signal of this name, for example `STOP`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args(["-s", name, &id]).status().expect("kill runs");
@@ -67,9 +67,9 @@
         self.child.wait().expect("the process ends");
     }
 
-    /// Waits for the process to end, and returns its exit code.
+    /// Waits for the process to exit. Returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        until("the process ends", || self.child.try_wait().expect("it can be waited for")).code()
+        wait_for("the process ends", || self.child.try_wait().expect("it can be waited for")).code()
     }
 }
 
@@ -80,30 +80,34 @@
     }
 }
 
-/// Nodes and stand-ins.
+/// The processes of a test: an emulator of the platform, and nodes that use it.
 pub struct TestEnv {
     pub folder: TempDir,
     pub emulator: Process,
     pub nodes: Vec<Process>,
-    pub settings: Vec<PathBuf>,
+    pub settings_files: Vec<PathBuf>,
     pub client: Client,
 }
 
-/// What a test wants to differ from the usual.
-pub struct Plan {
+/// Options of a [`TestEnv`].
+pub struct TestEnvOptions {
     pub nodes: usize,
+    /// The first nodes, this many, are replicas of the log.
     pub replicas: usize,
+    /// Settings of the emulator.
     pub emulator: Value,
+    /// The `timing` of the settings of all nodes.
     pub timing: Value,
+    /// The `bounds` of the settings of all nodes.
     pub bounds: Value,
 }
 
-impl Default for Plan {
-    fn default() -> Plan {
-        Plan {
+impl Default for TestEnvOptions {
+    fn default() -> TestEnvOptions {
+        TestEnvOptions {
             nodes: 3,
             replicas: 3,
-            emulator: emulator(),
+            emulator: default_emulator_settings(),
             timing: json!({"lease_ms": 1500, "renew_ms": 300, "probe_ms": 200,
                            "election_ms": 400, "heartbeat_ms": 50,
                            "load_poll_ms": 50, "platform_poll_ms": 100}),
@@ -112,8 +116,8 @@
     }
 }
 
-/// Three engines, two stores and a service.
-pub fn emulator() -> Value {
+/// Settings of an emulator with three engines, two stores and two instances of a service.
+pub fn default_emulator_settings() -> Value {
     let domains = ["patan", "bhaktapur", "kirtipur"];
     let engines: Vec<Value> = (0..3)
         .map(|i| {
@@ -132,8 +136,8 @@
     })
 }
 
-/// The configuration that the tests start from.
-pub fn config() -> Value {
+/// The configuration with which nodes start.
+pub fn initial_config() -> Value {
     let account = |name: &str| json!({"key_blake3": key_hash(&format!("key-of-{name}"))});
     json!({
         "accounts": {"anna": account("anna"), "bibek": account("bibek")},
@@ -144,19 +148,20 @@
 }
 
 impl TestEnv {
-    pub fn start(plan: Plan) -> TestEnv {
-        let folder = TempDir::new().expect("a folder");
+    pub fn start(options: TestEnvOptions) -> TestEnv {
+        let folder = TempDir::new().expect("a temporary folder");
         let write = |name: &str, value: &Value| -> PathBuf {
             let path = folder.path().join(name);
             std::fs::write(&path, value.to_string()).expect("settings can be written");
             path
         };
-        let emulator_settings = write("emulate.json", &plan.emulator);
-        let emulator = Process::start(&["emulate", "--settings", text(&emulator_settings)]);
+        let emulator_settings_file = write("emulate.json", &options.emulator);
+        let emulator =
+            Process::start(&["emulate", "--settings", path_str(&emulator_settings_file)]);
         let key_file = folder.path().join("key");
         std::fs::write(&key_file, "k".repeat(64)).expect("the key can be written");
-        let network = own_network();
-        let peers: Vec<SocketAddr> = (1..=plan.nodes)
+        let network = unique_loopback_network();
+        let peers: Vec<SocketAddr> = (1..=options.nodes)
             .map(|n| SocketAddr::from(([127, network.0, network.1, n as u8], PEER_PORT)))
             .collect();
         let domains = ["patan", "bhaktapur", "kirtipur"];
@@ -164,11 +169,11 @@
             .iter()
             .enumerate()
             .map(|(i, peer)| {
-                json!({"node_id": i + 1, "peer_address": peer, "replica": i < plan.replicas,
+                json!({"node_id": i + 1, "peer_address": peer, "replica": i < options.replicas,
                        "failure_domain": domains[i % 3]})
             })
             .collect();
-        let settings: Vec<PathBuf> = (0..plan.nodes)
+        let settings_files: Vec<PathBuf> = (0..options.nodes)
             .map(|i| {
                 let value = json!({
                     "environment": "test", "fault_knobs": true, "node_id": i + 1,
@@ -176,72 +181,75 @@
                     "callers_address": "127.0.0.1:0", "operators_address": "127.0.0.1:0",
                     "peer_address": peers[i], "key_file": key_file,
                     "data_folder": folder.path().join(format!("data-{}", i + 1)),
-                    "platform_url": emulator.value("platform"), "nodes": nodes,
-                    "first_config": config(), "log": {"level": "warn"},
-                    "timing": plan.timing, "bounds": plan.bounds,
+                    "platform_url": emulator.ready_value("platform"), "nodes": nodes,
+                    "first_config": initial_config(), "log": {"level": "warn"},
+                    "timing": options.timing, "bounds": options.bounds,
                 });
                 write(&format!("node-{}.json", i + 1), &value)
             })
             .collect();
-        let nodes = settings
+        let nodes = settings_files
             .iter()
-            .map(|file| Process::start(&["serve", "--settings", text(file)]))
+            .map(|file| Process::start(&["serve", "--settings", path_str(file)]))
             .collect();
-        let client = Client::builder().no_proxy().timeout(PATIENCE).build().expect("a client");
-        let env = TestEnv { folder, emulator, nodes, settings, client };
-        for node in 0..plan.nodes {
-            env.until_ready(node);
+        let client = Client::builder().no_proxy().timeout(WAIT_TIMEOUT).build().expect("a client");
+        let env = TestEnv { folder, emulator, nodes, settings_files, client };
+        for node in 0..options.nodes {
+            env.wait_until_ready(node);
         }
         env
     }
 
-    /// Starts a node again with its settings and data.
+    /// Starts a node that has exited, with its earlier settings and data.
     pub fn restart(&mut self, node: usize) {
-        self.nodes[node] = Process::start(&["serve", "--settings", text(&self.settings[node])]);
+        self.nodes[node] =
+            Process::start(&["serve", "--settings", path_str(&self.settings_files[node])]);
     }
 
-    pub fn callers(&self, node: usize) -> String {
-        format!("http://{}", self.nodes[node].value("callers"))
+    pub fn callers_url(&self, node: usize) -> String {
+        format!("http://{}", self.nodes[node].ready_value("callers"))
     }
 
-    pub fn operators(&self, node: usize) -> String {
-        format!("http://{}", self.nodes[node].value("operators"))
+    pub fn operators_url(&self, node: usize) -> String {
+        format!("http://{}", self.nodes[node].ready_value("operators"))
     }
 
-    pub fn until_ready(&self, node: usize) {
-        let url = format!("{}/health/ready", self.callers(node));
-        until("the node is ready", || {
+    /// Waits until a node is ready and answers prompts.
+    pub fn wait_until_ready(&self, node: usize) {
+        let url = format!("{}/health/ready", self.callers_url(node));
+        wait_for("the node is ready", || {
             let ready = self.client.get(&url).send().is_ok_and(|r| r.status().is_success());
             let engines = self.status(node)["engines"].as_array().map_or(0, Vec::len);
             (ready && engines > 0).then_some(())
         });
-        // A first prompt proves that engines' loads are known.
-        until("a prompt is answered", || {
-            let response = self.ask(node, "anna", "warm up", 1);
+        // Prompts are answered only once the loads of engines are known.
+        wait_for("a prompt is answered", || {
+            let response = self.send_prompt(node, "anna", "warm up", 1);
             response.status().is_success().then_some(())
         });
     }
 
+    /// The status document of a node, or null if it cannot be read.
     pub fn status(&self, node: usize) -> Value {
-        let url = format!("{}/v1/status", self.operators(node));
+        let url = format!("{}/v1/status", self.operators_url(node));
         let response = self.client.get(url).send();
         response.ok().and_then(|response| response.json().ok()).unwrap_or_default()
     }
 
-    /// The node that leads the log.
+    /// Waits for a leader of the replicated log. Returns its index.
     pub fn leader(&self) -> usize {
-        until("there is a leader", || {
+        wait_for("there is a leader", || {
             (0..self.nodes.len())
                 .find(|node| self.status(*node)["replica"]["is_leader"] == Value::Bool(true))
         })
     }
 
-    /// A whole answer to a prompt.
-    pub fn ask(&self, node: usize, account: &str, prompt: &str, tokens: u32) -> Response {
-        self.prompt(node, account, prompt, tokens, false).send().expect("the node answers")
+    /// Sends a prompt and waits for the complete answer.
+    pub fn send_prompt(&self, node: usize, account: &str, prompt: &str, tokens: u32) -> Response {
+        self.prompt_request(node, account, prompt, tokens, false).send().expect("the node answers")
     }
 
-    pub fn prompt(
+    pub fn prompt_request(
         &self,
         node: usize,
         account: &str,
@@ -250,14 +258,14 @@
         stream: bool,
     ) -> reqwest::blocking::RequestBuilder {
         self.client
-            .post(format!("{}/v1/chat/completions", self.callers(node)))
+            .post(format!("{}/v1/chat/completions", self.callers_url(node)))
             .bearer_auth(format!("key-of-{account}"))
             .json(&json!({"model": "mechanic", "max_tokens": tokens, "stream": stream,
                           "messages": [{"role": "user", "content": prompt}]}))
     }
 
-    /// Orders a part under an id.
-    pub fn order(
+    /// Sends an order to the service `part-order` under an idempotency key.
+    pub fn send_order(
         &self,
         node: usize,
         account: &str,
@@ -265,14 +273,15 @@
         body: &str,
     ) -> reqwest::Result<Response> {
         self.client
-            .post(format!("{}/v1/services/part-order/orders", self.callers(node)))
+            .post(format!("{}/v1/services/part-order/orders", self.callers_url(node)))
             .bearer_auth(format!("key-of-{account}"))
             .header("idempotency-key", id)
             .body(body.to_string())
             .send()
     }
 
-    pub fn patch(
+    /// Sends a patch of configuration number `base` under an idempotency key.
+    pub fn send_patch(
         &self,
         node: usize,
         base: u64,
@@ -280,68 +289,70 @@
         patch: &Value,
     ) -> reqwest::Result<Response> {
         self.client
-            .patch(format!("{}/v1/config", self.operators(node)))
+            .patch(format!("{}/v1/config", self.operators_url(node)))
             .header("if-match", format!("\"{base}\""))
             .header("idempotency-key", id)
             .json(patch)
             .send()
     }
 
+    /// Sends a fault of an emulated target to the emulator.
     pub fn set_fault(&self, target: &str, fault: Value) {
-        let url = format!("{}/faults", self.emulator.value("platform"));
+        let url = format!("{}/faults", self.emulator.ready_value("platform"));
         let body = json!({"target": target, "fault": fault});
         let response = self.client.post(url).json(&body).send().expect("the emulator answers");
         assert!(response.status().is_success(), "{}", response.text().unwrap_or_default());
     }
 
-    /// Cuts a node off from others, in both directions.
-    pub fn cut(&self, node: usize, others: &[usize]) {
+    /// Blocks traffic between a node and others in both directions; an empty list removes the block.
+    pub fn isolate(&self, node: usize, others: &[usize]) {
         let ids: Vec<usize> = others.iter().map(|other| other + 1).collect();
-        let url = format!("{}/v1/faults", self.operators(node));
+        let url = format!("{}/v1/faults", self.operators_url(node));
         let response = self.client.post(url).json(&json!({"cut_off_from": ids})).send();
         assert!(response.expect("the node answers").status().is_success());
     }
 
+    /// The emulator's counts of what its targets have done.
     pub fn ledger(&self) -> Value {
-        let url = format!("{}/ledger", self.emulator.value("platform"));
+        let url = format!("{}/ledger", self.emulator.ready_value("platform"));
         self.client.get(url).send().expect("the emulator answers").json().expect("JSON")
     }
 
-    /// How often a request started to run on any target.
-    pub fn runs(&self, request_id: &str) -> u64 {
+    /// How often runs of a request have started, over all targets and attempts.
+    pub fn run_count(&self, request_id: &str) -> u64 {
         let ledger = self.ledger();
         let runs = ledger["runs"].as_object().expect("runs");
-        let is_of = |id: &str| id == request_id || id.starts_with(&format!("{request_id}~"));
-        runs.iter().filter(|(id, _)| is_of(id)).filter_map(|(_, n)| n.as_u64()).sum()
+        let is_run_of = |id: &str| id == request_id || id.starts_with(&format!("{request_id}~"));
+        runs.iter().filter(|(id, _)| is_run_of(id)).filter_map(|(_, n)| n.as_u64()).sum()
     }
 }
 
-/// Runs the binary to its end.
-pub fn run(args: &[&str]) -> Output {
+/// Runs the binary and waits for it to exit.
+pub fn run_binary(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_kumquatpost")).args(args).output().expect("the binary runs")
 }
 
-/// Looks again and again until there is something, and fails if there never is.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls until there is a result. Panics after [`WAIT_TIMEOUT`].
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for: {what}");
         std::thread::yield_now();
         std::thread::park_timeout(Duration::from_millis(20));
     }
 }
 
-/// Two middle bytes of loopback addresses that no other test uses, so that nodes can have known
-/// ports that nobody else takes.
-fn own_network() -> (u8, u8) {
+/// The two middle bytes of loopback addresses that no other test of this process uses, so that
+/// nodes can listen on a fixed port.
+fn unique_loopback_network() -> (u8, u8) {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let first = 1 + (std::process::id() % 250) as u8;
     (first, NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-pub fn text(path: &std::path::Path) -> &str {
-    path.to_str().expect("the path is text")
+pub fn path_str(path: &std::path::Path) -> &str {
+    path.to_str().expect("the path is UTF-8")
 }
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -14,8 +14,9 @@
 use rand::{RngExt, SeedableRng};
 
 use crate::Harness;
-use crate::platform_stand_in::account::{REPEATABLE, RESUMABLE};
-use crate::platform_stand_in::target::{ISOLATED, event_of, text_of};
+
+use crate::platform_stand_in::observations::{REPEATABLE_ID_PREFIX, RESUMABLE_ID_PREFIX};
+use crate::platform_stand_in::target::{ISOLATED_ACCOUNT, expected_body, expected_event};
 use crate::quarantine::HELD_MESSAGE;
 use crate::system::Disturbance;
 
@@ -29,7 +30,7 @@
 const STOP_MARGIN: Duration = Duration::from_secs(1);
 /// Names and API keys of the callers' accounts.
 pub const ACCOUNTS: [(&str, &str); 3] =
-    [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED, "key-walled")];
+    [("alpha", "key-alpha"), ("beta", "key-beta"), (ISOLATED_ACCOUNT, "key-walled")];
 /// Number of prompt prefixes that requests share.
 const CONTEXTS: u32 = 40;
 
@@ -75,9 +76,9 @@
     fn prefix(self) -> &'static str {
         match self {
             RequestKind::Unsafe => "unsafe-",
-            RequestKind::Safe => REPEATABLE,
+            RequestKind::Safe => REPEATABLE_ID_PREFIX,
             RequestKind::Stream => "stream-",
-            RequestKind::Resumable => RESUMABLE,
+            RequestKind::Resumable => RESUMABLE_ID_PREFIX,
         }
     }
 
@@ -290,8 +291,10 @@
 
     fn check_success(&self, stamp: Option<&str>, body: &[u8], is_whole: bool) {
         let expected: String = match self.kind.is_stream() {
-            true => (1..=self.events).map(|number| event_of(&self.request_id, number)).collect(),
-            false => text_of(&self.request_id),
+            true => {
+                (1..=self.events).map(|number| expected_event(&self.request_id, number)).collect()
+            }
+            false => expected_body(&self.request_id),
         };
         let is_expected = match is_whole {
             true => body == expected.as_bytes(),
@@ -302,7 +305,7 @@
             self.record_violation(format!("whole={is_whole} body={body:?}, expected {expected:?}"));
         }
         let platform = self.harness.platform.lock();
-        let runs = platform.account.runs_of(&self.request_id).to_vec();
+        let runs = platform.observations.runs_of(&self.request_id).to_vec();
         drop(platform);
         if !runs.iter().any(|run| Some(run.stamp.as_str()) == stamp) {
             self.record_violation(format!(
@@ -338,7 +341,7 @@
             disturbances.iter().all(|disturbance| *disturbance != Disturbance::Unplanned);
         // A request without a run may have been sent while the entry closed the idle connection.
         let platform = self.harness.platform.lock();
-        let runs = platform.account.runs_of(&self.request_id);
+        let runs = platform.observations.runs_of(&self.request_id);
         // A target that has terminated since may have failed before its first byte.
         let has_run =
             !runs.is_empty() && runs.iter().all(|run| platform.runs(&run.target, run.start));
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -73,7 +73,7 @@
     ) -> FaultInjector {
         let random = SmallRng::seed_from_u64(harness.seed);
         let list_random = SmallRng::seed_from_u64(harness.seed ^ 0x6c69_7374);
-        let foreign_address = harness.platform.serve_nobody(any_loopback_address()).await;
+        let foreign_address = harness.platform.serve_unused_address(any_loopback_address()).await;
         let mut injector = FaultInjector {
             harness,
             random,
@@ -267,7 +267,13 @@
 
     fn inject_target_fault(&mut self, duration: Duration) {
         let Some(id) = self.pick_target() else { return };
-        let faults = [Fault::Full, Fault::Fails, Fault::Mute, Fault::BreaksOff, Fault::Crosses];
+        let faults = [
+            Fault::Full,
+            Fault::RespondsWithError,
+            Fault::NeverResponds,
+            Fault::BreaksOff,
+            Fault::WrongRequestId,
+        ];
         let fault = *faults.choose(&mut self.random).expect("the choices are not empty");
         self.set_fault(&id, fault);
         self.clear_after(duration, move |harness| harness.set_fault(&id, Fault::None));
--- a/tests/soak/list_faults.rs
+++ b/tests/soak/list_faults.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::faults::{FaultInjector, any_loopback_address};
-use crate::platform_stand_in::list::FOREIGN;
+use crate::platform_stand_in::list::FOREIGN_ENTRIES;
 use crate::platform_stand_in::starts::Restart;
 use crate::platform_stand_in::store::clock_ms;
 use crate::platform_stand_in::target::Fault;
@@ -99,7 +99,7 @@
                 Some(id) if random.random_ratio(1, 3) => id,
                 _ => format!("i-foreign-{number}"),
             };
-            let kind = FOREIGN.choose(random).expect("the choices are not empty");
+            let kind = FOREIGN_ENTRIES.choose(random).expect("the choices are not empty");
             foreign.push((
                 random.random_range(0..LIST_POSITIONS),
                 kind.entry(&id, self.foreign_address),
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -28,7 +28,8 @@
 use futures::StreamExt;
 use operator::Published;
 use platform_stand_in::Platform;
-use platform_stand_in::account::{Late, Promise, RunEnd};
+
+use platform_stand_in::observations::{Guarantee, LateEvent, RunEnd};
 use platform_stand_in::target::Fault;
 use proxy::Proxy;
 use system::{Disturbance, REPLICAS, System};
@@ -138,7 +139,7 @@
         for check in self.deferred_checks.lock().expect("the lock is not poisoned").drain(..) {
             match check {
                 DeferredCheck::NotRun(request_id) => {
-                    let runs = self.platform.lock().account.runs_of(&request_id).to_vec();
+                    let runs = self.platform.lock().observations.runs_of(&request_id).to_vec();
                     if !runs.is_empty() {
                         self.record_violation(format!(
                             "{request_id} ran although it was reported as not run: {runs:?}"
@@ -159,10 +160,10 @@
         {
             return;
         }
-        for run in self.platform.lock().account.runs_of(request_id) {
+        for run in self.platform.lock().observations.runs_of(request_id) {
             let work_time = match run.end {
-                RunEnd::Whole => continue,
-                RunEnd::Left(end) => end.saturating_duration_since(at),
+                RunEnd::Complete => continue,
+                RunEnd::Aborted(end) => end.saturating_duration_since(at),
                 RunEnd::Running => at.elapsed(),
             };
             if work_time > ABANDONED_RUN_TIMEOUT {
@@ -175,9 +176,9 @@
     }
 
     /// Returns the longest delay outside fault periods that exceeds the limit of the deployment.
-    fn latest_without_fault(&self, promise: Promise) -> Option<Late> {
+    fn latest_without_fault(&self, guarantee: Guarantee) -> Option<LateEvent> {
         let platform = self.platform.lock();
-        let late = platform.account.late.iter().filter(|late| late.promise == promise);
+        let late = platform.observations.late.iter().filter(|late| late.guarantee == guarantee);
         let without_faults = late.filter(|late| !self.had_fault_between(late.from, late.to));
         without_faults.max_by_key(|late| late.late).cloned()
     }
@@ -186,11 +187,12 @@
     /// outside fault periods.
     fn check_platform_account(&self) {
         let platform = self.platform.lock();
-        let repeats: usize = platform.account.runs.values().map(|runs| runs.len() - 1).sum();
+        let repeats: usize = platform.observations.runs.values().map(|runs| runs.len() - 1).sum();
         let (ratio, slack) = RETRY_BUDGET;
-        let max_repeats = platform.account.runs.len() as f64 * ratio + slack;
-        let mut violations = platform.account.violations.clone();
-        let late = platform.account.late.iter().filter(|late| late.late > late.promise.allowed());
+        let max_repeats = platform.observations.runs.len() as f64 * ratio + slack;
+        let mut violations = platform.observations.violations.clone();
+        let late =
+            platform.observations.late.iter().filter(|late| late.late > late.guarantee.allowed());
         let unexcused = late.filter(|late| !self.had_fault_between(late.from, late.to));
         violations.extend(unexcused.map(|late| late.what.clone()));
         drop(platform);
@@ -259,8 +261,8 @@
     harness.check_platform_account();
     quarantine::check(&harness);
     let summary_line = summary(&harness, &injector, started);
-    let latest =
-        [Promise::Leaving, Promise::Weights].map(|promise| harness.latest_without_fault(promise));
+    let latest = [Guarantee::Leaving, Guarantee::Weights]
+        .map(|guarantee| harness.latest_without_fault(guarantee));
     injector.close().await;
     close(harness, &summary_line, latest.into_iter().flatten().collect())
 }
@@ -277,13 +279,18 @@
         load(&harness.request_counts.failed),
         injector.count,
         platform.targets.values().map(|target| target.start - 1).sum::<u64>(),
-        platform.account.orders,
+        platform.observations.orders,
         platform.store.freed,
         platform.store.fetched,
         load(&harness.version_checks),
         load(&harness.refusal_checks),
-        platform.account.ending.len(),
-        platform.account.ending.values().map(|history| history.ended.len()).sum::<usize>(),
+        platform.observations.crashing_requests.len(),
+        platform
+            .observations
+            .crashing_requests
+            .values()
+            .map(|history| history.ended.len())
+            .sum::<usize>(),
         load(&harness.request_counts.held),
         started.elapsed().as_secs(),
     )
@@ -291,7 +298,7 @@
 
 /// Kills the processes and returns all violations, including panics in the logs. Keeps the logs if
 /// there are violations or delays.
-fn close(harness: Arc<Harness>, summary_line: &str, late: Vec<Late>) -> Vec<String> {
+fn close(harness: Arc<Harness>, summary_line: &str, late: Vec<LateEvent>) -> Vec<String> {
     let harness = Arc::into_inner(harness).expect("all tasks have ended");
     let mut violations = harness.violations.into_inner().expect("the lock is not poisoned");
     let folder = harness.system.into_inner().expect("the lock is not poisoned").close();
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -50,7 +50,7 @@
     let mut tenants: Vec<Value> = ACCOUNTS
         .iter()
         .map(|(name, key)| {
-            let isolated = *name == crate::platform_stand_in::target::ISOLATED;
+            let isolated = *name == crate::platform_stand_in::target::ISOLATED_ACCOUNT;
             json!({"Name": name, "ApiKeys": [key], "Isolated": isolated})
         })
         .collect();
@@ -167,7 +167,7 @@
             let answer = call(harness, replica, "POST", "/version-put", Some(&body)).await;
             if answer.is_some_and(|(status, _)| status == 200) {
                 let mut platform = harness.platform.lock();
-                return platform.account.named.push((version, Instant::now()));
+                return platform.observations.announced_weights.push((version, Instant::now()));
             }
         }
     }
--- a/tests/soak/quarantine.rs
+++ b/tests/soak/quarantine.rs
@@ -13,7 +13,7 @@
 
 use crate::Harness;
 use crate::callers::{ACCOUNTS, open_connection};
-use crate::platform_stand_in::target::ENDS_TARGETS;
+use crate::platform_stand_in::target::CRASHING_BODY_PREFIX;
 
 /// Message of an entry in the refusal of a held request.
 pub const HELD_MESSAGE: &[u8] = b"targets have ended under this request";
@@ -65,8 +65,8 @@
 /// Request id prefix, from which the stand-ins tell whether a request may run more than once.
 fn request_id_prefix(path: &str) -> &'static str {
     match path {
-        "/resumable/" => crate::platform_stand_in::account::RESUMABLE,
-        "/safe/" => crate::platform_stand_in::account::REPEATABLE,
+        "/resumable/" => crate::platform_stand_in::observations::RESUMABLE_ID_PREFIX,
+        "/safe/" => crate::platform_stand_in::observations::REPEATABLE_ID_PREFIX,
         _ => "once-",
     }
 }
@@ -84,7 +84,7 @@
         system.caller_address(random.random_range(0..system.entries()))
     };
     let mut connection = open_connection(address).await?;
-    let mut body = ENDS_TARGETS.to_vec();
+    let mut body = CRASHING_BODY_PREFIX.to_vec();
     body.extend_from_slice(format!(" {number}").as_bytes());
     let mut builder = Request::builder()
         .method("POST")
@@ -115,7 +115,7 @@
             "{held} of {sent} requests were held although they terminate no target"
         ));
     }
-    let histories = harness.platform.lock().account.ending.clone();
+    let histories = harness.platform.lock().observations.crashing_requests.clone();
     let is_counted = |at: Instant| !harness.had_fault_between(at - RECONNECT_TIME, at);
     for (body, history) in histories {
         if let Some(description) = history.reached_too_often(PROPAGATION_TIMEOUT, is_counted) {
--- a/tests/soak/target_recovery.rs
+++ b/tests/soak/target_recovery.rs
@@ -46,7 +46,9 @@
 /// Describes each available target with older weights than requested.
 fn outdated_weights(harness: &Harness) -> Vec<String> {
     let platform = harness.platform.lock();
-    let Some(newest) = platform.account.named.iter().map(|(version, _)| *version).max() else {
+    let Some(newest) =
+        platform.observations.announced_weights.iter().map(|(version, _)| *version).max()
+    else {
         return Vec::new();
     };
     let accepting = platform.targets.values().filter(|t| t.is_listed && t.leaves_from.is_none());
