--- a/src/claims.rs
+++ b/src/claims.rs
@@ -52,7 +52,6 @@
     pub progress: ClaimState,
 }
 
-/// The state of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimState {
     /// Its holder may run the request.
--- a/src/config/history.rs
+++ b/src/config/history.rs
@@ -19,7 +19,6 @@
 pub struct NumberedConfig {
     /// The number of the version. 0 is the empty configuration before the first patch.
     pub number: ConfigNumber,
-    /// The document.
     pub document: Value,
     /// The decoded and validated document.
     pub config: Config,
--- a/src/control/frames.rs
+++ b/src/control/frames.rs
@@ -40,14 +40,12 @@
         node: NodeId,
         /// Its host.
         ip: IpAddr,
-        /// Its failure domain.
         failure_domain: DomainId,
     },
     /// An entry that subscribes to updates. It sends `SubscriberRequest`s and receives `Update`s.
     Entry {
         /// The name of its host.
         name: String,
-        /// Its failure domain.
         failure_domain: DomainId,
         /// The version of its deployment; 0 if it has none.
         deployment: DeploymentVersion,
@@ -140,7 +138,6 @@
     Log {
         /// The intended recipient. Another replica may have replaced it on the same host.
         to: NodeId,
-        /// The message.
         message: Message,
     },
     /// The sender asks to join the cluster.
@@ -211,7 +208,6 @@
     Deployment(Arc<Deployment>),
     /// The failure domain of each replica, by host.
     Domains(BTreeMap<IpAddr, DomainId>),
-    /// A piece of the roster.
     RosterPiece(Piece),
     /// The change from an earlier roster.
     RosterChanged {
--- a/src/control/operator_server.rs
+++ b/src/control/operator_server.rs
@@ -46,12 +46,7 @@
     /// Reads the newest deployment.
     ReadDeployment,
     /// Names a new weight version.
-    NameWeights {
-        /// The model.
-        model: ModelId,
-        /// The version.
-        version: u64,
-    },
+    NameWeights { model: ModelId, version: u64 },
 }
 
 /// Validates the deployment of a publish request. Needs no leader.
--- a/src/control/replica.rs
+++ b/src/control/replica.rs
@@ -51,7 +51,6 @@
         node: NodeId,
         /// The host of the sender.
         ip: IpAddr,
-        /// The frame.
         frame: ReplicaFrame,
     },
     /// Proposes a command and returns its result once it is committed and applied.
--- a/src/control/rollout.rs
+++ b/src/control/rollout.rs
@@ -60,7 +60,6 @@
     pub unanswered: RefCell<BTreeSet<TargetStart>>,
 }
 
-/// The outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum OrderOutcome {
     /// The engine has accepted the order.
--- a/src/control/rollout_plan.rs
+++ b/src/control/rollout_plan.rs
@@ -29,7 +29,6 @@
 /// An order to load weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightOrder {
-    /// The model.
     pub model: ModelId,
     /// The version to load.
     pub version: u64,
@@ -57,9 +56,7 @@
 /// An engine with outdated weights, and the version it should load.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PendingLoad {
-    /// The engine.
     pub engine: TargetStart,
-    /// The model.
     pub model: ModelId,
     /// The version to load.
     pub version: u64,
--- a/src/control/roster_publisher.rs
+++ b/src/control/roster_publisher.rs
@@ -25,7 +25,6 @@
     Behind(RosterVersion),
     /// The entry is being sent a whole roster in pieces.
     Pieces {
-        /// The roster.
         roster: VersionedRoster,
         /// The frames of its pieces.
         frames: PieceFrames,
--- a/src/control/roster_reader.rs
+++ b/src/control/roster_reader.rs
@@ -37,7 +37,6 @@
 /// The address of the target list and its rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetListSource {
-    /// The address.
     pub address: SocketAddr,
     /// Requests per second allowed from all hosts together; 0 if no limit is known.
     pub rate_per_s: f64,
--- a/src/control/state.rs
+++ b/src/control/state.rs
@@ -19,13 +19,7 @@
     Publish(Published),
     /// Names the weight version that engines must run for a model. Ignored unless it is higher than
     /// the newest one.
-    NameWeights {
-        /// The model.
-        model: ModelId,
-        /// The version.
-        version: u64,
-    },
-    /// Sets the address of a replica.
+    NameWeights { model: ModelId, version: u64 },
     SetReplicaAddress {
         /// The replica.
         node: NodeId,
@@ -39,7 +33,6 @@
     },
     /// Records that a weight version was named at least this long ago.
     RecordAge {
-        /// The model.
         model: ModelId,
         /// The version, and its age at the time of the proposal.
         weights: NamedWeights,
--- a/src/control/versioned_roster.rs
+++ b/src/control/versioned_roster.rs
@@ -23,7 +23,6 @@
     pub number: u64,
     /// The digest of `roster`.
     digest: u64,
-    /// The roster.
     pub roster: Arc<Roster>,
 }
 
--- a/src/deployment/document.rs
+++ b/src/deployment/document.rs
@@ -14,7 +14,6 @@
 /// Configuration of callers, routes and services by the operators.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Deployment {
-    /// The version.
     pub version: DeploymentVersion,
     /// Routes. Invariant of a valid deployment: no two routes have the same host and path prefix.
     pub routes: Vec<Route>,
@@ -83,7 +82,6 @@
 /// A service and its share of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
     pub service: ServiceId,
     /// Share of the requests, relative to the other weights of the route.
     pub weight: u32,
@@ -127,9 +125,7 @@
 /// Properties of a store of KV cache.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreSpec {
-    /// Its address.
     pub address: SocketAddr,
-    /// Its failure domain.
     pub failure_domain: DomainId,
     /// Capacity in tokens.
     pub capacity_tokens: u64,
--- a/src/deployment/routing_table.rs
+++ b/src/deployment/routing_table.rs
@@ -28,7 +28,6 @@
 /// The route and account of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteMatch<'a> {
-    /// The route.
     pub route: &'a Route,
     /// The account; `None` if the request has no key, or an unknown one, and the route needs none.
     pub account: Option<&'a Account>,
--- a/src/emulator/settings.rs
+++ b/src/emulator/settings.rs
@@ -10,7 +10,6 @@
 use crate::settings::{parse_log_settings, read_json};
 use crate::telemetry::logs::LogSettings;
 
-/// Settings of the emulator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EmulatorSettings {
     /// The loopback address on which the emulator and all targets listen.
--- a/src/host.rs
+++ b/src/host.rs
@@ -14,7 +14,6 @@
     pub name: String,
     /// The host's address.
     pub ip: IpAddr,
-    /// The host's failure domain.
     pub failure_domain: DomainId,
     /// Address of the server for callers, on an entry.
     pub callers_address: Option<SocketAddr>,
--- a/src/http.rs
+++ b/src/http.rs
@@ -17,13 +17,11 @@
 /// An HTTP request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The method.
     pub method: Method,
     /// The path, including the leading slash.
     pub path: String,
     /// The query without the question mark; empty if there is none.
     pub query: String,
-    /// The headers.
     pub headers: HeaderMap,
     /// The body, or why it could not be read.
     pub body: Result<Bytes, BodyError>,
--- a/src/http_api/responses.rs
+++ b/src/http_api/responses.rs
@@ -32,7 +32,6 @@
     pub format: ApiFormat,
     /// The model name from the request.
     pub model: String,
-    /// The id of the response.
     pub id: String,
     /// Whether the answer is sent as server-sent events.
     pub stream: bool,
--- a/src/limits/admission.rs
+++ b/src/limits/admission.rs
@@ -34,7 +34,6 @@
     pub deadline: BootTime,
 }
 
-/// The result of admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionResult {
     /// The request runs now. Call `finish` when it ends.
--- a/src/load/workload.rs
+++ b/src/load/workload.rs
@@ -119,7 +119,6 @@
     Service { service: &'static str },
 }
 
-/// Parameters of a workload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WorkloadParameters {
     pub profile: WorkloadProfile,
--- a/src/log/raft/mod.rs
+++ b/src/log/raft/mod.rs
@@ -34,7 +34,6 @@
 /// replicas may run at different rates.
 const CLOCK_DRIFT_DIVISOR: u32 = 10;
 
-/// Timing of Raft.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftTiming {
     /// Interval between a leader's heartbeats.
@@ -49,7 +48,6 @@
 pub struct Recovered {
     /// The election state.
     pub vote: Vote,
-    /// The snapshot.
     pub snapshot: Option<Snapshot>,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
@@ -124,7 +122,6 @@
     save: Option<Save>,
     /// The election state that is on disk.
     durable_vote: Vote,
-    /// Duration of the last save.
     last_save_duration: Duration,
     /// Whether this replica has voted, for itself or another candidate, and does not know the outcome yet.
     awaits_vote_outcome: bool,
--- a/src/log/state.rs
+++ b/src/log/state.rs
@@ -44,7 +44,6 @@
         key: ClaimKey,
         /// Identifies the claimant.
         token: ClaimToken,
-        /// The outcome.
         outcome: Outcome,
     },
     /// Allocates the next fencing number for orders to engines.
--- a/src/log/types.rs
+++ b/src/log/types.rs
@@ -125,7 +125,6 @@
         /// Whether the sender would grant its vote.
         granted: bool,
     },
-    /// Requests a vote.
     RequestVote {
         /// The candidate's term.
         term: Term,
@@ -149,7 +148,6 @@
         prev_index: Index,
         /// The term of that entry.
         prev_term: Term,
-        /// The entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
@@ -174,7 +172,6 @@
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The snapshot.
         snapshot: Snapshot,
         /// The index of the leader's last entry.
         last_index: Index,
--- a/src/membership/swim.rs
+++ b/src/membership/swim.rs
@@ -49,15 +49,12 @@
 /// What nodes tell each other about a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// The node.
     pub node: NodeId,
     /// Its address for TCP and UDP.
     pub address: SocketAddr,
-    /// Its failure domain.
     pub failure_domain: DomainId,
     /// The incarnation that `status` refers to.
     pub incarnation: NodeIncarnation,
-    /// Its status.
     pub status: Status,
 }
 
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -32,7 +32,6 @@
 /// The response to an `HttpCall`.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// The status.
     pub status: StatusCode,
     /// The complete body.
     pub body: Bytes,
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -27,7 +27,6 @@
 /// Notification that a node sent a prompt to an engine, so that others count it before the engine reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatched {
-    /// The engine.
     pub engine: TargetId,
     /// The start of the engine.
     pub incarnation: Incarnation,
@@ -40,7 +39,6 @@
 /// An import from a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreImport {
-    /// The store.
     pub store: TargetId,
     /// Size of the import in bytes.
     pub size_bytes: u64,
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -47,7 +47,6 @@
     status: watch::Sender<ReplicaStatus>,
 }
 
-/// The status of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaStatus {
     pub raft: RaftStatus,
--- a/src/scheduler/engine.rs
+++ b/src/scheduler/engine.rs
@@ -21,7 +21,6 @@
 /// Fraction of a prefill's timing error that is applied to the expected end of the backlog.
 const DRIFT_CORRECTION: f64 = 0.5;
 
-/// An engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// Its latest entry in the roster.
--- a/src/scheduler/store.rs
+++ b/src/scheduler/store.rs
@@ -84,7 +84,6 @@
     Removed(StoredPart),
 }
 
-/// A store.
 #[derive(Clone, Debug)]
 pub struct Store {
     /// Its specification in the deployment.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -56,11 +56,9 @@
 /// A node in the list of known nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Id of the node.
     pub node_id: NodeId,
     /// TCP and UDP address of the node.
     pub peer_address: SocketAddr,
-    /// Failure domain of the node.
     pub failure_domain: DomainId,
     /// Whether the node is a voter of the replicated log.
     pub replica: bool,
--- a/src/telemetry/burn.rs
+++ b/src/telemetry/burn.rs
@@ -55,7 +55,6 @@
     }
 }
 
-/// A finished request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedRequest<'a> {
     pub kind: &'a str,
--- a/src/upstream/api.rs
+++ b/src/upstream/api.rs
@@ -32,10 +32,7 @@
     /// A store of KV cache.
     Store,
     /// An instance of a plain service.
-    Service {
-        /// The service.
-        service: ServiceId,
-    },
+    Service { service: ServiceId },
 }
 
 /// Whether a target accepts new requests.
@@ -51,16 +48,13 @@
 /// A target as the platform lists it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Id of the target.
     pub id: TargetId,
     /// Number of its current start.
     pub incarnation: Incarnation,
-    /// Its role.
     #[serde(flatten)]
     pub role: Role,
     /// Its base URL.
     pub url: String,
-    /// Its failure domain.
     pub failure_domain: DomainId,
     /// Whether it accepts new requests.
     pub presence: Presence,
@@ -218,7 +212,6 @@
 /// Order to an engine to cancel a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelOrder {
-    /// The request.
     pub request_id: RequestId,
     /// Number of its dispatch.
     pub attempt: Attempt,
--- a/src/upstream/chat.rs
+++ b/src/upstream/chat.rs
@@ -33,7 +33,6 @@
 /// The fields of a request that this system reads. All others are forwarded to the engine unchanged.
 #[derive(Clone, Debug, Deserialize)]
 pub struct PromptRequest {
-    /// The model.
     pub model: String,
     /// Messages of a chat.
     #[serde(default)]
@@ -113,7 +112,6 @@
 /// Token counts of a request, in the OpenAI-compatible format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens generated.
     pub completion_tokens: u64,
